--- a/cmd/oaklab/load_test.go
+++ b/cmd/oaklab/load_test.go
@@ -39,7 +39,7 @@
 	n, err := standin.StartNode(program, dir, standin.NodeConfig{Name: "n", Listen: addr, Discovery: "127.0.0.1:1", Seed: "1",
 		Limits:   map[string]any{"sockets": 1024},
 		Known:    standin.List{Rev: 1, All: true, Targets: []standin.Target{{UID: "s", Endpoint: b.Addr, State: "in_service", Capacity: 1}}},
-		Settings: wire.Encode(settings, time.Second)}, addr, "127.0.0.1:1", nil)
+		Settings: wire.EncodeSettings(settings, time.Second)}, addr, "127.0.0.1:1", nil)
 	require.NoError(t, err)
 	defer n.Kill()
 	require.NoError(t, n.Ready(20*time.Second))
--- a/cmd/oakseam/node.go
+++ b/cmd/oakseam/node.go
@@ -66,8 +66,8 @@
 	budget := message.NewBudget(0)
 	pool := upstream.New(backend.Codec{Fields: c.Settings.ReportFields}, upstream.Options{
 		ConnectTimeout: c.ConnectTimeout,
-		IdleFor:        time.Duration(float64(c.Settings.ConnIdle) * c.Own.Backend.IdleShare),
-		Bare:           true, Relayed: fig.Relayed, Budget: budget,
+		IdleTimeout:    time.Duration(float64(c.Settings.ConnIdle) * c.Own.Backend.IdleShare),
+		OmitHeader:     true, OnRequestWritten: fig.Relayed, Budget: budget,
 	}, count, log)
 	front := session.New(session.Options{
 		Classes: c.Settings.Classes, RetryAfter: c.RetryAfter,
@@ -94,7 +94,7 @@
 	}
 	go owner.Run(pool, registry)
 	defer owner.Stop()
-	go pool.Reap(quit)
+	go pool.ReapIdle(quit)
 	if !c.Settings.MustSubscribe {
 		go registry.Keep(context.Background())
 	}
@@ -157,7 +157,7 @@
 	for _, cl := range c.Settings.Classes {
 		longest = max(longest, cl.Deadline)
 	}
-	if err := front.End(min(longest, killCounts) + killAfter - endSlack); err != nil {
+	if err := front.Shutdown(min(longest, killCounts) + killAfter - endSlack); err != nil {
 		log.Warn("ended with client sessions still open", logging.Cause, err)
 	}
 	return nil
--- a/cmd/oakseam/place.go
+++ b/cmd/oakseam/place.go
@@ -196,9 +196,9 @@
 	// over the program itself, half is for bodies: as much may wait to be collected.
 	memory := part * float64(s.c.MemoryMB) * 3 / 4
 	debug.SetMemoryLimit(int64(memory * (1 << 20)))
-	s.budget.Set(int64(max((memory-restMB)/2, leastMB) * (1 << 20)))
+	s.budget.SetLimit(int64(max((memory-restMB)/2, leastMB) * (1 << 20)))
 	usable := part * float64(s.c.Sockets-spareSockets)
-	s.pool.Limit(int(usable * s.c.Own.Backend.Share))
+	s.pool.SetMaxConns(int(usable * s.c.Own.Backend.Share))
 	s.front.Limit(int(usable*s.c.Own.Session.Share), int(part*session.Overflow), int(part*float64(s.c.Sockets)*s.c.Own.Session.RequestShare))
 }
 
@@ -209,11 +209,11 @@
 }
 
 // Ready leaves new connections to the successor once this process is told to end.
-func (s shares) Ready() { s.front.Succeeded(true) }
+func (s shares) Ready() { s.front.SetHasSuccessor(true) }
 
 // Gone gives this process the whole back.
 func (s shares) Gone() {
 	s.log.Info("handover: the successor has ended")
-	s.front.Succeeded(false)
+	s.front.SetHasSuccessor(false)
 	s.set(false)
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -79,7 +79,7 @@
 }
 
 func (h *host) start(dst []byte, it *wire.Item) []byte {
-	s, err := wire.Settings(it.Facts)
+	s, err := wire.ParseSettings(it.Settings)
 	if err == nil {
 		h.nodes[it.Node], err = logic.New(s, it.Seed)
 	}
--- a/internal/anemometer/dispatch/codec.go
+++ b/internal/anemometer/dispatch/codec.go
@@ -33,8 +33,8 @@
 
 var _ upstream.Codec = codec{}
 
-// Head implements upstream.Codec.
-func (codec) Head(dst *bytes.Buffer, call *message.Call, at core.Place, left time.Duration) {
+// WriteHead implements upstream.Codec.
+func (codec) WriteHead(dst *bytes.Buffer, call *message.Call, at core.Place, left time.Duration) {
 	fmt.Fprintf(dst, "%s %s HTTP/1.1\r\nHost: %s\r\n", call.Method, call.Target, call.Host)
 	fmt.Fprintf(dst, "%s: %s\r\n%s: %d\r\n%s: %s\r\n", AttemptHeader, call.ID, TimeBudgetHeader, max(left.Milliseconds(), 1), TargetHeader, at.ID)
 	for name, values := range call.Header {
@@ -45,17 +45,17 @@
 			dst.WriteString("\r\n")
 		}
 	}
-	upstream.Frame(dst, call)
+	upstream.WriteBodyFraming(dst, call)
 	dst.WriteString("\r\n")
 }
 
-// Judge implements upstream.Codec. Every answer of a server names the try that it is for. One
+// Classify implements upstream.Codec. Every answer of a server names the try that it is for. One
 // that names another, or none, proves nothing about this one: neither a success, nor the
 // promise that it never ran.
-func (codec) Judge(call *message.Call, response *http.Response) upstream.Verdict {
-	v := upstream.Verdict{Report: report(response.Header.Get(LoadHeader))}
+func (codec) Classify(call *message.Call, response *http.Response) upstream.Classification {
+	v := upstream.Classification{Report: report(response.Header.Get(LoadHeader))}
 	if response.Header.Get(AttemptHeader) != call.ID {
-		v.Foreign = true
+		v.Misrouted = true
 		return v
 	}
 	switch status := response.StatusCode; {
@@ -67,7 +67,7 @@
 		v.Result = logic.OK
 		v.Stream = strings.HasPrefix(response.Header.Get("Content-Type"), StreamType)
 	default:
-		v.Result, v.Pass = logic.Failed, true
+		v.Result, v.PassThrough = logic.Failed, true
 	}
 	return v
 }
--- a/internal/anemometer/dispatch/codec_test.go
+++ b/internal/anemometer/dispatch/codec_test.go
@@ -30,9 +30,9 @@
 			if test.notExecuted != "" {
 				response.Header.Set(NotExecutedHeader, test.notExecuted)
 			}
-			verdict := codec{}.Judge(call, response)
-			assert.Equal(t, verdict.Foreign, id != call.ID, "status %d, id %q", test.status, id)
-			if !verdict.Foreign {
+			verdict := codec{}.Classify(call, response)
+			assert.Equal(t, verdict.Misrouted, id != call.ID, "status %d, id %q", test.status, id)
+			if !verdict.Misrouted {
 				assert.Equal(t, verdict.Result, test.result, "status %d", test.status)
 			}
 		}
--- a/internal/anemometer/dispatch/dispatch.go
+++ b/internal/anemometer/dispatch/dispatch.go
@@ -78,9 +78,9 @@
 func New(o Options) *Dispatcher {
 	d := &Dispatcher{opt: o, quit: make(chan struct{}), services: map[string]*service{}, classes: map[string][]logic.Class{}, lists: map[string][]protocol.Server{}}
 	d.pool = upstream.New(codec{}, upstream.Options{
-		ConnectTimeout: connectWithin, IdleFor: idleFor, LearnRest: true, MaxConns: o.Conns, UserTimeout: userTimeout, Budget: o.Budget,
+		ConnectTimeout: connectWithin, IdleTimeout: idleFor, LearnIdleLimits: true, MaxConns: o.Conns, TCPUserTimeout: userTimeout, Budget: o.Budget,
 	}, o.Count, o.Log)
-	go d.pool.Reap(d.quit)
+	go d.pool.ReapIdle(d.quit)
 	go d.resize()
 	return d
 }
--- a/internal/anemometer/edge/edge.go
+++ b/internal/anemometer/edge/edge.go
@@ -83,10 +83,10 @@
 	n.gateway = gateway.New(gateway.Options{Dispatcher: n.dispatcher, Turns: n.turns, Budget: budget, Count: n.count, MaxOpen: openMost, Current: n.current})
 	n.follower = follow.New(follow.Options{Name: s.NodeName, Seeds: seeds, Slots: s.FaultTolerance.MachineLosses + 1, Pool: pool, Told: n.told})
 	n.server = ingress.New(ingress.Options{
-		Handler: n.gateway.Handle, Doubtful: doubtful,
+		Handler: n.gateway.Handle, RejectAmbiguous: doubtful,
 		MaxSessions: int(clientShare * descriptors), Overflow: overflow,
-		HeadWithin: routing.DefaultHeaderTimeout, BodyWithin: routing.DefaultHeaderTimeout, IdleFor: routing.DefaultIdleTimeout,
-		WriteWithin: writeWithin, AnswerBy: answerBy, MaxHeaderBytes: 4 * routing.DefaultMaxHeaderBytes, Lifecycle: lifecycle.TierTiming,
+		HeaderTimeout: routing.DefaultHeaderTimeout, BodyTimeout: routing.DefaultHeaderTimeout, IdleTimeout: routing.DefaultIdleTimeout,
+		WriteTimeout: writeWithin, RespondNowMargin: answerBy, MaxHeaderBytes: 4 * routing.DefaultMaxHeaderBytes, Lifecycle: lifecycle.TierTiming,
 	}, l, n.count)
 	return n, nil
 }
@@ -119,7 +119,7 @@
 	n.ending = true
 	n.mu.Unlock()
 	klog.InfoS("Ends: clients are sent to other nodes")
-	err = n.server.End(max(n.settings.Bounds.Grace-graceSlack, n.settings.Bounds.Grace/2))
+	err = n.server.Shutdown(max(n.settings.Bounds.Grace-graceSlack, n.settings.Bounds.Grace/2))
 	klog.InfoS("Ended", "cause", err)
 	return nil
 }
@@ -145,7 +145,7 @@
 	// Services first: a route must not lead to one that isn't open yet.
 	n.dispatcher.Configure(c)
 	n.gateway.Configure(c)
-	n.server.SetTimes(c.Limits.HeaderTimeout, c.Limits.IdleTimeout)
+	n.server.SetTimeouts(c.Limits.HeaderTimeout, c.Limits.IdleTimeout)
 	n.server.SetMaxHeaderBytes(int(c.Limits.MaxHeaderBytes))
 	klog.InfoS("Configuration in force", "revision", c.Revision, "routes", len(c.Routes))
 }
--- a/internal/anemometer/gateway/answer.go
+++ b/internal/anemometer/gateway/answer.go
@@ -170,7 +170,7 @@
 	if _, dated := reply.Header["Date"]; !dated {
 		h["Date"] = nil
 	}
-	if reply.Length != message.Unknown && kept == nil {
+	if reply.Length != message.UnknownLength && kept == nil {
 		h.Set("Content-Length", strconv.FormatInt(reply.Length, 10))
 	}
 	x.writer.WriteHeader(max(reply.Status, http.StatusOK))
--- a/internal/anemometer/gateway/capacity_test.go
+++ b/internal/anemometer/gateway/capacity_test.go
@@ -126,8 +126,8 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
 	front := ingress.New(ingress.Options{
-		Handler: g.Handle, Doubtful: func(w http.ResponseWriter) { w.WriteHeader(http.StatusBadRequest) },
-		MaxSessions: 100, WriteWithin: time.Minute, BodyWithin: time.Minute, Lifecycle: lifecycle.TierTiming,
+		Handler: g.Handle, RejectAmbiguous: func(w http.ResponseWriter) { w.WriteHeader(http.StatusBadRequest) },
+		MaxSessions: 100, WriteTimeout: time.Minute, BodyTimeout: time.Minute, Lifecycle: lifecycle.TierTiming,
 	}, l, count)
 	go front.Serve()
 	b.Cleanup(func() { front.Close() })
--- a/internal/anemometer/gateway/request.go
+++ b/internal/anemometer/gateway/request.go
@@ -62,15 +62,15 @@
 		return &RequestError{http.StatusRequestEntityTooLarge, "the body is too long"}
 	}
 	body := ingress.NewBody(x.writer, x.request, ingress.BodyLimits{
-		Within: bodyWithin, PerByte: perByte, Held: longest, Longest: longest, Budget: x.gateway.opt.Budget,
+		Timeout: bodyWithin, TimeoutPerByte: perByte, MaxBuffered: longest, MaxBytes: longest, Budget: x.gateway.opt.Budget,
 	})
 	defer body.Close()
-	text, long, err := body.First(x.request.ContentLength)
+	text, long, err := body.ReadPrefix(x.request.ContentLength)
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large) || long:
 		return &RequestError{http.StatusRequestEntityTooLarge, "the body is too long"}
-	case errors.Is(err, ingress.ErrNoRoom):
+	case errors.Is(err, ingress.ErrBudgetExhausted):
 		return &RequestError{http.StatusServiceUnavailable, "no room for the body"}
 	case err != nil:
 		return &RequestError{http.StatusBadRequest, "the body did not come whole"}
@@ -117,7 +117,7 @@
 	}
 	return &message.Call{
 		Method: x.request.Method, Target: target, Host: x.request.Host, ID: x.attempt,
-		Header: x.header(), Body: body, Length: int64(len(body)), Left: x.conn.Gone,
+		Header: x.header(), Body: body, Length: int64(len(body)), ClientGone: x.conn.ClientClosed,
 	}
 }
 
--- a/internal/anemometer/gateway/resume.go
+++ b/internal/anemometer/gateway/resume.go
@@ -16,7 +16,7 @@
 func (x *exchange) resumable(a core.Answer, s submission) core.Answer {
 	reply, _ := a.Reply.(*message.Reply)
 	if !x.route.SessionResume || a.Kind != core.Served || reply == nil || reply.Rest == nil ||
-		len(reply.Body) > 0 || reply.Length != message.Unknown {
+		len(reply.Body) > 0 || reply.Length != message.UnknownLength {
 		return a
 	}
 	s.avoid = a.Server
--- a/internal/anemometer/gateway/standin_test.go
+++ b/internal/anemometer/gateway/standin_test.go
@@ -107,9 +107,9 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	front := ingress.New(ingress.Options{
-		Handler: r.gateway.Handle, Doubtful: func(w http.ResponseWriter) { w.WriteHeader(http.StatusBadRequest) },
+		Handler: r.gateway.Handle, RejectAmbiguous: func(w http.ResponseWriter) { w.WriteHeader(http.StatusBadRequest) },
 		MaxSessions: 50, Overflow: 10, Lifecycle: lifecycle.TierTiming,
-		HeadWithin: time.Minute, BodyWithin: time.Minute, IdleFor: time.Minute, WriteWithin: time.Minute,
+		HeaderTimeout: time.Minute, BodyTimeout: time.Minute, IdleTimeout: time.Minute, WriteTimeout: time.Minute,
 	}, l, counters.New())
 	go front.Serve()
 	t.Cleanup(func() { front.Close() })
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -23,8 +23,8 @@
 
 var _ upstream.Codec = Codec{}
 
-// Head is upstream.Codec. Of the call's header nothing is handed on.
-func (Codec) Head(dst *bytes.Buffer, c *message.Call, _ core.Place, left time.Duration) {
+// WriteHead is upstream.Codec. Of the call's header nothing is handed on.
+func (Codec) WriteHead(dst *bytes.Buffer, c *message.Call, _ core.Place, left time.Duration) {
 	fmt.Fprintf(dst, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\nX-Time-Left: %du\r\n",
 		c.Method, c.Target, c.Host, c.ID, max(left.Microseconds(), 1))
 	if c.Key != "" {
@@ -33,14 +33,14 @@
 	if c.ContentType != "" {
 		fmt.Fprintf(dst, "Content-Type: %s\r\n", c.ContentType)
 	}
-	upstream.Frame(dst, c)
+	upstream.WriteBodyFraming(dst, c)
 	dst.WriteString("\r\n")
 }
 
-// Judge is upstream.Codec: 200 is served, what a backend marks as unprocessed never ran, and
+// Classify is upstream.Codec: 200 is served, what a backend marks as unprocessed never ran, and
 // all else failed.
-func (c Codec) Judge(_ *message.Call, res *http.Response) upstream.Verdict {
-	v := upstream.Verdict{Result: logic.Failed, Report: c.report(res.Header.Get("X-Backend-Load"))}
+func (c Codec) Classify(_ *message.Call, res *http.Response) upstream.Classification {
+	v := upstream.Classification{Result: logic.Failed, Report: c.report(res.Header.Get("X-Backend-Load"))}
 	switch res.StatusCode {
 	case http.StatusOK:
 		v.Result = logic.OK
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -49,16 +49,16 @@
 		{message.Call{}, 5 * time.Millisecond, "X-Time-Left: 5000u\r\nContent-Length: 0\r\n\r\n"},
 		{message.Call{Key: "k", ContentType: "text/plain", Length: 3}, -1,
 			"X-Time-Left: 1u\r\nIdempotency-Key: k\r\nContent-Type: text/plain\r\nContent-Length: 3\r\n\r\n"},
-		{message.Call{Length: message.Unknown, Header: http.Header{"More": {"1"}}}, time.Second,
+		{message.Call{Length: message.UnknownLength, Header: http.Header{"More": {"1"}}}, time.Second,
 			"X-Time-Left: 1000000u\r\nTransfer-Encoding: chunked\r\n\r\n"},
 	} {
 		tt.call.Method, tt.call.Target, tt.call.Host, tt.call.ID = "POST", "/api/x", "h", "i"
 		var out bytes.Buffer
-		Codec{}.Head(&out, &tt.call, core.Place{}, tt.left)
+		Codec{}.WriteHead(&out, &tt.call, core.Place{}, tt.left)
 		assert.Equal(t, start+tt.want, out.String())
 	}
 	var out bytes.Buffer
-	Codec{}.Head(&out, &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i"}, core.Place{}, time.Second)
+	Codec{}.WriteHead(&out, &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i"}, core.Place{}, time.Second)
 	assert.NotContains(t, out.String(), "Content-Length")
 }
 
@@ -73,7 +73,7 @@
 		{503, "", logic.Failed}, {503, "1", logic.QueueFull}, {503, "0", logic.Failed}, {504, "1", logic.QueueFull},
 	} {
 		header := http.Header{"X-Unprocessed": {tt.unprocessed}, "X-Backend-Load": {"queue=2"}}
-		got := Codec{Fields: []string{"pending"}}.Judge(&message.Call{}, &http.Response{StatusCode: tt.status, Header: header})
-		assert.Equal(t, upstream.Verdict{Result: tt.want, Report: []float64{2}}, got, "%d, unprocessed %q", tt.status, tt.unprocessed)
+		got := Codec{Fields: []string{"pending"}}.Classify(&message.Call{}, &http.Response{StatusCode: tt.status, Header: header})
+		assert.Equal(t, upstream.Classification{Result: tt.want, Report: []float64{2}}, got, "%d, unprocessed %q", tt.status, tt.unprocessed)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -264,7 +264,7 @@
 	if err != nil {
 		return err
 	}
-	if c.Settings, err = wire.Settings(facts); err != nil {
+	if c.Settings, err = wire.ParseSettings(facts); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	c.Settings.ConnIdle = cmp.Or(c.Settings.ConnIdle, defaultConnIdle)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -151,7 +151,7 @@
 		Name: fmt.Sprint("n", no), Listen: n.held.Addr, Discovery: n.registry.Addr, Seed: strconv.FormatUint(uint64(no+1)*0x9e3779b97f4a7c15+uint64(epoch), 16),
 		Limits:   map[string]any{"cores": 1.0, "memory_mb": f.opt.MemoryMB, "sockets": f.opt.Sockets},
 		Known:    f.list(no, emulator.ListChanges{Rev: rev, All: true, Entries: known}),
-		Settings: wire.Encode(f.day.Settings(no), f.day.Connect()),
+		Settings: wire.EncodeSettings(f.day.Settings(no), f.day.Connect()),
 	}
 	if f.relays != nil {
 		c.PeerListen, c.Peers = n.peerListen(), f.relays.Peers(no)
--- a/internal/ingress/answer.go
+++ b/internal/ingress/answer.go
@@ -30,7 +30,7 @@
 
 // bound gives what is written next its time.
 func (a *answer) bound() {
-	http.NewResponseController(a.ResponseWriter).SetWriteDeadline(time.Now().Add(a.server.opt.WriteWithin))
+	http.NewResponseController(a.ResponseWriter).SetWriteDeadline(time.Now().Add(a.server.opt.WriteTimeout))
 }
 
 // WriteHeader writes the answer's head.
@@ -66,15 +66,15 @@
 	return w
 }
 
-// Pass passes a long answer on as it comes, its first part and then the rest, with a flush a
+// Relay passes a long answer on as it comes, its first part and then the rest, with a flush a
 // piece; the client may take nothing of a piece for WriteWithin. It returns nil at the
 // answer's end, and else which side broke. Once any of it is out nothing else can be answered:
 // where it breaks, the handler has to panic with http.ErrAbortHandler, net/http's way to end a
 // session short of its answer, so that the client sees it.
-func (s *Server) Pass(w http.ResponseWriter, first []byte, rest io.Reader) (toClient, fromSource error) {
+func (s *Server) Relay(w http.ResponseWriter, first []byte, rest io.Reader) (toClient, fromSource error) {
 	control := http.NewResponseController(w)
 	put := func(b []byte) error {
-		control.SetWriteDeadline(time.Now().Add(s.opt.WriteWithin))
+		control.SetWriteDeadline(time.Now().Add(s.opt.WriteTimeout))
 		if _, err := w.Write(b); err != nil {
 			return err
 		}
@@ -83,5 +83,5 @@
 	if err := put(first); err != nil {
 		return err, nil
 	}
-	return relay.Pass(put, rest)
+	return relay.Copy(put, rest)
 }
--- a/internal/ingress/body.go
+++ b/internal/ingress/body.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// ErrNoRoom tells that a body does not fit in the budget.
-var ErrNoRoom = errors.New("no room for the body")
+// ErrBudgetExhausted tells that a body does not fit in the budget.
+var ErrBudgetExhausted = errors.New("no room for the body")
 
 // grownFrom is the first buffer, in bytes, of a body whose length is not stated.
 const grownFrom = 2 << 10
 
 // Budget is how many bytes the bodies of a process may take.
 type Budget interface {
-	Take(n int64) bool // takes bytes, or none and returns false where they don't fit
-	Give(n int64)      // gives bytes back
+	TryAcquire(n int64) bool // takes bytes, or none and returns false where they don't fit
+	Release(n int64)         // gives bytes back
 }
 
 // BodyLimits are what a body is held to.
 type BodyLimits struct {
-	Within  time.Duration // how long a client may take for it,
-	PerByte time.Duration // and so much more for each byte that has come
-	Held    int64         // the longest part that First reads, in bytes
-	Longest int64         // the longest body, in bytes
-	Budget  Budget        // what First takes counts here until Close
+	Timeout        time.Duration // how long a client may take for it,
+	TimeoutPerByte time.Duration // and so much more for each byte that has come
+	MaxBuffered    int64         // the longest part that First reads, in bytes
+	MaxBytes       int64         // the longest body, in bytes
+	Budget         Budget        // what First takes counts here until Close
 }
 
 // Body is a request's body as it comes, at the pace that a client is held to.
@@ -48,20 +48,20 @@
 
 // NewBody returns the body of r, whose pace counts from now. It has to be closed.
 func NewBody(w http.ResponseWriter, r *http.Request, limits BodyLimits) *Body {
-	in := &Body{src: http.MaxBytesReader(unwrapped(w), r.Body, limits.Longest), control: http.NewResponseController(w),
+	in := &Body{src: http.MaxBytesReader(unwrapped(w), r.Body, limits.MaxBytes), control: http.NewResponseController(w),
 		began: time.Now(), limits: limits, broke: make(chan struct{})}
 	in.read.L = &in.mu
 	return in
 }
 
-// Broke is closed where the body can't come whole any more.
-func (in *Body) Broke() <-chan struct{} { return in.broke }
+// Failed is closed where the body can't come whole any more.
+func (in *Body) Failed() <-chan struct{} { return in.broke }
 
-// First reads a body of a stated length, or of an unknown one (below 0), up to what is held,
+// ReadPrefix reads a body of a stated length, or of an unknown one (below 0), up to what is held,
 // and tells whether there is more of it. It fails with ErrNoRoom where there is no room for
 // that, and with an *http.MaxBytesError where the stated length is over the longest.
-func (in *Body) First(length int64) (body []byte, long bool, err error) {
-	size := in.limits.Held
+func (in *Body) ReadPrefix(length int64) (body []byte, long bool, err error) {
+	size := in.limits.MaxBuffered
 	if length >= 0 {
 		size = min(length, size)
 	}
@@ -69,11 +69,11 @@
 		in.settle()
 		return nil, false, nil
 	}
-	if length > in.limits.Longest {
-		return nil, false, &http.MaxBytesError{Limit: in.limits.Longest}
+	if length > in.limits.MaxBytes {
+		return nil, false, &http.MaxBytesError{Limit: in.limits.MaxBytes}
 	}
-	if !in.limits.Budget.Take(size) {
-		return nil, false, ErrNoRoom
+	if !in.limits.Budget.TryAcquire(size) {
+		return nil, false, ErrBudgetExhausted
 	}
 	in.taken = size
 	if length >= 0 {
@@ -92,7 +92,7 @@
 		body = body[:len(body)+n]
 		switch {
 		case err == io.EOF:
-			in.limits.Budget.Give(in.taken - int64(cap(body)))
+			in.limits.Budget.Release(in.taken - int64(cap(body)))
 			in.taken = int64(cap(body))
 			return body, false, nil
 		case err != nil:
@@ -125,7 +125,7 @@
 		in.mu.Unlock()
 		return 0, io.ErrClosedPipe
 	}
-	in.control.SetReadDeadline(in.began.Add(in.limits.Within + time.Duration(in.got)*in.limits.PerByte))
+	in.control.SetReadDeadline(in.began.Add(in.limits.Timeout + time.Duration(in.got)*in.limits.TimeoutPerByte))
 	in.reading = true
 	in.mu.Unlock()
 	n, err := in.src.Read(b)
@@ -164,6 +164,6 @@
 // Close stops, and gives back what was taken of the budget.
 func (in *Body) Close() {
 	in.Stop()
-	in.limits.Budget.Give(in.taken)
+	in.limits.Budget.Release(in.taken)
 	in.taken = 0
 }
--- a/internal/ingress/body_test.go
+++ b/internal/ingress/body_test.go
@@ -16,7 +16,7 @@
 // bytesLeft is a budget.
 type bytesLeft struct{ atomic.Int64 }
 
-func (b *bytesLeft) Take(n int64) bool {
+func (b *bytesLeft) TryAcquire(n int64) bool {
 	if b.Add(-n) < 0 {
 		b.Add(n)
 		return false
@@ -24,12 +24,12 @@
 	return true
 }
 
-func (b *bytesLeft) Give(n int64) { b.Add(n) }
+func (b *bytesLeft) Release(n int64) { b.Add(n) }
 
 func limits(room int64) BodyLimits {
 	b := &bytesLeft{}
 	b.Store(room)
-	return BodyLimits{Within: patience, PerByte: time.Millisecond, Held: 10, Longest: 20, Budget: b}
+	return BodyLimits{Timeout: patience, TimeoutPerByte: time.Millisecond, MaxBuffered: 10, MaxBytes: 20, Budget: b}
 }
 
 // first is what First returned, and what came after it.
@@ -57,10 +57,10 @@
 		"stated, as held":        {stated(10) + "0123456789", 100, first{body: "0123456789"}},
 		"stated, longer":         {stated(12) + "0123456789ab", 100, first{body: "0123456789", rest: "ab", long: true}},
 		"stated, too long":       {stated(21), 100, first{err: &http.MaxBytesError{}}},
-		"stated, no room":        {stated(3), 2, first{err: ErrNoRoom}},
+		"stated, no room":        {stated(3), 2, first{err: ErrBudgetExhausted}},
 		"chunked":                {chunked(3), 100, first{body: "ccc"}},
 		"chunked, longer":        {chunked(12), 100, first{body: "cccccccccc", rest: "cc", long: true}},
-		"chunked, not even held": {chunked(3), 9, first{err: ErrNoRoom}},
+		"chunked, not even held": {chunked(3), 9, first{err: ErrBudgetExhausted}},
 		"chunked, too long":      {chunked(21), 100, first{body: "cccccccccc", rest: "cccccccccc", long: true, err: &http.MaxBytesError{}}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -68,7 +68,7 @@
 			_, addr := serving(t, Options{}, func(w http.ResponseWriter, r *http.Request, _ *Conn) {
 				held := limits(tt.room)
 				in := NewBody(w, r, held)
-				body, long, err := in.First(r.ContentLength)
+				body, long, err := in.ReadPrefix(r.ContentLength)
 				got := first{body: string(body), long: long, err: err}
 				if long {
 					rest, err := io.ReadAll(in)
@@ -102,12 +102,12 @@
 			came, broke := make(chan bool), make(chan error, 1)
 			_, addr := serving(t, Options{}, func(w http.ResponseWriter, r *http.Request, _ *Conn) {
 				held := limits(100)
-				held.Within = within
+				held.Timeout = within
 				in := NewBody(w, r, held)
 				defer in.Close()
 				came <- true
-				_, _, err := in.First(r.ContentLength)
-				<-in.Broke()
+				_, _, err := in.ReadPrefix(r.ContentLength)
+				<-in.Failed()
 				broke <- err
 			})
 			c := call(t, addr)
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -61,7 +61,7 @@
 	if c.closed.Swap(true) {
 		return nil
 	}
-	if c.Gone() || !c.server.linger() {
+	if c.ClientClosed() || !c.server.linger() {
 		c.server.sessions.Add(-1)
 		return c.Conn.Close()
 	}
@@ -218,9 +218,9 @@
 	return err == syscall.EAGAIN
 }
 
-// Gone tells whether the client has closed its connection, as far as its bytes have been
+// ClientClosed tells whether the client has closed its connection, as far as its bytes have been
 // read. It asks the socket: who reads may not have had its turn yet.
-func (c *Conn) Gone() bool {
+func (c *Conn) ClientClosed() bool {
 	n, err := c.peek()
 	return n == 0 && err != syscall.EAGAIN && err != errNoSocket
 }
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -100,7 +100,7 @@
 	require.NoError(t, err)
 	var s *ingress.Conn
 	until(t, "the session rests", func() bool {
-		f.EachSpare(func(k *ingress.Conn) {
+		f.EachIdle(func(k *ingress.Conn) {
 			if k.RemoteAddr().String() == c.LocalAddr().String() {
 				s = k
 			}
@@ -127,7 +127,7 @@
 				}
 				write(t, c, text)
 				r := wait(t, o.requests, "the request")
-				left := r.Call.(*message.Call).Left
+				left := r.Call.(*message.Call).ClientGone
 				assert.False(t, left())
 				if later {
 					write(t, c, behind)
@@ -181,7 +181,7 @@
 	until(t, "each attempt would be stopped", func() bool {
 		began = 0
 		for _, c := range calls {
-			if !c.Left() {
+			if !c.ClientGone() {
 				began++
 			}
 		}
@@ -200,7 +200,7 @@
 		t.Run("after it: "+name, func(t *testing.T) {
 			f, o, addr := front(t, 100)
 			c, s := resting(t, f, o, addr)
-			require.True(t, s.End())
+			require.True(t, s.CloseIfIdle())
 			write(t, c, text)
 			rest, err := io.ReadAll(c)
 			assert.NoError(t, err, "an end, not a reset")
@@ -213,8 +213,8 @@
 			f, o, addr := front(t, 100)
 			c, s := resting(t, f, o, addr)
 			write(t, c, text)
-			until(t, "it has come", func() bool { return !s.Between() })
-			assert.False(t, s.End())
+			until(t, "it has come", func() bool { return !s.Idle() })
+			assert.False(t, s.CloseIfIdle())
 			if name != "a whole request" {
 				write(t, c, get("late")[len(text):])
 			}
@@ -235,9 +235,9 @@
 		}()
 		defer close(o.requests)
 		end := func(c net.Conn) {
-			f.EachSpare(func(k *ingress.Conn) {
+			f.EachIdle(func(k *ingress.Conn) {
 				if k.RemoteAddr().String() == c.LocalAddr().String() {
-					k.End()
+					k.CloseIfIdle()
 				}
 			})
 		}
@@ -306,12 +306,12 @@
 	write(t, c, get("half")[:30])
 	other, _ := resting(t, f, o, addr)
 	ended := make(chan error, 1)
-	go func() { ended <- f.End(patience) }()
+	go func() { ended <- f.Shutdown(patience) }()
 	_, err := other.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF, "what rests ends")
 	other.Close()
 	wait(t, f.Closed(), "the listener's end")
-	until(t, "nothing more is sent on", func() bool { return !f.Takes() })
+	until(t, "nothing more is sent on", func() bool { return !f.AcceptsRequests() })
 	write(t, c, get("half")[30:])
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
@@ -333,8 +333,8 @@
 	late := dial(t, addr) // connected, and not accepted
 	write(t, late, get("late"))
 	ended := make(chan error, 1)
-	go func() { ended <- f.End(patience) }()
-	until(t, "the listener is to close", f.Last)
+	go func() { ended <- f.Shutdown(patience) }()
+	until(t, "the listener is to close", f.ListenerClosing)
 	first.Session.Answer(served("one"))
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
@@ -361,10 +361,10 @@
 	write(t, c, get("other"))
 	wait(t, o.requests, "the other").Session.Answer(served("in time"))
 	const within = patience / 2
-	f.SetAnswerBy(within - 700*time.Millisecond)
+	f.SetRespondNowMargin(within - 700*time.Millisecond)
 	began := time.Now()
 	ended := make(chan error, 1)
-	go func() { ended <- f.End(within) }()
+	go func() { ended <- f.Shutdown(within) }()
 	res, err := http.ReadResponse(bufio.NewReader(hung), nil)
 	require.NoError(t, err, "an answer")
 	assert.Equal(t, 502, res.StatusCode)
--- a/internal/ingress/export_test.go
+++ b/internal/ingress/export_test.go
@@ -7,8 +7,8 @@
 // SetLingerFor changes how long sessions that have ended are read out.
 func (s *Server) SetLingerFor(d time.Duration) { s.lingerFor = d }
 
-// SetAnswerBy changes how long before End's time Over is closed.
-func (s *Server) SetAnswerBy(d time.Duration) { s.opt.AnswerBy = d }
+// SetRespondNowMargin changes how long before End's time Over is closed.
+func (s *Server) SetRespondNowMargin(d time.Duration) { s.opt.RespondNowMargin = d }
 
 // Sessions is how many client sessions count towards the limit.
 func (s *Server) Sessions() int64 { return s.sessions.Load() }
@@ -19,11 +19,11 @@
 // Closed is closed when no more sessions are taken.
 func (s *Server) Closed() chan struct{} { return s.closed }
 
-// Last tells whether the listener closes once nobody waits at it.
-func (s *Server) Last() bool { return s.last.Load() }
+// ListenerClosing tells whether the listener closes once nobody waits at it.
+func (s *Server) ListenerClosing() bool { return s.last.Load() }
 
-// EachSpare hands each session without an open request to see, while nothing changes them.
-func (s *Server) EachSpare(see func(*Conn)) {
+// EachIdle hands each session without an open request to see, while nothing changes them.
+func (s *Server) EachIdle(see func(*Conn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.spare {
@@ -31,8 +31,8 @@
 	}
 }
 
-// End closes the session if it stands between requests.
-func (c *Conn) End() bool { return c.end() }
+// CloseIfIdle closes the session if it stands between requests.
+func (c *Conn) CloseIfIdle() bool { return c.end() }
 
-// Between tells whether the session stands between requests.
-func (c *Conn) Between() bool { return c.between() }
+// Idle tells whether the session stands between requests.
+func (c *Conn) Idle() bool { return c.between() }
--- a/internal/ingress/lifecycle.go
+++ b/internal/ingress/lifecycle.go
@@ -21,9 +21,9 @@
 // Resume has clients taken again.
 func (s *Server) Resume() error { return s.move(s.life.Resume) }
 
-// Succeeded tells whether a successor serves at the same address, from the same queue
+// SetHasSuccessor tells whether a successor serves at the same address, from the same queue
 // of connections.
-func (s *Server) Succeeded(serves bool) { s.heir.Store(serves) }
+func (s *Server) SetHasSuccessor(serves bool) { s.heir.Store(serves) }
 
 // HasSuccessor returns what Succeeded told last.
 func (s *Server) HasSuccessor() bool { return s.heir.Load() }
@@ -39,8 +39,8 @@
 // Leaving tells whether the server sends its clients away.
 func (s *Server) Leaving() bool { return s.leaving.Load() }
 
-// Takes tells whether a request that has come now is taken.
-func (s *Server) Takes() bool {
+// AcceptsRequests tells whether a request that has come now is taken.
+func (s *Server) AcceptsRequests() bool {
 	if !s.leaving.Load() {
 		return true
 	}
@@ -49,9 +49,9 @@
 	return s.life.Takes(time.Now())
 }
 
-// Over is closed when each open request has to be answered at once: AnswerBy before the end
+// RespondNow is closed when each open request has to be answered at once: AnswerBy before the end
 // of End's time.
-func (s *Server) Over() <-chan struct{} { return s.over }
+func (s *Server) RespondNow() <-chan struct{} { return s.over }
 
 // closes tells whether an answer that is given now ends its session.
 func (s *Server) closes() bool {
@@ -110,15 +110,15 @@
 	return true
 }
 
-// End takes no more client sessions after a while, and returns when every request that was
+// Shutdown takes no more client sessions after a while, and returns when every request that was
 // taken has its answer and its session has ended, or with an error after the time within.
 // By then each open request has to be answered: unanswered it would be lost. net/http's
 // own Shutdown is not used: it closes sessions on which a request is being read.
-func (s *Server) End(within time.Duration) error {
+func (s *Server) Shutdown(within time.Duration) error {
 	s.move(func(now time.Time) error { s.life.Stop(now); return nil })
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	defer time.AfterFunc(within-s.opt.AnswerBy, func() { close(s.over) }).Stop()
+	defer time.AfterFunc(within-s.opt.RespondNowMargin, func() { close(s.over) }).Stop()
 	if s.heir.Load() {
 		s.listener.Close() // the successor takes them from the same queue
 	} else {
--- a/internal/ingress/lifecycle_test.go
+++ b/internal/ingress/lifecycle_test.go
@@ -46,7 +46,7 @@
 				await(t, came, "the request")
 				assert.NilError(t, stop(s))
 				assert.Equal(t, s.Phase(), lifecycle.Stopping)
-				assert.Assert(t, s.Leaving() && s.Takes())
+				assert.Assert(t, s.Leaving() && s.AcceptsRequests())
 				on <- true
 				res, _ := c.answer()
 				assert.Equal(t, res.Close, tt.ends)
@@ -58,7 +58,7 @@
 // A bound on the time of answers keeps what was settled when the request came.
 func TestAnswersInTimeKeepWhatWasSettled(t *testing.T) {
 	came, on := make(chan bool), make(chan bool)
-	s, addr := serving(t, Options{AnswerWithin: patience, Lifecycle: leaving(0, never)}, func(w http.ResponseWriter, r *http.Request, c *Conn) {
+	s, addr := serving(t, Options{ResponseTimeout: patience, Lifecycle: leaving(0, never)}, func(w http.ResponseWriter, r *http.Request, c *Conn) {
 		came <- true
 		<-on
 		hello(w, r, c)
@@ -96,7 +96,7 @@
 	open.send("GET /open HTTP/1.1\r\nHost: x\r\n\r\n")
 	await(t, came, "the open request")
 	ended := make(chan error, 1)
-	go func() { ended <- s.End(never) }()
+	go func() { ended <- s.Shutdown(never) }()
 	rests.ended()
 	rests.Close()
 	late := call(t, addr)
@@ -121,15 +121,15 @@
 func TestEndWithinItsTime(t *testing.T) {
 	came, told := make(chan bool), make(chan bool, 1)
 	var s *Server
-	s, addr := serving(t, Options{AnswerBy: never, Lifecycle: leaving(0, 0)}, func(w http.ResponseWriter, r *http.Request, c *Conn) {
+	s, addr := serving(t, Options{RespondNowMargin: never, Lifecycle: leaving(0, 0)}, func(w http.ResponseWriter, r *http.Request, c *Conn) {
 		came <- true
-		<-s.Over()
+		<-s.RespondNow()
 		told <- true
 		<-r.Context().Done()
 	})
 	c := call(t, addr)
 	c.send(plain)
 	await(t, came, "the request")
-	assert.ErrorContains(t, s.End(time.Second/10), "deadline")
+	assert.ErrorContains(t, s.Shutdown(time.Second/10), "deadline")
 	assert.Assert(t, await(t, told, "the word that it is over"))
 }
--- a/internal/ingress/limits.go
+++ b/internal/ingress/limits.go
@@ -13,10 +13,10 @@
 	idleMark = 20 * 365 * 24 * time.Hour
 )
 
-// SetTimes changes how long a client may take for a head, and how long a session may stay open
+// SetTimeouts changes how long a client may take for a head, and how long a session may stay open
 // between requests; 0 is no bound. A head that is coming and a session that is idle keep the
 // times that they began with.
-func (s *Server) SetTimes(head, idle time.Duration) {
+func (s *Server) SetTimeouts(head, idle time.Duration) {
 	s.head.Store(int64(head))
 	s.idle.Store(int64(idle))
 }
@@ -55,9 +55,9 @@
 	return int64(n + len("\r\n"))
 }
 
-// Limit changes how many client sessions are allowed, and how many beyond while others are
+// SetMaxSessions changes how many client sessions are allowed, and how many beyond while others are
 // shed. Idle sessions over it end.
-func (s *Server) Limit(sessions, overflow int) {
+func (s *Server) SetMaxSessions(sessions, overflow int) {
 	s.overflow.Store(int64(overflow))
 	s.most.Store(int64(sessions))
 	for over := s.sessions.Load() - int64(sessions); over > 0; over-- {
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -23,23 +23,23 @@
 	// body, from when that has been read whole. An answer that breaks must panic with
 	// http.ErrAbortHandler: else it looks complete.
 	Handler func(w http.ResponseWriter, r *http.Request, c *Conn)
-	// Doubtful answers a request whose end is in doubt. Its session ends: what stands behind
+	// RejectAmbiguous answers a request whose end is in doubt. Its session ends: what stands behind
 	// it can't be trusted to be a request.
-	Doubtful func(w http.ResponseWriter)
+	RejectAmbiguous func(w http.ResponseWriter)
 
 	MaxSessions int // client sessions; beyond, those without a request are shed
 	Overflow    int // connections beyond that are taken while others are shed
 
-	HeadWithin  time.Duration // how long a client may take for a head, 0: no bound
-	BodyWithin  time.Duration // and then for a body, unless a Body holds it to its pace
-	IdleFor     time.Duration // how long a session may stay open between requests, 0: no bound
-	WriteWithin time.Duration // how long a client may take nothing of its answer
-	// AnswerWithin is the longest time from a head to the first byte of its answer. With 0
+	HeaderTimeout time.Duration // how long a client may take for a head, 0: no bound
+	BodyTimeout   time.Duration // and then for a body, unless a Body holds it to its pace
+	IdleTimeout   time.Duration // how long a session may stay open between requests, 0: no bound
+	WriteTimeout  time.Duration // how long a client may take nothing of its answer
+	// ResponseTimeout is the longest time from a head to the first byte of its answer. With 0
 	// there is no bound: WriteWithin counts from each write, and an answer ends its session
 	// by the moment at which it is given, not only by that at which its request came.
-	AnswerWithin time.Duration
-	// AnswerBy is how long before the end of End's time Over is closed.
-	AnswerBy time.Duration
+	ResponseTimeout time.Duration
+	// RespondNowMargin is how long before the end of End's time Over is closed.
+	RespondNowMargin time.Duration
 	// MaxHeaderBytes is the longest head that net/http reads, 0: its default.
 	MaxHeaderBytes int
 
@@ -83,8 +83,8 @@
 	s := &Server{opt: opt, count: count, life: lifecycle.New(opt.Lifecycle), spare: map[*Conn]waiting{},
 		lingerFor: lingerFor, closed: make(chan struct{}), over: make(chan struct{})}
 	s.listener = &limited{Listener: l, server: s}
-	s.Limit(opt.MaxSessions, opt.Overflow)
-	s.SetTimes(opt.HeadWithin, opt.IdleFor)
+	s.SetMaxSessions(opt.MaxSessions, opt.Overflow)
+	s.SetTimeouts(opt.HeaderTimeout, opt.IdleTimeout)
 	s.server = &http.Server{
 		Handler:           http.HandlerFunc(s.serve),
 		ReadHeaderTimeout: headMark, // no ReadTimeout: it would cut a request that waits for its answer
@@ -97,8 +97,8 @@
 		// Every head that is read reaches the handler, which numbers them.
 		DisableGeneralOptionsHandler: true,
 	}
-	if opt.AnswerWithin > 0 {
-		s.server.WriteTimeout = opt.WriteWithin + opt.AnswerWithin
+	if opt.ResponseTimeout > 0 {
+		s.server.WriteTimeout = opt.WriteTimeout + opt.ResponseTimeout
 	}
 	return s
 }
@@ -130,12 +130,12 @@
 	// A body that does not come must not hold its session: neither in the handler nor where
 	// net/http reads over what that left.
 	if r.ContentLength != 0 {
-		http.NewResponseController(w).SetReadDeadline(time.Now().Add(s.opt.BodyWithin))
+		http.NewResponseController(w).SetReadDeadline(time.Now().Add(s.opt.BodyTimeout))
 	}
 	c := r.Context().Value(connKey{}).(*Conn)
 	if c.doubtful() {
 		w.Header().Set("Connection", "close")
-		s.opt.Doubtful(w)
+		s.opt.RejectAmbiguous(w)
 		return
 	}
 	if most := s.headBytes.Load(); most > 0 && headSize(r) > most {
@@ -143,7 +143,7 @@
 		http.Error(w, http.StatusText(http.StatusRequestHeaderFieldsTooLarge), http.StatusRequestHeaderFieldsTooLarge)
 		return
 	}
-	if s.opt.AnswerWithin > 0 {
+	if s.opt.ResponseTimeout > 0 {
 		s.opt.Handler(w, r, c)
 		return
 	}
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -32,13 +32,13 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	opt.Handler = h
-	opt.Doubtful = func(w http.ResponseWriter) { w.WriteHeader(http.StatusBadRequest) }
+	opt.RejectAmbiguous = func(w http.ResponseWriter) { w.WriteHeader(http.StatusBadRequest) }
 	opt.MaxSessions = 100
-	if opt.WriteWithin == 0 {
-		opt.WriteWithin = patience
+	if opt.WriteTimeout == 0 {
+		opt.WriteTimeout = patience
 	}
-	if opt.BodyWithin == 0 {
-		opt.BodyWithin = patience
+	if opt.BodyTimeout == 0 {
+		opt.BodyTimeout = patience
 	}
 	s := New(opt, l, counters.New())
 	ended := make(chan error, 1)
@@ -112,10 +112,10 @@
 		_, addr := serving(t, Options{}, func(w http.ResponseWriter, r *http.Request, c *Conn) {
 			body := NewBody(w, r, limits(1<<20))
 			defer body.Close()
-			read, _, err := body.First(r.ContentLength)
-			began <- err == nil && string(read) == "abc" && !c.Gone() && r.Context().Err() == nil
+			read, _, err := body.ReadPrefix(r.ContentLength)
+			began <- err == nil && string(read) == "abc" && !c.ClientClosed() && r.Context().Err() == nil
 			<-r.Context().Done()
-			ended <- c.Gone()
+			ended <- c.ClientClosed()
 			panic(http.ErrAbortHandler)
 		})
 		c := call(t, addr)
@@ -129,7 +129,7 @@
 // The time for a body ends no request that has none, however long its answer takes.
 func TestLongAnswerWithoutABody(t *testing.T) {
 	came, on := make(chan bool), make(chan bool)
-	_, addr := serving(t, Options{BodyWithin: 1}, func(w http.ResponseWriter, r *http.Request, c *Conn) {
+	_, addr := serving(t, Options{BodyTimeout: 1}, func(w http.ResponseWriter, r *http.Request, c *Conn) {
 		if r.URL.Path == "/long" {
 			came <- true
 			<-on
@@ -163,7 +163,7 @@
 		if r.URL.Path == "/broken" {
 			rest = io.MultiReader(rest, broken{failure})
 		}
-		toClient, fromSource := s.Pass(w, []byte("first "), rest)
+		toClient, fromSource := s.Relay(w, []byte("first "), rest)
 		if toClient != nil || fromSource != nil {
 			assert.Check(t, errors.Is(fromSource, failure))
 			panic(http.ErrAbortHandler)
@@ -185,7 +185,7 @@
 // long the handler has waited before.
 func TestWriteWithin(t *testing.T) {
 	failed := make(chan error, 1)
-	_, addr := serving(t, Options{WriteWithin: 50 * time.Millisecond}, func(w http.ResponseWriter, r *http.Request, _ *Conn) {
+	_, addr := serving(t, Options{WriteTimeout: 50 * time.Millisecond}, func(w http.ResponseWriter, r *http.Request, _ *Conn) {
 		piece := make([]byte, 1<<20)
 		for {
 			if _, err := w.Write(piece); err != nil {
@@ -214,13 +214,13 @@
 
 // Times that are set while the server serves hold for the next head and the next idle session.
 func TestSetTimes(t *testing.T) {
-	s, addr := serving(t, Options{HeadWithin: never, IdleFor: never}, hello)
+	s, addr := serving(t, Options{HeaderTimeout: never, IdleTimeout: never}, hello)
 	idle := call(t, addr)
-	s.SetTimes(never, time.Millisecond)
+	s.SetTimeouts(never, time.Millisecond)
 	idle.send(plain)
 	idle.answer()
 	idle.ended()
-	s.SetTimes(time.Millisecond, never)
+	s.SetTimeouts(time.Millisecond, never)
 	half := call(t, addr)
 	half.send("GET / HTTP/1.1\r\n")
 	half.ended()
@@ -228,7 +228,7 @@
 
 func TestUnmark(t *testing.T) {
 	s := &Server{}
-	s.SetTimes(time.Second, time.Minute)
+	s.SetTimeouts(time.Second, time.Minute)
 	near := func(got time.Time, want time.Duration) {
 		t.Helper()
 		off := time.Until(got) - want
@@ -240,7 +240,7 @@
 	assert.Assert(t, s.unmark(now.Add(-never)).Equal(now.Add(-never)))
 	near(s.unmark(time.Now().Add(headMark)), time.Second)
 	near(s.unmark(time.Now().Add(idleMark)), time.Minute)
-	s.SetTimes(0, 0)
+	s.SetTimeouts(0, 0)
 	assert.Assert(t, s.unmark(time.Now().Add(headMark)).IsZero(), "no bound")
 	assert.Assert(t, s.unmark(time.Now().Add(idleMark)).IsZero(), "no bound")
 }
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// Held is the longest body that is held whole, and so may be sent again.
-	Held = 64 << 10
-	// Longest is the longest body, either way.
-	Longest = 32 << 20
-	// Unknown is a length that is not stated.
-	Unknown = -1
+	// MaxBuffered is the longest body that is held whole, and so may be sent again.
+	MaxBuffered = 64 << 10
+	// MaxBodyBytes is the longest body, either way.
+	MaxBodyBytes = 32 << 20
+	// UnknownLength is a length that is not stated.
+	UnknownLength = -1
 )
 
 // Call is a req in the bytes that came from the client.
@@ -26,7 +26,7 @@
 	Body                 []byte      // whole, or where there is a Rest its first part
 	Length               int64       // of the whole body, or Unknown
 	Rest                 *Stream     // what follows Body, nil: nothing
-	Left                 func() bool // tells whether the client has left by now, nil: not known
+	ClientGone           func() bool // tells whether the client has left by now, nil: not known
 }
 
 // Reply is a server's answer.
@@ -65,8 +65,8 @@
 // Claim gives the stream to an attempt, unless another has it.
 func (s *Stream) Claim() bool { return s.used.CompareAndSwap(false, true) }
 
-// Used tells whether an attempt has it: no other can send the body.
-func (s *Stream) Used() bool { return s.used.Load() }
+// Claimed tells whether an attempt has it: no other can send the body.
+func (s *Stream) Claimed() bool { return s.used.Load() }
 
 // Read reads what the client sends. Who has claimed the stream reads it to its first error.
 func (s *Stream) Read(b []byte) (int, error) {
@@ -83,15 +83,15 @@
 // NewBudget returns a budget of so many bytes.
 func NewBudget(most int64) *Budget {
 	b := &Budget{}
-	b.Set(most)
+	b.SetLimit(most)
 	return b
 }
 
-// Set changes the budget. What is taken stays taken.
-func (b *Budget) Set(most int64) { b.left.Add(most - b.most.Swap(most)) }
+// SetLimit changes the budget. What is taken stays taken.
+func (b *Budget) SetLimit(most int64) { b.left.Add(most - b.most.Swap(most)) }
 
-// Take takes bytes, or none and returns false where they don't fit.
-func (b *Budget) Take(n int64) bool {
+// TryAcquire takes bytes, or none and returns false where they don't fit.
+func (b *Budget) TryAcquire(n int64) bool {
 	if b.left.Add(-n) < 0 {
 		b.left.Add(n)
 		return false
@@ -99,5 +99,5 @@
 	return true
 }
 
-// Give gives bytes back.
-func (b *Budget) Give(n int64) { b.left.Add(n) }
+// Release gives bytes back.
+func (b *Budget) Release(n int64) { b.left.Add(n) }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -11,9 +11,9 @@
 
 var buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
 
-// Pass hands each piece of a body to put as it comes, through a buffer of its own. It
+// Copy hands each piece of a body to put as it comes, through a buffer of its own. It
 // returns nil at the body's end, and else which side broke.
-func Pass(put func([]byte) error, from io.Reader) (putErr, fromErr error) {
+func Copy(put func([]byte) error, from io.Reader) (putErr, fromErr error) {
 	buf := buffers.Get().(*[bufferSize]byte)
 	defer buffers.Put(buf)
 	for {
--- a/internal/session/answer.go
+++ b/internal/session/answer.go
@@ -33,7 +33,7 @@
 		} else {
 			w.Header().Set("Content-Type", reply.ContentType)
 		}
-		if reply.Length != message.Unknown {
+		if reply.Length != message.UnknownLength {
 			w.Header().Set("Content-Length", strconv.FormatInt(reply.Length, 10))
 		}
 		if reply.Rest == nil {
@@ -54,7 +54,7 @@
 // pass passes a long answer on as it comes. Once any of it is out nothing else can be
 // answered: where it breaks, the session ends short of it, so that the client sees it.
 func (f *Front) pass(w http.ResponseWriter, class string, reply *message.Reply) {
-	toClient, fromBackend := f.Pass(w, reply.Body, reply.Rest)
+	toClient, fromBackend := f.Relay(w, reply.Body, reply.Rest)
 	switch {
 	case fromBackend != nil:
 		f.count.Add("answer.broken")
--- a/internal/session/client.go
+++ b/internal/session/client.go
@@ -19,18 +19,18 @@
 	defer f.open.Add(-1)
 	over := f.open.Add(1) > f.mostOpen.Load()
 	request, in, err := f.read(w, r, conn, c)
-	if err != nil && !errors.Is(err, ingress.ErrNoRoom) {
+	if err != nil && !errors.Is(err, ingress.ErrBudgetExhausted) {
 		f.malformed(w, err)
 		return
 	}
 	defer in.Close()
 	why := ""
 	switch {
-	case errors.Is(err, ingress.ErrNoRoom):
+	case errors.Is(err, ingress.ErrBudgetExhausted):
 		why = "answer.no-room"
 	case over:
 		why = "answer.req-limit"
-	case !f.Takes():
+	case !f.AcceptsRequests():
 		why = "answer.draining"
 	}
 	if why != "" {
@@ -52,14 +52,14 @@
 	var a core.Answer
 	select {
 	case a = <-c.answer:
-	case <-f.Over():
+	case <-f.RespondNow():
 		f.owner.Gone(request.ID, c)
 		select { // an answer that has come goes before the failure
 		case a = <-c.answer:
 		default:
 			a.Kind = core.Failed
 		}
-	case <-in.Broke():
+	case <-in.Failed():
 		f.owner.Gone(request.ID, c)
 		f.malformed(w, errors.New("body: it did not come whole"))
 		return
--- a/internal/session/front.go
+++ b/internal/session/front.go
@@ -73,10 +73,10 @@
 		longest = max(longest, c.Deadline)
 	}
 	f.Server = ingress.New(ingress.Options{
-		Handler: f.serve, Doubtful: f.doubtful,
+		Handler: f.serve, RejectAmbiguous: f.doubtful,
 		MaxSessions: opt.MaxSessions, Overflow: Overflow,
-		HeadWithin: opt.HeadWithin, BodyWithin: opt.BodyWithin, IdleFor: opt.IdleFor,
-		WriteWithin: writeWithin, AnswerWithin: 2 * longest, AnswerBy: answerBy,
+		HeaderTimeout: opt.HeadWithin, BodyTimeout: opt.BodyWithin, IdleTimeout: opt.IdleFor,
+		WriteTimeout: writeWithin, ResponseTimeout: 2 * longest, RespondNowMargin: answerBy,
 		MaxHeaderBytes: headMost, Lifecycle: lifecycle.NodeTiming,
 	}, l, count)
 	return f
@@ -86,7 +86,7 @@
 // open requests are allowed. Idle sessions over it end.
 func (f *Front) Limit(sessions, overflow, requests int) {
 	f.mostOpen.Store(int64(requests))
-	f.Server.Limit(sessions, overflow)
+	f.Server.SetMaxSessions(sessions, overflow)
 }
 
 // Ready returns nil where the node takes clients, or why it does not.
--- a/internal/session/request.go
+++ b/internal/session/request.go
@@ -58,14 +58,14 @@
 	}
 	request := &core.Request{ID: id, Class: name, Retry: r.Header.Get("X-Repeat") == "1", Wait: wait,
 		Tenant: r.Header.Get("X-Account"), Hint: hint(r.Header.Get("X-Weight-Hint"))}
-	in := ingress.NewBody(w, r, ingress.BodyLimits{Within: f.opt.BodyWithin, PerByte: perByte,
-		Held: message.Held, Longest: message.Longest, Budget: f.opt.Budget})
-	body, long, err := in.First(r.ContentLength)
+	in := ingress.NewBody(w, r, ingress.BodyLimits{Timeout: f.opt.BodyWithin, TimeoutPerByte: perByte,
+		MaxBuffered: message.MaxBuffered, MaxBytes: message.MaxBodyBytes, Budget: f.opt.Budget})
+	body, long, err := in.ReadPrefix(r.ContentLength)
 	if err != nil {
 		in.Close()
 		var large *http.MaxBytesError
 		switch {
-		case errors.Is(err, ingress.ErrNoRoom):
+		case errors.Is(err, ingress.ErrBudgetExhausted):
 			return request, in, err
 		case errors.As(err, &large):
 			return nil, nil, &malformed{http.StatusRequestEntityTooLarge, "the body is over 32 MiB"}
@@ -82,7 +82,7 @@
 		ContentType: r.Header.Get("Content-Type"), Body: body, Length: int64(len(body)),
 	}
 	if !long {
-		call.Left = conn.Gone
+		call.ClientGone = conn.ClientClosed
 	}
 	if long {
 		http.NewResponseController(w).EnableFullDuplex()
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -75,7 +75,7 @@
 // ever sent a second time here: that is for the module to decide.
 func (p *Pool) exchange(ctx context.Context, a core.Attempt, timer *time.Timer, g *gate) (end core.Ended, s *stream, err error) {
 	call := a.Call.(*message.Call)
-	if call.Rest != nil && call.Rest.Used() {
+	if call.Rest != nil && call.Rest.Claimed() {
 		end.Result = logic.Moot // what followed the held part has gone to another
 		return end, nil, nil
 	}
@@ -111,28 +111,28 @@
 		return end, nil, &Error{up.stage(), because(ctx, up.cause(err))}
 	}
 	c.keep = stated(res.Header)
-	early := up.stage() != WrittenWhole // the server did not wait for the whole request
-	c.left = maxHead + message.Held
+	early := up.stage() != FullyWritten // the server did not wait for the whole request
+	c.left = maxHead + message.MaxBuffered
 	// The body is not closed: that would first read an answer without end to its end. Its
 	// connection is closed where it was not read whole.
 	end.Result, end.Report = verdict.Result, verdict.Report
 	framed := res.ContentLength >= 0 || len(res.TransferEncoding) > 0
 	again := !early && !res.Close && framed && !c.stray
 	switch {
-	case verdict.Result == logic.OK && verdict.Stream && res.ContentLength <= message.Longest:
+	case verdict.Result == logic.OK && verdict.Stream && res.ContentLength <= message.MaxBodyBytes:
 		passedOn, end.Begun = true, true
 		s = p.stream(ctx, up, res, unhook, again)
 		end.Reply = p.dressed(&message.Reply{Length: res.ContentLength, Rest: s}, res)
 		return end, s, nil
-	case verdict.Result == logic.OK || verdict.Pass:
+	case verdict.Result == logic.OK || verdict.PassThrough:
 		var r *message.Reply
 		if r, passedOn, err = p.reply(ctx, c, res, unhook, again); err != nil {
-			return end, nil, &Error{AnswerBegun, because(ctx, err)}
+			return end, nil, &Error{ResponseBegun, because(ctx, err)}
 		}
 		end.Reply, end.Pass = p.dressed(r, res), verdict.Result != logic.OK
 	default:
-		if err := drop(res.Body, message.Held); err != nil {
-			return end, nil, &Error{AnswerBegun, because(ctx, err)}
+		if err := drop(res.Body, message.MaxBuffered); err != nil {
+			return end, nil, &Error{ResponseBegun, because(ctx, err)}
 		}
 	}
 	// A close that the server announced, or bytes beyond the answer, end the connection,
@@ -143,7 +143,7 @@
 
 // judged reads the head of the answer. Answers to other requests ahead of it are dropped, and
 // their connection is not used again.
-func (p *Pool) judged(c *conn, call *message.Call) (res *http.Response, v Verdict, err error) {
+func (p *Pool) judged(c *conn, call *message.Call) (res *http.Response, v Classification, err error) {
 	for range maxForeign + 1 {
 		// An answer without end would be read at the speed of the wire until the time-out: one
 		// such head takes the processor from all other requests.
@@ -151,13 +151,13 @@
 		if res, err = readHead(c.in); err != nil {
 			return nil, v, err
 		}
-		if v = p.codec.Judge(call, res); !v.Foreign {
+		if v = p.codec.Classify(call, res); !v.Misrouted {
 			return res, v, nil
 		}
 		p.count.Add("answer.foreign")
 		c.stray = true
-		c.left = maxHead + framing*message.Longest
-		if err = drop(res.Body, message.Longest); err != nil {
+		c.left = maxHead + framing*message.MaxBodyBytes
+		if err = drop(res.Body, message.MaxBodyBytes); err != nil {
 			return nil, v, err
 		}
 	}
@@ -176,7 +176,7 @@
 // dressed gives a reply what the answer's head says.
 func (p *Pool) dressed(r *message.Reply, res *http.Response) *message.Reply {
 	r.ContentType = res.Header.Get("Content-Type")
-	if !p.opt.Bare {
+	if !p.opt.OmitHeader {
 		r.Status, r.Header = res.StatusCode, res.Header
 	}
 	return r
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -26,9 +26,9 @@
 	}{
 		{NotConnected, broke, logic.ConnectFailed}, {NotConnected, timeout, logic.ConnectFailed},
 		{PartlyWritten, broke, logic.ConnectFailed}, {PartlyWritten, timeout, logic.ConnectFailed},
-		{WrittenWhole, broke, logic.Reset}, {WrittenWhole, timeout, logic.TimedOut},
-		{AnswerBegun, broke, logic.Reset}, {AnswerBegun, timeout, logic.TimedOut},
-		{NotConnected, off, logic.Canceled}, {AnswerBegun, off, logic.Canceled},
+		{FullyWritten, broke, logic.Reset}, {FullyWritten, timeout, logic.TimedOut},
+		{ResponseBegun, broke, logic.Reset}, {ResponseBegun, timeout, logic.TimedOut},
+		{NotConnected, off, logic.Canceled}, {ResponseBegun, off, logic.Canceled},
 	} {
 		assert.Equal(t, tt.want, (&Error{tt.stage, tt.err}).result(), "%s, %v", stageNames[tt.stage], tt.err)
 	}
--- a/internal/upstream/codec_test.go
+++ b/internal/upstream/codec_test.go
@@ -14,19 +14,19 @@
 // plain is a protocol in which an answer's header says what is to be judged of it.
 type plain struct{}
 
-func (plain) Head(dst *bytes.Buffer, call *message.Call, at core.Place, _ time.Duration) {
+func (plain) WriteHead(dst *bytes.Buffer, call *message.Call, at core.Place, _ time.Duration) {
 	fmt.Fprintf(dst, "%s %s HTTP/1.1\r\nHost: %s\r\nTo: %s\r\n", call.Method, call.Target, call.Host, at.ID)
-	Frame(dst, call)
+	WriteBodyFraming(dst, call)
 	dst.WriteString("\r\n")
 }
 
-func (plain) Judge(call *message.Call, res *http.Response) Verdict {
-	v := Verdict{Result: logic.OK, Pass: res.Header.Get("Pass") != "", Stream: res.Header.Get("Stream") != ""}
+func (plain) Classify(call *message.Call, res *http.Response) Classification {
+	v := Classification{Result: logic.OK, PassThrough: res.Header.Get("Pass") != "", Stream: res.Header.Get("Stream") != ""}
 	if res.StatusCode != http.StatusOK {
 		v.Result = logic.Failed
 	}
 	if id := res.Header.Get("For"); id != "" && id != call.ID {
-		v.Foreign = true
+		v.Misrouted = true
 	}
 	return v
 }
--- a/internal/upstream/error.go
+++ b/internal/upstream/error.go
@@ -14,8 +14,8 @@
 const (
 	NotConnected Stage = iota
 	PartlyWritten
-	WrittenWhole
-	AnswerBegun
+	FullyWritten
+	ResponseBegun
 )
 
 var stageNames = [...]string{"not connected", "partly written", "written whole", "answer begun"}
@@ -40,7 +40,7 @@
 		return logic.Moot
 	case errors.Is(e.Err, context.Canceled), errors.Is(e.Err, errClient):
 		return logic.Canceled
-	case e.Stage < WrittenWhole:
+	case e.Stage < FullyWritten:
 		return logic.ConnectFailed
 	case errors.Is(e.Err, context.DeadlineExceeded):
 		return logic.TimedOut
--- a/internal/upstream/gate.go
+++ b/internal/upstream/gate.go
@@ -51,7 +51,7 @@
 
 // begin passes the gate, or tells why the attempt must not begin.
 func (p *Pool) begin(ctx context.Context, g *gate) error {
-	if call, ok := g.at.Call.(*message.Call); ok && call.Left != nil && ctx.Err() == nil && call.Left() {
+	if call, ok := g.at.Call.(*message.Call); ok && call.ClientGone != nil && ctx.Err() == nil && call.ClientGone() {
 		return errLeft
 	}
 	p.gatesMu.Lock()
--- a/internal/upstream/gate_test.go
+++ b/internal/upstream/gate_test.go
@@ -20,7 +20,7 @@
 
 // poolOf is a Pool of so many connections at most, none of which times out in a test.
 func poolOf(most int) *Pool {
-	return New(plain{}, Options{ConnectTimeout: 10 * time.Second, IdleFor: time.Hour, MaxConns: most, Budget: message.NewBudget(1 << 20), Bare: true},
+	return New(plain{}, Options{ConnectTimeout: 10 * time.Second, IdleTimeout: time.Hour, MaxConns: most, Budget: message.NewBudget(1 << 20), OmitHeader: true},
 		counters.New(), slog.New(slog.DiscardHandler))
 }
 
@@ -59,7 +59,7 @@
 				return dial(context.Background(), network, addr)
 			}
 			var left atomic.Bool
-			call := &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i", Left: left.Load}
+			call := &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i", ClientGone: left.Load}
 			a := core.Attempt{Call: call, Place: at, Until: time.Now().Add(20 * time.Second)}
 			if tt.before != 0 {
 				a.Before = time.Now().Add(tt.before)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -98,7 +98,7 @@
 
 // mayRest is how long an idle connection may have rested and be used by now; p.mu is held.
 func (p *Pool) mayRest(c *conn, now time.Time) time.Duration {
-	most := p.opt.IdleFor
+	most := p.opt.IdleTimeout
 	if c.keep > 0 {
 		most = min(most, max(c.keep-statedSlack, c.keep/2))
 	}
@@ -138,7 +138,7 @@
 		return nil, false
 	}
 	i := rested - 1
-	if p.rest != nil && p.rest.allowed(at, now) >= p.opt.IdleFor {
+	if p.rest != nil && p.rest.allowed(at, now) >= p.opt.IdleTimeout {
 		i = 0
 	}
 	c = list[i]
@@ -179,15 +179,15 @@
 
 // full tells whether a place has its most connections; p.mu is held.
 func (p *Pool) full(at core.Place) bool {
-	if p.opt.MaxPerPlace == nil {
+	if p.opt.MaxConnsPerPlace == nil {
 		return false
 	}
-	most := p.opt.MaxPerPlace(at)
+	most := p.opt.MaxConnsPerPlace(at)
 	return most > 0 && p.at[at] >= most
 }
 
-// Limit changes how many connections may be open. The longest idle over it are closed.
-func (p *Pool) Limit(most int) {
+// SetMaxConns changes how many connections may be open. The longest idle over it are closed.
+func (p *Pool) SetMaxConns(most int) {
 	p.mu.Lock()
 	p.opt.MaxConns = most
 	var over []*conn
@@ -271,9 +271,9 @@
 	}
 }
 
-// Reap closes idle connections clearly before the servers would, until quit is closed.
-func (p *Pool) Reap(quit <-chan struct{}) {
-	tick := time.NewTicker(max(p.opt.IdleFor/10, time.Millisecond))
+// ReapIdle closes idle connections clearly before the servers would, until quit is closed.
+func (p *Pool) ReapIdle(quit <-chan struct{}) {
+	tick := time.NewTicker(max(p.opt.IdleTimeout/10, time.Millisecond))
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -81,7 +81,7 @@
 	defer b.Close()
 	p, at := poolOf(2), core.Place{ID: "b", Endpoint: b.Addr}
 	for _, bare := range []bool{false, true} {
-		p.opt.Bare = bare
+		p.opt.OmitHeader = bare
 		e := ask(t, p, at, "/pass")
 		assert.Equal(t, e.Result, logic.Failed)
 		assert.Check(t, e.Pass)
@@ -121,7 +121,7 @@
 	first, other := core.Place{ID: "1", Endpoint: one.Addr}, core.Place{ID: "2", Endpoint: two.Addr}
 	p := poolOf(10)
 	p.restFor = time.Hour // no idle connection is used again
-	p.opt.MaxPerPlace = func(at core.Place) int {
+	p.opt.MaxConnsPerPlace = func(at core.Place) int {
 		if at == first {
 			return 1
 		}
@@ -151,7 +151,7 @@
 	assert.NilError(t, err)
 	defer b.Close()
 	for _, within := range []time.Duration{0, 3 * time.Second} {
-		p := New(plain{}, Options{ConnectTimeout: patience, MaxConns: 1, UserTimeout: within}, nil, nil)
+		p := New(plain{}, Options{ConnectTimeout: patience, MaxConns: 1, TCPUserTimeout: within}, nil, nil)
 		c, err := p.dial(t.Context(), "tcp", b.Addr)
 		assert.NilError(t, err)
 		defer c.Close()
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -23,12 +23,12 @@
 // what has come, and passedOn: its connection then goes with the reply.
 func (p *Pool) reply(ctx context.Context, c *conn, res *http.Response, unhook func() bool, again bool) (r *message.Reply, passedOn bool, err error) {
 	n := res.ContentLength
-	if n > message.Longest {
+	if n > message.MaxBodyBytes {
 		return nil, false, errTooMuch
 	}
 	r = &message.Reply{Length: n}
-	if n >= 0 && n <= message.Held && p.opt.Budget.Take(n) {
-		r.Release = func() { p.opt.Budget.Give(n) }
+	if n >= 0 && n <= message.MaxBuffered && p.opt.Budget.TryAcquire(n) {
+		r.Release = func() { p.opt.Budget.Release(n) }
 		r.Body = make([]byte, n)
 		if _, err := io.ReadFull(res.Body, r.Body); err != nil {
 			r.Close()
@@ -36,7 +36,7 @@
 		}
 		return r, false, nil
 	}
-	c.left = maxHead + framing*message.Longest
+	c.left = maxHead + framing*message.MaxBodyBytes
 	if n >= 0 {
 		if !unhook() {
 			return nil, false, context.Cause(ctx)
@@ -50,11 +50,11 @@
 // unstated reads an answer that does not state its length. It is passed on once more
 // has come than is held, or has come for a while.
 func (p *Pool) unstated(ctx context.Context, c *conn, res *http.Response, unhook func() bool, again bool) (*message.Reply, bool, error) {
-	held := int64(message.Held)
-	if !p.opt.Budget.Take(held) {
+	held := int64(message.MaxBuffered)
+	if !p.opt.Budget.TryAcquire(held) {
 		held = 0
 	}
-	r := &message.Reply{Length: message.Unknown, Release: func() { p.opt.Budget.Give(held) }}
+	r := &message.Reply{Length: message.UnknownLength, Release: func() { p.opt.Budget.Release(held) }}
 	in := newPump(res.Body)
 	var patience <-chan time.Time
 	for {
@@ -107,7 +107,7 @@
 	r.c.SetReadDeadline(time.Now().Add(stallFor))
 	n, err := r.body.Read(b)
 	r.whole = err == io.EOF
-	if r.came += int64(n); r.came > message.Longest {
+	if r.came += int64(n); r.came > message.MaxBodyBytes {
 		return 0, errTooMuch
 	}
 	return n, err
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -82,7 +82,7 @@
 	c := &conn{dialed: 2 * time.Millisecond}
 	at, late := 3*time.Millisecond, 50*time.Millisecond
 	assert.True(t, resetAtOnce(c, syscall.ECONNRESET, at))
-	assert.True(t, resetAtOnce(c, &Error{WrittenWhole, syscall.EPIPE}, at))
+	assert.True(t, resetAtOnce(c, &Error{FullyWritten, syscall.EPIPE}, at))
 	assert.True(t, resetAtOnce(c, io.ErrUnexpectedEOF, at))
 	assert.False(t, resetAtOnce(c, syscall.ECONNRESET, late), "the server worked on it and broke off")
 	assert.False(t, resetAtOnce(c, errors.New("other"), at))
@@ -90,7 +90,7 @@
 
 // A connection isn't used, and not kept, longer than its server says.
 func TestConnectionsRestNoLongerThanStated(t *testing.T) {
-	p := &Pool{opt: Options{IdleFor: 30 * time.Second}}
+	p := &Pool{opt: Options{IdleTimeout: 30 * time.Second}}
 	assert.Equal(t, 30*time.Second, p.mayRest(&conn{}, start))
 	assert.Equal(t, 4*time.Second, p.mayRest(&conn{keep: 5 * time.Second}, start))
 	assert.Equal(t, 500*time.Millisecond, p.mayRest(&conn{keep: time.Second}, start), "most of a short time")
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -39,7 +39,7 @@
 
 // stream takes over the connection of an answer whose head was read.
 func (p *Pool) stream(ctx context.Context, up *upload, res *http.Response, unhook func() bool, again bool) *stream {
-	up.c.left = maxHead + framing*message.Longest
+	up.c.left = maxHead + framing*message.MaxBodyBytes
 	return &stream{pool: p, up: up, ctx: ctx, body: res.Body, unhook: unhook, again: again, over: make(chan struct{})}
 }
 
@@ -58,7 +58,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.err == nil && s.ctx.Err() != nil {
-		s.err = &Error{AnswerBegun, context.Cause(s.ctx)}
+		s.err = &Error{ResponseBegun, context.Cause(s.ctx)}
 	}
 	return s.err
 }
@@ -70,12 +70,12 @@
 	s.came += int64(n)
 	switch {
 	case s.err != nil: // closed meanwhile
-	case s.came > message.Longest:
-		s.err = &Error{AnswerBegun, errTooMuch}
+	case s.came > message.MaxBodyBytes:
+		s.err = &Error{ResponseBegun, errTooMuch}
 	case err == io.EOF:
 		s.err = io.EOF
 	case err != nil:
-		s.err = &Error{AnswerBegun, because(s.ctx, s.up.cause(err))}
+		s.err = &Error{ResponseBegun, because(s.ctx, s.up.cause(err))}
 	}
 	return s.err
 }
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -48,7 +48,7 @@
 func (u *upload) head(left time.Duration, room int) *bytes.Buffer {
 	out := &bytes.Buffer{}
 	out.Grow(headRoom + room)
-	u.pool.codec.Head(out, u.call, u.c.place, left)
+	u.pool.codec.WriteHead(out, u.call, u.c.place, left)
 	return out
 }
 
@@ -59,12 +59,12 @@
 	u.at.Store(uint32(PartlyWritten))
 	n, err := u.c.Write(out.Bytes())
 	if n == out.Len() {
-		u.at.Store(uint32(WrittenWhole))
+		u.at.Store(uint32(FullyWritten))
 	}
 	if err != nil {
 		return &Error{u.stage(), err}
 	}
-	u.pool.opt.Relayed()
+	u.pool.opt.OnRequestWritten()
 	return nil
 }
 
@@ -81,17 +81,17 @@
 		return // else the server's answer or its close is read
 	}
 	timer.Reset(within)
-	u.pool.opt.Relayed()
+	u.pool.opt.OnRequestWritten()
 }
 
 func (u *upload) pass(within time.Duration) error {
 	u.at.Store(uint32(PartlyWritten))
 	written := int64(0)
-	chunked := u.call.Length == message.Unknown
+	chunked := u.call.Length == message.UnknownLength
 	var chunk bytes.Buffer
 	put := func(b []byte) error {
 		if written += int64(len(b)); written == u.call.Length {
-			u.at.Store(uint32(WrittenWhole)) // with these bytes the server may begin
+			u.at.Store(uint32(FullyWritten)) // with these bytes the server may begin
 		}
 		u.c.SetWriteDeadline(time.Now().Add(stallFor))
 		if !chunked {
@@ -114,7 +114,7 @@
 	if !u.call.Rest.Claim() {
 		return fmt.Errorf("%w: another attempt has it", errClient)
 	}
-	toServer, fromClient := relay.Pass(put, u.call.Rest)
+	toServer, fromClient := relay.Copy(put, u.call.Rest)
 	switch {
 	case fromClient != nil:
 		return fmt.Errorf("%w: %w", errClient, fromClient)
@@ -126,7 +126,7 @@
 		}
 		return nil
 	}
-	u.at.Store(uint32(WrittenWhole))
+	u.at.Store(uint32(FullyWritten))
 	_, err := u.c.Write([]byte("0\r\n\r\n"))
 	return err
 }
--- a/internal/upstream/upload_test.go
+++ b/internal/upstream/upload_test.go
@@ -59,10 +59,10 @@
 		return &message.Call{Method: "POST", Target: "/", Host: "h", ID: "i", Length: length, Body: []byte("be"),
 			Rest: message.NewStream(strings.NewReader("gun"), func() {})}
 	}
-	for _, length := range []int64{5, message.Unknown} {
+	for _, length := range []int64{5, message.UnknownLength} {
 		head := writing(call(length), 0, 0).head(time.Second, 0).Len()
 		whole := head + 5
-		if length == message.Unknown {
+		if length == message.UnknownLength {
 			whole = head + len("2\r\nbe\r\n3\r\ngun\r\n0\r\n\r\n")
 		}
 		for at, want := range map[int]logic.Result{
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -20,41 +20,41 @@
 // Codec is one protocol spoken with servers over HTTP/1.1. Its methods are called from the
 // goroutines of all attempts.
 type Codec interface {
-	// Head writes the head of a request, up to and with the empty line. The request has so long left.
+	// WriteHead writes the head of a request, up to and with the empty line. The request has so long left.
 	// Frame writes the line that tells how its body is framed.
-	Head(dst *bytes.Buffer, call *message.Call, at core.Place, left time.Duration)
-	// Judge tells what an answer means, from its head. It may change the header that a Reply
+	WriteHead(dst *bytes.Buffer, call *message.Call, at core.Place, left time.Duration)
+	// Classify tells what an answer means, from its head. It may change the header that a Reply
 	// hands on, and must not read the body.
-	Judge(call *message.Call, res *http.Response) Verdict
+	Classify(call *message.Call, res *http.Response) Classification
 }
 
-// Verdict is what an answer's head means.
-type Verdict struct {
-	Result  logic.Result
-	Report  []float64 // a load report in the order of the settings' fields, nil: none
-	Foreign bool      // it belongs to another request: it is read whole and dropped, and the next one is read
-	Pass    bool      // the reply is handed on though Result is not OK: a server's own failure, unchanged
-	Stream  bool      // of an OK: its bytes are passed on as they come, and nothing of them is held back
+// Classification is what an answer's head means.
+type Classification struct {
+	Result      logic.Result
+	Report      []float64 // a load report in the order of the settings' fields, nil: none
+	Misrouted   bool      // it belongs to another request: it is read whole and dropped, and the next one is read
+	PassThrough bool      // the reply is handed on though Result is not OK: a server's own failure, unchanged
+	Stream      bool      // of an OK: its bytes are passed on as they come, and nothing of them is held back
 }
 
 // Options are the limits of a Pool.
 type Options struct {
-	ConnectTimeout time.Duration
-	UserTimeout    time.Duration        // what is sent has to be acknowledged within it (TCP_USER_TIMEOUT), 0: not set
-	IdleFor        time.Duration        // a connection is not kept idle for longer
-	LearnRest      bool                 // connections rest shorter where servers forget them sooner
-	MaxConns       int                  // open or opening, over all servers
-	MaxPerPlace    func(core.Place) int // open or opening to one place, 0: no limit; nil: none has one. It must not block
-	Bare           bool                 // replies carry neither Status nor Header
-	Relayed        func()               // called for each attempt that is written whole
-	Budget         *message.Budget
+	ConnectTimeout   time.Duration
+	TCPUserTimeout   time.Duration        // what is sent has to be acknowledged within it (TCP_USER_TIMEOUT), 0: not set
+	IdleTimeout      time.Duration        // a connection is not kept idle for longer
+	LearnIdleLimits  bool                 // connections rest shorter where servers forget them sooner
+	MaxConns         int                  // open or opening, over all servers
+	MaxConnsPerPlace func(core.Place) int // open or opening to one place, 0: no limit; nil: none has one. It must not block
+	OmitHeader       bool                 // replies carry neither Status nor Header
+	OnRequestWritten func()               // called for each attempt that is written whole
+	Budget           *message.Budget
 }
 
 // dialer sends no keep-alives: an attempt's own time-out is far shorter.
 func (o Options) dialer() net.Dialer {
 	d := net.Dialer{Timeout: o.ConnectTimeout, KeepAlive: -1}
-	if o.UserTimeout > 0 {
-		d.Control = userTimeout(o.UserTimeout)
+	if o.TCPUserTimeout > 0 {
+		d.Control = userTimeout(o.TCPUserTimeout)
 	}
 	return d
 }
@@ -63,22 +63,22 @@
 
 // New returns a Pool without connections.
 func New(codec Codec, opt Options, count *counters.Set, log *slog.Logger) *Pool {
-	if opt.Relayed == nil {
-		opt.Relayed = func() {}
+	if opt.OnRequestWritten == nil {
+		opt.OnRequestWritten = func() {}
 	}
 	d := opt.dialer()
 	p := &Pool{codec: codec, opt: opt, count: count, log: log, dial: d.DialContext, restFor: restFor,
 		idle: map[core.Place][]*conn{}, at: map[core.Place]int{}, gates: map[core.Place]map[*gate]struct{}{}}
-	if opt.LearnRest {
-		p.rest = newRestLimits(opt.IdleFor)
+	if opt.LearnIdleLimits {
+		p.rest = newRestLimits(opt.IdleTimeout)
 	}
 	return p
 }
 
-// Frame writes the line of a head that tells how the request's body is framed, where there is one.
-func Frame(dst *bytes.Buffer, call *message.Call) {
+// WriteBodyFraming writes the line of a head that tells how the request's body is framed, where there is one.
+func WriteBodyFraming(dst *bytes.Buffer, call *message.Call) {
 	switch {
-	case call.Length == message.Unknown:
+	case call.Length == message.UnknownLength:
 		dst.WriteString("Transfer-Encoding: chunked\r\n")
 	case call.Length > 0 || call.Method != http.MethodGet:
 		fmt.Fprintf(dst, "Content-Length: %d\r\n", call.Length)
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -54,7 +54,7 @@
 			return fmt.Errorf("seed %q", clip(f[2]))
 		}
 		if len(f) == 4 {
-			it.Facts = f[3]
+			it.Settings = f[3]
 		}
 	case "DETACH":
 		it.Op = OpStop
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -18,9 +18,9 @@
 	err error
 }
 
-// Settings reads the settings of an INIT. Unknown keys are ignored, absent
+// ParseSettings reads the settings of an INIT. Unknown keys are ignored, absent
 // ones leave their zero value; logic.New judges what a decision needs.
-func Settings(text string) (logic.Settings, error) {
+func ParseSettings(text string) (logic.Settings, error) {
 	f := &facts{kv: map[string]string{}}
 	for part := range strings.SplitSeq(text, " ") {
 		if part == "" {
@@ -149,10 +149,10 @@
 	}
 }
 
-// Encode returns settings as the nested object that a node is configured with,
+// EncodeSettings returns settings as the nested object that a node is configured with,
 // by the names and units that Settings reads. Connect is how long a connection
 // may take to come up, which the module is not told.
-func Encode(s logic.Settings, connect time.Duration) map[string]any {
+func EncodeSettings(s logic.Settings, connect time.Duration) map[string]any {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	classes := make([]any, 0, len(s.Classes))
 	for _, c := range s.Classes {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -27,12 +27,12 @@
 
 // Item is one message of a batch that concerns an instance.
 type Item struct {
-	Op    Op
-	Node  int
-	Line  int // where in the input it stands, from 1
-	Seed  uint64
-	Facts string      // of OpStart
-	Event logic.Event // of OpEvent
+	Op       Op
+	Node     int
+	Line     int // where in the input it stands, from 1
+	Seed     uint64
+	Settings string      // of OpStart
+	Event    logic.Event // of OpEvent
 }
 
 // Batch is what the simulator sends at one instant.
