--- a/cmd/oaklab/load_test.go
+++ b/cmd/oaklab/load_test.go
@@ -38,7 +38,7 @@
 		{Name: "topup", Effect: logic.Unsafe, Aim: 5 * time.Second, Deadline: 10 * time.Second, Worth: 8}}}
 	n, err := standin.StartNode(program, dir, standin.NodeConfig{Name: "n", Listen: addr, Discovery: "127.0.0.1:1", Seed: "1",
 		Limits:   map[string]any{"sockets": 1024},
-		Known:    standin.List{Rev: 1, All: true, Targets: []standin.Target{{UID: "s", Endpoint: b.Addr, State: "in_service", Capacity: 1}}},
+		Known:    standin.List{Revision: 1, Full: true, Targets: []standin.Target{{UID: "s", Endpoint: b.Addr, State: "in_service", Capacity: 1}}},
 		Settings: wire.Encode(settings, time.Second)}, addr, "127.0.0.1:1", nil)
 	require.NoError(t, err)
 	defer n.Kill()
--- a/cmd/oaklab/members_test.go
+++ b/cmd/oaklab/members_test.go
@@ -103,7 +103,7 @@
 	f.views[n] = &view{of: map[int]string{}, seen: map[string]int{}}
 	node, err := standin.StartNode(f.program, dir, map[string]any{"name": fmt.Sprint("n", n), "listen": f.listen[n], "discovery": "127.0.0.1:1",
 		"seed": fmt.Sprint(n + 1), "limits": map[string]any{"sockets": 256}, "peer_listen": f.listen[n], "peers": f.relays.Peers(n),
-		"known": standin.List{Rev: 1, All: true}, "settings": wire.Encode(settings, time.Second)}, f.listen[n], "127.0.0.1:1", &standin.PeerLog{Changed: f.views[n].changed}, "node", "--config", own)
+		"known": standin.List{Revision: 1, Full: true}, "settings": wire.Encode(settings, time.Second)}, f.listen[n], "127.0.0.1:1", &standin.PeerLog{Changed: f.views[n].changed}, "node", "--config", own)
 	require.NoError(f.t, err)
 	f.nodes[n] = node
 }
--- a/cmd/oakseam/main.go
+++ b/cmd/oakseam/main.go
@@ -90,7 +90,7 @@
 				return json.NewEncoder(c.OutOrStdout()).Encode(values)
 			}
 			for _, v := range values {
-				fmt.Fprintf(c.OutOrStdout(), "%-36s %-24v # %s\n", v.Key, v.Value, v.From)
+				fmt.Fprintf(c.OutOrStdout(), "%-36s %-24v # %s\n", v.Key, v.Value, v.Source)
 			}
 			return nil
 		},
--- a/cmd/oakseam/node.go
+++ b/cmd/oakseam/node.go
@@ -41,11 +41,11 @@
 // run is the node, from its configuration to its end.
 func run(c *config.Config, own string, signals <-chan os.Signal) error {
 	runtime.GOMAXPROCS(max(int(math.Ceil(c.Cores)), 1))
-	log := logging.New(os.Stderr, c.Own.Log.Level, c.Own.Log.Format)
+	log := logging.New(os.Stderr, c.Options.Log.Level, c.Options.Log.Format)
 
 	count := counters.New()
 	defer count.Print(os.Stderr)
-	owner, err := core.New(c.Settings, c.Seed, count, log)
+	owner, err := core.NewEventLoop(c.Settings, c.Seed, count, log)
 	if err != nil {
 		return err
 	}
@@ -59,46 +59,46 @@
 		return err
 	}
 	defer place.close()
-	disk := stateFile(c.Own.State.Dir, c.Listen)
+	disk := stateFile(c.Options.State.Dir, c.Listen)
 	if disk != "" && place.before == nil { // else the predecessor handed over what is fresher
 		place.recall(disk, time.Now())
 	}
 	budget := message.NewBudget(0)
-	pool := upstream.New(backend.Codec{Fields: c.Settings.ReportFields}, upstream.Options{
+	pool := upstream.New(backend.Codec{ReportFields: c.Settings.ReportFields}, upstream.Options{
 		ConnectTimeout: c.ConnectTimeout,
-		IdleFor:        time.Duration(float64(c.Settings.ConnIdle) * c.Own.Backend.IdleShare),
+		IdleFor:        time.Duration(float64(c.Settings.ConnIdle) * c.Options.Backend.IdleShare),
 		Bare:           true, Relayed: fig.Relayed, Budget: budget,
 	}, count, log)
 	front := session.New(session.Options{
 		Classes: c.Settings.Classes, RetryAfter: c.RetryAfter,
-		HeadWithin: c.Own.Session.HeadWithin, BodyWithin: c.Own.Session.BodyWithin, IdleFor: c.Own.Session.IdleFor,
+		HeadTimeout: c.Options.Session.HeadWithin, BodyTimeout: c.Options.Session.BodyWithin, IdleTimeout: c.Options.Session.IdleFor,
 		Figures: fig, Budget: budget,
 	}, place.listener, owner, count)
 	lot := shares{c, pool, front, budget, log}
 	lot.set(place.before != nil)
-	registry := discovery.New(c.Discovery, place.known, owner.List, log)
+	registry := discovery.New(c.Discovery, place.known, owner.UpdateBackends, log)
 
-	known, err := place.known.Entries()
+	known, err := place.known.Backends()
 	if err != nil {
 		return err
 	}
-	owner.List(logic.ListCached, known)
+	owner.UpdateBackends(logic.ListCached, known)
 	if len(place.learned) > 0 {
-		owner.Learn(place.learned, place.before != nil)
+		owner.ImportModuleState(place.learned, place.before != nil)
 	}
 	quit := make(chan struct{})
 	defer close(quit)
 	if place.console != nil {
-		owner.Watch(func(listed, avoided int) { fig.Know(figures.Registry{Listed: listed, Avoided: avoided}) })
+		owner.ObserveBackendCounts(func(listed, avoided int) { fig.Know(figures.Registry{Listed: listed, Avoided: avoided}) })
 		go console.New(place.console, operated{front, fig}, log).Serve()
 	}
 	go owner.Run(pool, registry)
 	defer owner.Stop()
 	go pool.Reap(quit)
 	if !c.Settings.MustSubscribe {
-		go registry.Keep(context.Background())
+		go registry.KeepWatching(context.Background())
 	}
-	if rate := c.Own.Peers.BytesPerS; rate > 0 {
+	if rate := c.Options.Peers.BytesPerS; rate > 0 {
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		talk := peers.New(peers.Options{Addrs: c.Peers, Number: c.Settings.Number, Budget: rate, Rng: rand.New(rand.NewPCG(c.Seed, 1))}, log)
@@ -132,7 +132,7 @@
 
 // operated is the node as its operators see it.
 type operated struct {
-	*session.Front
+	*session.Frontend
 	figures *figures.Set
 }
 
@@ -141,18 +141,18 @@
 
 // reload reads the configuration again and takes on the registry that it names.
 // One that can't be used changes nothing.
-func reload(registry *discovery.Registry, own string, log *slog.Logger) {
+func reload(registry *discovery.Client, own string, log *slog.Logger) {
 	c, err := config.Reload(os.Getenv, own)
 	if err != nil {
 		log.Error("reload: the configuration stays as it was", logging.Cause, err)
 		return
 	}
 	log.Info("reload", "discovery", c.Discovery)
-	registry.Move(c.Discovery)
+	registry.SetAddress(c.Discovery)
 }
 
 // end answers all that was taken, before the process may be killed.
-func end(c *config.Config, front *session.Front, log *slog.Logger) error {
+func end(c *config.Config, front *session.Frontend, log *slog.Logger) error {
 	longest := time.Duration(0)
 	for _, cl := range c.Settings.Classes {
 		longest = max(longest, cl.Deadline)
--- a/cmd/oakseam/place.go
+++ b/cmd/oakseam/place.go
@@ -45,7 +45,7 @@
 // settle opens the node's addresses, or takes them over from the process that serves
 // there. Only a node with a console can be replaced in place.
 func settle(c *config.Config, log *slog.Logger) (*place, error) {
-	p := &place{c: c, log: log, known: c.Known, quit: make(chan struct{})}
+	p := &place{c: c, log: log, known: c.KnownBackends, quit: make(chan struct{})}
 	var err error
 	if c.Console == "" {
 		l, err := net.Listen("tcp", c.Listen)
@@ -98,7 +98,7 @@
 	if err := json.Unmarshal(state, &h); err != nil {
 		return err
 	}
-	if _, err := h.List.Entries(); err != nil {
+	if _, err := h.List.Backends(); err != nil {
 		return err
 	}
 	if len(h.List.Targets) > 0 {
@@ -109,13 +109,13 @@
 
 // state is what a successor is handed. The version is read first: what is told twice
 // does no harm, what is missed does.
-func state(owner *core.Core, registry *discovery.Registry) (handed, error) {
-	rev := registry.Rev()
-	known, ok := owner.Known(time.Second)
+func state(owner *core.EventLoop, registry *discovery.Client) (handed, error) {
+	rev := registry.Revision()
+	known, ok := owner.Snapshot(time.Second)
 	if !ok {
 		return handed{}, errors.New("the owner did not tell its list in time")
 	}
-	return handed{discovery.ListOf(rev, true, known.Entries), known.Learned}, nil
+	return handed{discovery.NewList(rev, true, known.Backends), known.ModuleState}, nil
 }
 
 // offer tells the predecessor that this process serves, and waits for a successor once
@@ -182,7 +182,7 @@
 type shares struct {
 	c      *config.Config
 	pool   *upstream.Pool
-	front  *session.Front
+	front  *session.Frontend
 	budget *message.Budget
 	log    *slog.Logger
 }
@@ -198,8 +198,8 @@
 	debug.SetMemoryLimit(int64(memory * (1 << 20)))
 	s.budget.Set(int64(max((memory-restMB)/2, leastMB) * (1 << 20)))
 	usable := part * float64(s.c.Sockets-spareSockets)
-	s.pool.Limit(int(usable * s.c.Own.Backend.Share))
-	s.front.Limit(int(usable*s.c.Own.Session.Share), int(part*session.Overflow), int(part*float64(s.c.Sockets)*s.c.Own.Session.RequestShare))
+	s.pool.Limit(int(usable * s.c.Options.Backend.Share))
+	s.front.SetLimits(int(usable*s.c.Options.Session.Share), int(part*session.SessionOverflow), int(part*float64(s.c.Sockets)*s.c.Options.Session.RequestShare))
 }
 
 // Began has a successor and this process share.
--- a/cmd/oakseam/saved.go
+++ b/cmd/oakseam/saved.go
@@ -46,14 +46,14 @@
 		err = json.Unmarshal(text, &s)
 	}
 	if err == nil {
-		_, err = s.List.Entries()
+		_, err = s.List.Backends()
 	}
 	if err != nil {
 		p.log.Warn("state: the node starts clean", "file", name, logging.Cause, err)
 		return
 	}
 	// The higher version is the later list, whoever kept it.
-	newer := s.List.Rev > p.known.Rev && len(s.List.Targets) > 0
+	newer := s.List.Revision > p.known.Revision && len(s.List.Targets) > 0
 	if newer {
 		p.known = s.List
 	}
--- a/internal/anemometer/dispatch/codec.go
+++ b/internal/anemometer/dispatch/codec.go
@@ -34,7 +34,7 @@
 var _ upstream.Codec = codec{}
 
 // Head implements upstream.Codec.
-func (codec) Head(dst *bytes.Buffer, call *message.Call, at core.Place, left time.Duration) {
+func (codec) Head(dst *bytes.Buffer, call *message.Call, at core.Instance, left time.Duration) {
 	fmt.Fprintf(dst, "%s %s HTTP/1.1\r\nHost: %s\r\n", call.Method, call.Target, call.Host)
 	fmt.Fprintf(dst, "%s: %s\r\n%s: %d\r\n%s: %s\r\n", AttemptHeader, call.ID, TimeBudgetHeader, max(left.Milliseconds(), 1), TargetHeader, at.ID)
 	for name, values := range call.Header {
--- a/internal/anemometer/dispatch/dispatch.go
+++ b/internal/anemometer/dispatch/dispatch.go
@@ -62,7 +62,7 @@
 
 // service is one service's owner and servers.
 type service struct {
-	core    *core.Core
+	core    *core.EventLoop
 	all     []protocol.Server
 	wanted  int           // servers that this node sends to, where none is avoided
 	size    int           // and with those that are
@@ -117,14 +117,14 @@
 		SecondCopies: true, CanCancel: true, MaxRetryAfter: retryAfter,
 		ConnIdle: idleFor, CrossCharge: crossCharge, ConnectCharge: connectCharge,
 	}
-	owner, err := core.New(settings, rand.Uint64(), d.opt.Count, d.opt.Log)
+	owner, err := core.NewEventLoop(settings, rand.Uint64(), d.opt.Count, d.opt.Log)
 	if err != nil {
 		klog.ErrorS(err, "A service can't be served", "service", name)
 		return
 	}
 	s := &service{core: owner, listed: make(chan struct{})}
 	d.services[name] = s
-	owner.Watch(func(_, avoided int) { s.avoided.Store(int64(avoided)) })
+	owner.ObserveBackendCounts(func(_, avoided int) { s.avoided.Store(int64(avoided)) })
 	go owner.Run(d.pool, nil)
 	d.list(s, d.lists[name])
 }
@@ -218,18 +218,18 @@
 		s.known = true
 		defer close(s.listed) // once the owner has them
 	}
-	entries := make([]core.Entry, 0, len(servers))
+	entries := make([]core.Backend, 0, len(servers))
 	for _, x := range servers {
 		state := logic.Serving
 		if x.Draining {
 			state = logic.Draining
 		}
-		entries = append(entries, core.Entry{
+		entries = append(entries, core.Backend{
 			Server:   logic.Server{ID: logic.ServerID(x.ID), Capacity: float64(max(x.Capacity, 1)), State: state, Zone: x.Zone},
 			Endpoint: x.Address,
 		})
 	}
-	s.core.List(logic.ListFull, entries)
+	s.core.UpdateBackends(logic.ListFull, entries)
 }
 
 // Ready tells whether some service has a server.
@@ -247,7 +247,7 @@
 // Owner returns what requests of a service are submitted to, nil where there is none. It
 // waits until the service has had a server, or ctx ends: after a start the list comes a
 // moment behind the configuration.
-func (d *Dispatcher) Owner(ctx context.Context, name string) *core.Core {
+func (d *Dispatcher) Owner(ctx context.Context, name string) *core.EventLoop {
 	d.mu.Lock()
 	s := d.services[name]
 	d.mu.Unlock()
--- a/internal/anemometer/gateway/answer.go
+++ b/internal/anemometer/gateway/answer.go
@@ -95,7 +95,7 @@
 	cancel()
 	left := time.Until(x.deadline)
 	if owner == nil || left <= 0 {
-		return core.Answer{Kind: core.Refused, RetryAfter: pressedRetryAfter}
+		return core.Answer{Kind: core.Rejected, RetryAfter: pressedRetryAfter}
 	}
 	if x.ended == nil {
 		x.ended = x.gateway.opt.Dispatcher.Begin(x.service)
@@ -104,14 +104,14 @@
 	defer w.leave()
 	id := s.id(x.attempt)
 	request := core.Request{
-		ID: id, Class: x.route.Name, Arrived: time.Now(), Wait: left, Call: withLastEvent(x.call(s.body), s.lastEvent), Session: w,
-		Worth: s.worth, MaxAttempts: s.maxAttempts, Avoid: s.avoid,
+		ID: id, Class: x.route.Name, Arrived: time.Now(), Timeout: left, Call: withLastEvent(x.call(s.body), s.lastEvent), Session: w,
+		Worth: s.worth, MaxAttempts: s.maxAttempts, AvoidedServer: s.avoid,
 	}
 	if x.route.Persistence || s.affinity != "" && x.route.Class == routing.Streaming {
-		request.Prefer = x.gateway.opt.Dispatcher.Prefer(x.service, s.affinity)
+		request.PreferredServers = x.gateway.opt.Dispatcher.Prefer(x.service, s.affinity)
 	}
 	if err := owner.Submit(request); err != nil {
-		return core.Answer{Kind: core.Refused, RetryAfter: pressedRetryAfter}
+		return core.Answer{Kind: core.Rejected, RetryAfter: pressedRetryAfter}
 	}
 	late := time.NewTimer(left + overdue)
 	defer late.Stop()
@@ -119,16 +119,16 @@
 	case a := <-w.answer:
 		return a
 	case <-late.C:
-		owner.Gone(id, w)
+		owner.ClientGone(id, w)
 		return core.Answer{Kind: core.Failed}
 	case <-x.request.Context().Done():
-		owner.Gone(id, w)
+		owner.ClientGone(id, w)
 		return core.Answer{Kind: gone}
 	}
 }
 
 // gone is the kind of answer to a client that has left.
-const gone core.Kind = 255
+const gone core.AnswerKind = 255
 
 // answer gives the final answer. Before the end of a whole stream, kept is asked where it
 // is not nil: without its consent the answer breaks off.
@@ -142,7 +142,7 @@
 	case reply != nil:
 		defer reply.Close()
 		x.pass(reply, kept)
-	case a.Kind == core.Refused && !a.Ran:
+	case a.Kind == core.Rejected && !a.MayHaveRun:
 		x.gateway.refuse(x.writer, max(a.RetryAfter, pressedRetryAfter), "answer.refused")
 	case a.Kind == core.Duplicate:
 		x.gateway.count("answer.duplicate")
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -18,13 +18,13 @@
 
 // Codec is the protocol of the backends.
 type Codec struct {
-	Fields []string // of a load report, as the settings name them
+	ReportFields []string // of a load report, as the settings name them
 }
 
 var _ upstream.Codec = Codec{}
 
 // Head is upstream.Codec. Of the call's header nothing is handed on.
-func (Codec) Head(dst *bytes.Buffer, c *message.Call, _ core.Place, left time.Duration) {
+func (Codec) Head(dst *bytes.Buffer, c *message.Call, _ core.Instance, left time.Duration) {
 	fmt.Fprintf(dst, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\nX-Time-Left: %du\r\n",
 		c.Method, c.Target, c.Host, c.ID, max(left.Microseconds(), 1))
 	if c.Key != "" {
@@ -64,7 +64,7 @@
 
 // report puts the values of a load report in the order of the settings' fields.
 func (c Codec) report(text string) []float64 {
-	if text == "" || len(c.Fields) == 0 {
+	if text == "" || len(c.ReportFields) == 0 {
 		return nil
 	}
 	values := map[string]float64{}
@@ -74,8 +74,8 @@
 			values[strings.TrimSpace(name)] = n
 		}
 	}
-	out := make([]float64, len(c.Fields))
-	for i, f := range c.Fields {
+	out := make([]float64, len(c.ReportFields))
+	for i, f := range c.ReportFields {
 		v, ok := values[f]
 		if !ok {
 			if v, ok = values[loadNames[f]]; !ok {
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -33,7 +33,7 @@
 		{"", []string{"pending"}, nil},
 		{"queue=2", nil, nil},
 	} {
-		c := Codec{Fields: tt.fields}
+		c := Codec{ReportFields: tt.fields}
 		assert.Equal(t, tt.want, c.report(tt.text), "%q as %v", tt.text, tt.fields)
 	}
 }
@@ -54,11 +54,11 @@
 	} {
 		tt.call.Method, tt.call.Target, tt.call.Host, tt.call.ID = "POST", "/api/x", "h", "i"
 		var out bytes.Buffer
-		Codec{}.Head(&out, &tt.call, core.Place{}, tt.left)
+		Codec{}.Head(&out, &tt.call, core.Instance{}, tt.left)
 		assert.Equal(t, start+tt.want, out.String())
 	}
 	var out bytes.Buffer
-	Codec{}.Head(&out, &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i"}, core.Place{}, time.Second)
+	Codec{}.Head(&out, &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i"}, core.Instance{}, time.Second)
 	assert.NotContains(t, out.String(), "Content-Length")
 }
 
@@ -73,7 +73,7 @@
 		{503, "", logic.Failed}, {503, "1", logic.QueueFull}, {503, "0", logic.Failed}, {504, "1", logic.QueueFull},
 	} {
 		header := http.Header{"X-Unprocessed": {tt.unprocessed}, "X-Backend-Load": {"queue=2"}}
-		got := Codec{Fields: []string{"pending"}}.Judge(&message.Call{}, &http.Response{StatusCode: tt.status, Header: header})
+		got := Codec{ReportFields: []string{"pending"}}.Judge(&message.Call{}, &http.Response{StatusCode: tt.status, Header: header})
 		assert.Equal(t, upstream.Verdict{Result: tt.want, Report: []float64{2}}, got, "%d, unprocessed %q", tt.status, tt.unprocessed)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -33,11 +33,11 @@
 	Seed                    uint64
 	Cores                   float64
 	MemoryMB, Sockets       int
-	Known                   discovery.List
+	KnownBackends           discovery.List
 	Settings                logic.Settings
 	ConnectTimeout          time.Duration
 	RetryAfter              time.Duration // of a refusal, 0 where clients heed none
-	Own                     Own
+	Options                 Options
 }
 
 // Defaults of what may be left out.
@@ -87,7 +87,7 @@
 func Reload(getenv func(string) string, own string) (*Config, error) { return load(getenv, "", own) }
 
 func load(getenv func(string) string, discovery, own string) (*Config, error) {
-	ours, _, err := ReadOwn(own)
+	ours, _, err := ReadOptions(own)
 	if err != nil {
 		return nil, err
 	}
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Own = ours
+	c.Options = ours
 	c.ConnectTimeout = cmp.Or(ours.Backend.ConnectTimeout, c.ConnectTimeout)
 	return c, c.peers(src.file.PeerListen, src.file.Peers)
 }
@@ -136,7 +136,7 @@
 // Show lists every effective value and where it came from: the platform's, where
 // PROXY_CONFIG is set, and then our own. It fails as Load does.
 func Show(getenv func(string) string, own string) ([]Value, error) {
-	ours, file, err := ReadOwn(own)
+	ours, file, err := ReadOptions(own)
 	if err != nil {
 		return nil, err
 	}
@@ -175,8 +175,8 @@
 	put("limits.cores", cmp.Or(f.Limits.Cores, defaultCores), f.Limits.Cores != 0)
 	put("limits.memory_mb", cmp.Or(f.Limits.MemoryMB, defaultMemoryMB), f.Limits.MemoryMB != 0)
 	put("limits.sockets", cmp.Or(f.Limits.Sockets, defaultSockets), f.Limits.Sockets != 0)
-	put("known", fmt.Sprintf("%d backends, rev %d", len(f.Known.Targets), f.Known.Rev), len(f.Known.Targets) > 0)
-	facts, err := Facts(f.Settings)
+	put("known", fmt.Sprintf("%d backends, rev %d", len(f.Known.Targets), f.Known.Revision), len(f.Known.Targets) > 0)
+	facts, err := FlattenSettings(f.Settings)
 	if err != nil {
 		return nil, err
 	}
@@ -190,7 +190,7 @@
 }
 
 func (f *file) check() (*Config, error) {
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Console: f.Console, Known: f.Known,
+	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Console: f.Console, KnownBackends: f.Known,
 		Cores:    cmp.Or(f.Limits.Cores, defaultCores),
 		MemoryMB: cmp.Or(f.Limits.MemoryMB, defaultMemoryMB),
 		Sockets:  cmp.Or(f.Limits.Sockets, defaultSockets),
@@ -223,7 +223,7 @@
 	case c.Sockets < leastSockets:
 		return nil, fmt.Errorf("limits.sockets: %d is below the %d that a node needs", c.Sockets, leastSockets)
 	}
-	if _, err := c.Known.Entries(); err != nil {
+	if _, err := c.KnownBackends.Backends(); err != nil {
 		return nil, fmt.Errorf("known.%w", err)
 	}
 	return c, c.settings(f.Settings)
@@ -231,7 +231,7 @@
 
 // peers reads what a node that talks to others needs.
 func (c *Config) peers(listen string, raw json.RawMessage) error {
-	if c.Own.Peers.BytesPerS == 0 {
+	if c.Options.Peers.BytesPerS == 0 {
 		return nil
 	}
 	if _, err := netip.ParseAddrPort(listen); err != nil {
@@ -260,7 +260,7 @@
 	if len(raw) == 0 {
 		return errors.New("settings: missing")
 	}
-	facts, err := Facts(raw)
+	facts, err := FlattenSettings(raw)
 	if err != nil {
 		return err
 	}
@@ -287,9 +287,9 @@
 	return nil
 }
 
-// Facts flattens nested settings to the pairs path=value of the simulator's
+// FlattenSettings flattens nested settings to the pairs path=value of the simulator's
 // first message, which internal/wire reads.
-func Facts(raw json.RawMessage) (string, error) {
+func FlattenSettings(raw json.RawMessage) (string, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber() // figures stay the digits that came
 	var tree map[string]any
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -11,9 +11,9 @@
 	"pipitmux/internal/yamlfile"
 )
 
-// Own is the file of our own beside PROXY_CONFIG: what the platform has no word
+// Options is the file of our own beside PROXY_CONFIG: what the platform has no word
 // for. Each key may be left out.
-type Own struct {
+type Options struct {
 	Log     Log     `yaml:"log" help:"the node's log, on standard error"`
 	Session Session `yaml:"session" help:"clients' side"`
 	Backend Backend `yaml:"backend" help:"backends' side"`
@@ -53,9 +53,9 @@
 	Share          float64       `yaml:"share" help:"part of the descriptors not kept spare that connections to backends may hold" least:"0.05" most:"0.9"`
 }
 
-// DefaultOwn returns the values of what a file leaves out.
-func DefaultOwn() Own {
-	return Own{
+// DefaultOptions returns the values of what a file leaves out.
+func DefaultOptions() Options {
+	return Options{
 		Log: Log{Level: "info", Format: "text"},
 		Session: Session{
 			// A client that brings no whole request holds a socket that others need. It is owed an
@@ -68,9 +68,9 @@
 	}
 }
 
-// ReadOwn reads the file of a name. An empty name gives the defaults.
-func ReadOwn(name string) (Own, *yamlfile.File, error) {
-	o := DefaultOwn()
+// ReadOptions reads the file of a name. An empty name gives the defaults.
+func ReadOptions(name string) (Options, *yamlfile.File, error) {
+	o := DefaultOptions()
 	if name == "" {
 		return o, nil, nil
 	}
@@ -132,13 +132,13 @@
 
 // Value is an effective value and where it came from.
 type Value struct {
-	Key   string `json:"key"`
-	Value any    `json:"value"`
-	From  string `json:"from"`
+	Key    string `json:"key"`
+	Value  any    `json:"value"`
+	Source string `json:"from"`
 }
 
 // ownValues lists the values of the own file, in the order of its fields.
-func ownValues(o Own, f *yamlfile.File) (out []Value) {
+func ownValues(o Options, f *yamlfile.File) (out []Value) {
 	var list func(v reflect.Value, path string)
 	list = func(v reflect.Value, path string) {
 		for i := range v.NumField() {
@@ -194,7 +194,7 @@
 		}
 		return map[string]any{"type": "object", "additionalProperties": false, "properties": props}
 	}
-	s := of(reflect.TypeOf(Own{}), reflect.ValueOf(DefaultOwn()))
+	s := of(reflect.TypeOf(Options{}), reflect.ValueOf(DefaultOptions()))
 	s["$schema"], s["title"] = "https://json-schema.org/draft/2020-12/schema", "oakseam's own configuration"
 	return json.MarshalIndent(s, "", "  ")
 }
--- a/internal/config/own_test.go
+++ b/internal/config/own_test.go
@@ -37,7 +37,7 @@
 		"backend: {connect_timeout: -1s}":              "backend.connect_timeout: -1s does not lie",
 	} {
 		path := write(t, "own.yaml", text)
-		_, _, err := ReadOwn(path)
+		_, _, err := ReadOptions(path)
 		if assert.Error(t, err, text) {
 			assert.Contains(t, err.Error(), want)
 			assert.NotContains(t, err.Error(), "\n")
@@ -73,7 +73,7 @@
 	}
 	again, err := Reload(func(k string) string { return env[k] }, own)
 	require.NoError(t, err)
-	assert.Equal(t, c.Own, again.Own)
+	assert.Equal(t, c.Options, again.Options)
 }
 
 // The schema, the tags and what is read say the same.
@@ -101,7 +101,7 @@
 		}
 	}
 	each(&s, "")
-	o := DefaultOwn()
+	o := DefaultOptions()
 	require.NoError(t, bounds(nil, reflect.ValueOf(o), ""), "the defaults are allowed")
 }
 
@@ -127,6 +127,6 @@
 			assert.ErrorContains(t, err, want)
 		}
 	}
-	_, _, err := ReadOwn(write(t, "own.yaml", "peers: {bytes_per_s: -1}"))
+	_, _, err := ReadOptions(write(t, "own.yaml", "peers: {bytes_per_s: -1}"))
 	assert.ErrorContains(t, err, "peers.bytes_per_s: -1 does not lie from 0 to 100000")
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -19,26 +19,26 @@
 type peers struct {
 	mu   sync.Mutex
 	went []logic.ServerID
-	ends chan func(Ended)
+	ends chan func(AttemptResult)
 	off  atomic.Int64 // attempts called off
 }
 
-func (p *peers) Start(a Attempt, done func(Ended)) func() {
+func (p *peers) Start(a Attempt, done func(AttemptResult)) func() {
 	p.mu.Lock()
-	p.went = append(p.went, a.Place.ID)
+	p.went = append(p.went, a.Instance.ID)
 	p.mu.Unlock()
 	p.ends <- done
 	return func() { p.off.Add(1) }
 }
-func (p *peers) CloseIdle(Place) {}
-func (p *peers) Withdraw(Place)  {}
-func (p *peers) Subscribe()      {}
-func (p *peers) Fetch()          {}
+func (p *peers) CloseIdle(Instance) {}
+func (p *peers) Withdraw(Instance)  {}
+func (p *peers) Subscribe()         {}
+func (p *peers) Fetch()             {}
 
 // serve ends every attempt as served.
 func (p *peers) serve() {
 	for end := range p.ends {
-		go end(Ended{Result: logic.OK, At: time.Now()})
+		go end(AttemptResult{Result: logic.OK, At: time.Now()})
 	}
 }
 
@@ -55,29 +55,29 @@
 
 func (w waiting) Answer(a Answer) { w <- a }
 
-func newCore(t *testing.T, aim time.Duration, states ...logic.ServerState) *Core {
-	c, err := New(logic.Settings{CanCancel: true, Classes: []logic.Class{
+func newCore(t *testing.T, aim time.Duration, states ...logic.ServerState) *EventLoop {
+	c, err := NewEventLoop(logic.Settings{CanCancel: true, Classes: []logic.Class{
 		{Name: "topup", Effect: logic.Unsafe, Aim: aim, Deadline: 2 * aim, Worth: 8}}}, 1, counters.New(), slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	c.List(logic.ListCached, entries(states...))
+	c.UpdateBackends(logic.ListCached, entries(states...))
 	return c
 }
 
-func entries(states ...logic.ServerState) (out []Entry) {
+func entries(states ...logic.ServerState) (out []Backend) {
 	for i, s := range states {
-		out = append(out, Entry{Server: logic.Server{ID: logic.ServerID(fmt.Sprint("s-", i)), Capacity: 1, State: s}, Endpoint: "x:1"})
+		out = append(out, Backend{Server: logic.Server{ID: logic.ServerID(fmt.Sprint("s-", i)), Capacity: 1, State: s}, Endpoint: "x:1"})
 	}
 	return out
 }
 
 // A drain that was told after requests had been queued still goes first.
 func TestDrainGoesAheadOfWaitingRequests(t *testing.T) {
-	c, p := newCore(t, 5*time.Second, logic.Serving, logic.Serving), &peers{ends: make(chan func(Ended), 100)}
+	c, p := newCore(t, 5*time.Second, logic.Serving, logic.Serving), &peers{ends: make(chan func(AttemptResult), 100)}
 	answers := make(waiting, 100)
 	for i := range 50 {
 		require.NoError(t, c.Submit(Request{ID: fmt.Sprint(i), Class: "topup", Arrived: time.Now(), Session: answers}))
 	}
-	c.List(logic.ListChanges, entries(logic.Serving, logic.Draining))
+	c.UpdateBackends(logic.ListChanges, entries(logic.Serving, logic.Draining))
 	go c.Run(p, p)
 	defer c.Stop()
 	go p.serve()
@@ -92,7 +92,7 @@
 // the same queue: all get through, and each request has one answer.
 func TestFullQueueLosesNothing(t *testing.T) {
 	const requests = 4 * queueLength
-	c, p := newCore(t, 5*time.Second, logic.Serving, logic.Serving), &peers{ends: make(chan func(Ended), requests)}
+	c, p := newCore(t, 5*time.Second, logic.Serving, logic.Serving), &peers{ends: make(chan func(AttemptResult), requests)}
 	answers := make(waiting, 2*requests)
 	taken := make(chan int, 100)
 	for range cap(taken) {
@@ -127,13 +127,13 @@
 	for i := range queueLength {
 		require.NoError(t, c.Submit(Request{ID: fmt.Sprint(i)}))
 	}
-	assert.ErrorIs(t, c.Submit(Request{ID: "one more"}), ErrFull)
+	assert.ErrorIs(t, c.Submit(Request{ID: "one more"}), ErrQueueFull)
 }
 
 // An attempt that lasts until its request's end has timed out: the module's timer
 // for that same instant must not turn it into one that was called off.
 func TestTimeOutIsNotCalledOff(t *testing.T) {
-	c, p := newCore(t, 100*time.Millisecond, logic.Serving), &peers{ends: make(chan func(Ended), 1)}
+	c, p := newCore(t, 100*time.Millisecond, logic.Serving), &peers{ends: make(chan func(AttemptResult), 1)}
 	answers := make(waiting, 1)
 	go c.Run(p, p)
 	defer c.Stop()
@@ -141,5 +141,5 @@
 	receive(t, answers)
 	require.Len(t, p.ends, 1, "it was sent")
 	assert.Zero(t, p.off.Load(), "calls off")
-	(<-p.ends)(Ended{Result: logic.TimedOut, At: time.Now()})
+	(<-p.ends)(AttemptResult{Result: logic.TimedOut, At: time.Now()})
 }
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -21,26 +21,26 @@
 	Handle(now time.Duration, ev logic.Event) []logic.Action
 }
 
-// Counter takes the counts of what an Owner does.
-type Counter interface{ Add(name string) }
+// Counters takes the counts of what an Owner does.
+type Counters interface{ Add(name string) }
 
-// World is what an Owner needs of the world that it runs in. A node's is the
+// Environment is what an Owner needs of the world that it runs in. A node's is the
 // machine's clock and its queue; the lab's is virtual.
-type World struct {
-	Now      func() time.Time
-	Post     func(func()) // has the end of an attempt told to the owner; called from any goroutine
-	Backends Backends
-	Registry Registry
-	Count    Counter
-	Log      *slog.Logger
+type Environment struct {
+	Now       func() time.Time
+	Post      func(func()) // has the end of an attempt told to the owner; called from any goroutine
+	Transport Transport
+	Registry  Registry
+	Counters  Counters
+	Log       *slog.Logger
 }
 
-// Owner takes the steps of one node round its module: requests, ends of attempts,
+// Engine takes the steps of one node round its module: requests, ends of attempts,
 // lists and timers in, sends and final answers out. It starts no goroutine,
 // reads no clock but its World's, and is not safe for concurrent use: Core runs
 // it for a node, the emulator in virtual time, and both so take the same steps.
-type Owner struct {
-	world    World
+type Engine struct {
+	world    Environment
 	module   Module
 	settings logic.Settings
 	local    []func() // events that the owner has for itself
@@ -48,8 +48,8 @@
 	origin   time.Time
 	at       time.Time // of the event that the module is told: its sends and timers count from there
 	requests map[logic.RequestID]*held
-	places   map[logic.ServerID]Place
-	listed   map[logic.ServerID]Entry
+	places   map[logic.ServerID]Instance
+	listed   map[logic.ServerID]Backend
 	timers   timers
 	serves   bool
 }
@@ -77,19 +77,19 @@
 	stream stream
 }
 
-// NewOwner returns an Owner of the module, which must have been made for the
+// NewEngine returns an Owner of the module, which must have been made for the
 // same settings.
-func NewOwner(m Module, s logic.Settings, w World) *Owner {
-	return &Owner{
+func NewEngine(m Module, s logic.Settings, w Environment) *Engine {
+	return &Engine{
 		world: w, module: m, settings: s, origin: w.Now(),
-		requests: map[logic.RequestID]*held{}, places: map[logic.ServerID]Place{},
-		listed: map[logic.ServerID]Entry{},
+		requests: map[logic.RequestID]*held{}, places: map[logic.ServerID]Instance{},
+		listed: map[logic.ServerID]Backend{},
 	}
 }
 
-// Known returns how many backends are listed, and how many of these the module
+// BackendCounts returns how many backends are listed, and how many of these the module
 // avoids now, where it tells.
-func (o *Owner) Known() (listed, avoided int) {
+func (o *Engine) BackendCounts() (listed, avoided int) {
 	if m, ok := o.module.(interface{ Avoided(time.Duration) int }); ok {
 		avoided = m.Avoided(o.clock(o.world.Now()))
 	}
@@ -103,8 +103,8 @@
 	Recall([]byte) error
 }
 
-// Learned returns what the module learned, empty where it does not tell.
-func (o *Owner) Learned() []byte {
+// ExportModuleState returns what the module learned, empty where it does not tell.
+func (o *Engine) ExportModuleState() []byte {
 	m, ok := o.module.(pupil)
 	if !ok {
 		return nil
@@ -116,9 +116,9 @@
 	return text
 }
 
-// Learn has the module take on what another learned, whole where that goes on at this
+// ImportModuleState has the module take on what another learned, whole where that goes on at this
 // instant, else what holds through a stop.
-func (o *Owner) Learn(text []byte, whole bool) {
+func (o *Engine) ImportModuleState(text []byte, whole bool) {
 	if m, ok := o.module.(pupil); ok {
 		learn := m.Recall
 		if whole {
@@ -130,17 +130,17 @@
 	}
 }
 
-// Entries returns the list of backends, by their names.
-func (o *Owner) Entries() []Entry {
-	return slices.SortedFunc(maps.Values(o.listed), func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
+// Backends returns the list of backends, by their names.
+func (o *Engine) Backends() []Backend {
+	return slices.SortedFunc(maps.Values(o.listed), func(a, b Backend) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Serves tells whether a backend is known that takes requests.
-func (o *Owner) Serves() bool { return o.serves }
+// HasServingBackend tells whether a backend is known that takes requests.
+func (o *Engine) HasServingBackend() bool { return o.serves }
 
-// Settle takes the events that earlier ones have left behind. It belongs after
+// RunPending takes the events that earlier ones have left behind. It belongs after
 // each event.
-func (o *Owner) Settle() {
+func (o *Engine) RunPending() {
 	for len(o.local) > 0 {
 		ev := o.local[0]
 		o.local = o.local[1:]
@@ -151,16 +151,16 @@
 // clock is the module's: Unix time as it was at the start, and steady from
 // then on. A backend's start, given in Unix time, needs no mapping and stays
 // the same value in every list; the module takes a changed one for a restart.
-func (o *Owner) clock(t time.Time) time.Duration {
+func (o *Engine) clock(t time.Time) time.Duration {
 	return time.Duration(o.origin.UnixNano()) + t.Sub(o.origin)
 }
 
 // tell hands an event to the module and carries out what it asks for. A panic
 // of the module ends the request that it was about, with a failure, and no other.
-func (o *Owner) tell(id logic.RequestID, ev logic.Event) {
+func (o *Engine) tell(id logic.RequestID, ev logic.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			o.world.Count.Add("module.panic")
+			o.world.Counters.Add("module.panic")
 			o.world.Log.Error("module: panic", "event", fmt.Sprintf("%T", ev), logging.Request, id, logging.Cause, p, "stack", string(debug.Stack()))
 			o.answer(id, Answer{Kind: Failed})
 		}
@@ -169,7 +169,7 @@
 	for _, a := range o.module.Handle(o.clock(o.at), ev) {
 		_, first := ev.(logic.Request)
 		t, timer := a.(logic.SetTimer)
-		if r := o.requests[id]; first && timer && r != nil && r.Open {
+		if r := o.requests[id]; first && timer && r != nil && r.BodyPending {
 			r.timers = append(r.timers, t)
 			continue
 		}
@@ -177,7 +177,7 @@
 	}
 }
 
-func (o *Owner) act(a logic.Action) {
+func (o *Engine) act(a logic.Action) {
 	switch a := a.(type) {
 	case logic.Send:
 		o.send(a)
@@ -192,7 +192,7 @@
 			}
 		}
 	case logic.Refuse:
-		o.answer(a.ID, Answer{Kind: Refused, RetryAfter: a.RetryAfter})
+		o.answer(a.ID, Answer{Kind: Rejected, RetryAfter: a.RetryAfter})
 	case logic.Fail:
 		o.answer(a.ID, Answer{Kind: Failed})
 	case logic.SetTimer:
@@ -207,7 +207,7 @@
 		}
 	case logic.CloseIdle:
 		if p, ok := o.places[a.Server]; ok {
-			o.world.Backends.CloseIdle(p)
+			o.world.Transport.CloseIdle(p)
 		}
 	case logic.Log:
 		o.world.Log.Info("module: " + a.Text)
@@ -215,11 +215,11 @@
 }
 
 // Request takes a request. Its Session gets one answer unless Gone comes first.
-func (o *Owner) Request(r Request) {
+func (o *Engine) Request(r Request) {
 	id := logic.RequestID(r.ID)
-	o.world.Count.Add("req.taken")
+	o.world.Counters.Add("req.taken")
 	if o.requests[id] != nil {
-		o.world.Count.Add("answer.duplicate")
+		o.world.Counters.Add("answer.duplicate")
 		r.Session.Answer(Answer{Kind: Duplicate})
 		return
 	}
@@ -227,20 +227,20 @@
 	for i := range o.settings.Classes {
 		if cl := &o.settings.Classes[i]; cl.Name == r.Class {
 			class = cl
-			if r.Wait <= 0 || r.Wait > cl.Deadline {
-				r.Wait = cl.Deadline
+			if r.Timeout <= 0 || r.Timeout > cl.Deadline {
+				r.Timeout = cl.Deadline
 			}
 		}
 	}
-	h := &held{Request: r, class: class, until: r.Arrived.Add(r.Wait)}
+	h := &held{Request: r, class: class, until: r.Arrived.Add(r.Timeout)}
 	o.requests[id] = h
-	if r.Open {
+	if r.BodyPending {
 		h.Arrived = o.world.Now()
 		h.until = h.Arrived.Add(openMost)
 	}
-	q := logic.Request{ID: id, Class: r.Class, Retry: r.Retry, Tenant: r.Tenant, Hint: r.Hint, Expires: r.Wait, Coming: r.Open,
-		Prefer: r.Prefer, Worth: r.Worth, MaxAttempts: r.MaxAttempts, Avoid: r.Avoid}
-	if !r.Open {
+	q := logic.Request{ID: id, Class: r.Class, Retry: r.Retry, Tenant: r.Tenant, Hint: r.WorkHint, Expires: r.Timeout, Coming: r.BodyPending,
+		Prefer: r.PreferredServers, Worth: r.Worth, MaxAttempts: r.MaxAttempts, Avoid: r.AvoidedServer}
+	if !r.BodyPending {
 		// What the request waited for its turn is gone from the client's patience.
 		q.Expires = h.until.Sub(o.world.Now())
 	}
@@ -250,15 +250,15 @@
 // openMost is beyond any time that a front lets a body take.
 const openMost = time.Hour
 
-// Whole starts the time of a request whose last byte has come, and of its attempt.
-func (o *Owner) Whole(id logic.RequestID, of Session) {
+// BodyComplete starts the time of a request whose last byte has come, and of its attempt.
+func (o *Engine) BodyComplete(id logic.RequestID, of Session) {
 	r := o.requests[id]
-	if r == nil || r.over || r.Session != of || !r.Open {
+	if r == nil || r.over || r.Session != of || !r.BodyPending {
 		return
 	}
 	now := o.world.Now()
-	r.Open = false
-	r.until = now.Add(r.Wait)
+	r.BodyPending = false
+	r.until = now.Add(r.Timeout)
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		a.at, a.until = now, now.Add(a.within)
@@ -270,9 +270,9 @@
 	r.timers = nil
 }
 
-// Gone drops the request that a session held under the id; an id sent twice must
+// ClientGone drops the request that a session held under the id; an id sent twice must
 // not let the second client take the first one's request along.
-func (o *Owner) Gone(id logic.RequestID, of Session) {
+func (o *Engine) ClientGone(id logic.RequestID, of Session) {
 	r := o.requests[id]
 	if r == nil || r.over || r.Session != of {
 		return
@@ -281,27 +281,27 @@
 	o.forget(id, r)
 }
 
-func (o *Owner) gone(id logic.RequestID, r *held) {
-	o.world.Count.Add("client.gone")
+func (o *Engine) gone(id logic.RequestID, r *held) {
+	o.world.Counters.Add("client.gone")
 	r.over = true
 	r.dropFailure()
 	o.tell(id, logic.ClientGone{ID: id})
 }
 
 // answer gives a request its final answer, unless it has one.
-func (o *Owner) answer(id logic.RequestID, a Answer) {
+func (o *Engine) answer(id logic.RequestID, a Answer) {
 	r := o.requests[id]
 	if r == nil || r.over {
 		return
 	}
 	r.over = true
-	a.Ran, a.Attempts = a.Kind == Refused && r.mayHaveRun(), len(r.attempts)
+	a.MayHaveRun, a.Attempts = a.Kind == Rejected && r.mayHaveRun(), len(r.attempts)
 	if f := r.failure; f != nil && a.Kind != Served {
 		a, r.failure = Answer{Kind: Failed, Reply: f, Attempts: a.Attempts}, nil
-		o.world.Count.Add("answer.passed")
+		o.world.Counters.Add("answer.passed")
 	}
 	r.dropFailure()
-	o.world.Count.Add(answerCounts[a.Kind])
+	o.world.Counters.Add(answerCounts[a.Kind])
 	if a.Kind != Served && o.world.Log.Enabled(context.Background(), slog.LevelDebug) {
 		o.world.Log.LogAttrs(context.Background(), slog.LevelDebug, "req not served", slog.String(logging.Request, string(id)),
 			slog.String("class", r.Class), slog.String(logging.Cause, answerCounts[a.Kind][len("answer."):]), slog.Int("attempts", len(r.attempts)))
@@ -311,14 +311,14 @@
 	o.forget(id, r)
 }
 
-func (o *Owner) forget(id logic.RequestID, r *held) {
+func (o *Engine) forget(id logic.RequestID, r *held) {
 	if r.over && r.open == 0 {
 		delete(o.requests, id)
 	}
 }
 
 // send starts an attempt. Every Send gets one Outcome, also where nothing can go out.
-func (o *Owner) send(a logic.Send) {
+func (o *Engine) send(a logic.Send) {
 	r := o.requests[a.ID]
 	if r == nil {
 		o.world.Log.Error("module: a send for a req that is not held", logging.Request, a.ID)
@@ -334,15 +334,15 @@
 	r.open++
 	place, known := o.places[a.Server]
 	if most := o.most(r); r.over || !known || !until.After(now) || most > 0 && n >= most {
-		o.local = append(o.local, func() { o.ended(a.ID, n, Ended{Result: logic.Moot, At: now}) })
+		o.local = append(o.local, func() { o.ended(a.ID, n, AttemptResult{Result: logic.Moot, At: now}) })
 		return
 	}
-	o.world.Count.Add("attempt.sent")
-	out := Attempt{Call: r.Call, Place: place, Until: until, Before: r.before()}
-	if r.Open {
-		out.Until, out.Within = time.Time{}, min(a.Within, r.Wait)
+	o.world.Counters.Add("attempt.sent")
+	out := Attempt{Call: r.Call, Instance: place, Deadline: until, StartBefore: r.before()}
+	if r.BodyPending {
+		out.Deadline, out.Timeout = time.Time{}, min(a.Within, r.Timeout)
 	}
-	r.attempts[n].cancel = o.world.Backends.Start(out, func(e Ended) {
+	r.attempts[n].cancel = o.world.Transport.Start(out, func(e AttemptResult) {
 		o.world.Post(func() { o.ended(a.ID, n, e) })
 	})
 }
@@ -353,7 +353,7 @@
 }
 
 // most is how many attempts a request may have, 0: any number.
-func (o *Owner) most(r *held) int {
+func (o *Engine) most(r *held) int {
 	if r.MaxAttempts > 0 {
 		return r.MaxAttempts
 	}
@@ -380,7 +380,7 @@
 // The counts' names stand here whole: joined for each event they would be a
 // good part of what an event costs.
 var (
-	answerCounts = [...]string{Served: "answer.served", Refused: "answer.refused", Failed: "answer.failed",
+	answerCounts = [...]string{Served: "answer.served", Rejected: "answer.refused", Failed: "answer.failed",
 		Duplicate: "answer.duplicate"}
 	outcomeCounts = [...]string{logic.OK: "outcome.ok", logic.Failed: "outcome.error", logic.QueueFull: "outcome.queue-full",
 		logic.TimedOut: "outcome.timed-out", logic.ConnectFailed: "outcome.connect-failed", logic.Reset: "outcome.reset",
@@ -390,24 +390,24 @@
 )
 
 // ended takes the end of an attempt. The first OK answers the request.
-func (o *Owner) ended(id logic.RequestID, n int, e Ended) {
-	if e.Begun {
+func (o *Engine) ended(id logic.RequestID, n int, e AttemptResult) {
+	if e.Streaming {
 		o.begun(id, n, e)
 		return
 	}
-	o.world.Count.Add(outcomeCounts[e.Result])
+	o.world.Counters.Add(outcomeCounts[e.Result])
 	r := o.requests[id]
 	if r == nil {
 		o.world.Log.Error("an attempt ended of a req that is not held", logging.Request, id, logging.Attempt, n)
 		return
 	}
-	if e.Left && !r.over {
+	if e.ClientGone && !r.over {
 		o.gone(id, r)
 	}
 	t := &r.attempts[n]
 	t.never = e.Result.NeverRan()
 	r.open--
-	if r.Open {
+	if r.BodyPending {
 		t.at = e.At // no backend has begun on it
 	}
 	// Asked first: what a line is made of must not be put together for nothing.
@@ -419,7 +419,7 @@
 	switch {
 	case e.Result == logic.OK && !r.over:
 		o.answer(id, Answer{Kind: Served, Reply: e.Reply})
-	case e.Pass && !r.over:
+	case e.PassThrough && !r.over:
 		r.dropFailure()
 		r.failure = e.Reply
 	default:
@@ -435,28 +435,28 @@
 	// While the answer streams, the end of a second copy does not finish the request.
 	o.tell(id, logic.Outcome{
 		ID: id, Attempt: n, Result: e.Result, Final: r.over && !r.streams, Server: t.server,
-		Latency: latency, Report: e.Report,
+		Latency: latency, Report: e.LoadReport,
 	})
 	o.forget(id, r)
 }
 
-// List takes news of the backends. The connections to a process that is gone,
+// UpdateBackends takes news of the backends. The connections to a process that is gone,
 // or has been started anew or elsewhere, are dropped. Attempts that were decided on before
 // it and have not begun are withdrawn where their backend leaves, and decided anew.
-func (o *Owner) List(kind logic.ListKind, entries []Entry) {
-	o.world.Count.Add(listCounts[kind])
+func (o *Engine) UpdateBackends(kind logic.ListKind, entries []Backend) {
+	o.world.Counters.Add(listCounts[kind])
 	servers := make([]logic.Server, 0, len(entries))
 	was := o.places
 	if kind == logic.ListFull || kind == logic.ListCached {
-		o.places = make(map[logic.ServerID]Place, len(entries))
-		o.listed = make(map[logic.ServerID]Entry, len(entries))
+		o.places = make(map[logic.ServerID]Instance, len(entries))
+		o.listed = make(map[logic.ServerID]Backend, len(entries))
 	}
 	for _, e := range entries {
-		p := Place{ID: e.ID, Endpoint: e.Endpoint, Born: e.Born}
+		p := Instance{ID: e.ID, Endpoint: e.Endpoint, Started: e.Born}
 		if old, ok := was[e.ID]; ok && (old != p || e.State != logic.Serving) {
-			o.world.Backends.Withdraw(old)
+			o.world.Transport.Withdraw(old)
 			if old != p || e.State == logic.Gone {
-				o.world.Backends.CloseIdle(old)
+				o.world.Transport.CloseIdle(old)
 			}
 		}
 		if e.State == logic.Gone {
@@ -479,16 +479,16 @@
 
 // drop closes the connections to those that a whole list left out, in the order
 // of their names: the same list must have the same effects in the same order.
-func (o *Owner) drop(was map[logic.ServerID]Place) {
-	var left []Place
+func (o *Engine) drop(was map[logic.ServerID]Instance) {
+	var left []Instance
 	for id, p := range was {
 		if _, ok := o.places[id]; !ok {
 			left = append(left, p)
 		}
 	}
-	slices.SortFunc(left, func(a, b Place) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(left, func(a, b Instance) int { return cmp.Compare(a.ID, b.ID) })
 	for _, p := range left {
-		o.world.Backends.Withdraw(p)
-		o.world.Backends.CloseIdle(p)
+		o.world.Transport.Withdraw(p)
+		o.world.Transport.CloseIdle(p)
 	}
 }
--- a/internal/core/owner_test.go
+++ b/internal/core/owner_test.go
@@ -17,16 +17,16 @@
 // stub answers each attempt at once, and requests by nobody.
 type stub struct{}
 
-func (stub) Start(_ Attempt, done func(Ended)) func() {
-	done(Ended{Result: logic.OK, At: time.Unix(1, 0)})
+func (stub) Start(_ Attempt, done func(AttemptResult)) func() {
+	done(AttemptResult{Result: logic.OK, At: time.Unix(1, 0)})
 	return func() {}
 }
-func (stub) CloseIdle(Place) {}
-func (stub) Withdraw(Place)  {}
-func (stub) Subscribe()      {}
-func (stub) Fetch()          {}
-func (stub) Answer(Answer)   {}
-func (stub) Add(string)      {}
+func (stub) CloseIdle(Instance) {}
+func (stub) Withdraw(Instance)  {}
+func (stub) Subscribe()         {}
+func (stub) Fetch()             {}
+func (stub) Answer(Answer)      {}
+func (stub) Add(string)         {}
 
 // sender sends each request to one backend.
 type sender struct{ out []logic.Action }
@@ -42,17 +42,17 @@
 func owner(log *slog.Logger) func(id string) {
 	var later []func()
 	at := time.Unix(1, 0)
-	o := NewOwner(&sender{}, logic.Settings{Classes: []logic.Class{{Name: "topup", Deadline: time.Second}}}, World{
+	o := NewEngine(&sender{}, logic.Settings{Classes: []logic.Class{{Name: "topup", Deadline: time.Second}}}, Environment{
 		Now: func() time.Time { return at }, Post: func(ev func()) { later = append(later, ev) },
-		Backends: stub{}, Registry: stub{}, Count: stub{}, Log: log})
-	o.List(logic.ListFull, []Entry{{Server: logic.Server{ID: "b"}, Endpoint: "x:1"}})
+		Transport: stub{}, Registry: stub{}, Counters: stub{}, Log: log})
+	o.UpdateBackends(logic.ListFull, []Backend{{Server: logic.Server{ID: "b"}, Endpoint: "x:1"}})
 	return func(id string) {
 		o.Request(Request{ID: id, Class: "topup", Arrived: at, Session: stub{}})
 		for _, ev := range later {
 			ev()
 		}
 		later = later[:0]
-		o.Settle()
+		o.RunPending()
 	}
 }
 
@@ -97,8 +97,8 @@
 	do        func(ev logic.Event) []logic.Action
 	told      []logic.Event
 	started   []Attempt
-	ends      []func(Ended)
-	withdrawn []Place
+	ends      []func(AttemptResult)
+	withdrawn []Instance
 	answers   []Answer
 }
 
@@ -106,20 +106,20 @@
 	h.told = append(h.told, ev)
 	return h.do(ev)
 }
-func (h *hand) Start(a Attempt, done func(Ended)) func() {
+func (h *hand) Start(a Attempt, done func(AttemptResult)) func() {
 	h.started, h.ends = append(h.started, a), append(h.ends, done)
 	return func() {}
 }
-func (h *hand) Withdraw(p Place) { h.withdrawn = append(h.withdrawn, p) }
-func (h *hand) CloseIdle(Place)  {}
-func (h *hand) Answer(a Answer)  { h.answers = append(h.answers, a) }
+func (h *hand) Withdraw(p Instance) { h.withdrawn = append(h.withdrawn, p) }
+func (h *hand) CloseIdle(Instance)  {}
+func (h *hand) Answer(a Answer)     { h.answers = append(h.answers, a) }
 
 // play runs an owner round the module, at a time that the test moves.
-func (h *hand) play(c logic.Class, at *time.Time) *Owner {
-	o := NewOwner(h, logic.Settings{Classes: []logic.Class{c}}, World{
+func (h *hand) play(c logic.Class, at *time.Time) *Engine {
+	o := NewEngine(h, logic.Settings{Classes: []logic.Class{c}}, Environment{
 		Now: func() time.Time { return *at }, Post: func(ev func()) { ev() },
-		Backends: h, Registry: stub{}, Count: stub{}, Log: slog.New(slog.DiscardHandler)})
-	o.List(logic.ListFull, []Entry{{Server: logic.Server{ID: "a"}, Endpoint: "x:1"}, {Server: logic.Server{ID: "b"}, Endpoint: "x:2"}})
+		Transport: h, Registry: stub{}, Counters: stub{}, Log: slog.New(slog.DiscardHandler)})
+	o.UpdateBackends(logic.ListFull, []Backend{{Server: logic.Server{ID: "a"}, Endpoint: "x:1"}, {Server: logic.Server{ID: "b"}, Endpoint: "x:2"}})
 	return o
 }
 
@@ -148,16 +148,16 @@
 		sent := at
 		for range 2 {
 			at = at.Add(200 * time.Millisecond)
-			h.ends[len(h.ends)-1](Ended{Result: tt.first, At: at})
+			h.ends[len(h.ends)-1](AttemptResult{Result: tt.first, At: at})
 		}
 		if assert.Len(t, h.started, 3, name) {
-			assert.True(t, h.started[0].Before.IsZero(), name)
+			assert.True(t, h.started[0].StartBefore.IsZero(), name)
 			want := time.Time{}
 			if tt.want > 0 {
 				want = sent.Add(tt.want)
 			}
-			assert.Equal(t, want, h.started[1].Before, name)
-			assert.Equal(t, want, h.started[2].Before, name)
+			assert.Equal(t, want, h.started[1].StartBefore, name)
+			assert.Equal(t, want, h.started[2].StartBefore, name)
 		}
 	}
 }
@@ -165,26 +165,26 @@
 // Whatever list tells that a backend leaves, or is another process now, its attempts that
 // have not begun are withdrawn before the module hears of it.
 func TestListsWithdrawAttempts(t *testing.T) {
-	a := Place{ID: "a", Endpoint: "x:1"}
-	entry := func(state logic.ServerState, endpoint string, born time.Duration) Entry {
-		return Entry{Server: logic.Server{ID: "a", State: state, Born: born}, Endpoint: endpoint}
+	a := Instance{ID: "a", Endpoint: "x:1"}
+	entry := func(state logic.ServerState, endpoint string, born time.Duration) Backend {
+		return Backend{Server: logic.Server{ID: "a", State: state, Born: born}, Endpoint: endpoint}
 	}
-	other := Entry{Server: logic.Server{ID: "b"}, Endpoint: "x:2"}
+	other := Backend{Server: logic.Server{ID: "b"}, Endpoint: "x:2"}
 	for name, tt := range map[string]struct {
 		kind    logic.ListKind
-		entries []Entry
-		want    []Place
+		entries []Backend
+		want    []Instance
 	}{
-		"serves on":           {logic.ListChanges, []Entry{entry(logic.Serving, "x:1", 0)}, nil},
-		"drains":              {logic.ListChanges, []Entry{entry(logic.Draining, "x:1", 0)}, []Place{a}},
-		"gone":                {logic.ListChanges, []Entry{entry(logic.Gone, "", 0)}, []Place{a}},
-		"started anew":        {logic.ListChanges, []Entry{entry(logic.Serving, "x:1", 5)}, []Place{a}},
-		"elsewhere":           {logic.ListFull, []Entry{entry(logic.Serving, "x:9", 0), other}, []Place{a}},
-		"drains, by a whole":  {logic.ListFull, []Entry{entry(logic.Draining, "x:1", 0), other}, []Place{a}},
-		"missing in a whole":  {logic.ListFull, []Entry{other}, []Place{a}},
+		"serves on":           {logic.ListChanges, []Backend{entry(logic.Serving, "x:1", 0)}, nil},
+		"drains":              {logic.ListChanges, []Backend{entry(logic.Draining, "x:1", 0)}, []Instance{a}},
+		"gone":                {logic.ListChanges, []Backend{entry(logic.Gone, "", 0)}, []Instance{a}},
+		"started anew":        {logic.ListChanges, []Backend{entry(logic.Serving, "x:1", 5)}, []Instance{a}},
+		"elsewhere":           {logic.ListFull, []Backend{entry(logic.Serving, "x:9", 0), other}, []Instance{a}},
+		"drains, by a whole":  {logic.ListFull, []Backend{entry(logic.Draining, "x:1", 0), other}, []Instance{a}},
+		"missing in a whole":  {logic.ListFull, []Backend{other}, []Instance{a}},
 		"a list that failed":  {logic.ListFailed, nil, nil},
-		"whole, nothing new":  {logic.ListFull, []Entry{entry(logic.Serving, "x:1", 0), other}, nil},
-		"of another, changes": {logic.ListChanges, []Entry{other}, nil},
+		"whole, nothing new":  {logic.ListFull, []Backend{entry(logic.Serving, "x:1", 0), other}, nil},
+		"of another, changes": {logic.ListChanges, []Backend{other}, nil},
 	} {
 		at := time.Unix(1000, 0)
 		var h *hand
@@ -196,7 +196,7 @@
 			return nil
 		}}
 		o := h.play(logic.Class{Name: "c", Deadline: time.Second}, &at)
-		o.List(tt.kind, tt.entries)
+		o.UpdateBackends(tt.kind, tt.entries)
 		assert.Equal(t, tt.want, h.withdrawn, name)
 		assert.Equal(t, len(tt.want), seen, "%s: before the module hears of it", name)
 	}
@@ -215,13 +215,13 @@
 	o := h.play(logic.Class{Name: "c", Deadline: time.Second}, &at)
 	o.Request(Request{ID: "r", Class: "c", Arrived: at, Session: h})
 	h.told = nil
-	h.ends[0](Ended{Result: logic.Moot, Left: true, At: at})
+	h.ends[0](AttemptResult{Result: logic.Moot, ClientGone: true, At: at})
 	if assert.Len(t, h.told, 2) {
 		assert.Equal(t, logic.ClientGone{ID: "r"}, h.told[0])
 		assert.True(t, h.told[1].(logic.Outcome).Final)
 	}
 	assert.Empty(t, h.answers)
 	assert.Empty(t, o.requests)
-	o.Gone("r", h) // which its session tells as well
+	o.ClientGone("r", h) // which its session tells as well
 	assert.Len(t, h.told, 2)
 }
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -20,8 +20,8 @@
 
 // begun takes the begin of a streamed answer. The first one answers the request; its attempt
 // stays open until the answer is closed.
-func (o *Owner) begun(id logic.RequestID, n int, e Ended) {
-	o.world.Count.Add("stream.begun")
+func (o *Engine) begun(id logic.RequestID, n int, e AttemptResult) {
+	o.world.Counters.Add("stream.begun")
 	r := o.requests[id]
 	if r == nil {
 		discard(e.Reply)
@@ -29,7 +29,7 @@
 		return
 	}
 	t := &r.attempts[n]
-	if r.Open {
+	if r.BodyPending {
 		t.at = e.At // no backend has begun on it
 	}
 	t.stream = stream{begun: true, answers: !r.over, latency: max(e.At.Sub(t.at), 0)}
@@ -41,8 +41,8 @@
 	server, latency := t.server, t.stream.latency
 	o.answer(id, Answer{Kind: Served, Reply: e.Reply, Server: server})
 	o.tell(id, logic.Started{ID: id, Attempt: n, Server: server, Latency: latency})
-	if e.Report != nil { // told now: at the stream's end it would be old
-		o.tell(id, logic.Probed{Server: server, Result: logic.OK, Latency: latency, Report: e.Report})
+	if e.LoadReport != nil { // told now: at the stream's end it would be old
+		o.tell(id, logic.Probed{Server: server, Result: logic.OK, Latency: latency, Report: e.LoadReport})
 	}
 }
 
@@ -68,7 +68,7 @@
 
 // Reconfigure takes on other classes for requests that come later, and has the module do so
 // where it can.
-func (o *Owner) Reconfigure(classes []logic.Class) {
+func (o *Engine) Reconfigure(classes []logic.Class) {
 	if m, ok := o.module.(reconfigurable); ok {
 		if err := m.SetClasses(slices.Clone(classes)); err != nil {
 			o.world.Log.Error("module: the classes stay as they were", logging.Cause, err)
--- a/internal/core/stream_test.go
+++ b/internal/core/stream_test.go
@@ -20,12 +20,12 @@
 // does what reply says.
 type streamed struct {
 	*hand
-	o   *Owner
+	o   *Engine
 	at  time.Time
 	off []int // attempts called off
 }
 
-func (s *streamed) Start(a Attempt, done func(Ended)) func() {
+func (s *streamed) Start(a Attempt, done func(AttemptResult)) func() {
 	n := len(s.started)
 	s.hand.Start(a, done)
 	return func() { s.off = append(s.off, n) }
@@ -43,7 +43,7 @@
 		return reply(ev)
 	}}
 	s.o = s.play(logic.Class{Name: "c", Deadline: 5 * time.Second}, &s.at)
-	s.o.world.Backends = s
+	s.o.world.Transport = s
 	s.o.Request(Request{ID: "r", Class: "c", Arrived: s.at, Session: s.hand})
 	s.told = nil
 	return s
@@ -59,7 +59,7 @@
 func TestStreamIsToldTwice(t *testing.T) {
 	for name, result := range map[string]logic.Result{"whole": logic.OK, "broken": logic.Reset, "left": logic.Canceled, "out of time": logic.TimedOut} {
 		s, reply, copied := newStreamed(nil), &closing{}, &closing{}
-		s.ends[0](Ended{Result: logic.OK, Begun: true, Reply: reply, Report: []float64{2}, At: s.later(time.Second)})
+		s.ends[0](AttemptResult{Result: logic.OK, Streaming: true, Reply: reply, LoadReport: []float64{2}, At: s.later(time.Second)})
 		require.Equal(t, []Answer{{Kind: Served, Reply: reply, Attempts: 2, Server: "a"}}, s.answers, name)
 		assert.Equal(t, []logic.Event{
 			logic.Started{ID: "r", Server: "a", Latency: time.Second},
@@ -67,15 +67,15 @@
 		}, s.told, name)
 		s.told = nil
 
-		s.ends[1](Ended{Result: logic.OK, Begun: true, Reply: copied, At: s.later(time.Second)})
+		s.ends[1](AttemptResult{Result: logic.OK, Streaming: true, Reply: copied, At: s.later(time.Second)})
 		assert.Equal(t, 1, copied.closed, "%s: nobody reads a second one", name)
 		assert.Empty(t, s.told, name)
-		s.ends[1](Ended{Result: logic.Canceled, At: s.later(time.Second)})
+		s.ends[1](AttemptResult{Result: logic.Canceled, At: s.later(time.Second)})
 		assert.Equal(t, []logic.Event{logic.Outcome{ID: "r", Attempt: 1, Result: logic.Canceled, Server: "b", Latency: 2 * time.Second}}, s.told, name)
 		s.told = nil
 		assert.NotEmpty(t, s.o.requests, name)
 
-		s.ends[0](Ended{Result: result, At: s.later(time.Minute)})
+		s.ends[0](AttemptResult{Result: result, At: s.later(time.Minute)})
 		assert.Equal(t, []logic.Event{logic.Outcome{ID: "r", Result: result, Final: true, Server: "a", Latency: time.Second}}, s.told, name)
 		assert.Len(t, s.answers, 1, name)
 		assert.Zero(t, reply.closed, "%s: its session closes it", name)
@@ -86,8 +86,8 @@
 // A stream that begins for nobody, since the client has left, is closed.
 func TestStreamForNobody(t *testing.T) {
 	s, reply := newStreamed(nil), &closing{}
-	s.o.Gone("r", s.hand)
-	s.ends[0](Ended{Result: logic.OK, Begun: true, Reply: reply, At: s.at})
+	s.o.ClientGone("r", s.hand)
+	s.ends[0](AttemptResult{Result: logic.OK, Streaming: true, Reply: reply, At: s.at})
 	assert.Equal(t, 1, reply.closed)
 	assert.Empty(t, s.answers)
 	assert.Equal(t, []logic.Event{logic.ClientGone{ID: "r"}}, s.told)
@@ -101,7 +101,7 @@
 		}
 		return nil
 	})
-	s.ends[0](Ended{Result: logic.OK, Begun: true, Reply: &closing{}, At: s.at})
+	s.ends[0](AttemptResult{Result: logic.OK, Streaming: true, Reply: &closing{}, At: s.at})
 	assert.Equal(t, []int{1}, s.off)
 }
 
@@ -119,27 +119,27 @@
 	for name, tt := range map[string]struct {
 		action logic.Action
 		pass   bool
-		second Ended
+		second AttemptResult
 		want   Answer // whose Reply is filled in: the second failure, where it is passed on
 	}{
-		"fails":            {logic.Fail{ID: "r"}, true, Ended{Result: logic.Failed, Pass: true}, Answer{Kind: Failed, Attempts: 2}},
-		"refuses":          {logic.Refuse{ID: "r", RetryAfter: time.Second}, true, Ended{Result: logic.Failed, Pass: true}, Answer{Kind: Failed, Attempts: 2}},
-		"the other served": {logic.Fail{ID: "r"}, true, Ended{Result: logic.OK}, Answer{Kind: Served, Attempts: 2}},
-		"nothing to pass":  {logic.Refuse{ID: "r", RetryAfter: time.Second}, false, Ended{Result: logic.Failed}, Answer{Kind: Refused, RetryAfter: time.Second, Ran: true, Attempts: 2}},
+		"fails":            {logic.Fail{ID: "r"}, true, AttemptResult{Result: logic.Failed, PassThrough: true}, Answer{Kind: Failed, Attempts: 2}},
+		"refuses":          {logic.Refuse{ID: "r", RetryAfter: time.Second}, true, AttemptResult{Result: logic.Failed, PassThrough: true}, Answer{Kind: Failed, Attempts: 2}},
+		"the other served": {logic.Fail{ID: "r"}, true, AttemptResult{Result: logic.OK}, Answer{Kind: Served, Attempts: 2}},
+		"nothing to pass":  {logic.Refuse{ID: "r", RetryAfter: time.Second}, false, AttemptResult{Result: logic.Failed}, Answer{Kind: Rejected, RetryAfter: time.Second, MayHaveRun: true, Attempts: 2}},
 	} {
 		s := newStreamed(giveUp(tt.action))
 		first, second := &closing{}, &closing{}
-		s.ends[0](Ended{Result: logic.Failed, Pass: tt.pass, Reply: first, At: s.at})
+		s.ends[0](AttemptResult{Result: logic.Failed, PassThrough: tt.pass, Reply: first, At: s.at})
 		assert.Empty(t, s.answers, name)
 		tt.second.Reply, tt.second.At = second, s.at
 		s.ends[1](tt.second)
-		if tt.want.Kind != Refused {
+		if tt.want.Kind != Rejected {
 			tt.want.Reply = second
 		}
 		assert.Equal(t, []Answer{tt.want}, s.answers, name)
 		assert.Equal(t, 1, first.closed, "%s: the older one", name)
 		closed := 0
-		if tt.want.Kind == Refused {
+		if tt.want.Kind == Rejected {
 			closed = 1
 		}
 		assert.Equal(t, closed, second.closed, name)
@@ -156,14 +156,14 @@
 		}
 		return nil
 	}), &closing{}
-	s.ends[0](Ended{Result: logic.Failed, Pass: true, Reply: first, At: s.at})
-	s.ends[1](Ended{Result: logic.TimedOut, At: s.at})
+	s.ends[0](AttemptResult{Result: logic.Failed, PassThrough: true, Reply: first, At: s.at})
+	s.ends[1](AttemptResult{Result: logic.TimedOut, At: s.at})
 	assert.Equal(t, []Answer{{Kind: Failed, Reply: first, Attempts: 2}}, s.answers)
 	assert.Zero(t, first.closed)
 
 	s, first = newStreamed(nil), &closing{}
-	s.ends[0](Ended{Result: logic.Failed, Pass: true, Reply: first, At: s.at})
-	s.o.Gone("r", s.hand)
+	s.ends[0](AttemptResult{Result: logic.Failed, PassThrough: true, Reply: first, At: s.at})
+	s.o.ClientGone("r", s.hand)
 	assert.Equal(t, 1, first.closed)
 	assert.Empty(t, s.answers)
 }
@@ -186,15 +186,15 @@
 		return nil
 	}}}
 	class := func(deadline time.Duration) []logic.Class { return []logic.Class{{Name: "c", Deadline: deadline}} }
-	o := NewOwner(l, logic.Settings{Classes: class(time.Second)}, World{Now: func() time.Time { return at },
-		Post: func(ev func()) { ev() }, Backends: l, Count: stub{}, Log: slog.New(slog.DiscardHandler)})
-	o.List(logic.ListFull, []Entry{{Server: logic.Server{ID: "a"}, Endpoint: "x:1"}})
+	o := NewEngine(l, logic.Settings{Classes: class(time.Second)}, Environment{Now: func() time.Time { return at },
+		Post: func(ev func()) { ev() }, Transport: l, Counters: stub{}, Log: slog.New(slog.DiscardHandler)})
+	o.UpdateBackends(logic.ListFull, []Backend{{Server: logic.Server{ID: "a"}, Endpoint: "x:1"}})
 	o.Request(Request{ID: "r", Class: "c", Arrived: at, Session: l})
 	o.Reconfigure(class(time.Minute))
 	assert.Equal(t, class(time.Minute), l.classes)
 	o.Request(Request{ID: "s", Class: "c", Arrived: at, Session: l})
 	if assert.Len(t, l.started, 2) {
-		assert.Equal(t, at.Add(time.Second), l.started[0].Until)
-		assert.Equal(t, at.Add(time.Minute), l.started[1].Until)
+		assert.Equal(t, at.Add(time.Second), l.started[0].Deadline)
+		assert.Equal(t, at.Add(time.Minute), l.started[1].Deadline)
 	}
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -7,9 +7,9 @@
 	"pipitmux/logic"
 )
 
-// Wake tells the timers that are due. Before each, ahead is called where it is
+// FireTimers tells the timers that are due. Before each, ahead is called where it is
 // not nil: what may not wait for a timer goes there.
-func (o *Owner) Wake(ahead func()) {
+func (o *Engine) FireTimers(ahead func()) {
 	for now := o.world.Now(); len(o.timers) > 0 && !o.timers[0].at.After(now); {
 		t := heap.Pop(&o.timers).(timer)
 		if ahead != nil {
@@ -19,8 +19,8 @@
 	}
 }
 
-// Next returns when the next timer is due, false where none is set.
-func (o *Owner) Next() (time.Time, bool) {
+// NextTimer returns when the next timer is due, false where none is set.
+func (o *Engine) NextTimer() (time.Time, bool) {
 	if len(o.timers) == 0 {
 		return time.Time{}, false
 	}
--- a/internal/discovery/clock_test.go
+++ b/internal/discovery/clock_test.go
@@ -29,7 +29,7 @@
 
 // world is a registry, as a script on pipes, and what its caller did, in virtual time.
 type world struct {
-	registry *Registry
+	registry *Client
 	began    time.Time
 	mu       sync.Mutex      // guards what follows until the day is over
 	calls    []time.Duration // when each call reached the registry
@@ -45,12 +45,12 @@
 
 // play has the script answer calls for a time: nil for one that is refused, else what is said,
 // after which the call stays silent.
-func play(t *testing.T, span time.Duration, script func(call int, at time.Duration) []say, run func(context.Context, *Registry)) *world {
+func play(t *testing.T, span time.Duration, script func(call int, at time.Duration) []say, run func(context.Context, *Client)) *world {
 	w := &world{}
 	synctest.Test(t, func(t *testing.T) {
 		w.began = time.Now()
 		ctx, stop := context.WithCancel(t.Context())
-		w.registry = New("agent:1", List{Rev: 7}, func(k logic.ListKind, _ []core.Entry) {
+		w.registry = New("agent:1", List{Revision: 7}, func(k logic.ListKind, _ []core.Backend) {
 			if ctx.Err() != nil {
 				return // the day is over: its calls are being broken
 			}
@@ -105,7 +105,7 @@
 	return w
 }
 
-func keep(ctx context.Context, r *Registry) { r.Keep(ctx) }
+func keep(ctx context.Context, r *Client) { r.KeepWatching(ctx) }
 
 func beats(n int) (out []say) {
 	for range n {
@@ -167,7 +167,7 @@
 					return late
 				}
 				return tt.second
-			}, func(_ context.Context, r *Registry) { r.Subscribe() })
+			}, func(_ context.Context, r *Client) { r.Subscribe() })
 			assert.NotContains(t, w.kinds, logic.ListFailed)
 			if assert.NotEmpty(t, w.told) {
 				assert.InDelta(t, tt.told.Seconds(), w.told[len(w.told)-1].Seconds(), 0.15, "the list")
@@ -183,7 +183,7 @@
 func TestTurnOfACall(t *testing.T) {
 	w := play(t, 20*time.Second, func(call int, _ time.Duration) []say {
 		return append([]say{{4900 * time.Millisecond, beat}}, beats(1)...)
-	}, func(_ context.Context, r *Registry) { r.Subscribe() })
+	}, func(_ context.Context, r *Client) { r.Subscribe() })
 	assert.Equal(t, []logic.ListKind{logic.ListChanges, logic.ListChanges}, w.kinds)
 	assert.Equal(t, 4900*time.Millisecond, w.told[0])
 	for _, c := range w.calls {
@@ -199,7 +199,7 @@
 			return []say{} // lost
 		}
 		return nil
-	}, func(_ context.Context, r *Registry) { r.Subscribe() })
+	}, func(_ context.Context, r *Client) { r.Subscribe() })
 	assert.Equal(t, []logic.ListKind{logic.ListFailed}, w.kinds, "told once, when no call is out")
 	assert.Less(t, w.told[0], 10*time.Second)
 }
--- a/internal/discovery/order.go
+++ b/internal/discovery/order.go
@@ -35,11 +35,11 @@
 
 // sort returns the entries of a list as they hold beside what was told before. A list
 // without a version counts as the newest.
-func (o *order) sort(l *List, entries []core.Entry) []core.Entry {
+func (o *order) sort(l *List, entries []core.Backend) []core.Backend {
 	now := o.now()
-	older := func(was ending) bool { return l.Rev >= 0 && l.Rev < was.rev }
+	older := func(was ending) bool { return l.Revision >= 0 && l.Revision < was.rev }
 	out, before := entries[:0], o.listed
-	if l.All {
+	if l.Full {
 		o.listed = make(map[logic.ServerID]time.Duration, len(entries))
 	}
 	for _, e := range entries {
@@ -51,20 +51,20 @@
 			delete(o.ended, e.ID)
 		case known && older(was): // what it ended was an earlier process, or it says the same
 		default:
-			o.ended[e.ID] = ending{e.State, max(e.Born, before[e.ID]), l.Rev, now}
+			o.ended[e.ID] = ending{e.State, max(e.Born, before[e.ID]), l.Revision, now}
 		}
 		if e.State != logic.Gone {
 			o.listed[e.ID] = e.Born
-		} else if delete(o.listed, e.ID); l.All {
+		} else if delete(o.listed, e.ID); l.Full {
 			continue // in a whole list it is missing
 		}
 		out = append(out, e)
 	}
-	if l.All {
+	if l.Full {
 		for id, born := range before {
 			_, in := o.listed[id]
 			if was, known := o.ended[id]; !in && !(known && was.state == logic.Gone) && !(known && older(was)) {
-				o.ended[id] = ending{logic.Gone, born, l.Rev, now}
+				o.ended[id] = ending{logic.Gone, born, l.Revision, now}
 			}
 		}
 	}
--- a/internal/discovery/order_test.go
+++ b/internal/discovery/order_test.go
@@ -20,7 +20,7 @@
 // view is what a node holds after all that it was told.
 type view map[logic.ServerID]logic.ServerState
 
-func (v view) take(kind logic.ListKind, entries []core.Entry) {
+func (v view) take(kind logic.ListKind, entries []core.Backend) {
 	if kind == logic.ListFull {
 		clear(v)
 	}
@@ -74,10 +74,10 @@
 				known := List{}
 				have := view{}
 				if tt.known != "" {
-					known = List{Rev: 5, All: true, Targets: []Target{{UID: "a", Endpoint: "h:1", State: drains, BootMS: 1}, {UID: "b", Endpoint: "h:1", State: up, BootMS: 1}}}
+					known = List{Revision: 5, Full: true, Targets: []Target{{UID: "a", Endpoint: "h:1", State: drains, BootMS: 1}, {UID: "b", Endpoint: "h:1", State: up, BootMS: 1}}}
 				}
 				told := make(chan func(), 10)
-				registry := New(s.Listener.Addr().String(), known, func(k logic.ListKind, e []core.Entry) {
+				registry := New(s.Listener.Addr().String(), known, func(k logic.ListKind, e []core.Backend) {
 					told <- func() {
 						if k != logic.ListFailed {
 							have.take(k, e)
@@ -122,7 +122,7 @@
 			}))
 			defer s.Close()
 			told := make(chan logic.ListKind, 10)
-			registry := New(s.Listener.Addr().String(), List{}, func(k logic.ListKind, _ []core.Entry) { told <- k }, slog.New(slog.DiscardHandler))
+			registry := New(s.Listener.Addr().String(), List{}, func(k logic.ListKind, _ []core.Backend) { told <- k }, slog.New(slog.DiscardHandler))
 			registry.Subscribe()
 			for _, want := range []logic.ListKind{logic.ListFull, logic.ListFailed} {
 				select {
@@ -132,7 +132,7 @@
 					require.Fail(t, "not told")
 				}
 			}
-			assert.Equal(t, int64(5), registry.Rev())
+			assert.Equal(t, int64(5), registry.Revision())
 		})
 	}
 }
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -52,9 +52,9 @@
 
 // List is the registry's form of a list of backends.
 type List struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []Target `json:"targets"`
+	Revision int64    `json:"rev"`
+	Full     bool     `json:"all"`
+	Targets  []Target `json:"targets"`
 }
 
 // Target is a backend in a List.
@@ -62,8 +62,8 @@
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
 	Zone     string  `json:"az"`
-	Kind     string  `json:"model"`
-	Cell     int     `json:"pod_group"`
+	Model    string  `json:"model"`
+	PodGroup int     `json:"pod_group"`
 	State    string  `json:"state"`
 	Capacity float64 `json:"capacity_hint"`
 	BootMS   int64   `json:"boot_ms"`
@@ -73,9 +73,9 @@
 	"in_service": logic.Serving, "terminating": logic.Draining, "terminated": logic.Gone,
 }
 
-// Entries returns the backends of a list as the core takes them.
-func (l *List) Entries() ([]core.Entry, error) {
-	out := make([]core.Entry, 0, len(l.Targets))
+// Backends returns the backends of a list as the core takes them.
+func (l *List) Backends() ([]core.Backend, error) {
+	out := make([]core.Backend, 0, len(l.Targets))
 	seen := make(map[string]int, len(l.Targets))
 	for i, t := range l.Targets {
 		state, ok := states[t.State]
@@ -88,23 +88,23 @@
 		if _, _, err := net.SplitHostPort(t.Endpoint); err != nil && state != logic.Gone {
 			return nil, fmt.Errorf("targets.%d.endpoint: %w", i, err)
 		}
-		if was, ok := seen[t.UID]; ok && l.All && l.Targets[was] != t {
+		if was, ok := seen[t.UID]; ok && l.Full && l.Targets[was] != t {
 			return nil, fmt.Errorf("targets.%d.uid: %q is targets.%d as well, with other values", i, t.UID, was)
 		}
 		seen[t.UID] = i
-		out = append(out, core.Entry{Endpoint: t.Endpoint, Server: logic.Server{
-			ID: logic.ServerID(t.UID), Capacity: t.Capacity, State: state, Kind: t.Kind, Zone: t.Zone,
-			Cell: t.Cell, Born: time.Duration(max(t.BootMS, 0)) * time.Millisecond,
+		out = append(out, core.Backend{Endpoint: t.Endpoint, Server: logic.Server{
+			ID: logic.ServerID(t.UID), Capacity: t.Capacity, State: state, Kind: t.Model, Zone: t.Zone,
+			Cell: t.PodGroup, Born: time.Duration(max(t.BootMS, 0)) * time.Millisecond,
 		}})
 	}
 	return out, nil
 }
 
-// ListOf returns a list in the registry's form: what Entries turns back.
-func ListOf(rev int64, all bool, entries []core.Entry) List {
-	l := List{Rev: rev, All: all, Targets: make([]Target, 0, len(entries))}
+// NewList returns a list in the registry's form: what Entries turns back.
+func NewList(rev int64, all bool, entries []core.Backend) List {
+	l := List{Revision: rev, Full: all, Targets: make([]Target, 0, len(entries))}
 	for _, e := range entries {
-		t := Target{UID: string(e.ID), Endpoint: e.Endpoint, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
+		t := Target{UID: string(e.ID), Endpoint: e.Endpoint, Zone: e.Zone, Model: e.Kind, PodGroup: e.Cell,
 			Capacity: e.Capacity, BootMS: e.Born.Milliseconds()}
 		for name, state := range states {
 			if state == e.State {
@@ -116,10 +116,10 @@
 	return l
 }
 
-// Registry calls the registry at one address. Each Subscribe and each Fetch is
+// Client calls the registry at one address. Each Subscribe and each Fetch is
 // answered by one list; a failed call by ListFailed.
-type Registry struct {
-	tell func(logic.ListKind, []core.Entry)
+type Client struct {
+	tell func(logic.ListKind, []core.Backend)
 	log  *slog.Logger
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
@@ -134,28 +134,28 @@
 	done  chan struct{}      // closed when it has ended
 }
 
-var _ core.Registry = (*Registry)(nil)
+var _ core.Registry = (*Client)(nil)
 
 // New returns a Registry that has yet to call. known is the list that the node knows
 // already, with its version.
-func New(addr string, known List, tell func(logic.ListKind, []core.Entry), log *slog.Logger) *Registry {
-	r := &Registry{addr: addr, rev: known.Rev, tell: tell, log: log, dial: new(net.Dialer).DialContext,
+func New(addr string, known List, tell func(logic.ListKind, []core.Backend), log *slog.Logger) *Client {
+	r := &Client{addr: addr, rev: known.Revision, tell: tell, log: log, dial: new(net.Dialer).DialContext,
 		order: newOrder(time.Now)}
-	if entries, err := known.Entries(); err == nil {
+	if entries, err := known.Backends(); err == nil {
 		r.order.sort(&known, entries)
 	}
 	return r
 }
 
-// Rev returns the version of the list that was last told.
-func (r *Registry) Rev() int64 {
+// Revision returns the version of the list that was last told.
+func (r *Client) Revision() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rev
 }
 
 // Fetch asks for the whole list. It does not block.
-func (r *Registry) Fetch() {
+func (r *Client) Fetch() {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), turnWithin)
 		defer cancel()
@@ -163,11 +163,11 @@
 		addr := r.addr
 		r.mu.Unlock()
 		err := r.call(ctx, addr, "/v1/endpoints", turnWithin, func(body *bufio.Reader, _ func()) error {
-			l := List{Rev: -1}
+			l := List{Revision: -1}
 			if err := json.NewDecoder(io.LimitReader(body, maxList)).Decode(&l); err != nil {
 				return err
 			}
-			l.All = true // the call is for the whole list
+			l.Full = true // the call is for the whole list
 			return r.take(nil, &l)
 		})
 		if err != nil {
@@ -178,7 +178,7 @@
 }
 
 // Subscribe starts a watch in place of the present one. It does not block.
-func (r *Registry) Subscribe() {
+func (r *Client) Subscribe() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ctx, stop := context.WithCancel(context.Background())
@@ -200,9 +200,9 @@
 	}()
 }
 
-// Keep watches until ctx ends, for a module that does not ask: the lists are pushed, to an
+// KeepWatching watches until ctx ends, for a module that does not ask: the lists are pushed, to an
 // agent on the node's own machine.
-func (r *Registry) Keep(ctx context.Context) {
+func (r *Client) KeepWatching(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
 		replied, err := r.follow(ctx, patience{silentFor, agentDoubt, int(silentFor/agentDoubt) + 1})
@@ -219,10 +219,10 @@
 	}
 }
 
-// Move goes over to the registry at another address: the present watch ends
+// SetAddress goes over to the registry at another address: the present watch ends
 // unseen and goes on there. Its module has been told nothing failed, so no drain
 // and no call is made up, and a call that waits for its list still gets one.
-func (r *Registry) Move(addr string) {
+func (r *Client) SetAddress(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if addr == r.addr {
@@ -243,7 +243,7 @@
 
 // follow watches until a watch ends other than by a move. It also returns
 // whether a first list was told.
-func (r *Registry) follow(ctx context.Context, p patience) (replied bool, err error) {
+func (r *Client) follow(ctx context.Context, p patience) (replied bool, err error) {
 	for {
 		here, leave := context.WithCancel(ctx)
 		r.mu.Lock()
@@ -278,7 +278,7 @@
 // nothing for longer than an honest one would gets another beside it, and goes on: of those
 // that are out the first to speak holds, and the others end. So a call that is lost costs no
 // more than a while, and one that waits for its turn does not lose it.
-func (r *Registry) stay(ctx context.Context, addr string, p patience) (replied bool, err error) {
+func (r *Client) stay(ctx context.Context, addr string, p patience) (replied bool, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	var ended sync.WaitGroup
 	defer ended.Wait()
@@ -345,7 +345,7 @@
 
 // watch tells lists until the watch ends, which it always does with an error. word is called
 // for each list and each empty line.
-func (r *Registry) watch(ctx context.Context, w *watch, addr, path string, first time.Duration, word func()) error {
+func (r *Client) watch(ctx context.Context, w *watch, addr, path string, first time.Duration, word func()) error {
 	return r.call(ctx, addr, path, first, func(body *bufio.Reader, whole func()) error {
 		for replied := false; ; replied = true {
 			l, err := next(body)
@@ -354,7 +354,7 @@
 			}
 			whole()
 			if l == nil {
-				l = &List{Rev: -1} // an empty first line is the reply that nothing has changed
+				l = &List{Revision: -1} // an empty first line is the reply that nothing has changed
 				if replied {
 					l = nil
 				}
@@ -372,23 +372,23 @@
 
 // take tells what a watch brought, a list or nil for an empty line, in the order of the
 // lists. A nil watch is a call for the whole list.
-func (r *Registry) take(w *watch, l *List) error {
+func (r *Client) take(w *watch, l *List) error {
 	r.telling.Lock()
 	defer r.telling.Unlock()
 	if w != nil && w.dead {
 		return errReplaced
 	}
-	var entries []core.Entry
+	var entries []core.Backend
 	if l != nil {
 		var err error
-		if entries, err = l.Entries(); err != nil {
+		if entries, err = l.Backends(); err != nil {
 			return err
 		}
-		if w != nil && l.Rev >= 0 {
-			if l.Rev < w.rev {
-				return fmt.Errorf("rev: %d after %d", l.Rev, w.rev)
+		if w != nil && l.Revision >= 0 {
+			if l.Revision < w.rev {
+				return fmt.Errorf("rev: %d after %d", l.Revision, w.rev)
 			}
-			w.rev = l.Rev
+			w.rev = l.Revision
 		}
 	}
 	if w != nil {
@@ -402,13 +402,13 @@
 		return nil
 	}
 	entries = r.order.sort(l, entries)
-	if l.Rev >= 0 {
+	if l.Revision >= 0 {
 		r.mu.Lock()
-		r.rev = l.Rev
+		r.rev = l.Revision
 		r.mu.Unlock()
 	}
 	kind := logic.ListChanges
-	if l.All {
+	if l.Full {
 		kind = logic.ListFull
 	}
 	r.tell(kind, entries)
@@ -430,7 +430,7 @@
 		if err := in.UnreadByte(); err != nil {
 			return nil, err
 		}
-		l := &List{Rev: -1}
+		l := &List{Revision: -1}
 		if err := json.NewDecoder(io.LimitReader(braces{in}, maxList)).Decode(l); err != nil {
 			return nil, err
 		}
@@ -461,7 +461,7 @@
 
 // call sends a GET and has the body of its 200 answer read. The first of it has to come
 // whole within a time; whole tells that something has, and starts the clock of silence anew.
-func (r *Registry) call(ctx context.Context, addr, path string, first time.Duration, read func(body *bufio.Reader, whole func()) error) error {
+func (r *Client) call(ctx context.Context, addr, path string, first time.Duration, read func(body *bufio.Reader, whole func()) error) error {
 	up, stop := context.WithTimeout(ctx, min(first, connectWithin))
 	defer stop()
 	c, err := r.dial(up, "tcp", addr)
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -37,7 +37,7 @@
 			io.WriteString(w, tt.body)
 		}))
 		told := make(chan string, 10)
-		registry := New(s.Listener.Addr().String(), List{}, func(k logic.ListKind, e []core.Entry) { told <- fmt.Sprint(k, len(e)) }, slog.New(slog.DiscardHandler))
+		registry := New(s.Listener.Addr().String(), List{}, func(k logic.ListKind, e []core.Backend) { told <- fmt.Sprint(k, len(e)) }, slog.New(slog.DiscardHandler))
 		for range 2 {
 			registry.Fetch()
 			select {
@@ -55,12 +55,12 @@
 // A start in Unix time is the module's own clock, 0 stays "long ago".
 func TestEntries(t *testing.T) {
 	l := List{Targets: []Target{
-		{UID: "a", Endpoint: "h:1", State: "in_service", BootMS: 1700000000123, Capacity: 2, Zone: "z", Kind: "k", Cell: 3},
+		{UID: "a", Endpoint: "h:1", State: "in_service", BootMS: 1700000000123, Capacity: 2, Zone: "z", Model: "k", PodGroup: 3},
 		{UID: "b", State: "terminated"},
 	}}
-	got, err := l.Entries()
+	got, err := l.Backends()
 	assert.NoError(t, err)
-	assert.Equal(t, []core.Entry{
+	assert.Equal(t, []core.Backend{
 		{Endpoint: "h:1", Server: logic.Server{ID: "a", Capacity: 2, State: logic.Serving, Zone: "z", Kind: "k", Cell: 3,
 			Born: time.UnixMilli(1700000000123).Sub(time.Unix(0, 0))}},
 		{Server: logic.Server{ID: "b", State: logic.Gone}},
@@ -73,7 +73,7 @@
 	assert.NoError(t, err)
 	defer l.Close()
 	told := make(chan logic.ListKind, 10)
-	registry := New(l.Addr().String(), List{}, func(k logic.ListKind, _ []core.Entry) { told <- k }, slog.New(slog.DiscardHandler))
+	registry := New(l.Addr().String(), List{}, func(k logic.ListKind, _ []core.Backend) { told <- k }, slog.New(slog.DiscardHandler))
 	registry.Subscribe()
 	first, err := l.Accept() // the first call is out
 	assert.NoError(t, err)
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -132,18 +132,18 @@
 
 type noBackends struct{}
 
-func (noBackends) Start(core.Attempt, func(core.Ended)) func() { return func() {} }
-func (noBackends) Withdraw(core.Place)                         {}
-func (noBackends) CloseIdle(core.Place)                        {}
+func (noBackends) Start(core.Attempt, func(core.AttemptResult)) func() { return func() {} }
+func (noBackends) Withdraw(core.Instance)                              {}
+func (noBackends) CloseIdle(core.Instance)                             {}
 
 // node is a node's module with its registry, and when it was told the drain.
 func (k *desk) node(t testing.TB, name string, nodes, number int, dial func(context.Context, string, string) (net.Conn, error)) (told <-chan time.Duration, end func()) {
 	quiet := slog.New(slog.DiscardHandler)
-	owner, err := core.New(logic.Settings{Nodes: nodes, Number: number, MustSubscribe: true, AskWithin: 10 * time.Second,
+	owner, err := core.NewEventLoop(logic.Settings{Nodes: nodes, Number: number, MustSubscribe: true, AskWithin: 10 * time.Second,
 		Classes: []logic.Class{{Name: "c", Aim: time.Second, Deadline: time.Second}}}, uint64(number+1), counters.New(), quiet)
 	require.NoError(t, err)
 	out := make(chan time.Duration, 1)
-	registry := New(name, List{}, func(kind logic.ListKind, entries []core.Entry) {
+	registry := New(name, List{}, func(kind logic.ListKind, entries []core.Backend) {
 		for _, e := range entries {
 			if e.ID == "a" && e.State == logic.Draining {
 				select {
@@ -152,14 +152,14 @@
 				}
 			}
 		}
-		owner.List(kind, entries)
+		owner.UpdateBackends(kind, entries)
 	}, quiet)
 	if dial != nil {
 		registry.dial = dial
 	}
 	ended := make(chan struct{})
 	go func() { owner.Run(noBackends{}, registry); close(ended) }()
-	owner.List(logic.ListCached, nil) // which starts the module
+	owner.UpdateBackends(logic.ListCached, nil) // which starts the module
 	return out, func() {
 		owner.Stop()
 		<-ended
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -156,14 +156,14 @@
 	w.audit.Taken(arrived, n.no, t.id, t.op.id, t.op.class.Name, patience)
 	n.tell(arrived, func() {
 		n.owner.Request(core.Request{ID: t.id, Class: t.op.class.Name, Retry: w.sc.Clients.MarksRetry && t.op.tries > 1,
-			Arrived: w.timeAt(arrived), Wait: patience, Call: t, Session: t})
+			Arrived: w.timeAt(arrived), Timeout: patience, Call: t, Session: t})
 	})
 	w.at(t.until, late, func() { t.settle(timedOut, 0) })
 	// The client hangs up only after what it was owed could have come.
 	w.at(arrived+patience+w.sc.Rules.AnswerSlackMS.ms()+w.tick+time.Millisecond, late, func() {
 		if !t.answered && n.epoch == t.epoch {
 			delete(n.tries, t)
-			n.tell(w.now, func() { n.owner.Gone(logic.RequestID(t.id), t) })
+			n.tell(w.now, func() { n.owner.ClientGone(logic.RequestID(t.id), t) })
 		}
 	})
 }
@@ -187,10 +187,10 @@
 	w := t.op.w
 	t.answered = true
 	delete(t.n.tries, t)
-	kinds := [...]audit.Answer{core.Served: audit.Served, core.Refused: audit.Refused, core.Failed: audit.Failed, core.Duplicate: audit.Failed}
+	kinds := [...]audit.Answer{core.Served: audit.Served, core.Rejected: audit.Refused, core.Failed: audit.Failed, core.Duplicate: audit.Failed}
 	w.audit.Answered(w.now, t.id, kinds[a.Kind])
 	w.tally.answered(a.Kind)
-	v := [...]verdict{core.Served: served, core.Refused: refused, core.Failed: failed, core.Duplicate: failed}[a.Kind]
+	v := [...]verdict{core.Served: served, core.Rejected: refused, core.Failed: failed, core.Duplicate: failed}[a.Kind]
 	way := w.jittered(w.sc.Net.ClientMS)
 	if t.n.zone != t.op.zone {
 		way += w.delay(t.n.zone, t.op.zone)
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -11,7 +11,7 @@
 // in rounds to the nodes that watch, and serves lists one after the other.
 type discovery struct {
 	w      *world
-	log    []core.Entry // all news, in their order
+	log    []core.Backend // all news, in their order
 	states map[int]logic.ServerState
 	free   time.Duration // when the calls taken so far are served
 	down   int
@@ -76,7 +76,7 @@
 	entries := d.since(n.told, len(d.log))
 	n.heard(entries, false)
 	n.told = len(d.log)
-	n.tell(d.w.now, func() { n.owner.List(logic.ListChanges, entries) })
+	n.tell(d.w.now, func() { n.owner.UpdateBackends(logic.ListChanges, entries) })
 }
 
 // round draws when a node is told at the next round of news.
@@ -87,7 +87,7 @@
 }
 
 // since returns the latest news of each backend in a stretch of the log.
-func (d *discovery) since(from, to int) (entries []core.Entry) {
+func (d *discovery) since(from, to int) (entries []core.Backend) {
 	latest := map[string]int{}
 	for i := from; i < to; i++ {
 		latest[d.log[i].Endpoint] = i
@@ -101,10 +101,10 @@
 }
 
 // whole returns the list as it is.
-func (d *discovery) whole() []core.Entry { return d.w.entries(d.states) }
+func (d *discovery) whole() []core.Backend { return d.w.entries(d.states) }
 
 // entries returns a list of the backends that have a state, in their order.
-func (w *world) entries(states map[int]logic.ServerState) (out []core.Entry) {
+func (w *world) entries(states map[int]logic.ServerState) (out []core.Backend) {
 	for _, b := range w.backends {
 		if st, ok := states[b.no]; ok {
 			out = append(out, b.entry(st))
@@ -114,7 +114,7 @@
 }
 
 // heard notes what a node has been told; who is missing in a whole list has gone.
-func (n *node) heard(entries []core.Entry, whole bool) {
+func (n *node) heard(entries []core.Backend, whole bool) {
 	named := make(map[int]bool, len(entries))
 	for _, e := range entries {
 		if b := n.w.byEndpoint[e.Endpoint]; b != nil {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (n *node) heardOf(no int, e core.Entry) {
+func (n *node) heardOf(no int, e core.Backend) {
 	if e.State == logic.Gone {
 		delete(n.view, no)
 		n.gone[e.ID] = true
@@ -167,13 +167,13 @@
 			return
 		}
 		if kind == logic.ListFailed {
-			n.tell(w.now, func() { n.owner.List(kind, nil) })
+			n.tell(w.now, func() { n.owner.UpdateBackends(kind, nil) })
 			return
 		}
 		entries := d.whole()
 		n.heard(entries, true)
 		n.watch, n.told = watch || n.watch, len(d.log)
-		n.tell(w.now, func() { n.owner.List(kind, entries) })
+		n.tell(w.now, func() { n.owner.UpdateBackends(kind, entries) })
 	}
 	out := w.delay(n.zone, n.zone)
 	if d.down > 0 {
@@ -203,7 +203,7 @@
 	for _, n := range d.w.nodes {
 		if n.alive && n.watch {
 			n.watch = false
-			n.tell(d.w.now, func() { n.owner.List(logic.ListFailed, nil) })
+			n.tell(d.w.now, func() { n.owner.UpdateBackends(logic.ListFailed, nil) })
 		}
 	}
 }
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -40,7 +40,7 @@
 // block.
 type Outside interface {
 	// Start starts a node with the list as it last held it, and calls Live.Up when it is ready.
-	Start(node int, rev int64, known []core.Entry)
+	Start(node int, rev int64, known []core.Backend)
 	// Kill ends a node's process at once.
 	Kill(node int)
 	// Backend tells how a backend's machine is from now on. The first call makes it.
@@ -257,7 +257,7 @@
 			if !died { // else it was on its way when its node was killed: nothing was owed any more
 				w.audit.Answered(w.now, id, v.Answer)
 			}
-			w.tally.answered([...]core.Kind{audit.Served: core.Served, audit.Refused: core.Refused, audit.Failed: core.Failed}[v.Answer])
+			w.tally.answered([...]core.AnswerKind{audit.Served: core.Served, audit.Refused: core.Rejected, audit.Failed: core.Failed}[v.Answer])
 			t.answered = true
 			t.settle([...]verdict{audit.Served: served, audit.Refused: refused, audit.Failed: failed}[v.Answer], v.RetryAfter)
 		case !v.Taken:
@@ -368,7 +368,7 @@
 type ListChanges struct {
 	Rev     int64
 	All     bool
-	Entries []core.Entry
+	Entries []core.Backend
 }
 
 // List serves a node's call for the whole list in its turn; false where it fails.
--- a/internal/emulator/live_test.go
+++ b/internal/emulator/live_test.go
@@ -19,10 +19,10 @@
 	killed chan struct{}
 }
 
-func (c *crossed) Start(node int, _ int64, _ []core.Entry) { go c.Up(node) }
-func (c *crossed) Kill(int)                                { close(c.killed) }
-func (c *crossed) Backend(int, Machine)                    {}
-func (c *crossed) Cut(int, int, bool)                      {}
+func (c *crossed) Start(node int, _ int64, _ []core.Backend) { go c.Up(node) }
+func (c *crossed) Kill(int)                                  { close(c.killed) }
+func (c *crossed) Backend(int, Machine)                      {}
+func (c *crossed) Cut(int, int, bool)                        {}
 
 func (c *crossed) Send(t Try) {
 	go func() {
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -18,7 +18,7 @@
 	zone    int
 	alive   bool
 	epoch   int
-	owner   *core.Owner
+	owner   *core.Engine
 	wake    time.Duration // the earliest wake-up planned, 0: none
 	pool    map[int]*idleConns
 	open    int                       // connections, in use or idle
@@ -70,7 +70,7 @@
 	process int // of the backend
 	try     *try
 	until   time.Duration
-	done    func(core.Ended)
+	done    func(core.AttemptResult)
 	over    bool
 	begun   bool // its last byte has gone out
 	conn    bool // holds a connection
@@ -99,11 +99,11 @@
 	}
 	n.alive, n.wake, n.open, n.watch, n.flush = true, 0, 0, false, false
 	n.pool, n.tries = map[int]*idleConns{}, map[*try]struct{}{}
-	n.owner = core.NewOwner(m, s, core.World{
-		Now: n.w.time, Post: func(ev func()) { ev() }, Backends: n, Registry: n, Count: nothing,
+	n.owner = core.NewEngine(m, s, core.Environment{
+		Now: n.w.time, Post: func(ev func()) { ev() }, Transport: n, Registry: n, Counters: nothing,
 		Log: slog.New(slog.DiscardHandler),
 	})
-	n.owner.List(logic.ListCached, n.w.entries(n.view))
+	n.owner.UpdateBackends(logic.ListCached, n.w.entries(n.view))
 	n.after()
 	n.w.tier.began(n)
 }
@@ -142,8 +142,8 @@
 
 // after settles what an event has left and plans the next wake-up.
 func (n *node) after() {
-	n.owner.Settle()
-	next, any := n.owner.Next()
+	n.owner.RunPending()
+	next, any := n.owner.NextTimer()
 	if !any {
 		return
 	}
@@ -159,18 +159,18 @@
 				return
 			}
 			n.wake = 0
-			n.owner.Wake(nil)
+			n.owner.FireTimers(nil)
 			n.after()
 		})
 	})
 }
 
 // Start is core.Backends: it begins an attempt.
-func (n *node) Start(a core.Attempt, done func(core.Ended)) func() {
+func (n *node) Start(a core.Attempt, done func(core.AttemptResult)) func() {
 	w := n.w
-	b := w.byEndpoint[a.Place.Endpoint]
+	b := w.byEndpoint[a.Instance.Endpoint]
 	t := a.Call.(*try)
-	att := &attempt{n: n, b: b, epoch: n.epoch, process: b.epoch, try: t, until: w.since(a.Until), done: done}
+	att := &attempt{n: n, b: b, epoch: n.epoch, process: b.epoch, try: t, until: w.since(a.Deadline), done: done}
 	n.effect(func() { n.send(att) })
 	return func() { n.effect(att.cancel) }
 }
@@ -297,7 +297,7 @@
 	n.tell(at, func() {
 		never := r == logic.QueueFull || r == logic.ConnectFailed || r == logic.Moot
 		n.effect(func() { w.audit.Ended(w.now, a.try.id, string(a.b.id), never, resultNames[r]) })
-		a.done(core.Ended{Result: r, Reply: a.try, Report: report, At: w.timeAt(at)})
+		a.done(core.AttemptResult{Result: r, Reply: a.try, LoadReport: report, At: w.timeAt(at)})
 	})
 }
 
@@ -353,7 +353,7 @@
 }
 
 // Withdraw is core.Backends.
-func (n *node) Withdraw(at core.Place) {
+func (n *node) Withdraw(at core.Instance) {
 	n.effect(func() {
 		b := n.w.byEndpoint[at.Endpoint]
 		for _, a := range n.opening {
@@ -365,9 +365,9 @@
 }
 
 // CloseIdle is core.Backends.
-func (n *node) CloseIdle(at core.Place) { n.effect(func() { n.closeIdle(at) }) }
+func (n *node) CloseIdle(at core.Instance) { n.effect(func() { n.closeIdle(at) }) }
 
-func (n *node) closeIdle(at core.Place) {
+func (n *node) closeIdle(at core.Instance) {
 	b := n.w.byEndpoint[at.Endpoint]
 	if b == nil {
 		return
@@ -388,8 +388,8 @@
 func (n *node) Fetch() { n.effect(func() { n.w.disc.call(n, false) }) }
 
 // entry is a backend as the registry tells it.
-func (b *backend) entry(st logic.ServerState) core.Entry {
-	return core.Entry{Endpoint: "b" + strconv.Itoa(b.no), Server: logic.Server{
+func (b *backend) entry(st logic.ServerState) core.Backend {
+	return core.Backend{Endpoint: "b" + strconv.Itoa(b.no), Server: logic.Server{
 		ID: b.id, Capacity: b.weight, State: st, Born: b.w.unix(b.born), Kind: b.kind.Name, Zone: b.w.sc.Zones[b.zone].Name, Cell: b.cell,
 	}}
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -164,7 +164,7 @@
 	}
 }
 
-func (t *tally) answered(k core.Kind) { t.answers[k]++ }
+func (t *tally) answered(k core.AnswerKind) { t.answers[k]++ }
 
 func (t *tally) served(o *op) {
 	if !t.counts(o) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -141,7 +141,7 @@
 }
 
 // Start is emulator.Outside.
-func (f *fleet) Start(no int, rev int64, known []core.Entry) {
+func (f *fleet) Start(no int, rev int64, known []core.Backend) {
 	n := f.nodes[no]
 	n.mu.Lock()
 	n.epoch++
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -11,7 +11,7 @@
 
 // list puts a list into the registry's form, with the endpoints of one node.
 func (f *fleet) list(node int, l emulator.ListChanges) standin.List {
-	var entries []core.Entry
+	var entries []core.Backend
 	for _, e := range l.Entries {
 		no, err := f.day.BackendNo(e.Endpoint)
 		if err != nil {
@@ -25,7 +25,7 @@
 		f.mu.Unlock()
 		entries = append(entries, e)
 	}
-	return discovery.ListOf(l.Rev, l.All, entries)
+	return discovery.NewList(l.Rev, l.All, entries)
 }
 
 // lists is one node's side of the registry.
@@ -54,7 +54,7 @@
 
 // Told is standin.Lists.
 func (l *lists) Told(list standin.List) {
-	entries, err := list.Entries()
+	entries, err := list.Backends()
 	if err != nil {
 		l.f.day.Fail(err)
 		return
@@ -62,5 +62,5 @@
 	for i, e := range entries { // the day's endpoint is the id without its generation
 		entries[i].Endpoint, _, _ = strings.Cut(string(e.ID), ".")
 	}
-	l.f.day.Told(l.node, emulator.ListChanges{Rev: list.Rev, All: list.All, Entries: entries})
+	l.f.day.Told(l.node, emulator.ListChanges{Rev: list.Revision, All: list.Full, Entries: entries})
 }
--- a/internal/ingress/crossing_test.go
+++ b/internal/ingress/crossing_test.go
@@ -34,18 +34,18 @@
 	gone     chan string
 }
 
-func (o noting) Submit(r core.Request) error    { o.requests <- r; return nil }
-func (o noting) Whole(string, core.Session)     {}
-func (o noting) Gone(id string, _ core.Session) { o.gone <- id }
-func (o noting) Ready() bool                    { return true }
+func (o noting) Submit(r core.Request) error          { o.requests <- r; return nil }
+func (o noting) BodyComplete(string, core.Session)    {}
+func (o noting) ClientGone(id string, _ core.Session) { o.gone <- id }
+func (o noting) Ready() bool                          { return true }
 
 // front serves on real sockets until the test ends.
-func front(t *testing.T, sessions int) (*session.Front, noting, string) {
+func front(t *testing.T, sessions int) (*session.Frontend, noting, string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	o := noting{make(chan core.Request, 1000), make(chan string, 1000)}
 	f := session.New(session.Options{Classes: []logic.Class{{Name: "lookup", Deadline: time.Minute}}, MaxSessions: sessions, MaxRequests: 1000,
-		HeadWithin: time.Minute, BodyWithin: time.Minute, IdleFor: time.Minute,
+		HeadTimeout: time.Minute, BodyTimeout: time.Minute, IdleTimeout: time.Minute,
 		Figures: figures.New(nil), Budget: message.NewBudget(1 << 20)}, l, o, counters.New())
 	f.SetLingerFor(patience) // no test hangs on how fast this machine is
 	go f.Serve()
@@ -90,7 +90,7 @@
 }
 
 // resting is a session that has had its first answer.
-func resting(t *testing.T, f *session.Front, o noting, addr string) (*net.TCPConn, *ingress.Conn) {
+func resting(t *testing.T, f *session.Frontend, o noting, addr string) (*net.TCPConn, *ingress.Conn) {
 	c := dial(t, addr)
 	write(t, c, get("first"))
 	wait(t, o.requests, "the first request").Session.Answer(served("one"))
@@ -326,7 +326,7 @@
 // place is taken until then.
 func TestQueueOfTheListenerAtTheEnd(t *testing.T) {
 	f, o, addr := front(t, 1)
-	f.Limit(1, 0, 100)
+	f.SetLimits(1, 0, 100)
 	c := dial(t, addr)
 	write(t, c, get("first"))
 	first := wait(t, o.requests, "the first request")
--- a/internal/session/answer.go
+++ b/internal/session/answer.go
@@ -11,18 +11,18 @@
 )
 
 // ends are the figures that answers count for.
-var ends = [...]figures.Kind{core.Served: figures.Served, core.Refused: figures.Refused,
+var ends = [...]figures.Kind{core.Served: figures.Served, core.Rejected: figures.Refused,
 	core.Failed: figures.Failed, core.Duplicate: figures.Failed}
 
 // turnAway refuses of the front's own accord: nothing has run.
-func (f *Front) turnAway(w http.ResponseWriter, class, why string) {
+func (f *Frontend) turnAway(w http.ResponseWriter, class, why string) {
 	f.count.Add(why)
 	f.refuse(w, f.opt.RetryAfter)
 	f.opt.Figures.Ended(class, figures.Refused)
 }
 
 // answer gives a request its final answer, and counts it.
-func (f *Front) answer(w http.ResponseWriter, class string, a core.Answer) {
+func (f *Frontend) answer(w http.ResponseWriter, class string, a core.Answer) {
 	end := ends[a.Kind]
 	switch a.Kind {
 	case core.Served:
@@ -41,7 +41,7 @@
 			break
 		}
 		f.pass(w, class, reply)
-	case core.Refused:
+	case core.Rejected:
 		f.refuse(w, a.RetryAfter)
 	case core.Duplicate:
 		http.Error(w, "the id is in use", http.StatusConflict)
@@ -53,7 +53,7 @@
 
 // pass passes a long answer on as it comes. Once any of it is out nothing else can be
 // answered: where it breaks, the session ends short of it, so that the client sees it.
-func (f *Front) pass(w http.ResponseWriter, class string, reply *message.Reply) {
+func (f *Frontend) pass(w http.ResponseWriter, class string, reply *message.Reply) {
 	toClient, fromBackend := f.Pass(w, reply.Body, reply.Rest)
 	switch {
 	case fromBackend != nil:
@@ -68,7 +68,7 @@
 }
 
 // refuse answers with a refusal: trying again is harmless.
-func (f *Front) refuse(w http.ResponseWriter, after time.Duration) {
+func (f *Frontend) refuse(w http.ResponseWriter, after time.Duration) {
 	if after > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
 	}
--- a/internal/session/client.go
+++ b/internal/session/client.go
@@ -12,7 +12,7 @@
 )
 
 // api answers a request to a backend.
-func (f *Front) api(w http.ResponseWriter, r *http.Request, conn *ingress.Conn) {
+func (f *Frontend) api(w http.ResponseWriter, r *http.Request, conn *ingress.Conn) {
 	c := &client{answer: make(chan core.Answer, 1)}
 	// Open requests count here, not sessions: silent ones are shed, and while they stand at the
 	// limit those that ask must not be turned away for them.
@@ -40,7 +40,7 @@
 		f.turnAway(w, request.Class, why)
 		return
 	}
-	if !request.Open {
+	if !request.BodyPending {
 		c.take(f.opt.Figures)
 	}
 	defer c.leave()
@@ -53,23 +53,23 @@
 	select {
 	case a = <-c.answer:
 	case <-f.Over():
-		f.owner.Gone(request.ID, c)
+		f.owner.ClientGone(request.ID, c)
 		select { // an answer that has come goes before the failure
 		case a = <-c.answer:
 		default:
 			a.Kind = core.Failed
 		}
 	case <-in.Broke():
-		f.owner.Gone(request.ID, c)
+		f.owner.ClientGone(request.ID, c)
 		f.malformed(w, errors.New("body: it did not come whole"))
 		return
 	case <-r.Context().Done():
 		// The body has been read, so net/http watches the connection: the client has left.
 		// One that has only ended its sending must not take net/http's empty 200 for an answer.
-		f.owner.Gone(request.ID, c)
+		f.owner.ClientGone(request.ID, c)
 		panic(http.ErrAbortHandler)
 	}
-	if request.Open && !in.Stop() {
+	if request.BodyPending && !in.Stop() {
 		// An answer before the request's end. What is still to come of it is not read.
 		w.Header().Set("Connection", "close")
 	}
--- a/internal/session/front.go
+++ b/internal/session/front.go
@@ -27,15 +27,15 @@
 	answerBy = 70 * time.Millisecond
 	// headMost is the longest head, in bytes.
 	headMost = 16 << 10
-	// Overflow is how many connections beyond the limit are taken while others are shed.
-	Overflow = 32
+	// SessionOverflow is how many connections beyond the limit are taken while others are shed.
+	SessionOverflow = 32
 )
 
-// Owner is the core as the front sees it.
-type Owner interface {
+// EventLoop is the core as the front sees it.
+type EventLoop interface {
 	Submit(core.Request) error
-	Whole(id string, of core.Session)
-	Gone(id string, of core.Session)
+	BodyComplete(id string, of core.Session)
+	ClientGone(id string, of core.Session)
 	Ready() bool
 }
 
@@ -45,18 +45,18 @@
 	RetryAfter  time.Duration // told with a refusal of the front's own, 0: not at all
 	MaxSessions int           // client sessions; beyond, those without a request are shed
 	MaxRequests int           // requests that may be open at once
-	HeadWithin  time.Duration // how long a client may take for a head,
-	BodyWithin  time.Duration // and then for a body, and more by its length
-	IdleFor     time.Duration // how long a client session may stay open between requests
+	HeadTimeout time.Duration // how long a client may take for a head,
+	BodyTimeout time.Duration // and then for a body, and more by its length
+	IdleTimeout time.Duration // how long a client session may stay open between requests
 	Figures     *figures.Set
 	Budget      *message.Budget // of bytes, for bodies
 }
 
-// Front serves clients. Its Server takes the steps of the life cycle.
-type Front struct {
+// Frontend serves clients. Its Server takes the steps of the life cycle.
+type Frontend struct {
 	*ingress.Server
 	opt      Options
-	owner    Owner
+	owner    EventLoop
 	count    *counters.Set
 	classes  map[string]logic.Class
 	mostOpen atomic.Int64 // requests that may be open now
@@ -64,8 +64,8 @@
 }
 
 // New returns a Front that has yet to serve on l.
-func New(opt Options, l net.Listener, owner Owner, count *counters.Set) *Front {
-	f := &Front{opt: opt, owner: owner, count: count, classes: map[string]logic.Class{}}
+func New(opt Options, l net.Listener, owner EventLoop, count *counters.Set) *Frontend {
+	f := &Frontend{opt: opt, owner: owner, count: count, classes: map[string]logic.Class{}}
 	f.mostOpen.Store(int64(opt.MaxRequests))
 	longest := time.Nanosecond // a node's answers have a bound on their time
 	for _, c := range opt.Classes {
@@ -74,23 +74,23 @@
 	}
 	f.Server = ingress.New(ingress.Options{
 		Handler: f.serve, Doubtful: f.doubtful,
-		MaxSessions: opt.MaxSessions, Overflow: Overflow,
-		HeadWithin: opt.HeadWithin, BodyWithin: opt.BodyWithin, IdleFor: opt.IdleFor,
+		MaxSessions: opt.MaxSessions, Overflow: SessionOverflow,
+		HeadWithin: opt.HeadTimeout, BodyWithin: opt.BodyTimeout, IdleFor: opt.IdleTimeout,
 		WriteWithin: writeWithin, AnswerWithin: 2 * longest, AnswerBy: answerBy,
 		MaxHeaderBytes: headMost, Lifecycle: lifecycle.NodeTiming,
 	}, l, count)
 	return f
 }
 
-// Limit changes how many client sessions, with those beyond while others are shed, and
+// SetLimits changes how many client sessions, with those beyond while others are shed, and
 // open requests are allowed. Idle sessions over it end.
-func (f *Front) Limit(sessions, overflow, requests int) {
+func (f *Frontend) SetLimits(sessions, overflow, requests int) {
 	f.mostOpen.Store(int64(requests))
 	f.Server.Limit(sessions, overflow)
 }
 
 // Ready returns nil where the node takes clients, or why it does not.
-func (f *Front) Ready() error {
+func (f *Frontend) Ready() error {
 	switch phase := f.Phase(); {
 	case phase != lifecycle.Serving:
 		return errors.New("not ready: " + phase.String())
@@ -101,7 +101,7 @@
 }
 
 // serve answers one HTTP request.
-func (f *Front) serve(w http.ResponseWriter, r *http.Request, c *ingress.Conn) {
+func (f *Frontend) serve(w http.ResponseWriter, r *http.Request, c *ingress.Conn) {
 	path := r.URL.Path
 	api := path == "/api" || strings.HasPrefix(path, "/api/")
 	if !api {
@@ -134,7 +134,7 @@
 
 // malformed answers what is not a request, and ends its client session: what stands
 // behind it can't be trusted to be one.
-func (f *Front) malformed(w http.ResponseWriter, err error) {
+func (f *Frontend) malformed(w http.ResponseWriter, err error) {
 	f.count.Add("req.malformed")
 	status := http.StatusBadRequest
 	var m *malformed
@@ -146,6 +146,6 @@
 }
 
 // doubtful answers a request whose end is in doubt.
-func (f *Front) doubtful(w http.ResponseWriter) {
+func (f *Frontend) doubtful(w http.ResponseWriter) {
 	f.malformed(w, errors.New("Content-Length and Transfer-Encoding: it is in doubt where the req ends"))
 }
--- a/internal/session/request.go
+++ b/internal/session/request.go
@@ -24,7 +24,7 @@
 
 // read takes a request and takes out what the decisions need. All else stays the bytes that
 // came. A body up to what is held is read whole; a longer one goes on as it comes.
-func (f *Front) read(w http.ResponseWriter, r *http.Request, conn *ingress.Conn, c *client) (*core.Request, *ingress.Body, error) {
+func (f *Frontend) read(w http.ResponseWriter, r *http.Request, conn *ingress.Conn, c *client) (*core.Request, *ingress.Body, error) {
 	for _, h := range [...]string{"X-Correlation-Id", "X-Service-Class", "X-Time-Left", "Idempotency-Key", "X-Repeat", "X-Account"} {
 		if len(r.Header[h]) > 1 {
 			return nil, nil, errors.New(h + ": given more than once") // which one would be meant?
@@ -56,9 +56,9 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	request := &core.Request{ID: id, Class: name, Retry: r.Header.Get("X-Repeat") == "1", Wait: wait,
-		Tenant: r.Header.Get("X-Account"), Hint: hint(r.Header.Get("X-Weight-Hint"))}
-	in := ingress.NewBody(w, r, ingress.BodyLimits{Within: f.opt.BodyWithin, PerByte: perByte,
+	request := &core.Request{ID: id, Class: name, Retry: r.Header.Get("X-Repeat") == "1", Timeout: wait,
+		Tenant: r.Header.Get("X-Account"), WorkHint: hint(r.Header.Get("X-Weight-Hint"))}
+	in := ingress.NewBody(w, r, ingress.BodyLimits{Within: f.opt.BodyTimeout, PerByte: perByte,
 		Held: message.Held, Longest: message.Longest, Budget: f.opt.Budget})
 	body, long, err := in.First(r.ContentLength)
 	if err != nil {
@@ -86,10 +86,10 @@
 	}
 	if long {
 		http.NewResponseController(w).EnableFullDuplex()
-		request.Open, call.Length = true, r.ContentLength
+		request.BodyPending, call.Length = true, r.ContentLength
 		call.Rest = message.NewStream(in, func() {
 			c.take(f.opt.Figures)
-			f.owner.Whole(id, c)
+			f.owner.BodyComplete(id, c)
 		})
 	}
 	request.Call = call
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -20,10 +20,10 @@
 // owner takes requests and answers none until it is told to.
 type owner chan core.Request
 
-func (o owner) Submit(r core.Request) error { o <- r; return nil }
-func (o owner) Whole(string, core.Session)  {}
-func (o owner) Gone(string, core.Session)   {}
-func (o owner) Ready() bool                 { return true }
+func (o owner) Submit(r core.Request) error       { o <- r; return nil }
+func (o owner) BodyComplete(string, core.Session) {}
+func (o owner) ClientGone(string, core.Session)   {}
+func (o owner) Ready() bool                       { return true }
 
 // Open requests are held to their limit by a refusal; sessions that ask
 // nothing, at the limit of sessions, turn no request away.
@@ -32,7 +32,7 @@
 	require.NoError(t, err)
 	o := make(owner, 10)
 	f := New(Options{Classes: []logic.Class{{Name: "topup", Effect: logic.Unsafe, Deadline: time.Minute}},
-		RetryAfter: 2500 * time.Millisecond, MaxSessions: 1, MaxRequests: 2, BodyWithin: time.Minute, Figures: figures.New(nil), Budget: message.NewBudget(1 << 20)}, l, o, counters.New())
+		RetryAfter: 2500 * time.Millisecond, MaxSessions: 1, MaxRequests: 2, BodyTimeout: time.Minute, Figures: figures.New(nil), Budget: message.NewBudget(1 << 20)}, l, o, counters.New())
 	go f.Serve()
 	defer f.Close()
 	for range 4 {
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -163,7 +163,7 @@
 		write(l)
 		return
 	}
-	if at, err := strconv.ParseInt(request.URL.Query().Get("index"), 10, 64); err == nil && at == l.Rev {
+	if at, err := strconv.ParseInt(request.URL.Query().Get("index"), 10, 64); err == nil && at == l.Revision {
 		io.WriteString(w, "\n")
 		http.NewResponseController(w).Flush()
 	} else if !write(l) {
@@ -174,14 +174,14 @@
 	news := make(chan List)
 	go func() {
 		defer close(news)
-		for at := l.Rev; ; {
+		for at := l.Revision; ; {
 			next, ok := r.lists.Next(at, stop)
 			if !ok {
 				return
 			}
 			select {
 			case news <- next:
-				at = next.Rev
+				at = next.Revision
 			case <-stop:
 				return
 			}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -26,10 +26,10 @@
 
 // Start begins an attempt in a goroutine of its own. It does not block. The goroutine of a
 // streamed answer stays until that is closed.
-func (p *Pool) Start(a core.Attempt, done func(core.Ended)) (cancel func()) {
+func (p *Pool) Start(a core.Attempt, done func(core.AttemptResult)) (cancel func()) {
 	ctx, end := context.WithCancelCause(context.Background())
-	left := time.Until(a.Until)
-	if a.Until.IsZero() {
+	left := time.Until(a.Deadline)
+	if a.Deadline.IsZero() {
 		left = time.Hour // until the request's last byte, which comes sooner or never
 	}
 	timer := time.AfterFunc(left, func() { end(context.DeadlineExceeded) })
@@ -48,16 +48,16 @@
 
 // carry makes an attempt and always returns its end, or the stream that it has begun: a
 // panic stops here, and is told as a broken connection that may have run.
-func (p *Pool) carry(ctx context.Context, a core.Attempt, timer *time.Timer, g *gate) (end core.Ended, s *stream) {
+func (p *Pool) carry(ctx context.Context, a core.Attempt, timer *time.Timer, g *gate) (end core.AttemptResult, s *stream) {
 	defer p.forget(g)
 	defer func() {
 		if v := recover(); v != nil {
-			p.log.Error("upstream: panic", logging.Backend, a.Place.ID, logging.Cause, v, "stack", string(debug.Stack()))
-			end, s = core.Ended{Result: logic.Reset, At: time.Now()}, nil
+			p.log.Error("upstream: panic", logging.Backend, a.Instance.ID, logging.Cause, v, "stack", string(debug.Stack()))
+			end, s = core.AttemptResult{Result: logic.Reset, At: time.Now()}, nil
 		}
 	}()
 	end, s, err := p.exchange(ctx, a, timer, g)
-	end.At, end.Left = time.Now(), errors.Is(err, errLeft)
+	end.At, end.ClientGone = time.Now(), errors.Is(err, errLeft)
 	var broken *Error
 	if errors.As(err, &broken) {
 		end.Result = p.counted(broken)
@@ -73,13 +73,13 @@
 
 // exchange writes the request and reads the answer on one connection. Nothing is
 // ever sent a second time here: that is for the module to decide.
-func (p *Pool) exchange(ctx context.Context, a core.Attempt, timer *time.Timer, g *gate) (end core.Ended, s *stream, err error) {
+func (p *Pool) exchange(ctx context.Context, a core.Attempt, timer *time.Timer, g *gate) (end core.AttemptResult, s *stream, err error) {
 	call := a.Call.(*message.Call)
 	if call.Rest != nil && call.Rest.Used() {
 		end.Result = logic.Moot // what followed the held part has gone to another
 		return end, nil, nil
 	}
-	c, err := p.take(ctx, a.Place)
+	c, err := p.take(ctx, a.Instance)
 	if err != nil {
 		return end, nil, &Error{NotConnected, because(ctx, err)}
 	}
@@ -98,12 +98,12 @@
 	written := time.Now()
 	up := &upload{pool: p, c: c, call: call}
 	if call.Rest == nil {
-		if broken := up.plain(time.Until(a.Until)); broken != nil {
+		if broken := up.plain(time.Until(a.Deadline)); broken != nil {
 			p.broke(c, broken.Err, time.Since(written))
 			return end, nil, &Error{broken.Stage, because(ctx, broken.Err)}
 		}
 	} else {
-		go up.long(a.Within, timer)
+		go up.long(a.Timeout, timer)
 	}
 	res, verdict, err := p.judged(c, call)
 	if err != nil {
@@ -115,12 +115,12 @@
 	c.left = maxHead + message.Held
 	// The body is not closed: that would first read an answer without end to its end. Its
 	// connection is closed where it was not read whole.
-	end.Result, end.Report = verdict.Result, verdict.Report
+	end.Result, end.LoadReport = verdict.Result, verdict.Report
 	framed := res.ContentLength >= 0 || len(res.TransferEncoding) > 0
 	again := !early && !res.Close && framed && !c.stray
 	switch {
 	case verdict.Result == logic.OK && verdict.Stream && res.ContentLength <= message.Longest:
-		passedOn, end.Begun = true, true
+		passedOn, end.Streaming = true, true
 		s = p.stream(ctx, up, res, unhook, again)
 		end.Reply = p.dressed(&message.Reply{Length: res.ContentLength, Rest: s}, res)
 		return end, s, nil
@@ -129,7 +129,7 @@
 		if r, passedOn, err = p.reply(ctx, c, res, unhook, again); err != nil {
 			return end, nil, &Error{AnswerBegun, because(ctx, err)}
 		}
-		end.Reply, end.Pass = p.dressed(r, res), verdict.Result != logic.OK
+		end.Reply, end.PassThrough = p.dressed(r, res), verdict.Result != logic.OK
 	default:
 		if err := drop(res.Body, message.Held); err != nil {
 			return end, nil, &Error{AnswerBegun, because(ctx, err)}
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -36,9 +36,9 @@
 
 // attempt makes one attempt at a backend and waits for its only end.
 func attempt(p *Pool, at string, call any) logic.Result {
-	ends := make(chan core.Ended, 2)
-	p.Start(core.Attempt{Call: call, Place: core.Place{ID: logic.ServerID(at), Endpoint: at}, Until: time.Now().Add(20 * time.Second)},
-		func(e core.Ended) { ends <- e })
+	ends := make(chan core.AttemptResult, 2)
+	p.Start(core.Attempt{Call: call, Instance: core.Instance{ID: logic.ServerID(at), Endpoint: at}, Deadline: time.Now().Add(20 * time.Second)},
+		func(e core.AttemptResult) { ends <- e })
 	return (<-ends).Result
 }
 
--- a/internal/upstream/codec_test.go
+++ b/internal/upstream/codec_test.go
@@ -14,7 +14,7 @@
 // plain is a protocol in which an answer's header says what is to be judged of it.
 type plain struct{}
 
-func (plain) Head(dst *bytes.Buffer, call *message.Call, at core.Place, _ time.Duration) {
+func (plain) Head(dst *bytes.Buffer, call *message.Call, at core.Instance, _ time.Duration) {
 	fmt.Fprintf(dst, "%s %s HTTP/1.1\r\nHost: %s\r\nTo: %s\r\n", call.Method, call.Target, call.Host, at.ID)
 	Frame(dst, call)
 	dst.WriteString("\r\n")
--- a/internal/upstream/gate.go
+++ b/internal/upstream/gate.go
@@ -28,10 +28,10 @@
 	g := &gate{a, end}
 	p.gatesMu.Lock()
 	defer p.gatesMu.Unlock()
-	at := p.gates[a.Place]
+	at := p.gates[a.Instance]
 	if at == nil {
 		at = map[*gate]struct{}{}
-		p.gates[a.Place] = at
+		p.gates[a.Instance] = at
 	}
 	at[g] = struct{}{}
 	return g
@@ -39,7 +39,7 @@
 
 // Withdraw ends the attempts to a place that have not begun. It does not block, and none
 // begins after it.
-func (p *Pool) Withdraw(at core.Place) {
+func (p *Pool) Withdraw(at core.Instance) {
 	p.gatesMu.Lock()
 	defer p.gatesMu.Unlock()
 	for g := range p.gates[at] {
@@ -60,7 +60,7 @@
 	if cause := context.Cause(ctx); cause != nil {
 		return cause // withdrawn, called off or timed out
 	}
-	if b := g.at.Before; !b.IsZero() && !time.Now().Before(b) {
+	if b := g.at.StartBefore; !b.IsZero() && !time.Now().Before(b) {
 		return errWindow
 	}
 	return nil
@@ -75,8 +75,8 @@
 
 // drop is forget with gatesMu held.
 func (p *Pool) drop(g *gate) {
-	at := p.gates[g.at.Place]
+	at := p.gates[g.at.Instance]
 	if delete(at, g); len(at) == 0 {
-		delete(p.gates, g.at.Place)
+		delete(p.gates, g.at.Instance)
 	}
 }
--- a/internal/upstream/gate_test.go
+++ b/internal/upstream/gate_test.go
@@ -31,25 +31,25 @@
 func TestGateBeforeTheFirstByte(t *testing.T) {
 	for name, tt := range map[string]struct {
 		before time.Duration // until when the attempt may begin, from now
-		event  func(p *Pool, at core.Place, cancel func(), left *atomic.Bool)
+		event  func(p *Pool, at core.Instance, cancel func(), left *atomic.Bool)
 		want   logic.Result
 		left   bool
 		kept   bool
 	}{
-		"nothing":            {0, func(*Pool, core.Place, func(), *atomic.Bool) {}, logic.OK, false, true},
-		"the backend leaves": {0, func(p *Pool, at core.Place, _ func(), _ *atomic.Bool) { p.Withdraw(at) }, logic.Moot, false, false},
-		"another one does":   {0, func(p *Pool, at core.Place, _ func(), _ *atomic.Bool) { at.Born++; p.Withdraw(at) }, logic.OK, false, true},
-		"the client leaves":  {0, func(_ *Pool, _ core.Place, _ func(), left *atomic.Bool) { left.Store(true) }, logic.Moot, true, true},
-		"it is called off":   {0, func(_ *Pool, _ core.Place, cancel func(), _ *atomic.Bool) { cancel() }, logic.Canceled, false, true},
-		"its window is over": {-1, func(*Pool, core.Place, func(), *atomic.Bool) {}, logic.Moot, false, true},
-		"its window is open": {time.Hour, func(*Pool, core.Place, func(), *atomic.Bool) {}, logic.OK, false, true},
-		"both leave":         {0, func(p *Pool, at core.Place, _ func(), left *atomic.Bool) { left.Store(true); p.Withdraw(at) }, logic.Moot, false, false},
+		"nothing":            {0, func(*Pool, core.Instance, func(), *atomic.Bool) {}, logic.OK, false, true},
+		"the backend leaves": {0, func(p *Pool, at core.Instance, _ func(), _ *atomic.Bool) { p.Withdraw(at) }, logic.Moot, false, false},
+		"another one does":   {0, func(p *Pool, at core.Instance, _ func(), _ *atomic.Bool) { at.Started++; p.Withdraw(at) }, logic.OK, false, true},
+		"the client leaves":  {0, func(_ *Pool, _ core.Instance, _ func(), left *atomic.Bool) { left.Store(true) }, logic.Moot, true, true},
+		"it is called off":   {0, func(_ *Pool, _ core.Instance, cancel func(), _ *atomic.Bool) { cancel() }, logic.Canceled, false, true},
+		"its window is over": {-1, func(*Pool, core.Instance, func(), *atomic.Bool) {}, logic.Moot, false, true},
+		"its window is open": {time.Hour, func(*Pool, core.Instance, func(), *atomic.Bool) {}, logic.OK, false, true},
+		"both leave":         {0, func(p *Pool, at core.Instance, _ func(), left *atomic.Bool) { left.Store(true); p.Withdraw(at) }, logic.Moot, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, err := standin.NewBackend(standin.OK)
 			require.NoError(t, err)
 			defer b.Close()
-			at := core.Place{ID: "b", Endpoint: b.Addr}
+			at := core.Instance{ID: "b", Endpoint: b.Addr}
 			p := poolOf(2)
 			dialing, up := make(chan struct{}), make(chan struct{})
 			dial := p.dial
@@ -60,18 +60,18 @@
 			}
 			var left atomic.Bool
 			call := &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i", Left: left.Load}
-			a := core.Attempt{Call: call, Place: at, Until: time.Now().Add(20 * time.Second)}
+			a := core.Attempt{Call: call, Instance: at, Deadline: time.Now().Add(20 * time.Second)}
 			if tt.before != 0 {
-				a.Before = time.Now().Add(tt.before)
+				a.StartBefore = time.Now().Add(tt.before)
 			}
-			ends := make(chan core.Ended, 2)
-			cancel := p.Start(a, func(e core.Ended) { ends <- e })
+			ends := make(chan core.AttemptResult, 2)
+			cancel := p.Start(a, func(e core.AttemptResult) { ends <- e })
 			<-dialing
 			tt.event(p, at, cancel, &left)
 			close(up)
 			end := <-ends
 			assert.Equal(t, tt.want, end.Result)
-			assert.Equal(t, tt.left, end.Left)
+			assert.Equal(t, tt.left, end.ClientGone)
 			sent := 0
 			if tt.want == logic.OK {
 				sent = 1
@@ -92,13 +92,13 @@
 	for range 20 {
 		b, err := standin.NewBackend(standin.OK)
 		require.NoError(t, err)
-		at := core.Place{ID: "b", Endpoint: b.Addr}
+		at := core.Instance{ID: "b", Endpoint: b.Addr}
 		p := poolOf(100)
 		const attempts = 50
-		ends := make(chan core.Ended, attempts)
+		ends := make(chan core.AttemptResult, attempts)
 		for range attempts {
-			p.Start(core.Attempt{Call: &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i"}, Place: at,
-				Until: time.Now().Add(20 * time.Second)}, func(e core.Ended) { ends <- e })
+			p.Start(core.Attempt{Call: &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i"}, Instance: at,
+				Deadline: time.Now().Add(20 * time.Second)}, func(e core.AttemptResult) { ends <- e })
 		}
 		p.Withdraw(at)
 		p.gatesMu.Lock()
@@ -143,9 +143,9 @@
 	p := poolOf(10)
 	assert.Equal(t, restFor, p.restFor)
 	ask := func(path string) string {
-		ends := make(chan core.Ended, 1)
-		p.Start(core.Attempt{Call: &message.Call{Method: "GET", Target: path, Host: "h", ID: "i"}, Place: core.Place{ID: "b", Endpoint: b.Addr},
-			Until: time.Now().Add(20 * time.Second)}, func(e core.Ended) { ends <- e })
+		ends := make(chan core.AttemptResult, 1)
+		p.Start(core.Attempt{Call: &message.Call{Method: "GET", Target: path, Host: "h", ID: "i"}, Instance: core.Instance{ID: "b", Endpoint: b.Addr},
+			Deadline: time.Now().Add(20 * time.Second)}, func(e core.AttemptResult) { ends <- e })
 		e := <-ends
 		require.Equal(t, logic.OK, e.Result)
 		return string(e.Reply.(*message.Reply).Body)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -32,20 +32,20 @@
 	restFor time.Duration
 
 	mu   sync.Mutex
-	open int                    // connections open or opening
-	idle map[core.Place][]*conn // the latest used last
-	rest *restLimits            // nil: nothing is learned of it
-	at   map[core.Place]int     // connections open or opening, by place
+	open int                       // connections open or opening
+	idle map[core.Instance][]*conn // the latest used last
+	rest *restLimits               // nil: nothing is learned of it
+	at   map[core.Instance]int     // connections open or opening, by place
 
 	gatesMu sync.Mutex
-	gates   map[core.Place]map[*gate]struct{} // of attempts that have not begun
+	gates   map[core.Instance]map[*gate]struct{} // of attempts that have not begun
 }
 
 type conn struct {
 	net.Conn
 	in    *bufio.Reader
 	left  int // bytes that may still be read of the present answer
-	place core.Place
+	place core.Instance
 	since time.Time // idle since
 
 	dialed time.Duration // how long it took to come up
@@ -67,7 +67,7 @@
 var errNoSockets = errors.New("no socket left for a connection")
 
 // take returns an idle connection to the place, or a new one.
-func (p *Pool) take(ctx context.Context, at core.Place) (*conn, error) {
+func (p *Pool) take(ctx context.Context, at core.Instance) (*conn, error) {
 	for {
 		c, fresh := p.pop(at)
 		if c == nil {
@@ -126,7 +126,7 @@
 // pop takes an idle connection to a place, and tells whether it may still be used. Where nothing
 // says that servers forget connections, it is the one that rested longest, so that all that a
 // burst left stay in use; else the one that was used last.
-func (p *Pool) pop(at core.Place) (c *conn, fresh bool) {
+func (p *Pool) pop(at core.Instance) (c *conn, fresh bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list, now := p.idle[at], time.Now()
@@ -149,7 +149,7 @@
 
 // reserve books a socket; where none is left, the longest idle connection goes, to the same
 // place where that has its most.
-func (p *Pool) reserve(at core.Place) bool {
+func (p *Pool) reserve(at core.Instance) bool {
 	p.mu.Lock()
 	oldest, booked := (*conn)(nil), true
 	switch {
@@ -178,7 +178,7 @@
 }
 
 // full tells whether a place has its most connections; p.mu is held.
-func (p *Pool) full(at core.Place) bool {
+func (p *Pool) full(at core.Instance) bool {
 	if p.opt.MaxPerPlace == nil {
 		return false
 	}
@@ -217,7 +217,7 @@
 }
 
 // popFirst takes the longest idle connection to a place; p.mu is held.
-func (p *Pool) popFirst(at core.Place) *conn {
+func (p *Pool) popFirst(at core.Instance) *conn {
 	list := p.idle[at]
 	if len(list) == 0 {
 		return nil
@@ -226,14 +226,14 @@
 	return list[0]
 }
 
-func (p *Pool) release(at core.Place) {
+func (p *Pool) release(at core.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.unbook(at)
 }
 
 // unbook gives a socket back; p.mu is held.
-func (p *Pool) unbook(at core.Place) {
+func (p *Pool) unbook(at core.Instance) {
 	p.open--
 	if p.at[at]--; p.at[at] == 0 {
 		delete(p.at, at)
@@ -255,7 +255,7 @@
 }
 
 // CloseIdle closes the idle connections to a place. It does not block.
-func (p *Pool) CloseIdle(at core.Place) {
+func (p *Pool) CloseIdle(at core.Instance) {
 	p.mu.Lock()
 	list := p.idle[at]
 	delete(p.idle, at)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -21,11 +21,11 @@
 )
 
 // ask makes one attempt at a place and returns its only end.
-func ask(t *testing.T, p *Pool, at core.Place, path string) core.Ended {
+func ask(t *testing.T, p *Pool, at core.Instance, path string) core.AttemptResult {
 	t.Helper()
-	ends := make(chan core.Ended, 2)
+	ends := make(chan core.AttemptResult, 2)
 	call := &message.Call{Method: "GET", Target: path, Host: "h", ID: "i"}
-	p.Start(core.Attempt{Call: call, Place: at, Until: time.Now().Add(patience)}, func(e core.Ended) { ends <- e })
+	p.Start(core.Attempt{Call: call, Instance: at, Deadline: time.Now().Add(patience)}, func(e core.AttemptResult) { ends <- e })
 	e := wait(t, ends)
 	assert.Equal(t, len(ends), 0)
 	return e
@@ -49,7 +49,7 @@
 			})
 			assert.NilError(t, err)
 			defer b.Close()
-			p, at := poolOf(2), core.Place{ID: "b", Endpoint: b.Addr}
+			p, at := poolOf(2), core.Instance{ID: "b", Endpoint: b.Addr}
 			p.restFor = 0
 			for round := range 2 {
 				e := ask(t, p, at, "/")
@@ -79,12 +79,12 @@
 	})
 	assert.NilError(t, err)
 	defer b.Close()
-	p, at := poolOf(2), core.Place{ID: "b", Endpoint: b.Addr}
+	p, at := poolOf(2), core.Instance{ID: "b", Endpoint: b.Addr}
 	for _, bare := range []bool{false, true} {
 		p.opt.Bare = bare
 		e := ask(t, p, at, "/pass")
 		assert.Equal(t, e.Result, logic.Failed)
-		assert.Check(t, e.Pass)
+		assert.Check(t, e.PassThrough)
 		r := e.Reply.(*message.Reply)
 		assert.Equal(t, string(r.Body), "no room")
 		assert.Equal(t, r.ContentType, "text/plain")
@@ -97,7 +97,7 @@
 		}
 		e = ask(t, p, at, "/drop")
 		assert.Equal(t, e.Result, logic.Failed)
-		assert.Check(t, !e.Pass && e.Reply == nil)
+		assert.Check(t, !e.PassThrough && e.Reply == nil)
 	}
 }
 
@@ -118,18 +118,18 @@
 	two, err := standin.NewBackend(script)
 	assert.NilError(t, err)
 	defer two.Close()
-	first, other := core.Place{ID: "1", Endpoint: one.Addr}, core.Place{ID: "2", Endpoint: two.Addr}
+	first, other := core.Instance{ID: "1", Endpoint: one.Addr}, core.Instance{ID: "2", Endpoint: two.Addr}
 	p := poolOf(10)
 	p.restFor = time.Hour // no idle connection is used again
-	p.opt.MaxPerPlace = func(at core.Place) int {
+	p.opt.MaxPerPlace = func(at core.Instance) int {
 		if at == first {
 			return 1
 		}
 		return 0
 	}
-	busy := make(chan core.Ended, 1)
-	p.Start(core.Attempt{Call: &message.Call{Method: "GET", Target: "/wait", Host: "h", ID: "j"}, Place: first, Until: time.Now().Add(patience)},
-		func(e core.Ended) { busy <- e })
+	busy := make(chan core.AttemptResult, 1)
+	p.Start(core.Attempt{Call: &message.Call{Method: "GET", Target: "/wait", Host: "h", ID: "j"}, Instance: first, Deadline: time.Now().Add(patience)},
+		func(e core.AttemptResult) { busy <- e })
 	wait(t, arrived)
 	assert.Equal(t, ask(t, p, first, "/").Result, logic.ConnectFailed)
 	assert.Equal(t, ask(t, p, other, "/").Result, logic.OK)
@@ -195,10 +195,10 @@
 		}
 		return c, err
 	}
-	ends := make(chan core.Ended, 1)
+	ends := make(chan core.AttemptResult, 1)
 	call := &message.Call{Method: "POST", Target: "/", Host: "h", ID: "i", Body: []byte("be"), Length: 5,
 		Rest: message.NewStream(strings.NewReader("gun"), func() {})}
-	p.Start(core.Attempt{Call: call, Place: core.Place{ID: "b", Endpoint: b.Addr}, Within: patience}, func(e core.Ended) { ends <- e })
+	p.Start(core.Attempt{Call: call, Instance: core.Instance{ID: "b", Endpoint: b.Addr}, Timeout: patience}, func(e core.AttemptResult) { ends <- e })
 	assert.Equal(t, wait(t, ends).Result, logic.OK)
 	assert.Equal(t, (<-b.Seen).Body, "begun")
 	assert.Check(t, c.until.Load().IsZero())
--- a/internal/upstream/rest.go
+++ b/internal/upstream/rest.go
@@ -38,9 +38,9 @@
 // It is pure, and not safe for concurrent use.
 type restLimits struct {
 	most   time.Duration // that any connection may rest
-	places map[core.Place]restLimit
-	resets map[core.Place]time.Time // when places last reset a new connection
-	all    restLimit                // where several servers have forgotten connections
+	places map[core.Instance]restLimit
+	resets map[core.Instance]time.Time // when places last reset a new connection
+	all    restLimit                   // where several servers have forgotten connections
 }
 
 // restLimit is a limit that was learned at a time. The zero value limits nothing.
@@ -50,7 +50,7 @@
 }
 
 func newRestLimits(most time.Duration) *restLimits {
-	return &restLimits{most: most, places: map[core.Place]restLimit{}, resets: map[core.Place]time.Time{}}
+	return &restLimits{most: most, places: map[core.Instance]restLimit{}, resets: map[core.Instance]time.Time{}}
 }
 
 // now is what is left of the limit by now; it is not above most.
@@ -66,13 +66,13 @@
 }
 
 // allowed is how long a connection to a place may have rested and be used.
-func (l *restLimits) allowed(at core.Place, now time.Time) time.Duration {
+func (l *restLimits) allowed(at core.Instance, now time.Time) time.Duration {
 	return min(l.places[at].now(now, l.most), l.all.now(now, l.most))
 }
 
 // forgotten notes that a place reset a connection that had rested so long. Where others did so
 // lately as well, all places are held to it.
-func (l *restLimits) forgotten(at core.Place, rested time.Duration, now time.Time) {
+func (l *restLimits) forgotten(at core.Instance, rested time.Duration, now time.Time) {
 	l.age(now)
 	if _, resets := l.resets[at]; resets {
 		return
@@ -89,7 +89,7 @@
 }
 
 // reset notes that a place reset a connection that was new. So it says nothing of rest.
-func (l *restLimits) reset(at core.Place, now time.Time) {
+func (l *restLimits) reset(at core.Instance, now time.Time) {
 	l.age(now)
 	l.resets[at] = now
 	delete(l.places, at)
@@ -100,8 +100,8 @@
 
 // age forgets what was learned long ago.
 func (l *restLimits) age(now time.Time) {
-	maps.DeleteFunc(l.places, func(_ core.Place, limit restLimit) bool { return limit.now(now, l.most) >= l.most })
-	maps.DeleteFunc(l.resets, func(_ core.Place, at time.Time) bool { return now.Sub(at) >= resetsFor })
+	maps.DeleteFunc(l.places, func(_ core.Instance, limit restLimit) bool { return limit.now(now, l.most) >= l.most })
+	maps.DeleteFunc(l.resets, func(_ core.Instance, at time.Time) bool { return now.Sub(at) >= resetsFor })
 }
 
 // stated is how long a server says that it keeps an idle connection, 0: it doesn't say.
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -17,7 +17,7 @@
 
 func TestAPlaceThatForgetsIsHeldToHalfTheRest(t *testing.T) {
 	l := newRestLimits(30 * time.Second)
-	a, b := core.Place{ID: "a"}, core.Place{ID: "b"}
+	a, b := core.Instance{ID: "a"}, core.Instance{ID: "b"}
 	assert.Equal(t, 30*time.Second, l.allowed(a, start))
 	l.forgotten(a, 800*time.Millisecond, start)
 	assert.Equal(t, 400*time.Millisecond, l.allowed(a, start))
@@ -32,24 +32,24 @@
 
 func TestSeveralPlacesThatForgetTellOfAll(t *testing.T) {
 	l := newRestLimits(30 * time.Second)
-	l.forgotten(core.Place{ID: "a"}, 2*time.Second, start)
-	l.forgotten(core.Place{ID: "b"}, time.Second, start.Add(time.Second))
-	assert.Equal(t, 30*time.Second, l.allowed(core.Place{ID: "d"}, start.Add(time.Second)))
-	l.forgotten(core.Place{ID: "c"}, 3*time.Second, start.Add(time.Second))
-	assert.Equal(t, 500*time.Millisecond, l.allowed(core.Place{ID: "d"}, start.Add(time.Second)))
+	l.forgotten(core.Instance{ID: "a"}, 2*time.Second, start)
+	l.forgotten(core.Instance{ID: "b"}, time.Second, start.Add(time.Second))
+	assert.Equal(t, 30*time.Second, l.allowed(core.Instance{ID: "d"}, start.Add(time.Second)))
+	l.forgotten(core.Instance{ID: "c"}, 3*time.Second, start.Add(time.Second))
+	assert.Equal(t, 500*time.Millisecond, l.allowed(core.Instance{ID: "d"}, start.Add(time.Second)))
 }
 
 // A server that resets new connections as well is sick, and no witness of how long others may rest.
 func TestPlacesThatResetAllAreNoWitnesses(t *testing.T) {
 	l := newRestLimits(30 * time.Second)
-	a, b, c := core.Place{ID: "a"}, core.Place{ID: "b"}, core.Place{ID: "c"}
+	a, b, c := core.Instance{ID: "a"}, core.Instance{ID: "b"}, core.Instance{ID: "c"}
 	l.forgotten(a, time.Second, start)
 	l.forgotten(b, time.Second, start)
 	l.forgotten(c, time.Second, start)
-	assert.Equal(t, 500*time.Millisecond, l.allowed(core.Place{ID: "d"}, start))
+	assert.Equal(t, 500*time.Millisecond, l.allowed(core.Instance{ID: "d"}, start))
 	l.reset(a, start)
 	assert.Equal(t, 30*time.Second, l.allowed(a, start))
-	assert.Equal(t, 30*time.Second, l.allowed(core.Place{ID: "d"}, start), "two are left")
+	assert.Equal(t, 30*time.Second, l.allowed(core.Instance{ID: "d"}, start), "two are left")
 	assert.Equal(t, 500*time.Millisecond, l.allowed(b, start))
 	l.forgotten(a, time.Second, start.Add(resetsFor/2))
 	assert.Equal(t, 30*time.Second, l.allowed(a, start.Add(resetsFor/2)))
@@ -59,7 +59,7 @@
 
 func TestLimitsOfRestPass(t *testing.T) {
 	l := newRestLimits(30 * time.Second)
-	a, b := core.Place{ID: "a"}, core.Place{ID: "b"}
+	a, b := core.Instance{ID: "a"}, core.Instance{ID: "b"}
 	l.forgotten(a, time.Second, start)
 	assert.Equal(t, time.Second, l.allowed(a, start.Add(restDoubles)))
 	assert.Equal(t, 8*time.Second, l.allowed(a, start.Add(4*restDoubles)))
@@ -96,6 +96,6 @@
 	assert.Equal(t, 500*time.Millisecond, p.mayRest(&conn{keep: time.Second}, start), "most of a short time")
 	assert.Equal(t, 30*time.Second, p.mayRest(&conn{keep: time.Minute}, start))
 	p.rest = newRestLimits(30 * time.Second)
-	p.rest.forgotten(core.Place{ID: "a"}, time.Second, start)
-	assert.Equal(t, 500*time.Millisecond, p.mayRest(&conn{place: core.Place{ID: "a"}, keep: 5 * time.Second}, start))
+	p.rest.forgotten(core.Instance{ID: "a"}, time.Second, start)
+	assert.Equal(t, 500*time.Millisecond, p.mayRest(&conn{place: core.Instance{ID: "a"}, keep: 5 * time.Second}, start))
 }
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -117,14 +117,14 @@
 
 // wait returns the end of the stream once it is closed. Where its time is over sooner, the
 // connection is closed then, so that the server stops.
-func (s *stream) wait() core.Ended {
+func (s *stream) wait() core.AttemptResult {
 	select {
 	case <-s.over:
 	case <-s.ctx.Done():
 		s.cut()
 		<-s.over
 	}
-	return core.Ended{Result: s.result, At: time.Now()}
+	return core.AttemptResult{Result: s.result, At: time.Now()}
 }
 
 // cut closes the connection under a reader that has not closed the stream.
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -35,7 +35,7 @@
 
 // streaming is a backend that streams, a step each time that it is told to.
 type streaming struct {
-	at    core.Place
+	at    core.Instance
 	step  chan func(c *net.TCPConn) bool // the answer goes on while it returns true
 	freed chan error                     // how the connection ended that it reads
 	b     *standin.Backend
@@ -53,7 +53,7 @@
 	})
 	assert.NilError(t, err)
 	t.Cleanup(func() { close(s.step); b.Close() })
-	s.b, s.at = b, core.Place{ID: "b", Endpoint: b.Addr}
+	s.b, s.at = b, core.Instance{ID: "b", Endpoint: b.Addr}
 	return s
 }
 
@@ -81,14 +81,14 @@
 }
 
 // start begins an attempt, has the head and the first event written, and reads that.
-func (s *streaming) start(t *testing.T, p *Pool, f framed, until time.Time) (io.ReadCloser, chan core.Ended, func()) {
+func (s *streaming) start(t *testing.T, p *Pool, f framed, until time.Time) (io.ReadCloser, chan core.AttemptResult, func()) {
 	t.Helper()
-	ends := make(chan core.Ended, 3)
+	ends := make(chan core.AttemptResult, 3)
 	call := &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i"}
-	cancel := p.Start(core.Attempt{Call: call, Place: s.at, Until: until}, func(e core.Ended) { ends <- e })
+	cancel := p.Start(core.Attempt{Call: call, Instance: s.at, Deadline: until}, func(e core.AttemptResult) { ends <- e })
 	s.write("HTTP/1.1 200 OK\r\nStream: 1\r\nContent-Type: text/event-stream\r\n" + f.head + "\r\n")
 	e := wait(t, ends) // with no byte of the body written
-	assert.Check(t, e.Begun)
+	assert.Check(t, e.Streaming)
 	assert.Equal(t, e.Result, logic.OK)
 	reply := e.Reply.(*message.Reply)
 	assert.Equal(t, reply.ContentType, "text/event-stream")
@@ -117,12 +117,12 @@
 }
 
 // ended closes a stream and returns its end, which is told once, however often it is closed.
-func ended(t *testing.T, rest io.Closer, ends chan core.Ended) logic.Result {
+func ended(t *testing.T, rest io.Closer, ends chan core.AttemptResult) logic.Result {
 	t.Helper()
 	rest.Close()
 	rest.Close()
 	e := wait(t, ends)
-	assert.Check(t, !e.Begun)
+	assert.Check(t, !e.Streaming)
 	assert.Equal(t, len(ends), 0)
 	return e.Result
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -22,7 +22,7 @@
 type Codec interface {
 	// Head writes the head of a request, up to and with the empty line. The request has so long left.
 	// Frame writes the line that tells how its body is framed.
-	Head(dst *bytes.Buffer, call *message.Call, at core.Place, left time.Duration)
+	Head(dst *bytes.Buffer, call *message.Call, at core.Instance, left time.Duration)
 	// Judge tells what an answer means, from its head. It may change the header that a Reply
 	// hands on, and must not read the body.
 	Judge(call *message.Call, res *http.Response) Verdict
@@ -40,13 +40,13 @@
 // Options are the limits of a Pool.
 type Options struct {
 	ConnectTimeout time.Duration
-	UserTimeout    time.Duration        // what is sent has to be acknowledged within it (TCP_USER_TIMEOUT), 0: not set
-	IdleFor        time.Duration        // a connection is not kept idle for longer
-	LearnRest      bool                 // connections rest shorter where servers forget them sooner
-	MaxConns       int                  // open or opening, over all servers
-	MaxPerPlace    func(core.Place) int // open or opening to one place, 0: no limit; nil: none has one. It must not block
-	Bare           bool                 // replies carry neither Status nor Header
-	Relayed        func()               // called for each attempt that is written whole
+	UserTimeout    time.Duration           // what is sent has to be acknowledged within it (TCP_USER_TIMEOUT), 0: not set
+	IdleFor        time.Duration           // a connection is not kept idle for longer
+	LearnRest      bool                    // connections rest shorter where servers forget them sooner
+	MaxConns       int                     // open or opening, over all servers
+	MaxPerPlace    func(core.Instance) int // open or opening to one place, 0: no limit; nil: none has one. It must not block
+	Bare           bool                    // replies carry neither Status nor Header
+	Relayed        func()                  // called for each attempt that is written whole
 	Budget         *message.Budget
 }
 
@@ -59,7 +59,7 @@
 	return d
 }
 
-var _ core.Backends = (*Pool)(nil)
+var _ core.Transport = (*Pool)(nil)
 
 // New returns a Pool without connections.
 func New(codec Codec, opt Options, count *counters.Set, log *slog.Logger) *Pool {
@@ -68,7 +68,7 @@
 	}
 	d := opt.dialer()
 	p := &Pool{codec: codec, opt: opt, count: count, log: log, dial: d.DialContext, restFor: restFor,
-		idle: map[core.Place][]*conn{}, at: map[core.Place]int{}, gates: map[core.Place]map[*gate]struct{}{}}
+		idle: map[core.Instance][]*conn{}, at: map[core.Instance]int{}, gates: map[core.Instance]map[*gate]struct{}{}}
 	if opt.LearnRest {
 		p.rest = newRestLimits(opt.IdleFor)
 	}
