--- a/internal/barograph/coordinator/authority.go
+++ b/internal/barograph/coordinator/authority.go
@@ -44,7 +44,7 @@
 
 // change makes the difference that goes into the log, on a base that was reached here.
 func (c *Coordinator) change(base, revision uint64, body []byte) (change *revisions.Change, err error) {
-	c.node.Host.Peek(protocol.ConfigurationGroup, func(m host.Machine) {
+	c.node.Host.ReadLocal(protocol.ConfigurationGroup, func(m host.StateMachine) {
 		change, err = m.(*revisions.Machine).Change(base, revision, body)
 	})
 	return change, err
@@ -67,7 +67,7 @@
 
 // revision is the newest one that this node has applied.
 func (c *Coordinator) revision() (revision uint64) {
-	c.node.Host.Peek(protocol.ConfigurationGroup, func(m host.Machine) {
+	c.node.Host.ReadLocal(protocol.ConfigurationGroup, func(m host.StateMachine) {
 		revision, _ = m.(*revisions.Machine).Configuration()
 	})
 	return revision
@@ -101,7 +101,7 @@
 	}
 	var revision uint64
 	var body []byte
-	c.node.Host.Peek(protocol.ConfigurationGroup, func(m host.Machine) {
+	c.node.Host.ReadLocal(protocol.ConfigurationGroup, func(m host.StateMachine) {
 		revision, body = m.(*revisions.Machine).Configuration()
 	})
 	if revision == 0 {
@@ -132,7 +132,7 @@
 		return 0, operators.ErrUnavailable
 	}
 	var emptied, retiring bool
-	c.node.Host.Peek(protocol.ConfigurationGroup, func(m host.Machine) {
+	c.node.Host.ReadLocal(protocol.ConfigurationGroup, func(m host.StateMachine) {
 		emptied, retiring = m.(*revisions.Machine).Emptied(name)
 	})
 	switch {
--- a/internal/barograph/coordinator/calls.go
+++ b/internal/barograph/coordinator/calls.go
@@ -61,9 +61,9 @@
 
 // age is how old what this node tells may be, over all groups that it tells of.
 func (c *Coordinator) age() time.Duration {
-	age := c.node.Host.Age(protocol.ConfigurationGroup)
+	age := c.node.Host.Staleness(protocol.ConfigurationGroup)
 	for partition := range protocol.ServicePartitions {
-		age = max(age, c.node.Host.Age(protocol.ServiceGroup(partition)))
+		age = max(age, c.node.Host.Staleness(protocol.ServiceGroup(partition)))
 	}
 	return age
 }
@@ -77,7 +77,7 @@
 // collect fills in what is newer, and tells whether anything is.
 func (c *Coordinator) collect(args *protocol.WatchArgs, reply *protocol.WatchReply) bool {
 	news := false
-	c.node.Host.Peek(protocol.ConfigurationGroup, func(m host.Machine) {
+	c.node.Host.ReadLocal(protocol.ConfigurationGroup, func(m host.StateMachine) {
 		machine := m.(*revisions.Machine)
 		if revision, _ := machine.Configuration(); revision > args.Revision && !args.DirectoryOnly {
 			reply.Revision, reply.Steps, news = revision, machine.Since(args.Revision), true
@@ -90,7 +90,7 @@
 		return news
 	}
 	for partition := range protocol.ServicePartitions {
-		c.node.Host.Peek(protocol.ServiceGroup(partition), func(m host.Machine) {
+		c.node.Host.ReadLocal(protocol.ServiceGroup(partition), func(m host.StateMachine) {
 			lists, version := m.(*servers.Machine).Lists()
 			if version > args.Services[partition] {
 				reply.Services[partition], news = version, true
--- a/internal/barograph/coordinator/coordinator.go
+++ b/internal/barograph/coordinator/coordinator.go
@@ -117,7 +117,7 @@
 	return groups
 }
 
-func (c *Coordinator) machine(group replica.GroupID) host.Machine {
+func (c *Coordinator) machine(group replica.GroupID) host.StateMachine {
 	switch group {
 	case protocol.ConfigurationGroup:
 		return revisions.New(c.news.tell)
@@ -195,7 +195,7 @@
 // Directory is the directory as far as this node knows.
 func (c *Coordinator) Directory() protocol.Directory {
 	var d protocol.Directory
-	c.node.Host.Peek(protocol.ConfigurationGroup, func(m host.Machine) { d = m.(*revisions.Machine).Directory() })
+	c.node.Host.ReadLocal(protocol.ConfigurationGroup, func(m host.StateMachine) { d = m.(*revisions.Machine).Directory() })
 	return d
 }
 
--- a/internal/barograph/coordinator/duty.go
+++ b/internal/barograph/coordinator/duty.go
@@ -29,13 +29,13 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), heldWithin)
 	defer cancel()
-	err = d.c.node.Host.Read(ctx, protocol.ListerDuty, func(host.Machine) {})
+	err = d.c.node.Host.Read(ctx, protocol.ListerDuty, func(host.StateMachine) {})
 	return status.Term, err == nil
 }
 
 // Lists implements lister.Duty.
 func (d *listerDuty) Lists(partition int) (lists []protocol.ServerList) {
-	d.c.node.Host.Peek(protocol.ServiceGroup(partition), func(m host.Machine) {
+	d.c.node.Host.ReadLocal(protocol.ServiceGroup(partition), func(m host.StateMachine) {
 		lists, _ = m.(*servers.Machine).Lists()
 	})
 	return lists
@@ -60,7 +60,7 @@
 		return
 	}
 	for _, id := range heirs(status.Members.Voters, d.c.node.Self.ID) {
-		if err := d.c.node.Host.Handover(protocol.ListerDuty, id); err == nil {
+		if err := d.c.node.Host.TransferLeadership(protocol.ListerDuty, id); err == nil {
 			klog.InfoS("The lister's duty is handed over", "to", id)
 			return
 		}
--- a/internal/barograph/host/call.go
+++ b/internal/barograph/host/call.go
@@ -37,7 +37,7 @@
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	g, index, w, err := h.enter(id, add)
+	g, index, w, err := h.startProposal(id, add)
 	if err != nil {
 		return nil, err
 	}
@@ -45,43 +45,43 @@
 	case o := <-w.done:
 		return o.result, o.err
 	case <-ctx.Done():
-		return h.leave(g, index, w, ctx.Err())
+		return h.abandonProposal(g, index, w, ctx.Err())
 	}
 }
 
-func (h *Host) enter(
+func (h *Host) startProposal(
 	id replica.GroupID, add func(*group) (index, term uint64, err error),
 ) (*group, uint64, *waiter, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	g, err := h.find(id)
+	g, err := h.runningGroup(id)
 	if err != nil {
 		return nil, 0, nil, err
 	}
-	if len(g.waiting) >= MaxPending {
-		return nil, 0, nil, ErrOverload
+	if len(g.waiters) >= MaxPendingProposals {
+		return nil, 0, nil, ErrOverloaded
 	}
 	index, term, err := add(g)
-	h.touch(g)
+	h.markDirty(g)
 	if errors.Is(err, replica.ErrOverloaded) {
-		return nil, 0, nil, ErrOverload
+		return nil, 0, nil, ErrOverloaded
 	}
 	if err != nil {
 		return nil, 0, nil, err
 	}
 	w := &waiter{term: term, done: make(chan outcome, 1)}
-	if old := g.waiting[index]; old != nil { // its entry was cut from the log
-		old.tell(nil, &UnknownOutcomeError{Cause: &replica.NotOwnerError{Owner: g.replica.Owner()}})
+	if old := g.waiters[index]; old != nil { // its entry was cut from the log
+		old.complete(nil, &UnknownOutcomeError{Cause: &replica.NotOwnerError{Owner: g.replica.Owner()}})
 	}
-	g.waiting[index] = w
+	g.waiters[index] = w
 	return g, index, w, nil
 }
 
-// leave gives up waiting, unless the outcome has come in the meantime.
-func (h *Host) leave(g *group, index uint64, w *waiter, cause error) ([]byte, error) {
+// abandonProposal gives up waiting, unless the outcome has come in the meantime.
+func (h *Host) abandonProposal(g *group, index uint64, w *waiter, cause error) ([]byte, error) {
 	h.mu.Lock()
-	if g.waiting[index] == w {
-		delete(g.waiting, index)
+	if g.waiters[index] == w {
+		delete(g.waiters, index)
 	}
 	h.mu.Unlock()
 	select {
@@ -96,27 +96,27 @@
 // lease before and after, and all that was committed before is applied. What look found counts
 // only if Read gives nil. look must be short and mustn't call the host. Failures:
 // *replica.NotOwnerError, ErrNoLease, the context's, ErrNoGroup, ErrStopped.
-func (h *Host) Read(ctx context.Context, id replica.GroupID, look func(Machine)) error {
-	g, commit, term, err := h.leased(id)
+func (h *Host) Read(ctx context.Context, id replica.GroupID, look func(StateMachine)) error {
+	g, commit, term, err := h.checkLease(id)
 	if err != nil {
 		return err
 	}
 	if err := h.awaitApplied(ctx, id, commit); err != nil {
 		return err
 	}
-	g.look(look)
-	_, _, after, err := h.leased(id)
+	g.view(look)
+	_, _, after, err := h.checkLease(id)
 	if err == nil && after != term {
 		return ErrNoLease
 	}
 	return err
 }
 
-// leased checks the lease, and gives up to where the owner's log is committed, and its term.
-func (h *Host) leased(id replica.GroupID) (g *group, commit, term uint64, err error) {
+// checkLease checks the lease, and gives up to where the owner's log is committed, and its term.
+func (h *Host) checkLease(id replica.GroupID) (g *group, commit, term uint64, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	g, err = h.find(id)
+	g, err = h.runningGroup(id)
 	if err != nil {
 		return nil, 0, 0, err
 	}
@@ -140,41 +140,41 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if err := h.runs(id); err != nil {
+		if err := h.checkRunning(id); err != nil {
 			return err
 		}
 	}
 }
 
-// Peek looks at the machine as it is on this node, which may be behind. look must be short and
+// ReadLocal looks at the machine as it is on this node, which may be behind. look must be short and
 // mustn't call the host.
-func (h *Host) Peek(id replica.GroupID, look func(Machine)) error {
+func (h *Host) ReadLocal(id replica.GroupID, look func(StateMachine)) error {
 	h.mu.Lock()
-	g, err := h.find(id)
+	g, err := h.runningGroup(id)
 	h.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	g.look(look)
+	g.view(look)
 	return nil
 }
 
-func (g *group) look(look func(Machine)) {
+func (g *group) view(look func(StateMachine)) {
 	g.machineMu.Lock()
 	defer g.machineMu.Unlock()
 	look(g.machine)
 }
 
-// Handover begins to give the ownership to a voter; whether it came through shows in Status.
-// Failures are those of replica's Handover.
-func (h *Host) Handover(id replica.GroupID, to replica.NodeID) error {
+// TransferLeadership begins to give the ownership to a voter; whether it came through shows in Status.
+// Failures are those of replica's TransferLeadership.
+func (h *Host) TransferLeadership(id replica.GroupID, to replica.NodeID) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	g, err := h.find(id)
+	g, err := h.runningGroup(id)
 	if err != nil {
 		return err
 	}
-	defer h.touch(g)
+	defer h.markDirty(g)
 	return g.replica.Handover(h.options.Now(), to)
 }
 
@@ -182,12 +182,12 @@
 func (h *Host) Campaign(id replica.GroupID) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	g, err := h.find(id)
+	g, err := h.runningGroup(id)
 	if err != nil {
 		return err
 	}
 	g.replica.Campaign(h.options.Now())
-	h.touch(g)
+	h.markDirty(g)
 	return nil
 }
 
@@ -195,7 +195,7 @@
 func (h *Host) Status(id replica.GroupID) (replica.Status, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	g, err := h.find(id)
+	g, err := h.runningGroup(id)
 	if err != nil {
 		return replica.Status{}, err
 	}
@@ -225,56 +225,56 @@
 func (h *Host) Applied(id replica.GroupID) (index uint64, changed <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	g, err := h.find(id)
+	g, err := h.runningGroup(id)
 	if err != nil {
-		return 0, closed
+		return 0, closedChannel
 	}
-	if g.news == nil {
-		g.news = make(chan struct{})
+	if g.changed == nil {
+		g.changed = make(chan struct{})
 	}
-	return g.applied, g.news
+	return g.applied, g.changed
 }
 
-// Age is how old this node's state of a group may be, as Peek shows it: all that was committed
+// Staleness is how old this node's state of a group may be, as Peek shows it: all that was committed
 // longer ago is applied here. Where that isn't proven, or the group isn't run, it is Unproven
 // or more.
-func (h *Host) Age(id replica.GroupID) time.Duration {
+func (h *Host) Staleness(id replica.GroupID) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	g, err := h.find(id)
+	g, err := h.runningGroup(id)
 	if err != nil {
-		return Unproven
+		return UnknownStaleness
 	}
 	now := h.options.Now()
 	return now - g.replica.CurrentAt(now, g.applied)
 }
 
-// Unproven is an Age that says nothing.
-const Unproven = 1000 * time.Hour
+// UnknownStaleness is an Age that says nothing.
+const UnknownStaleness = 1000 * time.Hour
 
-// closed is a channel with news for good.
-var closed = func() chan struct{} {
+// closedChannel is a channel with news for good.
+var closedChannel = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// runs tells why a group isn't run, nil if it is.
-func (h *Host) runs(id replica.GroupID) error {
+// checkRunning tells why a group isn't run, nil if it is.
+func (h *Host) checkRunning(id replica.GroupID) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, err := h.find(id)
+	_, err := h.runningGroup(id)
 	return err
 }
 
-// find gives a group that is run. The host's mu is held.
-func (h *Host) find(id replica.GroupID) (*group, error) {
+// runningGroup gives a group that is run. The host's mu is held.
+func (h *Host) runningGroup(id replica.GroupID) (*group, error) {
 	if h.stopped {
 		return nil, ErrStopped
 	}
 	g := h.groups[id]
 	if g == nil {
-		return nil, ErrNoGroup
+		return nil, ErrGroupNotFound
 	}
 	return g, nil
 }
--- a/internal/barograph/host/errors.go
+++ b/internal/barograph/host/errors.go
@@ -12,18 +12,18 @@
 // from all that only an owner does, replica.ErrHandover from a proposal during a handover, and
 // those that replica names at ChangeMembers and Handover.
 var (
-	// ErrNoGroup: the host doesn't run the group.
-	ErrNoGroup = errors.New("the host doesn't run this group")
-	// ErrGroup: the host runs the group already.
-	ErrGroup = errors.New("the host runs this group already")
+	// ErrGroupNotFound: the host doesn't run the group.
+	ErrGroupNotFound = errors.New("the host doesn't run this group")
+	// ErrGroupExists: the host runs the group already.
+	ErrGroupExists = errors.New("the host runs this group already")
 	// ErrStopped: the host's Run has ended.
 	ErrStopped = errors.New("the host has stopped")
-	// ErrOverload: too many proposals, or too many bytes of them, wait for their commit.
-	ErrOverload = errors.New("too many proposals are pending")
+	// ErrOverloaded: too many proposals, or too many bytes of them, wait for their commit.
+	ErrOverloaded = errors.New("too many proposals are pending")
 	// ErrNoLease: the owner isn't settled yet, or too few members have answered it of late.
 	ErrNoLease = errors.New("the owner holds no lease")
-	// ErrOptions: Options lack something.
-	ErrOptions = errors.New("the host's options are incomplete")
+	// ErrIncompleteOptions: Options lack something.
+	ErrIncompleteOptions = errors.New("the host's options are incomplete")
 )
 
 // UnknownOutcomeError tells that a proposal was taken, and that whether it comes into force was
--- a/internal/barograph/host/host.go
+++ b/internal/barograph/host/host.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// DefaultCompactAfter is the log that gathers before a snapshot, in bytes.
-	DefaultCompactAfter = 1 << 20
-	// firstIndex is of the snapshot that a group begins with. It is not 0, so that a member which
+	// DefaultCompactAfterBytes is the log that gathers before a snapshot, in bytes.
+	DefaultCompactAfterBytes = 1 << 20
+	// initialIndex is of the snapshot that a group begins with. It is not 0, so that a member which
 	// comes later, with nothing, can't pass for one that holds the first state.
-	firstIndex = 1
-	// MaxPending is the number of proposals of one group that may wait for their commit.
-	MaxPending = 4096
+	initialIndex = 1
+	// MaxPendingProposals is the number of proposals of one group that may wait for their commit.
+	MaxPendingProposals = 4096
 )
 
-// Machine is a group's state. All calls come one at a time; none may call the host.
-type Machine interface {
+// StateMachine is a group's state. All calls come one at a time; none may call the host.
+type StateMachine interface {
 	// Apply carries out a command and gives its result. It is deterministic: on each member the
 	// same commands come in the same order. The command may be kept but not changed.
 	Apply(command []byte) (result []byte)
@@ -52,12 +52,12 @@
 	Transport Transport
 	Now       func() time.Duration // a steady clock
 	Seed      uint64               // what is drawn follows from it, Self and the group
-	// CompactAfter is the log in bytes that gathers before a snapshot takes its place, at least
+	// CompactAfterBytes is the log in bytes that gathers before a snapshot takes its place, at least
 	// as much as the last snapshot's state; 0 for DefaultCompactAfter.
-	CompactAfter int
-	// Unknown is told of a group that a message came for and that the host doesn't run. If it
+	CompactAfterBytes int
+	// OnUnknownGroup is told of a group that a message came for and that the host doesn't run. If it
 	// gives true, having called Add, then the messages are taken. nil: they are dropped.
-	Unknown func(replica.GroupID) bool
+	OnUnknownGroup func(replica.GroupID) bool
 }
 
 // Host runs the replicas of one process. Its calls may come from many goroutines; they take
@@ -65,46 +65,46 @@
 type Host struct {
 	options Options
 	wake    chan struct{} // holds one: there is something to do
-	pause   func(ctx context.Context, span time.Duration) bool
+	sleep   func(ctx context.Context, span time.Duration) bool
 
-	busy sync.Mutex // held for a whole round; taken before mu
+	roundMu sync.Mutex // held for a whole round; taken before mu
 
 	mu      sync.Mutex
 	groups  map[replica.GroupID]*group
 	dirty   []*group                           // may have something to do
 	loaded  map[replica.GroupID]replica.Stored // waits for Add
-	held    map[replica.GroupID]bool           // is in the store
+	stored  map[replica.GroupID]bool           // is in the store
 	stopped bool
 }
 
 // group is one group of the host. Its fields are under the host's mu but for the machine's.
 type group struct {
-	id       replica.GroupID
-	replica  *replica.Replica
-	dirty    bool
-	next     time.Duration // when the replica's Tick is due
-	removed  bool
-	snapshot replica.Snapshot   // the newest durable one
-	due      *replica.Snapshot  // is to be written in the next round
-	waiting  map[uint64]*waiter // by index
-	owner    replica.NodeID     // as last told to who waits for news
-	term     uint64             // as last told
-	applied  uint64             // index
-	news     chan struct{}      // closed when applied, owner or term changes; nil: nobody asked
+	id              replica.GroupID
+	replica         *replica.Replica
+	dirty           bool
+	nextTick        time.Duration // when the replica's Tick is due
+	removed         bool
+	snapshot        replica.Snapshot   // the newest durable one
+	pendingSnapshot *replica.Snapshot  // is to be written in the next round
+	waiters         map[uint64]*waiter // by index
+	notifiedLeader  replica.NodeID     // as last told to who waits for news
+	notifiedTerm    uint64             // as last told
+	applied         uint64             // index
+	changed         chan struct{}      // closed when applied, owner or term changes; nil: nobody asked
 
 	logBytes int // applied since the newest snapshot; the round's own
 
 	machineMu sync.Mutex // taken after the host's mu, if both
-	machine   Machine
+	machine   StateMachine
 }
 
 // New makes a host and reads what the store holds. Groups go on when Add names their machine.
 func New(options Options) (*Host, error) {
 	if options.Self == 0 || options.Store == nil || options.Transport == nil || options.Now == nil {
-		return nil, ErrOptions
+		return nil, ErrIncompleteOptions
 	}
-	if options.CompactAfter <= 0 {
-		options.CompactAfter = DefaultCompactAfter
+	if options.CompactAfterBytes <= 0 {
+		options.CompactAfterBytes = DefaultCompactAfterBytes
 	}
 	loaded, err := options.Store.Load()
 	if err != nil {
@@ -113,13 +113,13 @@
 	h := &Host{
 		options: options,
 		wake:    make(chan struct{}, 1),
-		pause:   wait.For,
+		sleep:   wait.For,
 		groups:  map[replica.GroupID]*group{},
 		loaded:  loaded,
-		held:    map[replica.GroupID]bool{},
+		stored:  map[replica.GroupID]bool{},
 	}
 	for id := range loaded {
-		h.held[id] = true
+		h.stored[id] = true
 	}
 	return h, nil
 }
@@ -128,41 +128,41 @@
 // these members and state, alike on all of first.Voters, and is durable from the next round on.
 // Empty members: the group follows only, and waits for an owner to send its state; none must
 // be given then. The machine is given the state, unless it is empty: then it begins as it is.
-func (h *Host) Add(id replica.GroupID, first replica.Members, state []byte, machine Machine) error {
+func (h *Host) Add(id replica.GroupID, first replica.Members, state []byte, machine StateMachine) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.stopped {
 		return ErrStopped
 	}
 	if h.groups[id] != nil {
-		return ErrGroup
+		return ErrGroupExists
 	}
 	stored, held := h.loaded[id]
 	if !held {
-		stored = firstStored(first, state)
+		stored = initialState(first, state)
 	}
 	if err := restore(id, machine, stored.Snapshot.State); err != nil {
 		return err
 	}
 	delete(h.loaded, id)
-	h.groups[id] = h.begin(id, stored, machine)
+	h.groups[id] = h.newGroup(id, stored, machine)
 	if !held && len(first.Voters) > 0 {
-		h.groups[id].due = &stored.Snapshot
+		h.groups[id].pendingSnapshot = &stored.Snapshot
 	}
-	h.touch(h.groups[id])
+	h.markDirty(h.groups[id])
 	return nil
 }
 
-// firstStored is what a group begins with, nothing where there are no members.
-func firstStored(first replica.Members, state []byte) replica.Stored {
+// initialState is what a group begins with, nothing where there are no members.
+func initialState(first replica.Members, state []byte) replica.Stored {
 	if len(first.Voters) == 0 {
 		return replica.Stored{}
 	}
-	snapshot := replica.Snapshot{Index: firstIndex, Members: first.Clone(), State: slices.Clone(state)}
+	snapshot := replica.Snapshot{Index: initialIndex, Members: first.Clone(), State: slices.Clone(state)}
 	return replica.Stored{Snapshot: snapshot}
 }
 
-func restore(id replica.GroupID, machine Machine, state []byte) error {
+func restore(id replica.GroupID, machine StateMachine, state []byte) error {
 	if len(state) == 0 {
 		return nil
 	}
@@ -172,25 +172,25 @@
 	return nil
 }
 
-// begin makes a group on what is kept of it.
-func (h *Host) begin(id replica.GroupID, stored replica.Stored, machine Machine) *group {
+// newGroup makes a group on what is kept of it.
+func (h *Host) newGroup(id replica.GroupID, stored replica.Stored, machine StateMachine) *group {
 	lot := rand.New(rand.NewPCG(h.options.Seed^uint64(h.options.Self), xxhash.Sum64String(string(id))))
 	g := &group{
-		id:       id,
-		replica:  replica.New(id, h.options.Self, h.options.Timing, stored, lot, h.startOf(stored)),
-		snapshot: stored.Snapshot,
-		applied:  stored.Snapshot.Index,
-		term:     stored.Hard.Term,
-		waiting:  map[uint64]*waiter{},
-		machine:  machine,
+		id:           id,
+		replica:      replica.New(id, h.options.Self, h.options.Timing, stored, lot, h.replicaStart(stored)),
+		snapshot:     stored.Snapshot,
+		applied:      stored.Snapshot.Index,
+		notifiedTerm: stored.Hard.Term,
+		waiters:      map[uint64]*waiter{},
+		machine:      machine,
 	}
 	g.replica.SetSnapshotSource(func() replica.Snapshot { return g.snapshot })
 	return g
 }
 
-// startOf is the time at which a replica begins. A node that has taken part in no term has
+// replicaStart is the time at which a replica begins. A node that has taken part in no term has
 // promised no owner a lease, so it needn't let one run out before it campaigns.
-func (h *Host) startOf(stored replica.Stored) time.Duration {
+func (h *Host) replicaStart(stored replica.Stored) time.Duration {
 	now := h.options.Now()
 	if stored.Hard == (replica.HardState{}) && len(stored.Entries) == 0 {
 		return now - h.options.Timing.Election
@@ -198,12 +198,12 @@
 	return now
 }
 
-// Held gives the groups that the store holds, in order.
-func (h *Host) Held() []replica.GroupID {
+// StoredGroups gives the groups that the store holds, in order.
+func (h *Host) StoredGroups() []replica.GroupID {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	ids := make([]replica.GroupID, 0, len(h.held))
-	for id := range h.held {
+	ids := make([]replica.GroupID, 0, len(h.stored))
+	for id := range h.stored {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
@@ -213,21 +213,21 @@
 // Remove stops to run a group and drops what the store holds of it. It waits for the round
 // under way, and the machine is called no more afterwards. A failure is the store's.
 func (h *Host) Remove(id replica.GroupID) error {
-	h.busy.Lock()
-	defer h.busy.Unlock()
+	h.roundMu.Lock()
+	defer h.roundMu.Unlock()
 	h.mu.Lock()
-	if h.groups[id] == nil && !h.held[id] {
+	if h.groups[id] == nil && !h.stored[id] {
 		h.mu.Unlock()
-		return ErrNoGroup
+		return ErrGroupNotFound
 	}
 	if g := h.groups[id]; g != nil {
 		g.removed = true
-		g.failAll(&UnknownOutcomeError{Cause: ErrNoGroup})
-		g.tell()
+		g.failAll(&UnknownOutcomeError{Cause: ErrGroupNotFound})
+		g.notifyChanged()
 	}
 	delete(h.groups, id)
 	delete(h.loaded, id)
-	delete(h.held, id)
+	delete(h.stored, id)
 	h.mu.Unlock()
 	if err := h.options.Store.Drop(id); err != nil {
 		return errors.Wrapf(err, "drop group %s", id)
@@ -237,8 +237,8 @@
 
 // Deliver takes messages of other nodes. Those for another incarnation of this node are dropped.
 func (h *Host) Deliver(messages []replica.Message) {
-	unknown := h.step(messages)
-	if len(unknown) == 0 || h.options.Unknown == nil {
+	unknown := h.deliverToReplicas(messages)
+	if len(unknown) == 0 || h.options.OnUnknownGroup == nil {
 		return
 	}
 	asked := map[replica.GroupID]bool{}
@@ -246,18 +246,18 @@
 	for _, m := range unknown {
 		take, known := asked[m.Group]
 		if !known {
-			take = h.options.Unknown(m.Group)
+			take = h.options.OnUnknownGroup(m.Group)
 			asked[m.Group] = take
 		}
 		if take {
 			taken = append(taken, m)
 		}
 	}
-	h.step(taken)
+	h.deliverToReplicas(taken)
 }
 
-// step hands messages to their replicas, and gives those of groups that aren't run.
-func (h *Host) step(messages []replica.Message) (unknown []replica.Message) {
+// deliverToReplicas hands messages to their replicas, and gives those of groups that aren't run.
+func (h *Host) deliverToReplicas(messages []replica.Message) (unknown []replica.Message) {
 	if len(messages) == 0 {
 		return nil
 	}
@@ -277,13 +277,13 @@
 			continue
 		}
 		g.replica.Step(now, m)
-		h.touch(g)
+		h.markDirty(g)
 	}
 	return unknown
 }
 
-// touch has the next round look at a group. The host's mu is held.
-func (h *Host) touch(g *group) {
+// markDirty has the next round look at a group. The host's mu is held.
+func (h *Host) markDirty(g *group) {
 	if !g.dirty {
 		g.dirty = true
 		h.dirty = append(h.dirty, g)
--- a/internal/barograph/host/host_test.go
+++ b/internal/barograph/host/host_test.go
@@ -16,31 +16,31 @@
 )
 
 func TestThreeHostsAgree(t *testing.T) {
-	c := startNodes(t, 1, 0, 3, testGroup)
-	owner := c.elect(testGroup)
+	c := startCluster(t, 1, 0, 3, testGroup)
+	leader := c.awaitLeader(testGroup)
 	for i := range 20 {
-		assert.Equal(t, c.propose(owner, fmt.Sprint("c", i)), fmt.Sprint(i+1))
+		assert.Equal(t, c.propose(leader, fmt.Sprint("c", i)), fmt.Sprint(i+1))
 	}
-	c.alike(owner)
+	c.awaitSameState(leader)
 	for _, id := range c.order {
 		n := c.nodes[id]
-		if n == owner {
+		if n == leader {
 			continue
 		}
 		var notOwner *replica.NotOwnerError
 		_, err := n.Propose(t.Context(), testGroup, []byte("x"))
 		assert.Assert(t, errors.As(err, &notOwner))
-		assert.Equal(t, notOwner.Owner, owner.id)
-		err = n.Read(t.Context(), testGroup, func(Machine) { t.Error("looked") })
+		assert.Equal(t, notOwner.Owner, leader.id)
+		err = n.Read(t.Context(), testGroup, func(StateMachine) { t.Error("looked") })
 		assert.Assert(t, errors.As(err, &notOwner))
 	}
 }
 
 // TestAnswerComesAfterTheWrites looks at the disks whenever something is applied or written.
 func TestAnswerComesAfterTheWrites(t *testing.T) {
-	c := startNodes(t, 2, 0, 3, testGroup)
-	owner := c.elect(testGroup)
-	w, err := owner.begin(testGroup, "command")
+	c := startCluster(t, 2, 0, 3, testGroup)
+	leader := c.awaitLeader(testGroup)
+	w, err := leader.proposeAsync(testGroup, "command")
 	assert.NilError(t, err)
 	writes, applies := 0, 0
 	for _, id := range c.order {
@@ -49,15 +49,15 @@
 			writes++
 			assert.Equal(t, len(w.done), 0)
 		}, nil)
-		n.machines[testGroup].applying = func([]byte) {
+		n.machines[testGroup].beforeApply = func([]byte) {
 			applies++
-			assert.Assert(t, c.holders("command") >= 2)
-			assert.Equal(t, len(w.done) == 0, n == owner)
+			assert.Assert(t, c.disksHolding("command") >= 2)
+			assert.Equal(t, len(w.done) == 0, n == leader)
 		}
 	}
 	var o *outcome
-	c.run("answer", func() bool {
-		o = took(w)
+	c.runUntil("answer", func() bool {
+		o = receivedOutcome(w)
 		return o != nil
 	})
 	assert.NilError(t, o.err)
@@ -66,7 +66,7 @@
 }
 
 // holders counts the disks that hold a command in their log.
-func (c *cluster) holders(command string) int {
+func (c *cluster) disksHolding(command string) int {
 	count := 0
 	for _, n := range c.nodes {
 		stored, err := n.disk.Load()
@@ -83,340 +83,340 @@
 func TestRestartGoesOnWithMachineAndLog(t *testing.T) {
 	for name, after := range map[string]int{"log": 0, "snapshot and log": 300} {
 		t.Run(name, func(t *testing.T) {
-			c := startNodes(t, 3, after, 3, testGroup)
-			owner := c.elect(testGroup)
+			c := startCluster(t, 3, after, 3, testGroup)
+			leader := c.awaitLeader(testGroup)
 			for i := range 20 {
-				c.propose(owner, fmt.Sprint("c", i))
+				c.propose(leader, fmt.Sprint("c", i))
 			}
-			before := owner.machines[testGroup].text()
+			before := leader.machines[testGroup].text()
 			for _, id := range c.order {
 				c.restart(id)
 			}
-			owner = c.elect(testGroup)
-			assert.Equal(t, owner.machines[testGroup].text(), before)
-			assert.Equal(t, c.propose(owner, "more"), "21")
-			c.alike(owner)
-			stored, err := owner.disk.Load()
+			leader = c.awaitLeader(testGroup)
+			assert.Equal(t, leader.machines[testGroup].text(), before)
+			assert.Equal(t, c.propose(leader, "more"), "21")
+			c.awaitSameState(leader)
+			stored, err := leader.disk.Load()
 			assert.NilError(t, err)
-			assert.Equal(t, stored[testGroup].Snapshot.Index > firstIndex, after > 0)
+			assert.Equal(t, stored[testGroup].Snapshot.Index > initialIndex, after > 0)
 			assert.Assert(t, after == 0 || len(stored[testGroup].Entries) < 20)
 		})
 	}
 }
 
 func TestEmptyFollowerTakesTheSnapshot(t *testing.T) {
-	c := startNodes(t, 4, 500, 1, testGroup)
-	owner := c.elect(testGroup)
+	c := startCluster(t, 4, 500, 1, testGroup)
+	leader := c.awaitLeader(testGroup)
 	for i := range 20 {
-		c.propose(owner, fmt.Sprint("before", i))
+		c.propose(leader, fmt.Sprint("before", i))
 	}
 	c.restart(1) // whose log begins at the snapshot then
-	owner = c.elect(testGroup)
+	leader = c.awaitLeader(testGroup)
 	learner := c.start(2, store.NewMemory())
-	assert.Equal(t, len(learner.Held()), 0)
-	c.change(owner, replica.Members{Voters: []replica.NodeID{1}, Learners: []replica.NodeID{2}})
-	c.alike(owner)
+	assert.Equal(t, len(learner.StoredGroups()), 0)
+	c.changeMembers(leader, replica.Members{Voters: []replica.NodeID{1}, Learners: []replica.NodeID{2}})
+	c.awaitSameState(leader)
 	stored, err := learner.disk.Load()
 	assert.NilError(t, err)
-	assert.Assert(t, stored[testGroup].Snapshot.Index > firstIndex)
-	assert.DeepEqual(t, learner.Held(), []replica.GroupID{testGroup})
+	assert.Assert(t, stored[testGroup].Snapshot.Index > initialIndex)
+	assert.DeepEqual(t, learner.StoredGroups(), []replica.GroupID{testGroup})
 	learner = c.restart(2)
-	c.propose(owner, "after")
-	c.alike(owner)
+	c.propose(leader, "after")
+	c.awaitSameState(leader)
 	assert.Assert(t, strings.HasSuffix(learner.machines[testGroup].text(), "before19 after"))
 }
 
 func TestDeposedOwnerGivesUnknownOutcome(t *testing.T) {
-	c := startNodes(t, 5, 0, 3, testGroup)
-	old := c.elect(testGroup)
+	c := startCluster(t, 5, 0, 3, testGroup)
+	old := c.awaitLeader(testGroup)
 	c.propose(old, "first")
-	c.cut[old.id] = true
-	w, err := old.begin(testGroup, "lost")
+	c.isolated[old.id] = true
+	w, err := old.proposeAsync(testGroup, "lost")
 	assert.NilError(t, err)
-	fresh := c.elect(testGroup)
+	fresh := c.awaitLeader(testGroup)
 	assert.Assert(t, fresh != old)
 	c.propose(fresh, "second")
-	c.cut[old.id] = false
+	c.isolated[old.id] = false
 	var o *outcome
-	c.run("answer", func() bool {
-		o = took(w)
+	c.runUntil("answer", func() bool {
+		o = receivedOutcome(w)
 		return o != nil
 	})
 	var unknown *UnknownOutcomeError
 	assert.Assert(t, errors.As(o.err, &unknown))
-	c.alike(fresh)
+	c.awaitSameState(fresh)
 	assert.Equal(t, old.machines[testGroup].text(), "first second")
 }
 
 func TestReadNeedsTheLease(t *testing.T) {
-	c := startNodes(t, 6, 0, 3, testGroup)
-	owner := c.elect(testGroup)
-	c.propose(owner, "first")
+	c := startCluster(t, 6, 0, 3, testGroup)
+	leader := c.awaitLeader(testGroup)
+	c.propose(leader, "first")
 	seen := ""
-	look := func(m Machine) { seen = m.(*list).text() }
-	assert.NilError(t, owner.Read(t.Context(), testGroup, look))
+	look := func(m StateMachine) { seen = m.(*commandLog).text() }
+	assert.NilError(t, leader.Read(t.Context(), testGroup, look))
 	assert.Equal(t, seen, "first")
-	err := owner.Read(t.Context(), testGroup, func(Machine) { c.now += testTiming.Lease + time.Millisecond })
+	err := leader.Read(t.Context(), testGroup, func(StateMachine) { c.now += testTiming.Lease + time.Millisecond })
 	assert.ErrorIs(t, err, ErrNoLease) // it ran out while looking
-	assert.ErrorIs(t, owner.Read(t.Context(), testGroup, look), ErrNoLease)
-	assert.NilError(t, owner.Peek(testGroup, look))
+	assert.ErrorIs(t, leader.Read(t.Context(), testGroup, look), ErrNoLease)
+	assert.NilError(t, leader.ReadLocal(testGroup, look))
 }
 
 func TestReadWaitsForWhatIsCommitted(t *testing.T) {
-	c := startNodes(t, 7, 0, 1, testGroup)
-	owner := c.elect(testGroup)
-	w, err := owner.begin(testGroup, "first")
+	c := startCluster(t, 7, 0, 1, testGroup)
+	leader := c.awaitLeader(testGroup)
+	w, err := leader.proposeAsync(testGroup, "first")
 	assert.NilError(t, err)
-	more, err := owner.round(t.Context()) // writes and so commits, but doesn't apply
+	more, err := leader.round(t.Context()) // writes and so commits, but doesn't apply
 	assert.NilError(t, err)
 	assert.Assert(t, more)
-	assert.Assert(t, took(w) == nil)
+	assert.Assert(t, receivedOutcome(w) == nil)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.ErrorIs(t, owner.Read(ctx, testGroup, func(Machine) { t.Error("looked") }), context.Canceled)
-	assert.NilError(t, owner.turn())
+	assert.ErrorIs(t, leader.Read(ctx, testGroup, func(StateMachine) { t.Error("looked") }), context.Canceled)
+	assert.NilError(t, leader.deliverAndRun())
 	seen := ""
-	assert.NilError(t, owner.Read(ctx, testGroup, func(m Machine) { seen = m.(*list).text() }))
+	assert.NilError(t, leader.Read(ctx, testGroup, func(m StateMachine) { seen = m.(*commandLog).text() }))
 	assert.Equal(t, seen, "first")
 }
 
 func TestStoreFailureEndsRunAndNothingIsAnswered(t *testing.T) {
-	c := startNodes(t, 8, 0, 1, testGroup)
-	owner := c.elect(testGroup)
-	w, err := owner.begin(testGroup, "command")
+	c := startCluster(t, 8, 0, 1, testGroup)
+	leader := c.awaitLeader(testGroup)
+	w, err := leader.proposeAsync(testGroup, "command")
 	assert.NilError(t, err)
-	owner.disk.Fail()
-	err = owner.Run(t.Context())
+	leader.disk.FailNextChange()
+	err = leader.Run(t.Context())
 	assert.ErrorIs(t, err, store.ErrFailed)
 	assert.Assert(t, !errors.Is(err, store.ErrFull))
-	o := took(w)
+	o := receivedOutcome(w)
 	var unknown *UnknownOutcomeError
 	assert.Assert(t, errors.As(o.err, &unknown))
 	assert.ErrorIs(t, o.err, store.ErrFailed)
-	assert.Equal(t, owner.machines[testGroup].text(), "")
-	_, err = owner.Propose(t.Context(), testGroup, nil)
+	assert.Equal(t, leader.machines[testGroup].text(), "")
+	_, err = leader.Propose(t.Context(), testGroup, nil)
 	assert.ErrorIs(t, err, ErrStopped)
 }
 
 // A full disk ends nothing: nothing is sent or answered that isn't durable, and all goes on once
 // there is room.
 func TestFullDiskIsWaitedFor(t *testing.T) {
-	c := startNodes(t, 8, 0, 3, testGroup)
-	owner := c.elect(testGroup)
-	w, err := owner.begin(testGroup, "command")
+	c := startCluster(t, 8, 0, 3, testGroup)
+	leader := c.awaitLeader(testGroup)
+	w, err := leader.proposeAsync(testGroup, "command")
 	assert.NilError(t, err)
-	owner.disk.Fill()
+	leader.disk.FillDisk()
 	var pauses []time.Duration
-	owner.pause = func(_ context.Context, span time.Duration) bool {
+	leader.sleep = func(_ context.Context, span time.Duration) bool {
 		pauses = append(pauses, span)
-		assert.Assert(t, took(w) == nil, "answered before it is durable")
-		assert.Equal(t, owner.machines[testGroup].text(), "")
+		assert.Assert(t, receivedOutcome(w) == nil, "answered before it is durable")
+		assert.Equal(t, leader.machines[testGroup].text(), "")
 		if len(pauses) == 10 {
-			owner.disk.Empty()
+			leader.disk.FreeDisk()
 		}
 		return true
 	}
-	assert.NilError(t, owner.turn())
+	assert.NilError(t, leader.deliverAndRun())
 	assert.Equal(t, len(pauses), 10)
-	assert.Assert(t, slices.IsSorted(pauses) && pauses[9] == fullPauseMost, "%v", pauses)
-	c.run("answer", func() bool { return took(w) != nil })
-	assert.Equal(t, owner.machines[testGroup].text(), "command")
+	assert.Assert(t, slices.IsSorted(pauses) && pauses[9] == maxFullDiskBackoff, "%v", pauses)
+	c.runUntil("answer", func() bool { return receivedOutcome(w) != nil })
+	assert.Equal(t, leader.machines[testGroup].text(), "command")
 }
 
 func TestFullDiskDoesntHoldAnEndUp(t *testing.T) {
-	c := startNodes(t, 8, 0, 1, testGroup)
-	owner := c.elect(testGroup)
-	w, err := owner.begin(testGroup, "command")
+	c := startCluster(t, 8, 0, 1, testGroup)
+	leader := c.awaitLeader(testGroup)
+	w, err := leader.proposeAsync(testGroup, "command")
 	assert.NilError(t, err)
-	owner.disk.Fill()
+	leader.disk.FillDisk()
 	ctx, cancel := context.WithCancel(t.Context())
-	owner.pause = func(context.Context, time.Duration) bool { cancel(); return false }
-	assert.ErrorIs(t, owner.Run(ctx), store.ErrFull)
-	assert.Assert(t, took(w).err != nil)
+	leader.sleep = func(context.Context, time.Duration) bool { cancel(); return false }
+	assert.ErrorIs(t, leader.Run(ctx), store.ErrFull)
+	assert.Assert(t, receivedOutcome(w).err != nil)
 }
 
 func TestContextOverGivesUnknownOutcome(t *testing.T) {
-	c := startNodes(t, 9, 0, 1, testGroup)
-	owner := c.elect(testGroup)
+	c := startCluster(t, 9, 0, 1, testGroup)
+	leader := c.awaitLeader(testGroup)
 	ctx, cancel := context.WithCancel(t.Context())
-	g, index, w, err := owner.enter(testGroup, func(g *group) (uint64, uint64, error) {
+	g, index, w, err := leader.startProposal(testGroup, func(g *group) (uint64, uint64, error) {
 		cancel()
 		return g.replica.Propose(c.now, []byte("command"))
 	})
 	assert.NilError(t, err)
-	_, err = owner.leave(g, index, w, ctx.Err())
+	_, err = leader.abandonProposal(g, index, w, ctx.Err())
 	var unknown *UnknownOutcomeError
 	assert.Assert(t, errors.As(err, &unknown))
 	assert.ErrorIs(t, err, context.Canceled)
-	assert.NilError(t, owner.turn())
-	assert.Equal(t, owner.machines[testGroup].text(), "command") // it did come into force
-	_, err = owner.Propose(ctx, testGroup, nil)
+	assert.NilError(t, leader.deliverAndRun())
+	assert.Equal(t, leader.machines[testGroup].text(), "command") // it did come into force
+	_, err = leader.Propose(ctx, testGroup, nil)
 	assert.Equal(t, err, context.Canceled) // nothing was proposed
 }
 
 func TestTooManyProposalsAreRefused(t *testing.T) {
-	c := startNodes(t, 10, 0, 1, testGroup)
-	owner := c.elect(testGroup)
-	for range MaxPending {
-		_, err := owner.begin(testGroup, "c")
+	c := startCluster(t, 10, 0, 1, testGroup)
+	leader := c.awaitLeader(testGroup)
+	for range MaxPendingProposals {
+		_, err := leader.proposeAsync(testGroup, "c")
 		assert.NilError(t, err)
 	}
-	_, err := owner.begin(testGroup, "c")
-	assert.ErrorIs(t, err, ErrOverload)
-	assert.NilError(t, owner.turn())
-	_, err = owner.begin(testGroup, "c")
+	_, err := leader.proposeAsync(testGroup, "c")
+	assert.ErrorIs(t, err, ErrOverloaded)
+	assert.NilError(t, leader.deliverAndRun())
+	_, err = leader.proposeAsync(testGroup, "c")
 	assert.NilError(t, err)
 }
 
 // TestCallsGoOnDuringAWrite proposes while the disk is busy: the proposals share the next write.
 func TestCallsGoOnDuringAWrite(t *testing.T) {
-	c := startNodes(t, 11, 0, 1, testGroup)
-	owner := c.elect(testGroup)
+	c := startCluster(t, 11, 0, 1, testGroup)
+	leader := c.awaitLeader(testGroup)
 	var entries []int
-	owner.disk.OnWrite(func(batch []store.Write) {
+	leader.disk.OnWrite(func(batch []store.Write) {
 		entries = append(entries, len(batch[0].Entries))
-		assert.Assert(t, owner.mu.TryLock(), "calls are shut out during a write")
-		owner.mu.Unlock()
+		assert.Assert(t, leader.mu.TryLock(), "calls are shut out during a write")
+		leader.mu.Unlock()
 		if len(entries) > 1 {
 			return
 		}
-		owner.Deliver([]replica.Message{{Group: testGroup, To: 1, From: 9}})
+		leader.Deliver([]replica.Message{{Group: testGroup, To: 1, From: 9}})
 		for range 3 {
-			_, err := owner.begin(testGroup, "c")
+			_, err := leader.proposeAsync(testGroup, "c")
 			assert.NilError(t, err)
 		}
 	}, nil)
-	_, err := owner.begin(testGroup, "c")
+	_, err := leader.proposeAsync(testGroup, "c")
 	assert.NilError(t, err)
-	assert.NilError(t, owner.turn())
+	assert.NilError(t, leader.deliverAndRun())
 	assert.DeepEqual(t, entries, []int{1, 3})
 }
 
 // TestGroupsShareWritesAndMessages has five groups commit at once.
 func TestGroupsShareWritesAndMessages(t *testing.T) {
 	groups := []replica.GroupID{"a", "b", "c", "d", "e"}
-	c := startNodes(t, 12, 0, 3, groups...)
+	c := startCluster(t, 12, 0, 3, groups...)
 	for _, group := range groups {
 		assert.NilError(t, c.nodes[1].Campaign(group))
-		assert.Equal(t, c.elect(group), c.nodes[1])
+		assert.Equal(t, c.awaitLeader(group), c.nodes[1])
 	}
-	owner := c.nodes[1]
+	leader := c.nodes[1]
 	var sizes []int
-	owner.disk.OnWrite(func(batch []store.Write) { sizes = append(sizes, len(batch)) }, nil)
+	leader.disk.OnWrite(func(batch []store.Write) { sizes = append(sizes, len(batch)) }, nil)
 	for _, group := range groups {
-		_, err := owner.begin(group, "command")
+		_, err := leader.proposeAsync(group, "command")
 		assert.NilError(t, err)
 	}
-	c.sends = 0
-	more, err := owner.round(t.Context())
+	c.sendCalls = 0
+	more, err := leader.round(t.Context())
 	assert.NilError(t, err)
 	assert.Assert(t, more)
 	assert.DeepEqual(t, sizes, []int{len(groups)})
-	assert.Equal(t, c.sends, 2)
-	statuses := owner.Statuses()
+	assert.Equal(t, c.sendCalls, 2)
+	statuses := leader.Statuses()
 	assert.Equal(t, len(statuses), len(groups))
 	assert.Equal(t, statuses[4].Group, groups[4])
 }
 
 func TestAppliedTellsOfNews(t *testing.T) {
-	c := startNodes(t, 13, 0, 3, testGroup)
+	c := startCluster(t, 13, 0, 3, testGroup)
 	follower := c.nodes[3]
 	_, changed := follower.Applied(testGroup)
 	assert.NilError(t, c.nodes[1].Campaign(testGroup))
-	owner := c.elect(testGroup)
-	assert.Equal(t, owner.id, replica.NodeID(1))
+	leader := c.awaitLeader(testGroup)
+	assert.Equal(t, leader.id, replica.NodeID(1))
 	<-changed
-	c.alike(owner)
-	index, changed := owner.Applied(testGroup)
-	_, same := owner.Applied(testGroup)
+	c.awaitSameState(leader)
+	index, changed := leader.Applied(testGroup)
+	_, same := leader.Applied(testGroup)
 	assert.Equal(t, changed, same)
-	c.propose(owner, "command")
+	c.propose(leader, "command")
 	<-changed
-	now, _ := owner.Applied(testGroup)
+	now, _ := leader.Applied(testGroup)
 	assert.Equal(t, now, index+1)
-	_, changed = owner.Applied("nowhere")
+	_, changed = leader.Applied("nowhere")
 	<-changed
 }
 
 func TestRemoveForgetsTheGroup(t *testing.T) {
-	c := startNodes(t, 14, 0, 1, testGroup)
-	owner := c.elect(testGroup)
-	w, err := owner.begin(testGroup, "command")
+	c := startCluster(t, 14, 0, 1, testGroup)
+	leader := c.awaitLeader(testGroup)
+	w, err := leader.proposeAsync(testGroup, "command")
 	assert.NilError(t, err)
-	assert.NilError(t, owner.Remove(testGroup))
-	assert.ErrorIs(t, took(w).err, ErrNoGroup)
-	assert.ErrorIs(t, owner.Remove(testGroup), ErrNoGroup)
-	assert.ErrorIs(t, owner.Peek(testGroup, nil), ErrNoGroup)
-	assert.Equal(t, len(owner.Held()), 0)
-	assert.NilError(t, owner.turn())
-	assert.Equal(t, len(c.restart(1).Held()), 0)
+	assert.NilError(t, leader.Remove(testGroup))
+	assert.ErrorIs(t, receivedOutcome(w).err, ErrGroupNotFound)
+	assert.ErrorIs(t, leader.Remove(testGroup), ErrGroupNotFound)
+	assert.ErrorIs(t, leader.ReadLocal(testGroup, nil), ErrGroupNotFound)
+	assert.Equal(t, len(leader.StoredGroups()), 0)
+	assert.NilError(t, leader.deliverAndRun())
+	assert.Equal(t, len(c.restart(1).StoredGroups()), 0)
 }
 
 func TestAddRefusesAGroupTwiceAndABadState(t *testing.T) {
-	c := startNodes(t, 15, 0, 1, testGroup)
+	c := startCluster(t, 15, 0, 1, testGroup)
 	n := c.nodes[1]
-	assert.ErrorIs(t, n.Add(testGroup, replica.Members{}, nil, &list{}), ErrGroup)
+	assert.ErrorIs(t, n.Add(testGroup, replica.Members{}, nil, &commandLog{}), ErrGroupExists)
 	var refused *RestoreError
-	err := n.Add("other", replica.Members{Voters: []replica.NodeID{1}}, []byte("refused"), &list{})
+	err := n.Add("other", replica.Members{Voters: []replica.NodeID{1}}, []byte("refused"), &commandLog{})
 	assert.Assert(t, errors.As(err, &refused))
-	assert.ErrorIs(t, n.Peek("other", nil), ErrNoGroup)
+	assert.ErrorIs(t, n.ReadLocal("other", nil), ErrGroupNotFound)
 }
 
 func TestFirstStateIsKept(t *testing.T) {
-	c := startNodes(t, 16, 0, 1)
-	first := &list{}
+	c := startCluster(t, 16, 0, 1)
+	first := &commandLog{}
 	assert.NilError(t, c.nodes[1].Add(testGroup, replica.Members{Voters: []replica.NodeID{1}}, []byte("a\nb"), first))
 	assert.Equal(t, first.text(), "a b")
-	c.elect(testGroup)
+	c.awaitLeader(testGroup)
 	n := c.restart(1)
 	assert.Equal(t, n.machines[testGroup].text(), "a b")
-	assert.Equal(t, c.elect(testGroup), n)
+	assert.Equal(t, c.awaitLeader(testGroup), n)
 }
 
 func TestMessagesForAnotherIncarnationAreDropped(t *testing.T) {
-	c := startNodes(t, 17, 0, 1)
+	c := startCluster(t, 17, 0, 1)
 	c.nodes[1].Deliver([]replica.Message{{Group: "unheard", To: 9, From: 2}})
-	assert.ErrorIs(t, c.nodes[1].Peek("unheard", nil), ErrNoGroup)
+	assert.ErrorIs(t, c.nodes[1].ReadLocal("unheard", nil), ErrGroupNotFound)
 	c.nodes[1].Deliver([]replica.Message{{Group: "unheard", To: 1, From: 2}})
-	assert.NilError(t, c.nodes[1].Peek("unheard", func(Machine) {}))
+	assert.NilError(t, c.nodes[1].ReadLocal("unheard", func(StateMachine) {}))
 }
 
 func TestRunEndsWithItsContext(t *testing.T) {
-	c := startNodes(t, 18, 0, 1, testGroup)
-	owner := c.elect(testGroup)
-	w, err := owner.begin(testGroup, "command")
+	c := startCluster(t, 18, 0, 1, testGroup)
+	leader := c.awaitLeader(testGroup)
+	w, err := leader.proposeAsync(testGroup, "command")
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.NilError(t, owner.Run(ctx))
-	assert.ErrorIs(t, took(w).err, ErrStopped)
-	assert.ErrorIs(t, owner.Campaign(testGroup), ErrStopped)
+	assert.NilError(t, leader.Run(ctx))
+	assert.ErrorIs(t, receivedOutcome(w).err, ErrStopped)
+	assert.ErrorIs(t, leader.Campaign(testGroup), ErrStopped)
 }
 
 // TestFirstStateReachesAnEmptyFollower has no log to speak of, and a state that no entry made.
 func TestFirstStateReachesAnEmptyFollower(t *testing.T) {
-	c := startNodes(t, 21, 0, 1)
-	assert.NilError(t, c.nodes[1].Add(testGroup, replica.Members{Voters: []replica.NodeID{1}}, []byte("a\nb"), &list{}))
-	owner := c.elect(testGroup)
+	c := startCluster(t, 21, 0, 1)
+	assert.NilError(t, c.nodes[1].Add(testGroup, replica.Members{Voters: []replica.NodeID{1}}, []byte("a\nb"), &commandLog{}))
+	leader := c.awaitLeader(testGroup)
 	learner := c.start(2, store.NewMemory())
-	c.change(owner, replica.Members{Voters: []replica.NodeID{1}, Learners: []replica.NodeID{2}})
-	c.run("state", func() bool { return learner.machines[testGroup] != nil && learner.machines[testGroup].text() == "a b" })
+	c.changeMembers(leader, replica.Members{Voters: []replica.NodeID{1}, Learners: []replica.NodeID{2}})
+	c.runUntil("state", func() bool { return learner.machines[testGroup] != nil && learner.machines[testGroup].text() == "a b" })
 }
 
 // TestIdleHostWaitsForTheNextTick has a follower that nobody speaks to wait for its election,
 // once it need no longer ask who else starts anew.
 func TestIdleHostWaitsForTheNextTick(t *testing.T) {
-	c := startNodes(t, 19, 0, 2, testGroup)
-	c.elect(testGroup)
+	c := startCluster(t, 19, 0, 2, testGroup)
+	c.awaitLeader(testGroup)
 	c.restart(1)
-	assert.NilError(t, c.nodes[1].turn())
-	asks := c.nodes[1].wait()
+	assert.NilError(t, c.nodes[1].deliverAndRun())
+	asks := c.nodes[1].untilNextTick()
 	assert.Assert(t, asks > 0 && asks < testTiming.Election, "%v", asks)
 	c.now += 3 * testTiming.Election
-	assert.NilError(t, c.nodes[1].turn())
-	wait := c.nodes[1].wait()
+	assert.NilError(t, c.nodes[1].deliverAndRun())
+	wait := c.nodes[1].untilNextTick()
 	assert.Assert(t, wait >= testTiming.Election && wait <= testTiming.Election+testTiming.Spread, "%v", wait)
-	empty := startNodes(t, 20, 0, 1)
-	assert.NilError(t, empty.nodes[1].turn())
-	assert.Equal(t, empty.nodes[1].wait(), time.Hour)
+	empty := startCluster(t, 20, 0, 1)
+	assert.NilError(t, empty.nodes[1].deliverAndRun())
+	assert.Equal(t, empty.nodes[1].untilNextTick(), time.Hour)
 }
--- a/internal/barograph/host/capacity_test.go
+++ b/internal/barograph/host/idle_test.go
@@ -16,16 +16,16 @@
 )
 
 // counted is a transport that counts what goes over it.
-type counted struct {
-	*wire
+type countingTransport struct {
+	*memoryTransport
 	sends, messages atomic.Int64
 }
 
 // Send implements Transport.
-func (c *counted) Send(to replica.NodeID, messages []replica.Message) {
+func (c *countingTransport) Send(to replica.NodeID, messages []replica.Message) {
 	c.sends.Add(1)
 	c.messages.Add(int64(len(messages)))
-	c.wire.Send(to, messages)
+	c.memoryTransport.Send(to, messages)
 }
 
 // BenchmarkIdle is three processes that keep so many groups together, in which nothing is
@@ -40,9 +40,9 @@
 const idleVoters = 3
 
 func benchmarkIdle(b *testing.B, groups int) {
-	timing := realTiming
+	timing := processTiming
 	timing.Heartbeat = 100 * time.Millisecond
-	w := &counted{wire: &wire{began: time.Now(), queues: map[replica.NodeID]chan []replica.Message{}}}
+	w := &countingTransport{memoryTransport: &memoryTransport{start: time.Now(), queues: map[replica.NodeID]chan []replica.Message{}}}
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	members := replica.Members{Voters: []replica.NodeID{1, 2, 3}}
@@ -52,35 +52,35 @@
 		assert.NilError(b, err)
 		made, err := New(Options{Self: replica.NodeID(i + 1), Timing: timing, Store: disk, Transport: w, Seed: 1, Now: w.now})
 		assert.NilError(b, err)
-		p := &process{Host: made, wire: w.wire, disk: disk, end: end, ended: make(chan error, 1)}
+		p := &process{Host: made, transport: w.memoryTransport, disk: disk, cancel: end, runResult: make(chan error, 1)}
 		for g := range groups {
-			assert.NilError(b, made.Add(replica.GroupID(fmt.Sprintf("group-%d", g)), members, nil, newList()))
+			assert.NilError(b, made.Add(replica.GroupID(fmt.Sprintf("group-%d", g)), members, nil, newCommandLog()))
 		}
-		w.join(ctx, replica.NodeID(i+1), p)
-		go func() { p.ended <- made.Run(ctx) }()
+		w.connect(ctx, replica.NodeID(i+1), p)
+		go func() { p.runResult <- made.Run(ctx) }()
 		processes = append(processes, p)
 	}
 	for g := range groups {
 		assert.NilError(b, processes[g%idleVoters].Campaign(replica.GroupID(fmt.Sprintf("group-%d", g))))
 	}
-	awaitSettled(b, processes, groups)
-	sends, messages, before := w.sends.Load(), w.messages.Load(), processorTime()
+	awaitLeaders(b, processes, groups)
+	sends, messages, before := w.sends.Load(), w.messages.Load(), cpuTime()
 	b.ResetTimer()
 	time.Sleep(time.Duration(b.N) * time.Second)
 	b.StopTimer()
 	each := b.Elapsed().Seconds() * idleVoters
-	b.ReportMetric(float64((processorTime()-before).Microseconds())/1000/each, "cpu-ms/s")
+	b.ReportMetric(float64((cpuTime()-before).Microseconds())/1000/each, "cpu-ms/s")
 	b.ReportMetric(float64(w.sends.Load()-sends)/each, "deliveries/s")
 	b.ReportMetric(float64(w.messages.Load()-messages)/each, "messages/s")
 	stopProcesses(b, processes)
 }
 
 // awaitSettled waits for an owner in each group, whoever that is.
-func awaitSettled(b *testing.B, processes []*process, groups int) {
+func awaitLeaders(b *testing.B, processes []*process, groups int) {
 	const patience = 40 * time.Second
 	end := time.Now().Add(patience)
 	for g := range groups {
-		for !settled(processes, replica.GroupID(fmt.Sprintf("group-%d", g))) {
+		for !hasSettledLeader(processes, replica.GroupID(fmt.Sprintf("group-%d", g))) {
 			if time.Now().After(end) {
 				b.Fatal("a group has no owner")
 			}
@@ -89,7 +89,7 @@
 	}
 }
 
-func settled(processes []*process, id replica.GroupID) bool {
+func hasSettledLeader(processes []*process, id replica.GroupID) bool {
 	for _, p := range processes {
 		if status, err := p.Status(id); err == nil && status.Settled {
 			return true
@@ -99,7 +99,7 @@
 }
 
 // processorTime is what this process has used of the processors.
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
--- a/internal/barograph/host/sqlite_test.go
+++ b/internal/barograph/host/process_test.go
@@ -19,24 +19,26 @@
 // process is a host that runs on a real clock and a real disk.
 type process struct {
 	*Host
-	wire  *wire
-	disk  store.Store
-	end   context.CancelFunc
-	ended chan error
+	transport *memoryTransport
+	disk      store.Store
+	cancel    context.CancelFunc
+	runResult chan error
 }
 
-// wire joins processes; each has a goroutine that takes what is sent to it. It has their clock too.
-type wire struct {
-	began  time.Time
-	ahead  atomic.Int64 // the clock is ahead by this, in ns
-	mu     sync.Mutex
-	queues map[replica.NodeID]chan []replica.Message
+// memoryTransport joins processes; each has a goroutine that takes what is sent to it. It has their clock too.
+type memoryTransport struct {
+	start        time.Time
+	clockAdvance atomic.Int64 // the clock is ahead by this, in ns
+	mu           sync.Mutex
+	queues       map[replica.NodeID]chan []replica.Message
 }
 
-func (w *wire) now() time.Duration { return time.Since(w.began) + time.Duration(w.ahead.Load()) }
+func (w *memoryTransport) now() time.Duration {
+	return time.Since(w.start) + time.Duration(w.clockAdvance.Load())
+}
 
 // Send implements Transport; messages are lost where the queue is full or nobody takes them.
-func (w *wire) Send(to replica.NodeID, messages []replica.Message) {
+func (w *memoryTransport) Send(to replica.NodeID, messages []replica.Message) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	select {
@@ -45,8 +47,8 @@
 	}
 }
 
-// join has a process take what is sent to it until ctx ends.
-func (w *wire) join(ctx context.Context, id replica.NodeID, p *process) {
+// connect has a process take what is sent to it until ctx ends.
+func (w *memoryTransport) connect(ctx context.Context, id replica.NodeID, p *process) {
 	queue := make(chan []replica.Message, 1024)
 	w.mu.Lock()
 	w.queues[id] = queue
@@ -64,7 +66,7 @@
 }
 
 // realTiming outlasts a busy disk: an owner whose write is under way sends nothing.
-var realTiming = replica.Timing{
+var processTiming = replica.Timing{
 	Heartbeat: 50 * time.Millisecond,
 	Election:  10 * time.Second,
 	Spread:    10 * time.Second,
@@ -73,8 +75,8 @@
 }
 
 // startProcesses starts processes on the disks, and gives them in the order of their ids.
-func startProcesses(t testing.TB, disks []store.Store, machine func() Machine) []*process {
-	w := &wire{began: time.Now(), queues: map[replica.NodeID]chan []replica.Message{}}
+func startProcesses(t testing.TB, disks []store.Store, machine func() StateMachine) []*process {
+	w := &memoryTransport{start: time.Now(), queues: map[replica.NodeID]chan []replica.Message{}}
 	members := replica.Members{}
 	for i := range disks {
 		members.Voters = append(members.Voters, replica.NodeID(i+1))
@@ -82,14 +84,14 @@
 	var processes []*process
 	for i, disk := range disks {
 		made, err := New(Options{
-			Self: replica.NodeID(i + 1), Timing: realTiming, Store: disk, Transport: w, Seed: 1, Now: w.now,
+			Self: replica.NodeID(i + 1), Timing: processTiming, Store: disk, Transport: w, Seed: 1, Now: w.now,
 		})
 		assert.NilError(t, err)
 		ctx, end := context.WithCancel(context.Background())
-		p := &process{Host: made, wire: w, disk: disk, end: end, ended: make(chan error, 1)}
+		p := &process{Host: made, transport: w, disk: disk, cancel: end, runResult: make(chan error, 1)}
 		assert.NilError(t, made.Add(testGroup, members, nil, machine()))
-		w.join(ctx, replica.NodeID(i+1), p)
-		go func() { p.ended <- made.Run(ctx) }()
+		w.connect(ctx, replica.NodeID(i+1), p)
+		go func() { p.runResult <- made.Run(ctx) }()
 		processes = append(processes, p)
 	}
 	return processes
@@ -97,16 +99,16 @@
 
 func stopProcesses(t testing.TB, processes []*process) {
 	for _, p := range processes {
-		p.end()
-		assert.NilError(t, <-p.ended)
+		p.cancel()
+		assert.NilError(t, <-p.runResult)
 		assert.NilError(t, p.disk.Close())
 	}
 }
 
-func newList() Machine { return &list{} }
+func newCommandLog() StateMachine { return &commandLog{} }
 
 // settledOwner waits for a process to be a settled owner.
-func settledOwner(t testing.TB, processes []*process) *process {
+func awaitSettledLeader(t testing.TB, processes []*process) *process {
 	assert.NilError(t, processes[0].Campaign(testGroup))
 	for {
 		_, changed := processes[0].Applied(testGroup)
@@ -134,38 +136,38 @@
 func TestProcessesOnSQLiteGoOnAfterARestart(t *testing.T) {
 	folder := t.TempDir()
 	const proposers, each = 8, 20
-	processes := startProcesses(t, openDisks(t, folder, 3), newList)
-	owner := settledOwner(t, processes)
+	processes := startProcesses(t, openDisks(t, folder, 3), newCommandLog)
+	leader := awaitSettledLeader(t, processes)
 	var group sync.WaitGroup
 	for i := range proposers {
 		group.Go(func() {
 			for j := range each {
-				_, err := owner.Propose(t.Context(), testGroup, fmt.Appendf(nil, "%d-%d", i, j))
+				_, err := leader.Propose(t.Context(), testGroup, fmt.Appendf(nil, "%d-%d", i, j))
 				assert.Check(t, err == nil, "%v", err)
 			}
 		})
 	}
 	group.Wait()
-	want := commandsOf(t, owner)
+	want := readCommands(t, leader)
 	assert.Equal(t, len(want), proposers*each)
 	stopProcesses(t, processes)
 
-	processes = startProcesses(t, openDisks(t, folder, 3), newList)
+	processes = startProcesses(t, openDisks(t, folder, 3), newCommandLog)
 	defer stopProcesses(t, processes)
-	processes[0].wire.ahead.Store(int64(realTiming.Election)) // the old owner's lease has run out
-	owner = settledOwner(t, processes)
-	assert.DeepEqual(t, commandsOf(t, owner), want)
-	result, err := owner.Propose(t.Context(), testGroup, []byte("more"))
+	processes[0].transport.clockAdvance.Store(int64(processTiming.Election)) // the old owner's lease has run out
+	leader = awaitSettledLeader(t, processes)
+	assert.DeepEqual(t, readCommands(t, leader), want)
+	result, err := leader.Propose(t.Context(), testGroup, []byte("more"))
 	assert.NilError(t, err)
 	assert.Equal(t, string(result), fmt.Sprint(proposers*each+1))
 }
 
 // commandsOf reads what a machine holds, with the lease.
-func commandsOf(t testing.TB, p *process) []string {
+func readCommands(t testing.TB, p *process) []string {
 	var commands []string
-	err := p.Read(context.Background(), testGroup, func(m Machine) {
+	err := p.Read(context.Background(), testGroup, func(m StateMachine) {
 		commands = nil
-		for _, command := range m.(*list).commands {
+		for _, command := range m.(*commandLog).commands {
 			commands = append(commands, string(command))
 		}
 	})
@@ -174,9 +176,9 @@
 }
 
 // latest is a machine whose state stays small.
-type latest struct{ list }
+type lastCommandMachine struct{ commandLog }
 
-func (l *latest) Apply(command []byte) []byte {
+func (l *lastCommandMachine) Apply(command []byte) []byte {
 	l.commands = [][]byte{command}
 	return nil
 }
@@ -184,7 +186,7 @@
 // BenchmarkPropose tells commits a second and their latency on SQLite, by voters and by how
 // many propose at once. "sync" is one write of one entry alone, what group commit is held against.
 func BenchmarkPropose(b *testing.B) {
-	b.Run("sync", benchmarkSync)
+	b.Run("sync", benchmarkStoreWrite)
 	for _, voters := range []int{1, 3} {
 		for _, proposers := range []int{1, 10, 100} {
 			b.Run(fmt.Sprintf("voters=%d/proposers=%d", voters, proposers), func(b *testing.B) {
@@ -194,7 +196,7 @@
 	}
 }
 
-func benchmarkSync(b *testing.B) {
+func benchmarkStoreWrite(b *testing.B) {
 	disk := openDisks(b, b.TempDir(), 1)[0]
 	defer disk.Close()
 	data := make([]byte, 200)
@@ -210,9 +212,9 @@
 }
 
 func benchmarkPropose(b *testing.B, voters, proposers int) {
-	processes := startProcesses(b, openDisks(b, b.TempDir(), voters), func() Machine { return &latest{} })
+	processes := startProcesses(b, openDisks(b, b.TempDir(), voters), func() StateMachine { return &lastCommandMachine{} })
 	defer stopProcesses(b, processes)
-	owner := settledOwner(b, processes)
+	leader := awaitSettledLeader(b, processes)
 	data := make([]byte, 200)
 	work := make(chan struct{}, b.N)
 	for range b.N {
@@ -226,7 +228,7 @@
 		group.Go(func() {
 			for range work {
 				start := time.Now()
-				if _, err := owner.Propose(context.Background(), testGroup, data); err != nil {
+				if _, err := leader.Propose(context.Background(), testGroup, data); err != nil {
 					b.Error(err)
 					return
 				}
--- a/internal/barograph/host/round.go
+++ b/internal/barograph/host/round.go
@@ -12,19 +12,19 @@
 	"pipitmux/internal/station/journal"
 )
 
-// shortestWait bounds how often Run looks at groups that ask for it again and again.
-const shortestWait = time.Millisecond
+// minWait bounds how often Run looks at groups that ask for it again and again.
+const minWait = time.Millisecond
 
 // job is what one round does for one group.
 type job struct {
-	group   *group
-	ready   replica.Ready
-	own     *replica.Snapshot // is made durable along with it
-	answers []answer
+	group       *group
+	ready       replica.Ready
+	compaction  *replica.Snapshot // is made durable along with it
+	completions []completion
 }
 
-// answer is a waiter with what it will be told.
-type answer struct {
+// completion is a waiter with what it will be told.
+type completion struct {
 	waiter  *waiter
 	outcome outcome
 }
@@ -33,14 +33,14 @@
 // fails. Then the process must end: the failure is the store's (errors.Is store.ErrFailed) or
 // a *RestoreError. It may be called once.
 func (h *Host) Run(ctx context.Context) error {
-	timer := time.NewTimer(shortestWait)
+	timer := time.NewTimer(minWait)
 	defer timer.Stop()
 	for ctx.Err() == nil {
-		if err := h.drain(ctx); err != nil {
+		if err := h.runRounds(ctx); err != nil {
 			h.stop(err)
 			return err
 		}
-		timer.Reset(h.wait())
+		timer.Reset(h.untilNextTick())
 		select {
 		case <-ctx.Done():
 		case <-h.wake:
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// drain carries out rounds until there is nothing to do or ctx ends.
-func (h *Host) drain(ctx context.Context) error {
+// runRounds carries out rounds until there is nothing to do or ctx ends.
+func (h *Host) runRounds(ctx context.Context) error {
 	for ctx.Err() == nil {
 		more, err := h.round(ctx)
 		if err != nil || !more {
@@ -62,24 +62,24 @@
 	return nil
 }
 
-// wait is the time until the next Tick is due.
-func (h *Host) wait() time.Duration {
+// untilNextTick is the time until the next Tick is due.
+func (h *Host) untilNextTick() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	wait := time.Hour
 	now := h.options.Now()
 	for _, g := range h.groups {
-		wait = min(wait, g.next-now)
+		wait = min(wait, g.nextTick-now)
 	}
-	return max(wait, shortestWait)
+	return max(wait, minWait)
 }
 
 // round carries out what the replicas want now: it gathers, writes and syncs, then sends and
 // applies, then answers. It tells whether there was anything.
 func (h *Host) round(ctx context.Context) (more bool, err error) {
-	h.busy.Lock()
-	defer h.busy.Unlock()
-	jobs := h.gather()
+	h.roundMu.Lock()
+	defer h.roundMu.Unlock()
+	jobs := h.collectJobs()
 	if len(jobs) == 0 {
 		return false, nil
 	}
@@ -87,25 +87,25 @@
 	if err := h.persist(ctx, jobs); err != nil {
 		return false, err
 	}
-	h.persisted(jobs)
+	h.markPersisted(jobs)
 	h.send(jobs, func(j *job) []replica.Message { return j.ready.Messages })
 	if err := apply(jobs); err != nil {
 		return false, err
 	}
-	h.finish(jobs)
-	h.compact(jobs)
+	h.finishJobs(jobs)
+	h.compactGrownLogs(jobs)
 	return true, nil
 }
 
-// gather ticks what is due and takes what the replicas want.
-func (h *Host) gather() []*job {
+// collectJobs ticks what is due and takes what the replicas want.
+func (h *Host) collectJobs() []*job {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.options.Now()
 	for _, g := range h.groups {
-		if g.next <= now {
+		if g.nextTick <= now {
 			g.replica.Tick(now)
-			h.touch(g)
+			h.markDirty(g)
 		}
 	}
 	dirty := h.dirty
@@ -116,43 +116,43 @@
 		if g.removed {
 			continue
 		}
-		if j := g.job(); j != nil {
+		if j := g.takeJob(); j != nil {
 			jobs = append(jobs, j)
 		}
-		g.next = g.replica.Next()
+		g.nextTick = g.replica.Next()
 	}
 	return jobs
 }
 
-// job takes what a group wants done, nil for nothing. The host's mu is held.
-func (g *group) job() *job {
-	j := &job{group: g, ready: g.replica.Ready(), own: g.due}
-	g.due = nil
+// takeJob takes what a group wants done, nil for nothing. The host's mu is held.
+func (g *group) takeJob() *job {
+	j := &job{group: g, ready: g.replica.Ready(), compaction: g.pendingSnapshot}
+	g.pendingSnapshot = nil
 	if j.ready.Snapshot != nil {
-		j.own = nil // older than the one that came in
+		j.compaction = nil // older than the one that came in
 	}
 	g.failDeposed()
-	g.noticeOwner()
-	if j.own == nil && j.ready.Empty() {
+	g.noticeLeaderChange()
+	if j.compaction == nil && j.ready.Empty() {
 		return nil
 	}
 	return j
 }
 
-// writes tells what the job makes durable, false for nothing.
-func (j *job) writes() (store.Write, bool) {
+// storeWrite tells what the job makes durable, false for nothing.
+func (j *job) storeWrite() (store.Write, bool) {
 	w := store.Write{Group: j.group.id, Hard: j.ready.Hard, Snapshot: j.ready.Snapshot, Entries: j.ready.Entries}
-	if j.own != nil {
-		w.Snapshot, w.CompactTo = j.own, j.own.Index
+	if j.compaction != nil {
+		w.Snapshot, w.CompactTo = j.compaction, j.compaction.Index
 	}
 	return w, w.Hard != nil || w.Snapshot != nil || len(w.Entries) > 0
 }
 
 // The pauses between tries to write to a full disk, and how often the log tells of it.
 const (
-	fullPauseFirst = 20 * time.Millisecond
-	fullPauseMost  = time.Second
-	fullLogEvery   = 30 * time.Second
+	minFullDiskBackoff  = 20 * time.Millisecond
+	maxFullDiskBackoff  = time.Second
+	fullDiskLogInterval = 30 * time.Second
 )
 
 // persist writes what the jobs want. On a full disk it tries the same again until there is room:
@@ -160,36 +160,36 @@
 // an owner by the others, and serves what it has meanwhile. It fails with the store's failure,
 // or the context's.
 func (h *Host) persist(ctx context.Context, jobs []*job) error {
-	pause := fullPauseFirst
+	pause := minFullDiskBackoff
 	for {
-		err := h.writeBeating(jobs)
+		err := h.writeWithHeartbeats(jobs)
 		if !errors.Is(err, store.ErrFull) {
 			return err
 		}
-		if skipped, ok := journal.Every("full disk", fullLogEvery); ok {
+		if skipped, ok := journal.Every("full disk", fullDiskLogInterval); ok {
 			klog.ErrorS(err, "The disk is full: what is new waits for room", "alike", skipped)
 		}
-		if !h.pause(ctx, pause) {
+		if !h.sleep(ctx, pause) {
 			return err
 		}
-		pause = min(2*pause, fullPauseMost)
+		pause = min(2*pause, maxFullDiskBackoff)
 	}
 }
 
-// While a write lasts longer than beatAfter, heartbeats go out and are answered every beatEvery, so
-// that a slow disk isn't taken for a lost node. After yieldAfter they stop: others are to own
+// While a write lasts longer than slowWriteAfter, heartbeats go out and are answered every slowWriteHeartbeatInterval, so
+// that a slow disk isn't taken for a lost node. After slowWriteYieldAfter they stop: others are to own
 // what this node can't carry on.
 const (
-	beatAfter  = 50 * time.Millisecond
-	beatEvery  = 25 * time.Millisecond
-	yieldAfter = 1500 * time.Millisecond
+	slowWriteAfter             = 50 * time.Millisecond
+	slowWriteHeartbeatInterval = 25 * time.Millisecond
+	slowWriteYieldAfter        = 1500 * time.Millisecond
 )
 
-// writeBeating writes what the jobs want, and keeps in touch with the other members meanwhile.
-func (h *Host) writeBeating(jobs []*job) error {
+// writeWithHeartbeats writes what the jobs want, and keeps in touch with the other members meanwhile.
+func (h *Host) writeWithHeartbeats(jobs []*job) error {
 	done := make(chan error, 1)
 	go func() { done <- h.write(jobs) }()
-	timer := time.NewTimer(beatAfter)
+	timer := time.NewTimer(slowWriteAfter)
 	defer timer.Stop()
 	began := h.options.Now()
 	for {
@@ -197,25 +197,25 @@
 		case err := <-done:
 			return err
 		case <-timer.C:
-			timer.Reset(beatEvery)
+			timer.Reset(slowWriteHeartbeatInterval)
 		}
-		if h.options.Now()-began < yieldAfter {
-			h.beat()
+		if h.options.Now()-began < slowWriteYieldAfter {
+			h.sendHeartbeats()
 		}
 	}
 }
 
-// beat sends what may be sent while a write is under way. What else there is to do waits for the
+// sendHeartbeats sends what may be sent while a write is under way. What else there is to do waits for the
 // next round.
-func (h *Host) beat() {
+func (h *Host) sendHeartbeats() {
 	byNode := newBatches()
 	h.mu.Lock()
 	now := h.options.Now()
 	for _, g := range h.groups {
-		if g.next <= now {
+		if g.nextTick <= now {
 			g.replica.Tick(now)
-			g.next = max(g.replica.Next(), now+shortestWait)
-			h.touch(g)
+			g.nextTick = max(g.replica.Next(), now+minWait)
+			h.markDirty(g)
 		}
 		byNode.add(g.replica.Beats())
 	}
@@ -226,7 +226,7 @@
 func (h *Host) write(jobs []*job) error {
 	var batch []store.Write
 	for _, j := range jobs {
-		if w, some := j.writes(); some {
+		if w, some := j.storeWrite(); some {
 			batch = append(batch, w)
 		}
 	}
@@ -239,26 +239,26 @@
 	return nil
 }
 
-// persisted tells the replicas that their writes are durable.
-func (h *Host) persisted(jobs []*job) {
+// markPersisted tells the replicas that their writes are durable.
+func (h *Host) markPersisted(jobs []*job) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.options.Now()
 	for _, j := range jobs {
 		g := j.group
-		if _, some := j.writes(); some {
-			h.held[g.id] = true
+		if _, some := j.storeWrite(); some {
+			h.stored[g.id] = true
 		}
 		if j.ready.Snapshot != nil {
 			g.snapshot = *j.ready.Snapshot
 		}
-		if j.own != nil {
-			g.snapshot = *j.own
-			g.replica.Compact(*j.own)
+		if j.compaction != nil {
+			g.snapshot = *j.compaction
+			g.replica.Compact(*j.compaction)
 		}
 		g.replica.Persisted(now, j.ready)
 		j.takeWaiters()
-		h.touch(g)
+		h.markDirty(g)
 	}
 }
 
@@ -271,7 +271,7 @@
 			continue
 		}
 		for _, failed := range jobs {
-			failed.answerAll(&UnknownOutcomeError{Cause: err})
+			failed.failWaiters(&UnknownOutcomeError{Cause: err})
 		}
 		return err
 	}
@@ -298,51 +298,51 @@
 			continue
 		}
 		result := g.machine.Apply(e.Data)
-		if j.answers != nil && j.answers[i].outcome.err == nil {
-			j.answers[i].outcome.result = result
+		if j.completions != nil && j.completions[i].outcome.err == nil {
+			j.completions[i].outcome.result = result
 		}
 	}
 	return nil
 }
 
-// finish notes what was applied, and answers.
-func (h *Host) finish(jobs []*job) {
+// finishJobs notes what was applied, and answers.
+func (h *Host) finishJobs(jobs []*job) {
 	h.mu.Lock()
 	for _, j := range jobs {
-		if place, some := j.reached(); some {
+		if place, some := j.lastApplied(); some {
 			j.group.applied = place.Index
-			j.group.tell()
+			j.group.notifyChanged()
 		}
-		h.touch(j.group)
+		h.markDirty(j.group)
 	}
 	h.mu.Unlock()
 	for _, j := range jobs {
-		j.answer()
+		j.completeWaiters()
 	}
 }
 
-// compact makes snapshots of the groups whose log has grown enough. The next round writes them.
-func (h *Host) compact(jobs []*job) {
+// compactGrownLogs makes snapshots of the groups whose log has grown enough. The next round writes them.
+func (h *Host) compactGrownLogs(jobs []*job) {
 	for _, j := range jobs {
-		place, some := j.reached()
-		if g := j.group; some && g.logBytes >= max(h.options.CompactAfter, len(g.snapshot.State)) {
-			h.compactAt(g, place)
+		place, some := j.lastApplied()
+		if g := j.group; some && g.logBytes >= max(h.options.CompactAfterBytes, len(g.snapshot.State)) {
+			h.takeSnapshot(g, place)
 		}
 	}
 }
 
-func (h *Host) compactAt(g *group, place replica.Snapshot) {
-	g.look(func(m Machine) { place.State = m.Snapshot() })
+func (h *Host) takeSnapshot(g *group, place replica.Snapshot) {
+	g.view(func(m StateMachine) { place.State = m.Snapshot() })
 	g.logBytes = 0
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	place.Members = g.replica.MembersAt(place.Index)
-	g.due = &place
-	h.touch(g)
+	g.pendingSnapshot = &place
+	h.markDirty(g)
 }
 
-// reached gives index and term of the last entry that the job applied, false for none.
-func (j *job) reached() (place replica.Snapshot, some bool) {
+// lastApplied gives index and term of the last entry that the job applied, false for none.
+func (j *job) lastApplied() (place replica.Snapshot, some bool) {
 	if n := len(j.ready.Committed); n > 0 {
 		last := j.ready.Committed[n-1]
 		return replica.Snapshot{Index: last.Index, Term: last.Term}, true
@@ -353,19 +353,19 @@
 	return place, false
 }
 
-func (j *job) answer() {
-	for _, a := range j.answers {
+func (j *job) completeWaiters() {
+	for _, a := range j.completions {
 		if a.waiter != nil {
-			a.waiter.tell(a.outcome.result, a.outcome.err)
+			a.waiter.complete(a.outcome.result, a.outcome.err)
 		}
 	}
 }
 
-// answerAll tells all the same failure.
-func (j *job) answerAll(err error) {
-	for _, a := range j.answers {
+// failWaiters tells all the same failure.
+func (j *job) failWaiters(err error) {
+	for _, a := range j.completions {
 		if a.waiter != nil {
-			a.waiter.tell(nil, err)
+			a.waiter.complete(nil, err)
 		}
 	}
 }
@@ -402,22 +402,22 @@
 	}
 }
 
-// noticeOwner tells who waits for news that the owner or the term is another.
-func (g *group) noticeOwner() {
+// noticeLeaderChange tells who waits for news that the owner or the term is another.
+func (g *group) noticeLeaderChange() {
 	owner, term := g.replica.Owner(), g.replica.Term()
-	if owner == g.owner && term == g.term {
+	if owner == g.notifiedLeader && term == g.notifiedTerm {
 		return
 	}
-	g.owner, g.term = owner, term
+	g.notifiedLeader, g.notifiedTerm = owner, term
 	klog.V(2).InfoS("Ownership of a group changed", "group", g.id, "owner", owner, "term", term)
-	g.tell()
+	g.notifyChanged()
 }
 
-// tell wakes who waits for news. The host's mu is held.
-func (g *group) tell() {
-	if g.news != nil {
-		close(g.news)
-		g.news = nil
+// notifyChanged wakes who waits for news. The host's mu is held.
+func (g *group) notifyChanged() {
+	if g.changed != nil {
+		close(g.changed)
+		g.changed = nil
 	}
 }
 
@@ -428,6 +428,6 @@
 	h.stopped = true
 	for _, g := range h.groups {
 		g.failAll(&UnknownOutcomeError{Cause: cause})
-		g.tell()
+		g.notifyChanged()
 	}
 }
--- a/internal/barograph/host/waiter.go
+++ b/internal/barograph/host/waiter.go
@@ -14,27 +14,27 @@
 	err    error
 }
 
-func (w *waiter) tell(result []byte, err error) { w.done <- outcome{result, err} }
+func (w *waiter) complete(result []byte, err error) { w.done <- outcome{result, err} }
 
 // takeWaiters takes who waits for what the job applies. The host's mu is held.
 func (j *job) takeWaiters() {
 	g := j.group
-	if len(g.waiting) == 0 {
+	if len(g.waiters) == 0 {
 		return
 	}
 	if j.ready.Snapshot != nil {
-		g.failUpTo(j.ready.Snapshot.Index)
+		g.failThrough(j.ready.Snapshot.Index)
 	}
-	j.answers = make([]answer, len(j.ready.Committed))
+	j.completions = make([]completion, len(j.ready.Committed))
 	for i, e := range j.ready.Committed {
-		w := g.waiting[e.Index]
+		w := g.waiters[e.Index]
 		if w == nil {
 			continue
 		}
-		delete(g.waiting, e.Index)
-		j.answers[i].waiter = w
+		delete(g.waiters, e.Index)
+		j.completions[i].waiter = w
 		if w.term != e.Term { // another took its place: it will never be in force
-			j.answers[i].outcome.err = &replica.NotOwnerError{Owner: g.replica.Owner()}
+			j.completions[i].outcome.err = &replica.NotOwnerError{Owner: g.replica.Owner()}
 		}
 	}
 }
@@ -42,33 +42,33 @@
 // failDeposed tells those who wait for what isn't known to be committed that this node is no
 // longer the owner that took it. The host's mu is held.
 func (g *group) failDeposed() {
-	if len(g.waiting) == 0 {
+	if len(g.waiters) == 0 {
 		return
 	}
 	owns, term, commit := g.replica.Owns(), g.replica.Term(), g.replica.Commit()
-	for index, w := range g.waiting {
+	for index, w := range g.waiters {
 		if index <= commit || owns && w.term == term {
 			continue
 		}
-		delete(g.waiting, index)
-		w.tell(nil, &UnknownOutcomeError{Cause: &replica.NotOwnerError{Owner: g.replica.Owner()}})
+		delete(g.waiters, index)
+		w.complete(nil, &UnknownOutcomeError{Cause: &replica.NotOwnerError{Owner: g.replica.Owner()}})
 	}
 }
 
-// failUpTo tells those whom a snapshot has overtaken that their outcome can't be seen.
-func (g *group) failUpTo(index uint64) {
-	for at, w := range g.waiting {
+// failThrough tells those whom a snapshot has overtaken that their outcome can't be seen.
+func (g *group) failThrough(index uint64) {
+	for at, w := range g.waiters {
 		if at <= index {
-			delete(g.waiting, at)
-			w.tell(nil, &UnknownOutcomeError{Cause: &replica.NotOwnerError{Owner: g.replica.Owner()}})
+			delete(g.waiters, at)
+			w.complete(nil, &UnknownOutcomeError{Cause: &replica.NotOwnerError{Owner: g.replica.Owner()}})
 		}
 	}
 }
 
 // failAll tells all who wait. The host's mu is held.
 func (g *group) failAll(err error) {
-	for index, w := range g.waiting {
-		delete(g.waiting, index)
-		w.tell(nil, err)
+	for index, w := range g.waiters {
+		delete(g.waiters, index)
+		w.complete(nil, err)
 	}
 }
--- a/internal/barograph/keeper/calls.go
+++ b/internal/barograph/keeper/calls.go
@@ -32,7 +32,7 @@
 		return nil
 	}
 	found := false
-	s.k.node.Host.Peek(group, func(m host.Machine) { reply.History, found = m.(*turns.Machine).History(args.Previous) })
+	s.k.node.Host.ReadLocal(group, func(m host.StateMachine) { reply.History, found = m.(*turns.Machine).History(args.Previous) })
 	if !found {
 		reply.Outcome = protocol.TurnMissing
 	}
@@ -62,7 +62,7 @@
 		if err != nil || !status.Settled {
 			continue
 		}
-		err = s.k.node.Host.Read(ctx, protocol.TurnGroup(partition), func(m host.Machine) {
+		err = s.k.node.Host.Read(ctx, protocol.TurnGroup(partition), func(m host.StateMachine) {
 			if history, found := m.(*turns.Machine).History(args.Attempt); found {
 				reply.Found, reply.History = true, history
 			}
--- a/internal/barograph/keeper/calls_test.go
+++ b/internal/barograph/keeper/calls_test.go
@@ -30,8 +30,8 @@
 		{0, &replica.NotOwnerError{Owner: 5}, protocol.TurnNotOwner, 5},
 		{0, &host.UnknownOutcomeError{Cause: &replica.NotOwnerError{Owner: 5}}, protocol.TurnUnknown, 5},
 		{0, errors.Wrap(&host.UnknownOutcomeError{Cause: context.DeadlineExceeded}, "propose"), protocol.TurnUnknown, 0},
-		{0, host.ErrNoGroup, protocol.TurnUnavailable, 0},
-		{0, host.ErrOverload, protocol.TurnUnavailable, 0},
+		{0, host.ErrGroupNotFound, protocol.TurnUnavailable, 0},
+		{0, host.ErrOverloaded, protocol.TurnUnavailable, 0},
 	} {
 		outcome, owner := outcomeOf(c.result, c.err)
 		assert.Equal(t, outcome, c.want, "%v", c.err)
--- a/internal/barograph/keeper/keeper.go
+++ b/internal/barograph/keeper/keeper.go
@@ -61,7 +61,7 @@
 func New(o Options) (*Keeper, error) {
 	k := &Keeper{node: o.Node, losses: o.Losses, held: map[int]bool{}, planners: map[int]*repair.Planner{}, reported: map[int]uint64{}}
 	k.follower = follow.New(follow.Options{Name: o.Name, Seeds: o.Seeds, Slots: o.Losses + 1, DirectoryOnly: true, Pool: o.Node.Pool, Told: k.told})
-	for _, group := range o.Node.Host.Held() {
+	for _, group := range o.Node.Host.StoredGroups() {
 		partition, ok := protocol.TurnPartitionOf(group)
 		if !ok {
 			continue
@@ -218,7 +218,7 @@
 		if id == k.node.Self.ID || !known || slices.Contains(d.Retiring, n.Name) || status.Matched[id] < status.Commit {
 			continue
 		}
-		return k.node.Host.Handover(status.Group, id) == nil
+		return k.node.Host.TransferLeadership(status.Group, id) == nil
 	}
 	return false
 }
@@ -282,7 +282,7 @@
 			continue
 		}
 		var resting []turns.Rest
-		k.node.Host.Peek(group, func(m host.Machine) { resting = m.(*turns.Machine).Resting(keepLonger, forgetMost) })
+		k.node.Host.ReadLocal(group, func(m host.StateMachine) { resting = m.(*turns.Machine).Resting(keepLonger, forgetMost) })
 		if len(resting) == 0 {
 			continue
 		}
--- a/internal/barograph/node/alive.go
+++ b/internal/barograph/node/alive.go
@@ -60,7 +60,7 @@
 			}
 			owned++
 			if to := successor(status); to != 0 {
-				n.Host.Handover(status.Group, to)
+				n.Host.TransferLeadership(status.Group, to)
 			}
 		}
 		if owned == 0 {
--- a/internal/barograph/node/calls.go
+++ b/internal/barograph/node/calls.go
@@ -57,7 +57,7 @@
 func (c *replicaCalls) Index(args *protocol.IndexArgs, reply *protocol.IndexReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Within)
 	defer cancel()
-	err := c.node.Host.Read(ctx, args.Group, func(host.Machine) {})
+	err := c.node.Host.Read(ctx, args.Group, func(host.StateMachine) {})
 	reply.Outcome, reply.Owner = OutcomeOf(err)
 	if err == nil {
 		reply.Index, _ = c.node.Host.Applied(args.Group)
--- a/internal/barograph/node/node_test.go
+++ b/internal/barograph/node/node_test.go
@@ -74,7 +74,7 @@
 		{&host.UnknownOutcomeError{Cause: host.ErrStopped}, protocol.Unknown, 0},
 		{deposed, protocol.Unknown, 7},
 		{host.ErrNoLease, protocol.Unavailable, 0},
-		{host.ErrNoGroup, protocol.Unavailable, 0},
+		{host.ErrGroupNotFound, protocol.Unavailable, 0},
 		{replica.ErrHandover, protocol.Unavailable, 0},
 	} {
 		outcome, owner := OutcomeOf(c.err)
--- a/internal/barograph/replica/simulation_node_test.go
+++ b/internal/barograph/replica/simulation_node_test.go
@@ -127,7 +127,7 @@
 // settle checks the node, carries out what its replica wants, and plans its next Tick.
 func (n *node) settle() {
 	n.world.book.look(n)
-	for n.writing == nil && n.world.Failed == nil {
+	for n.writing == nil && n.world.Failure == nil {
 		ready := n.replica.Ready()
 		if ready.Empty() {
 			break
--- a/internal/barograph/replica/simulation_world_test.go
+++ b/internal/barograph/replica/simulation_world_test.go
@@ -94,15 +94,15 @@
 	w.healAt = time.Duration(max(1, w.faults)) * faultyFor
 	w.Run(w.healAt, func() bool { return false })
 	w.heal()
-	if !w.Run(w.healAt+healedFor, w.recovered) && w.Failed == nil && !w.safetyOnly {
+	if !w.Run(w.healAt+healedFor, w.recovered) && w.Failure == nil && !w.safetyOnly {
 		w.Fail("the group did not recover: %s", w.describe())
 	}
 	w.checkContradictions()
-	if w.Failed == nil {
-		w.Failed = w.client.check()
+	if w.Failure == nil {
+		w.Failure = w.client.check()
 	}
 	o.tally.add(w.counts)
-	return w.Failed
+	return w.Failure
 }
 
 // checkContradictions holds that no node was sent what differs from its committed entries.
--- a/internal/barograph/simulated/clock.go
+++ b/internal/barograph/simulated/clock.go
@@ -11,13 +11,13 @@
 
 // Clock runs events in the order of their times. What a run does follows from its seed alone.
 type Clock struct {
-	Seed   uint64
-	Random *rand.Rand
-	Now    time.Duration
-	Failed error // the first thing that went wrong
+	Seed    uint64
+	Random  *rand.Rand
+	Now     time.Duration
+	Failure error // the first thing that went wrong
 
-	// Most is how many events there may be: a simulation with more never comes to rest.
-	Most int
+	// MaxEvents is how many events there may be: a simulation with more never comes to rest.
+	MaxEvents int
 	// Describe tells of the simulation's state, for failures; nil: nothing.
 	Describe func() string
 
@@ -28,13 +28,13 @@
 
 // NewClock returns a Clock at time 0. Stream tells simulations of one seed apart.
 func NewClock(seed, stream uint64, most int) *Clock {
-	return &Clock{Seed: seed, Random: rand.New(rand.NewPCG(seed, stream)), Most: most}
+	return &Clock{Seed: seed, Random: rand.New(rand.NewPCG(seed, stream)), MaxEvents: most}
 }
 
 // Fail notes the first thing that went wrong.
 func (c *Clock) Fail(format string, arguments ...any) {
-	if c.Failed == nil {
-		c.Failed = fmt.Errorf("seed %d at %v: %s", c.Seed, c.Now, fmt.Sprintf(format, arguments...))
+	if c.Failure == nil {
+		c.Failure = fmt.Errorf("seed %d at %v: %s", c.Seed, c.Now, fmt.Sprintf(format, arguments...))
 	}
 }
 
@@ -62,15 +62,15 @@
 
 // Run handles events until a time, a failure, or until done says so: it returns what done said.
 func (c *Clock) Run(until time.Duration, done func() bool) bool {
-	for len(c.queue) > 0 && c.queue[0].at <= until && c.Failed == nil {
+	for len(c.queue) > 0 && c.queue[0].at <= until && c.Failure == nil {
 		next := heap.Pop(&c.queue).(event)
 		c.Now = next.at
 		next.run()
-		if c.events++; c.events > c.Most {
+		if c.events++; c.events > c.MaxEvents {
 			c.Fail("does not come to rest: %s", c.describe())
 		}
 		if done() {
-			return c.Failed == nil
+			return c.Failure == nil
 		}
 	}
 	c.Now = until
--- a/internal/barograph/simulated/clock_test.go
+++ b/internal/barograph/simulated/clock_test.go
@@ -39,7 +39,7 @@
 	c.Describe = func() string { return "all over" }
 	c.Every(time.Second, time.Second, func() {})
 	assert.Assert(t, !c.Run(time.Hour, func() bool { return false }))
-	assert.Error(t, c.Failed, "seed 7 at 6s: does not come to rest: all over")
+	assert.Error(t, c.Failure, "seed 7 at 6s: does not come to rest: all over")
 	c.Fail("later")
-	assert.Error(t, c.Failed, "seed 7 at 6s: does not come to rest: all over")
+	assert.Error(t, c.Failure, "seed 7 at 6s: does not come to rest: all over")
 }
--- a/internal/barograph/simulation/faults_test.go
+++ b/internal/barograph/simulation/faults_test.go
@@ -8,46 +8,46 @@
 )
 
 // wipeRest is the least time between two losses of a disk.
-const wipeRest = 300 * time.Millisecond
+const minDiskLossInterval = 300 * time.Millisecond
 
 // fault makes something go wrong, or all go well again for a while.
 func (w *world) fault() {
-	if !w.faulty {
+	if !w.faultsEnabled {
 		return
 	}
 	faults := []func(){
-		w.faultHeal, w.faultHeal, w.faultHeal, w.faultCut, w.faultCutClient, w.faultIsolate, w.faultSplit, w.faultWeather,
-		w.faultFreeze, w.faultFreeze, w.faultFreeze, w.faultCrash, w.faultCrash, w.faultPower, w.faultWipe, w.faultWipe, w.faultHandover,
+		w.faultHeal, w.faultHeal, w.faultHeal, w.faultCutLink, w.faultCutClient, w.faultIsolate, w.faultSplit, w.faultNetworkQuality,
+		w.faultFreeze, w.faultFreeze, w.faultFreeze, w.faultCrash, w.faultCrash, w.faultPowerLoss, w.faultDiskLoss, w.faultDiskLoss, w.faultLeadershipTransfer,
 	}
 	faults[w.Random.IntN(len(faults))]()
 }
 
 // anyone draws a running node, an owner of some group often.
-func (w *world) anyone() *machineNode {
-	var owners []*machineNode
+func (w *world) randomNode() *simulatedNode {
+	var leaders []*simulatedNode
 	for _, n := range w.running() {
 		for _, m := range n.members {
 			if m.replica.Owns() {
-				owners = append(owners, n)
+				leaders = append(leaders, n)
 			}
 		}
 	}
-	if len(owners) == 0 || w.Chance(0.5) {
-		owners = w.running()
+	if len(leaders) == 0 || w.Chance(0.5) {
+		leaders = w.running()
 	}
-	if len(owners) == 0 {
+	if len(leaders) == 0 {
 		return nil
 	}
-	return owners[w.Random.IntN(len(owners))]
+	return leaders[w.Random.IntN(len(leaders))]
 }
 
 func (w *world) faultHeal() { w.network.clear() }
 
-func (w *world) faultCut() {
+func (w *world) faultCutLink() {
 	drawn := w.Random.Perm(len(w.nodes))
 	a, b := endpoint(drawn[0]), endpoint(drawn[1])
 	if w.Chance(0.5) {
-		w.network.cuts[direction{a, b}] = true
+		w.network.cutLinks[link{a, b}] = true
 		return
 	}
 	w.network.cutBoth(a, b)
@@ -58,7 +58,7 @@
 	client := firstClient + endpoint(w.Random.IntN(4))
 	for _, n := range w.nodes {
 		if w.Chance(0.4) {
-			w.network.cutBoth(client, n.place)
+			w.network.cutBoth(client, n.address)
 		}
 	}
 }
@@ -66,17 +66,17 @@
 // faultIsolate cuts one node off from the others: it hears nothing, or isn't heard, or both.
 // Clients may still reach it.
 func (w *world) faultIsolate() {
-	lone := w.anyone()
-	if lone == nil {
+	selected := w.randomNode()
+	if selected == nil {
 		return
 	}
 	ways := w.Random.IntN(3)
 	for _, other := range w.nodes {
 		if ways != 0 {
-			w.network.cuts[direction{lone.place, other.place}] = true
+			w.network.cutLinks[link{selected.address, other.address}] = true
 		}
 		if ways != 1 {
-			w.network.cuts[direction{other.place, lone.place}] = true
+			w.network.cutLinks[link{other.address, selected.address}] = true
 		}
 	}
 }
@@ -89,80 +89,80 @@
 	for i, a := range w.nodes {
 		for j, b := range w.nodes {
 			if left[i] != left[j] {
-				w.network.cuts[direction{a.place, b.place}] = true
+				w.network.cutLinks[link{a.address, b.address}] = true
 			}
 		}
 	}
 }
 
-func (w *world) faultWeather() {
-	w.network.loss = []float64{0, 0.02, 0.1, 0.3}[w.Random.IntN(4)]
-	w.network.double = []float64{0, 0.1, 0.5}[w.Random.IntN(3)]
-	w.network.slow = []float64{0, 0.05, 0.3}[w.Random.IntN(3)]
-	w.delay = []time.Duration{shortDelay, longDelay}[w.Random.IntN(2)]
+func (w *world) faultNetworkQuality() {
+	w.network.lossRate = []float64{0, 0.02, 0.1, 0.3}[w.Random.IntN(4)]
+	w.network.duplicationRate = []float64{0, 0.1, 0.5}[w.Random.IntN(3)]
+	w.network.slowRate = []float64{0, 0.05, 0.3}[w.Random.IntN(3)]
+	w.maxDelay = []time.Duration{normalMaxDelay, degradedMaxDelay}[w.Random.IntN(2)]
 }
 
 // faultFreeze stops a process, past its lease most of the time.
 func (w *world) faultFreeze() {
-	if n := w.anyone(); n != nil {
+	if n := w.randomNode(); n != nil {
 		n.freeze(w.Between(50*time.Millisecond, 4*w.timing().Election))
 	}
 }
 
 func (w *world) faultCrash() {
-	if n := w.anyone(); n != nil {
+	if n := w.randomNode(); n != nil {
 		n.crash()
-		w.startSoon(n)
+		w.restartLater(n)
 	}
 }
 
 // startSoon starts a machine's process again.
-func (w *world) startSoon(n *machineNode) {
-	life := n.life
+func (w *world) restartLater(n *simulatedNode) {
+	incarnation := n.incarnation
 	w.After(w.Between(10*time.Millisecond, 2*time.Second), func() {
-		if n.life == life && !n.up {
+		if n.incarnation == incarnation && !n.up {
 			n.start()
 		}
 	})
 }
 
 // faultPower takes the power of all machines.
-func (w *world) faultPower() {
+func (w *world) faultPowerLoss() {
 	if w.Chance(0.7) {
 		return
 	}
 	for _, n := range w.running() {
 		n.crash()
-		w.startSoon(n)
+		w.restartLater(n)
 	}
 }
 
 // faultWipe takes a machine's disk, unless another loss isn't made up for yet. Others may be dark
 // or frozen then, and all may lose power at the same moment.
-func (w *world) faultWipe() {
-	n := w.anyone()
-	if n == nil || !w.whole() || w.Now-w.wiped < wipeRest {
+func (w *world) faultDiskLoss() {
+	n := w.randomNode()
+	if n == nil || !w.allGroupsIntact() || w.Now-w.lastDiskLoss < minDiskLossInterval {
 		return
 	}
-	w.wiped = w.Now
-	n.wipe()
-	w.startSoon(n)
+	w.lastDiskLoss = w.Now
+	n.loseDisk()
+	w.restartLater(n)
 	if w.Chance(0.7) {
 		return
 	}
 	for _, other := range w.running() {
 		other.crash()
-		w.startSoon(other)
+		w.restartLater(other)
 	}
 }
 
 // whole tells whether each group has a settled owner, no change of members under way, and as
 // many voters as it should, all of them with the disks that they had when they became voters.
-func (w *world) whole() bool {
+func (w *world) allGroupsIntact() bool {
 	groups := map[replica.GroupID]bool{}
 	for _, n := range w.nodes {
 		for group := range n.disk {
-			groups[group] = groups[group] || w.wholeAt(n, group)
+			groups[group] = groups[group] || w.leadsIntactGroup(n, group)
 		}
 	}
 	for _, whole := range groups {
@@ -174,25 +174,25 @@
 }
 
 // wholeAt tells whether a node owns a group that is whole.
-func (w *world) wholeAt(n *machineNode, group replica.GroupID) bool {
+func (w *world) leadsIntactGroup(n *simulatedNode, group replica.GroupID) bool {
 	m := n.member(group)
 	if !n.up || m == nil || !m.replica.Leased(n.clock()) {
 		return false
 	}
 	status := m.replica.Status(n.clock())
-	if status.Pending || len(status.Members.Voters) < 2*w.losses+1 {
+	if status.Pending || len(status.Members.Voters) < 2*w.toleratedDiskLosses+1 {
 		return false
 	}
-	return !slices.ContainsFunc(status.Members.Voters, func(id replica.NodeID) bool { return w.withID(id) == nil })
+	return !slices.ContainsFunc(status.Members.Voters, func(id replica.NodeID) bool { return w.nodeByID(id) == nil })
 }
 
-func (w *world) faultHandover() {
+func (w *world) faultLeadershipTransfer() {
 	for _, n := range w.running() {
-		n.act(func() {
+		n.execute(func() {
 			for _, m := range n.members {
 				voters := m.replica.Status(n.clock()).Members.Voters
 				if m.replica.Owns() && len(voters) > 0 && m.replica.Handover(n.clock(), voters[w.Random.IntN(len(voters))]) == nil {
-					w.tally.handovers++
+					w.tally.leadershipTransfers++
 				}
 			}
 		})
--- /dev/null
+++ b/internal/barograph/simulation/lister_test.go
@@ -0,0 +1,338 @@
+package simulation
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"pipitmux/internal/barograph/lister"
+	"pipitmux/internal/barograph/replica"
+	"pipitmux/internal/barograph/servers"
+	"pipitmux/internal/station/protocol"
+)
+
+// listEvery is how often a node looks whether it is to list.
+const listInterval = 500 * time.Millisecond
+
+// errNoPlatform tells that a node can't reach the platform.
+var errPlatformUnreachable = errors.New("the platform can't be reached")
+
+// dutiesSubject plays the lister's duty, a partition of the services, and the platform.
+type listerWorkload struct {
+	world              *world
+	registry           *registry
+	services           []string
+	serverCounts       map[string]int // the platform's: how many servers a service has
+	cutOffFromPlatform map[endpoint]bool
+	permanentlyCutOff  bool // for good, after the faults
+	serversSettled     bool // it changes no more
+	listers            map[endpoint]*fakeDuty
+	newestEpoch        uint64 // the newest that was acted in
+	activeNode         endpoint
+	resultByIndex      map[uint64]string
+	newestPublished    uint64 // epoch of the newest publication that took effect, as its sender had it
+}
+
+// dutyMachine is the state of a duty: there is none, the group's owner holds it.
+type emptyStateMachine struct{}
+
+func (emptyStateMachine) Apply([]byte) []byte  { return nil }
+func (emptyStateMachine) Snapshot() []byte     { return nil }
+func (emptyStateMachine) Restore([]byte) error { return nil }
+
+// playedPartition is the partition of the services that is played.
+const testedPartition = 0
+
+func simulateLister(seed uint64, injected bugs) *world {
+	w := newWorld(seed, protocol.Core, injected)
+	s := &listerWorkload{
+		world: w, serverCounts: map[string]int{}, cutOffFromPlatform: map[endpoint]bool{},
+		listers: map[endpoint]*fakeDuty{}, resultByIndex: map[uint64]string{},
+	}
+	w.workload = s
+	for i := 0; len(s.services) < 3; i++ {
+		if name := fmt.Sprintf("service-%d", i); protocol.ServicePartition(name) == testedPartition {
+			s.services = append(s.services, name)
+			s.serverCounts[name] = 1
+		}
+	}
+	s.startNodes(3 + w.Random.IntN(3))
+	w.Every(100*time.Millisecond, 900*time.Millisecond, s.changeServers)
+	w.Every(200*time.Millisecond, 4*time.Second, s.cutPlatform)
+	w.runWithFaults()
+	return w
+}
+
+// found starts the nodes, with both groups on each.
+func (s *listerWorkload) startNodes(count int) {
+	w := s.world
+	var members replica.Members
+	for range count {
+		members.Voters = append(members.Voters, w.addNode().id)
+	}
+	s.registry = newRegistry(w)
+	for _, n := range w.nodes {
+		n.bootstrap(protocol.ListerDuty, members.Clone())
+		n.bootstrap(protocol.ServiceGroup(testedPartition), members.Clone())
+		s.registry.subscribe(n.address)
+		n.start()
+		w.Every(listInterval, listInterval+50*time.Millisecond, func() { n.execute(func() { s.listOnce(n) }) })
+	}
+}
+
+// change has the platform start or stop servers, at last when one node reaches it only.
+func (s *listerWorkload) changeServers() {
+	if s.world.faultsEnabled || s.permanentlyCutOff && !s.serversSettled {
+		s.serversSettled = s.permanentlyCutOff
+		s.serverCounts[s.services[s.world.Random.IntN(len(s.services))]] = 1 + s.world.Random.IntN(9)
+	}
+}
+
+// severPlatform cuts nodes off from the platform, or lets all reach it. After the faults one
+// of three nodes reaches it still: the duty must come to that one.
+func (s *listerWorkload) cutPlatform() {
+	w := s.world
+	if !w.faultsEnabled && len(w.nodes) == 3 {
+		if !s.permanentlyCutOff {
+			s.permanentlyCutOff = true
+			clear(s.cutOffFromPlatform)
+			for _, address := range w.Random.Perm(3)[:2] {
+				s.cutOffFromPlatform[endpoint(address)] = true
+			}
+		}
+		return
+	}
+	clear(s.cutOffFromPlatform)
+	if w.faultsEnabled && w.Chance(0.5) {
+		s.cutOffFromPlatform[w.nodes[w.Random.IntN(len(w.nodes))].address] = true
+	}
+}
+
+func (s *listerWorkload) newStateMachine(_ *simulatedNode, group replica.GroupID) stateMachine {
+	if group == protocol.ListerDuty {
+		return emptyStateMachine{}
+	}
+	return servers.New(nil)
+}
+
+func (s *listerWorkload) directory(n *simulatedNode) protocol.Directory {
+	return s.registry.views[n.address]
+}
+
+func (s *listerWorkload) maintain(n *simulatedNode) {
+	s.registry.registerNode(n)
+	for _, m := range n.members {
+		m.repairMembers(s.directory(n), true)
+	}
+}
+
+// list has a node's lister look at its duty once. What it is stays in its process.
+func (s *listerWorkload) listOnce(n *simulatedNode) {
+	d := s.listers[n.address]
+	if d == nil || d.incarnation != n.incarnation {
+		d = &fakeDuty{workload: s, node: n, incarnation: n.incarnation}
+		d.lister = lister.New(d, d, lister.Pause(0))
+		s.listers[n.address] = d
+	}
+	d.lister.Once(context.Background())
+}
+
+// simulatedDuty is a node's standing, and its way to the platform.
+type fakeDuty struct {
+	workload    *listerWorkload
+	node        *simulatedNode
+	incarnation int
+	epoch       uint64
+	lister      *lister.Lister
+}
+
+// List implements lister.Platform. To list is to act.
+func (d *fakeDuty) List(context.Context) (map[string][]protocol.Server, error) {
+	s, w := d.workload, d.workload.world
+	w.tally.listings++
+	if d.epoch < s.newestEpoch {
+		w.Fail("node %d acts in epoch %d after another did in %d", d.node.id, d.epoch, s.newestEpoch)
+	}
+	if d.epoch == s.newestEpoch && d.node.address != s.activeNode {
+		w.Fail("nodes at %d and %d both act in epoch %d", s.activeNode, d.node.address, d.epoch)
+	}
+	s.newestEpoch, s.activeNode = d.epoch, d.node.address
+	if s.cutOffFromPlatform[d.node.address] {
+		return nil, errPlatformUnreachable
+	}
+	lists := map[string][]protocol.Server{}
+	for _, name := range s.services {
+		for i := range s.serverCounts[name] {
+			lists[name] = append(lists[name], protocol.Server{ID: strconv.Itoa(i), Zone: strconv.FormatUint(d.epoch, 10)})
+		}
+	}
+	return lists, nil
+}
+
+// Held implements lister.Duty.
+func (d *fakeDuty) Held() (uint64, bool) {
+	m := d.node.member(protocol.ListerDuty)
+	if m == nil {
+		return 0, false
+	}
+	status := m.replica.Status(d.node.clock())
+	d.epoch = status.Term
+	if d.workload.world.bugs.listWithoutLease {
+		return d.epoch, status.Settled
+	}
+	return d.epoch, m.holdsLease()
+}
+
+// Lists implements lister.Duty. Where they come from tells who sent them: only how many there
+// are is the platform's word, so both sides are given the same sender.
+func (d *fakeDuty) Lists(partition int) []protocol.ServerList {
+	m := d.node.member(protocol.ServiceGroup(partition))
+	if m == nil {
+		return nil
+	}
+	held, _ := m.stateMachine.(*servers.Machine).Lists()
+	lists := slices.Clone(held)
+	for i, l := range lists {
+		lists[i].Servers = slices.Clone(l.Servers)
+		for j := range l.Servers {
+			lists[i].Servers[j].Zone = strconv.FormatUint(d.epoch, 10)
+		}
+	}
+	return lists
+}
+
+// Publish implements lister.Duty.
+func (d *fakeDuty) Publish(_ context.Context, partition int, p *servers.Publication) error {
+	s := d.workload
+	s.world.tally.publications++
+	group := protocol.ServiceGroup(partition)
+	d.node.forwardToLeader(group, submitTimeout, func(at *simulatedNode, answer func(outcome)) {
+		m := at.member(group)
+		if m == nil {
+			answer(outcome{kind: unavailable})
+			return
+		}
+		m.propose(s.encode(m, *p), attemptTimeout, answer)
+	}, func(outcome, submitResult) {})
+	return nil
+}
+
+// encode is a publication as its partition's owner takes it. With a flaw, that gives it the
+// epoch that the partition is in.
+func (s *listerWorkload) encode(m *member, p servers.Publication) []byte {
+	if s.world.bugs.epochFromPartition {
+		p.Epoch, p.Sequence = 1, m.replica.Status(m.node.clock()).Last+1
+	}
+	text, err := p.Encode()
+	if err != nil {
+		s.world.Fail("encode: %v", err)
+	}
+	return text
+}
+
+// GiveUp implements lister.Duty.
+func (d *fakeDuty) GiveUp() {
+	m := d.node.member(protocol.ListerDuty)
+	if m == nil {
+		return
+	}
+	for _, id := range d.successors(m.replica.Status(d.node.clock()).Members.Voters) {
+		if m.replica.Handover(d.node.clock(), id) == nil {
+			d.workload.world.tally.leadershipTransfers++
+			return
+		}
+	}
+}
+
+// heirs are the other voters, from the one after this node on and round.
+func (d *fakeDuty) successors(voters []replica.NodeID) []replica.NodeID {
+	at := slices.Index(voters, d.node.id)
+	if d.workload.world.bugs.fixedSuccessor {
+		return slices.Delete(slices.Clone(voters), at, at+1)
+	}
+	return slices.Concat(voters[at+1:], voters[:at])
+}
+
+// applied holds that no publication of an earlier epoch takes effect after one of a later.
+func (s *listerWorkload) onApplied(m *member, index uint64, command, result []byte) {
+	if m.group == protocol.ListerDuty {
+		return
+	}
+	if known, ok := s.resultByIndex[index]; ok {
+		if known != string(result) {
+			s.world.Fail("node %d gets another result of entry %d than others", m.node.id, index)
+		}
+		return
+	}
+	s.resultByIndex[index] = string(result)
+	if string(result) != string(servers.Applied) {
+		s.world.tally.outdated++
+		return
+	}
+	epoch := s.senderEpoch(m, command)
+	if epoch < s.newestPublished {
+		s.world.Fail("a publication of epoch %d takes effect after one of %d", epoch, s.newestPublished)
+	}
+	s.newestPublished = max(s.newestPublished, epoch)
+}
+
+// senderOf reads which epoch a publication was sent in from the servers that it names.
+func (s *listerWorkload) senderEpoch(m *member, command []byte) uint64 {
+	newest := uint64(0)
+	lists, _ := m.stateMachine.(*servers.Machine).Lists()
+	text := string(command)
+	for _, l := range lists {
+		if !strings.Contains(text, l.Service) {
+			continue
+		}
+		for _, server := range l.Servers {
+			epoch, err := strconv.ParseUint(server.Zone, 10, 64)
+			if err != nil {
+				s.world.Fail("zone %q", server.Zone)
+			}
+			newest = max(newest, epoch)
+		}
+	}
+	return newest
+}
+
+// recovered tells whether both groups are kept well, and all nodes know what the platform says.
+func (s *listerWorkload) recovered() bool {
+	voters := min(3, len(s.world.nodes))
+	for _, group := range []replica.GroupID{protocol.ListerDuty, protocol.ServiceGroup(testedPartition)} {
+		if !s.world.isHealthy(group, voters, nil) {
+			return false
+		}
+	}
+	if len(s.world.nodes) == 3 && !s.serversSettled {
+		return false
+	}
+	for _, n := range s.world.nodes {
+		m := n.member(protocol.ServiceGroup(testedPartition))
+		if m == nil || !s.isCurrent(m) {
+			return false
+		}
+	}
+	return true
+}
+
+// current tells whether a node knows what the platform says.
+func (s *listerWorkload) isCurrent(m *member) bool {
+	lists, _ := m.stateMachine.(*servers.Machine).Lists()
+	if len(lists) != len(s.services) {
+		return false
+	}
+	for _, l := range lists {
+		if len(l.Servers) != s.serverCounts[l.Service] {
+			return false
+		}
+	}
+	return true
+}
+
+func (s *listerWorkload) check() {}
--- a/internal/barograph/simulation/member_test.go
+++ b/internal/barograph/simulation/member_test.go
@@ -16,17 +16,17 @@
 type outcomeKind uint8
 
 const (
-	carriedOut  outcomeKind = iota // its result is
-	notOwner                       // nothing was done, another node owns the group
-	unknown                        // it may be carried out
-	unavailable                    // nothing was done
+	succeeded      outcomeKind = iota // its result is
+	notLeader                         // nothing was done, another node owns the group
+	outcomeUnknown                    // it may be carried out
+	unavailable                       // nothing was done
 )
 
 // outcome is how a proposal ended.
 type outcome struct {
 	kind   outcomeKind
 	result []byte
-	owner  replica.NodeID
+	leader replica.NodeID
 	index  uint64 // up to which the owner has applied
 }
 
@@ -37,87 +37,87 @@
 }
 
 // reading waits until all that was committed is applied.
-type reading struct {
+type pendingRead struct {
 	term, commit uint64
-	look         func(machine)
+	look         func(stateMachine)
 	done         func(bool)
 }
 
 // member is a node's part of a group, as the host runs it.
 type member struct {
-	node        *machineNode
-	group       replica.GroupID
-	replica     *replica.Replica
-	machine     machine
-	stored      *replica.Stored // durable
-	applied     uint64
-	appliedTerm uint64
-	since       int // entries applied since the newest snapshot
-	waiting     map[uint64]*waiter
-	readings    []*reading
-	writing     *replica.Ready
-	tickAt      time.Duration
-	planner     repair.Planner
-	leased      bool // at the newest tick, for flaws only
-	owned       uint64
-	busyUntil   time.Duration // a change of members is being announced
+	node                 *simulatedNode
+	group                replica.GroupID
+	replica              *replica.Replica
+	stateMachine         stateMachine
+	stored               *replica.Stored // durable
+	applied              uint64
+	appliedTerm          uint64
+	appliedSinceSnapshot int // entries applied since the newest snapshot
+	waiters              map[uint64]*waiter
+	pendingReads         []*pendingRead
+	pendingWrite         *replica.Ready
+	nextTick             time.Duration
+	planner              repair.Planner
+	leasedAtTick         bool // at the newest tick, for flaws only
+	lastLedTerm          uint64
+	announcingUntil      time.Duration // a change of members is being announced
 }
 
 // settle carries out what the replica wants, and plans its next Tick.
-func (m *member) settle() {
+func (m *member) processReady() {
 	m.failDeposed()
-	m.notice()
-	for m.writing == nil && m.node.world.Failed == nil {
+	m.countLedTerm()
+	for m.pendingWrite == nil && m.node.world.Failure == nil {
 		ready := m.replica.Ready()
 		if ready.Empty() {
 			break
 		}
-		m.carryOut(ready)
+		m.handleReady(ready)
 	}
-	if m.writing != nil {
+	if m.pendingWrite != nil {
 		for _, message := range m.replica.Beats() {
-			m.node.world.network.deliver(m.node.place, message)
+			m.node.world.network.deliver(m.node.address, message)
 		}
 	}
-	m.answerReadings()
-	m.planTick()
+	m.answerReads()
+	m.scheduleTick()
 }
 
 // notice counts terms that this node owns.
-func (m *member) notice() {
-	if m.replica.Owns() && m.owned != m.replica.Term() {
-		m.owned = m.replica.Term()
-		m.node.world.tally.owners++
+func (m *member) countLedTerm() {
+	if m.replica.Owns() && m.lastLedTerm != m.replica.Term() {
+		m.lastLedTerm = m.replica.Term()
+		m.node.world.tally.leaderTerms++
 	}
 }
 
-func (m *member) carryOut(ready replica.Ready) {
+func (m *member) handleReady(ready replica.Ready) {
 	for _, message := range ready.Early {
-		m.node.world.network.deliver(m.node.place, message)
+		m.node.world.network.deliver(m.node.address, message)
 	}
 	if ready.Hard == nil && ready.Snapshot == nil && len(ready.Entries) == 0 {
-		m.finish(ready)
+		m.completeReady(ready)
 		return
 	}
-	m.writing = &ready
+	m.pendingWrite = &ready
 	w := m.node.world
 	span := w.Between(200*time.Microsecond, 5*time.Millisecond)
-	if w.faulty && w.Chance(0.02) {
+	if w.faultsEnabled && w.Chance(0.02) {
 		span *= 40
 	}
-	m.node.later(span, func() {
-		m.writing = nil
-		m.store(ready)
-		m.finish(ready)
-		m.settle()
+	m.node.executeAfter(span, func() {
+		m.pendingWrite = nil
+		m.persist(ready)
+		m.completeReady(ready)
+		m.processReady()
 	})
 }
 
 // finish goes on once the writes of a Ready are durable.
-func (m *member) finish(ready replica.Ready) {
+func (m *member) completeReady(ready replica.Ready) {
 	m.replica.Persisted(m.node.clock(), ready)
 	for _, message := range ready.Messages {
-		m.node.world.network.deliver(m.node.place, message)
+		m.node.world.network.deliver(m.node.address, message)
 	}
 	if ready.Snapshot != nil {
 		m.restore(*ready.Snapshot)
@@ -129,7 +129,7 @@
 }
 
 // store makes the writes of a Ready durable.
-func (m *member) store(ready replica.Ready) {
+func (m *member) persist(ready replica.Ready) {
 	if ready.Hard != nil {
 		m.stored.Hard = *ready.Hard
 	}
@@ -144,52 +144,52 @@
 }
 
 func (m *member) restore(snapshot replica.Snapshot) {
-	m.node.world.tally.restored++
-	if err := m.machine.Restore(snapshot.State); err != nil {
+	m.node.world.tally.installedSnapshots++
+	if err := m.stateMachine.Restore(snapshot.State); err != nil {
 		m.node.world.Fail("restore %s: %v", m.group, err)
 	}
-	m.applied, m.appliedTerm, m.since = snapshot.Index, snapshot.Term, 0
-	for _, index := range sortedKeys(m.waiting) {
+	m.applied, m.appliedTerm, m.appliedSinceSnapshot = snapshot.Index, snapshot.Term, 0
+	for _, index := range sortedKeys(m.waiters) {
 		if index <= snapshot.Index {
-			m.tell(index, outcome{kind: unknown})
+			m.completeWaiter(index, outcome{kind: outcomeUnknown})
 		}
 	}
 }
 
 func (m *member) apply(entry replica.Entry) {
 	m.applied, m.appliedTerm = entry.Index, entry.Term
-	m.since++
+	m.appliedSinceSnapshot++
 	var result []byte
 	if entry.Kind == replica.Command {
-		result = m.machine.Apply(entry.Data)
-		m.node.world.subject.applied(m, entry.Index, entry.Data, result)
+		result = m.stateMachine.Apply(entry.Data)
+		m.node.world.workload.onApplied(m, entry.Index, entry.Data, result)
 	}
-	w := m.waiting[entry.Index]
+	w := m.waiters[entry.Index]
 	switch {
 	case w == nil:
 	case w.term != entry.Term: // another took its place: it will never be in force
-		m.tell(entry.Index, outcome{kind: notOwner, owner: m.replica.Owner()})
+		m.completeWaiter(entry.Index, outcome{kind: notLeader, leader: m.replica.Owner()})
 	default:
-		m.tell(entry.Index, outcome{kind: carriedOut, result: result})
+		m.completeWaiter(entry.Index, outcome{kind: succeeded, result: result})
 	}
 }
 
-func (m *member) tell(index uint64, o outcome) {
-	w := m.waiting[index]
-	delete(m.waiting, index)
+func (m *member) completeWaiter(index uint64, o outcome) {
+	w := m.waiters[index]
+	delete(m.waiters, index)
 	w.done(o)
 }
 
 // compact makes a snapshot when enough was applied since the last.
 func (m *member) compact() {
-	if m.since < m.node.world.compactAfter {
+	if m.appliedSinceSnapshot < m.node.world.compactAfter {
 		return
 	}
-	m.since = 0
+	m.appliedSinceSnapshot = 0
 	covered := m.applied - m.stored.Snapshot.Index
 	snapshot := replica.Snapshot{
 		Index: m.applied, Term: m.appliedTerm,
-		Members: m.replica.MembersAt(m.applied), State: m.machine.Snapshot(),
+		Members: m.replica.MembersAt(m.applied), State: m.stateMachine.Snapshot(),
 	}
 	m.stored.Snapshot = snapshot
 	m.stored.Entries = slices.Clone(m.stored.Entries[covered:])
@@ -197,18 +197,18 @@
 }
 
 // planTick sees to a Tick when the replica wants one.
-func (m *member) planTick() {
+func (m *member) scheduleTick() {
 	w := m.node.world
-	due := max(m.node.fromClock(m.replica.Next()), w.Now)
-	if m.tickAt != 0 && m.tickAt <= due {
+	due := max(m.node.simulationTime(m.replica.Next()), w.Now)
+	if m.nextTick != 0 && m.nextTick <= due {
 		return
 	}
-	m.tickAt = due
-	m.node.later(due-w.Now, func() {
-		if m.tickAt == due {
-			m.tickAt = 0
+	m.nextTick = due
+	m.node.executeAfter(due-w.Now, func() {
+		if m.nextTick == due {
+			m.nextTick = 0
 			m.replica.Tick(m.node.clock())
-			m.leased = m.replica.Leased(m.node.clock())
+			m.leasedAtTick = m.replica.Leased(m.node.clock())
 		}
 	})
 }
@@ -216,13 +216,13 @@
 // failDeposed tells those who wait for what isn't known to be committed that this node is no
 // longer the owner that took it.
 func (m *member) failDeposed() {
-	if len(m.waiting) == 0 {
+	if len(m.waiters) == 0 {
 		return
 	}
 	owns, term, commit := m.replica.Owns(), m.replica.Term(), m.replica.Commit()
-	for _, index := range sortedKeys(m.waiting) {
-		if index > commit && !(owns && m.waiting[index].term == term) {
-			m.tell(index, outcome{kind: unknown})
+	for _, index := range sortedKeys(m.waiters) {
+		if index > commit && !(owns && m.waiters[index].term == term) {
+			m.completeWaiter(index, outcome{kind: outcomeUnknown})
 		}
 	}
 }
@@ -233,55 +233,55 @@
 	var other *replica.NotOwnerError
 	switch {
 	case errors.As(err, &other):
-		done(outcome{kind: notOwner, owner: other.Owner})
+		done(outcome{kind: notLeader, leader: other.Owner})
 		return
 	case err != nil:
 		done(outcome{kind: unavailable})
 		return
 	}
-	if m.waiting[index] != nil {
-		m.tell(index, outcome{kind: unknown}) // its entry was cut from the log
+	if m.waiters[index] != nil {
+		m.completeWaiter(index, outcome{kind: outcomeUnknown}) // its entry was cut from the log
 	}
 	w := &waiter{term: term, done: done}
-	m.waiting[index] = w
-	m.node.later(within, func() {
-		if m.waiting[index] == w {
-			m.tell(index, outcome{kind: unknown})
+	m.waiters[index] = w
+	m.node.executeAfter(within, func() {
+		if m.waiters[index] == w {
+			m.completeWaiter(index, outcome{kind: outcomeUnknown})
 		}
 	})
 }
 
 // read looks at the machine when nothing that is in force can be missing, as the host does:
 // under a lease before and after. done says whether what was seen counts.
-func (m *member) read(look func(machine), done func(bool)) {
+func (m *member) read(look func(stateMachine), done func(bool)) {
 	if !m.holdsLease() {
 		done(false)
 		return
 	}
-	m.readings = append(m.readings, &reading{term: m.replica.Term(), commit: m.replica.Commit(), look: look, done: done})
-	m.answerReadings()
+	m.pendingReads = append(m.pendingReads, &pendingRead{term: m.replica.Term(), commit: m.replica.Commit(), look: look, done: done})
+	m.answerReads()
 }
 
 func (m *member) holdsLease() bool {
-	if m.node.world.flaws.oldLease {
-		return m.replica.Owns() && m.leased
+	if m.node.world.bugs.staleLease {
+		return m.replica.Owns() && m.leasedAtTick
 	}
 	return m.replica.Leased(m.node.clock())
 }
 
-func (m *member) answerReadings() {
-	waiting := m.readings
-	m.readings = nil
-	for _, r := range waiting {
+func (m *member) answerReads() {
+	reads := m.pendingReads
+	m.pendingReads = nil
+	for _, r := range reads {
 		if !m.replica.Owns() || m.replica.Term() != r.term {
 			r.done(false)
 			continue
 		}
 		if m.applied < r.commit {
-			m.readings = append(m.readings, r)
+			m.pendingReads = append(m.pendingReads, r)
 			continue
 		}
-		r.look(m.machine)
+		r.look(m.stateMachine)
 		r.done(m.holdsLease())
 	}
 }
--- a/internal/barograph/simulation/registry_test.go
+++ b/internal/barograph/simulation/registry_test.go
@@ -15,21 +15,21 @@
 // registry is the directory where the configuration's group is not played itself: commands
 // take a while to get there, and each node learns of news at times of its own.
 type registry struct {
-	world   *world
-	machine *revisions.Machine
-	views   map[endpoint]protocol.Directory
+	world        *world
+	stateMachine *revisions.Machine
+	views        map[endpoint]protocol.Directory
 }
 
 func newRegistry(w *world) *registry {
-	r := &registry{world: w, machine: revisions.New(nil), views: map[endpoint]protocol.Directory{}}
+	r := &registry{world: w, stateMachine: revisions.New(nil), views: map[endpoint]protocol.Directory{}}
 	for _, n := range w.nodes {
 		r.register(n)
 	}
 	return r
 }
 
-func (r *registry) register(n *machineNode) {
-	self := n.self()
+func (r *registry) register(n *simulatedNode) {
+	self := n.directoryEntry()
 	r.apply(&revisions.Command{Register: &self})
 }
 
@@ -38,7 +38,7 @@
 	if err != nil {
 		r.world.Fail("encode: %v", err)
 	}
-	result, err := revisions.ReadResult(r.machine.Apply(text))
+	result, err := revisions.ReadResult(r.stateMachine.Apply(text))
 	if err != nil {
 		r.world.Fail("result: %v", err)
 	}
@@ -59,24 +59,24 @@
 	})
 }
 
-func ignore(revisions.Result) {}
+func ignoreResult(revisions.Result) {}
 
 // follow lets an endpoint learn of news again and again.
-func (r *registry) follow(at endpoint) {
-	r.views[at] = r.machine.Directory()
-	r.world.Every(20*time.Millisecond, 300*time.Millisecond, func() { r.views[at] = r.machine.Directory() })
+func (r *registry) subscribe(at endpoint) {
+	r.views[at] = r.stateMachine.Directory()
+	r.world.Every(20*time.Millisecond, 300*time.Millisecond, func() { r.views[at] = r.stateMachine.Directory() })
 }
 
 // stand has a node stand in the directory.
-func (r *registry) stand(n *machineNode) {
-	if !slices.Contains(r.views[n.place].Nodes, n.self()) {
-		self := n.self()
-		r.submit(&revisions.Command{Register: &self}, ignore)
+func (r *registry) registerNode(n *simulatedNode) {
+	if !slices.Contains(r.views[n.address].Nodes, n.directoryEntry()) {
+		self := n.directoryEntry()
+		r.submit(&revisions.Command{Register: &self}, ignoreResult)
 	}
 }
 
 // plan is what production's planner wants a group's members to be next.
-func (m *member) plan(status replica.Status, d protocol.Directory, everyone bool) (replica.Members, bool) {
+func (m *member) planMembers(status replica.Status, d protocol.Directory, everyone bool) (replica.Members, bool) {
 	n := m.node
 	nodes := coordinator.OfClass(d, n.world.class)
 	staying := 0
@@ -87,47 +87,47 @@
 	}
 	view := repair.View{
 		Status: status, Now: n.clock(), Silent: node.Silent, Nodes: nodes, Retiring: d.Retiring,
-		Voters: coordinator.Voters(n.world.losses, staying), Everyone: everyone,
+		Voters: coordinator.Voters(n.world.toleratedDiskLosses, staying), Everyone: everyone,
 	}
 	if m.planner.Wanting(view) {
-		view.Alive = n.alive(nodes)
+		view.Alive = n.respondingNodes(nodes)
 	}
 	return m.planner.Plan(view)
 }
 
 // alive are those of the nodes that answer this one.
-func (n *machineNode) alive(nodes []protocol.Node) []protocol.Node {
+func (n *simulatedNode) respondingNodes(nodes []protocol.Node) []protocol.Node {
 	w := n.world
 	return slices.DeleteFunc(slices.Clone(nodes), func(o protocol.Node) bool {
-		other := w.withID(o.ID)
+		other := w.nodeByID(o.ID)
 		if other == n {
 			return false
 		}
-		return other == nil || !other.up || other.frozen || w.network.cuts[direction{n.place, other.place}] ||
-			w.network.cuts[direction{other.place, n.place}] || w.Chance(w.network.loss)
+		return other == nil || !other.up || other.frozen || w.network.cutLinks[link{n.address, other.address}] ||
+			w.network.cutLinks[link{other.address, n.address}] || w.Chance(w.network.lossRate)
 	})
 }
 
 // repair has the owner of a group see to its members.
-func (m *member) repair(d protocol.Directory, everyone bool) {
+func (m *member) repairMembers(d protocol.Directory, everyone bool) {
 	status := m.replica.Status(m.node.clock())
 	if !status.Settled {
 		return
 	}
-	if next, due := m.plan(status, d, everyone); due {
-		m.change(next)
+	if next, due := m.planMembers(status, d, everyone); due {
+		m.changeMembers(next)
 	}
 }
 
-func (m *member) change(next replica.Members) {
+func (m *member) changeMembers(next replica.Members) {
 	if _, _, err := m.replica.ChangeMembers(m.node.clock(), next); err == nil {
-		m.node.world.tally.changes++
+		m.node.world.tally.membershipChanges++
 	}
 }
 
 // keptWell tells whether a group has an owner under lease, and as many voters as it should,
 // all of them there and in step.
-func (w *world) keptWell(group replica.GroupID, voters int, retiring []string) bool {
+func (w *world) isHealthy(group replica.GroupID, voters int, retiring []string) bool {
 	for _, n := range w.running() {
 		m := n.member(group)
 		if m == nil || !m.replica.Owns() || !m.replica.Leased(n.clock()) {
@@ -138,19 +138,19 @@
 			return false
 		}
 		for _, id := range status.Members.All() {
-			if !w.inStep(group, id, status.Commit) {
+			if !w.isCaughtUp(group, id, status.Commit) {
 				return false
 			}
 		}
 		return !slices.ContainsFunc(status.Members.Voters, func(id replica.NodeID) bool {
-			return slices.Contains(retiring, w.withID(id).name())
+			return slices.Contains(retiring, w.nodeByID(id).name())
 		})
 	}
 	return false
 }
 
-func (w *world) inStep(group replica.GroupID, id replica.NodeID, commit uint64) bool {
-	n := w.withID(id)
+func (w *world) isCaughtUp(group replica.GroupID, id replica.NodeID, commit uint64) bool {
+	n := w.nodeByID(id)
 	if n == nil || !n.up {
 		return false
 	}
--- a/internal/barograph/simulation/scenarios_test.go
+++ b/internal/barograph/simulation/scenarios_test.go
@@ -17,18 +17,18 @@
 // in thousands of ways each.
 
 const (
-	cutFrom       = 5 * time.Second  // when a scenario's trouble begins
-	cutFor        = 20 * time.Second // and how long it lasts
-	scenarioRest  = 6 * time.Second  // goes on after it
-	followerCount = 6
+	troubleStart    = 5 * time.Second  // when a scenario's trouble begins
+	troubleDuration = 20 * time.Second // and how long it lasts
+	scenarioTail    = 6 * time.Second  // goes on after it
+	followerCount   = 6
 )
 
 // scenario makes a world of core nodes, operators and followers without random faults.
-func scenario(seed uint64, nodes, losses int, pause time.Duration, defects flaws) (*world, *configurationSubject) {
-	w := newWorld(seed, protocol.Core, defects)
-	w.losses = losses
-	s := newConfigurationSubject(w)
-	s.orderMost = 400
+func scenario(seed uint64, nodes, losses int, pause time.Duration, injected bugs) (*world, *configurationWorkload) {
+	w := newWorld(seed, protocol.Core, injected)
+	w.toleratedDiskLosses = losses
+	s := newConfigurationWorkload(w)
+	s.changeLimit = 400
 	var members replica.Members
 	for range nodes {
 		n := w.addNode()
@@ -38,30 +38,30 @@
 	}
 	for i, n := range w.nodes {
 		if i < len(members.Voters) {
-			n.begin(protocol.ConfigurationGroup, members.Clone())
+			n.bootstrap(protocol.ConfigurationGroup, members.Clone())
 		}
 		n.start()
 	}
-	for i := range operatorsCount {
-		o := &operator{place: firstClient + endpoint(i)}
-		w.Every(pause/4, 2*pause, func() { s.operate(o) })
+	for i := range operatorCount {
+		o := &operator{address: firstClient + endpoint(i)}
+		w.Every(pause/4, 2*pause, func() { s.runOperator(o) })
 	}
 	for _, n := range w.nodes {
-		w.Every(100*time.Millisecond, 200*time.Millisecond, func() { n.act(func() { s.tend(n) }) })
+		w.Every(100*time.Millisecond, 200*time.Millisecond, func() { n.execute(func() { s.maintain(n) }) })
 	}
 	return w, s
 }
 
 // finish runs a scenario to its end, and judges it.
-func (s *configurationSubject) finish(end time.Duration) *world {
+func (s *configurationWorkload) runToEnd(end time.Duration) *world {
 	w := s.world
 	w.Run(end, func() bool { return false })
 	w.heal()
-	w.healAt = w.Now
-	if !w.Run(w.Now+healedFor, s.recovered) && w.Failed == nil && !w.flaws.unsafe() {
-		w.Fail("all is not well again %v after the troubles: %s", healedFor, w.describe())
+	w.faultsEndAt = w.Now
+	if !w.Run(w.Now+recoveryTimeout, s.recovered) && w.Failure == nil && !w.bugs.violatesSafety() {
+		w.Fail("all is not well again %v after the troubles: %s", recoveryTimeout, w.describe())
 	}
-	if w.Failed == nil {
+	if w.Failure == nil {
 		s.check()
 	}
 	return w
@@ -69,63 +69,63 @@
 
 // playCutOff cuts some core nodes off from the others for 20 s, the owner among them often, while
 // operators and followers reach all: the first of the operators' points.
-func playCutOff(seed uint64, defects flaws) *world {
+func simulateCutOff(seed uint64, injected bugs) *world {
 	losses := 1 + int(seed%3)
-	w, s := scenario(seed, 2*losses+1+int(seed/3%3), losses, 800*time.Millisecond, defects)
+	w, s := scenario(seed, 2*losses+1+int(seed/3%3), losses, 800*time.Millisecond, injected)
 	for i := range followerCount {
-		s.follow(firstFollower + endpoint(i))
+		s.addFollower(firstFollower + endpoint(i))
 	}
-	w.After(cutFrom, func() { _ = s.cutOff(losses) })
-	w.After(cutFrom+cutFor, w.network.clear)
+	w.After(troubleStart, func() { _ = s.cutOff(losses) })
+	w.After(troubleStart+troubleDuration, w.network.clear)
 	w.After(3*time.Second, func() { w.Every(50*time.Millisecond, 50*time.Millisecond, s.checkApplied) })
-	w.After(cutFrom+3*time.Second, func() {
+	w.After(troubleStart+3*time.Second, func() {
 		w.Every(time.Second, 4*time.Second, func() { s.followers[w.Random.IntN(followerCount)].start() })
 	})
-	return s.finish(cutFrom + cutFor + scenarioRest)
+	return s.runToEnd(troubleStart + troubleDuration + scenarioTail)
 }
 
 // playLeftBehind cuts some core nodes off while changes are made. Then one of the others loses its
 // disk, the rest go dark, and the cut heals: nobody but those that were left behind is there.
-func playLeftBehind(seed uint64, defects flaws) *world {
+func simulateLeftBehind(seed uint64, injected bugs) *world {
 	losses := 1 + int(seed%2)
-	w, s := scenario(seed, 2*losses+1+int(seed/2%3), losses, 800*time.Millisecond, defects)
-	s.mayWait = true
+	w, s := scenario(seed, 2*losses+1+int(seed/2%3), losses, 800*time.Millisecond, injected)
+	s.startMayWait = true
 	for i := range followerCount {
-		s.follow(firstFollower + endpoint(i))
+		s.addFollower(firstFollower + endpoint(i))
 	}
-	var behind []*machineNode
-	w.After(cutFrom, func() { behind = s.cutOff(losses) })
-	w.After(cutFrom+4*time.Second, func() {
+	var behind []*simulatedNode
+	w.After(troubleStart, func() { behind = s.cutOff(losses) })
+	w.After(troubleStart+4*time.Second, func() {
 		w.network.clear()
-		s.darkFrom = w.Now
+		s.blackoutStart = w.Now
 		for i, n := range w.nodes {
 			if slices.Contains(behind, n) {
 				continue
 			}
 			if n.crash(); i == len(w.nodes)-1 {
-				n.wipe()
+				n.loseDisk()
 			}
 			w.After(10*time.Second, n.start)
 		}
-		w.After(10*time.Second+2*configApply, func() { s.darkFrom = time.Hour })
+		w.After(10*time.Second+2*maxConfigDelay, func() { s.blackoutStart = time.Hour })
 		for _, f := range s.followers[:followerCount/2] {
 			f.start()
 		}
 	})
 	w.After(3*time.Second, func() { w.Every(50*time.Millisecond, 50*time.Millisecond, s.checkApplied) })
-	return s.finish(cutFrom + 20*time.Second)
+	return s.runToEnd(troubleStart + 20*time.Second)
 }
 
 // cutOff parts as many core nodes from the others as may be lost: the owner and others, or others
 // only, one way or both.
-func (s *configurationSubject) cutOff(losses int) (cut []*machineNode) {
+func (s *configurationWorkload) cutOff(losses int) (cut []*simulatedNode) {
 	w := s.world
-	lone := slices.Clone(w.nodes)
-	w.Random.Shuffle(len(lone), func(i, j int) { lone[i], lone[j] = lone[j], lone[i] })
+	selected := slices.Clone(w.nodes)
+	w.Random.Shuffle(len(selected), func(i, j int) { selected[i], selected[j] = selected[j], selected[i] })
 	if w.Chance(0.7) {
-		slices.SortStableFunc(lone, func(a, b *machineNode) int { return b.owns() - a.owns() })
+		slices.SortStableFunc(selected, func(a, b *simulatedNode) int { return b.leadsConfiguration() - a.leadsConfiguration() })
 	}
-	cut = lone[:1+w.Random.IntN(losses)]
+	cut = selected[:1+w.Random.IntN(losses)]
 	ways := w.Random.IntN(4)
 	for _, a := range cut {
 		for _, b := range w.nodes {
@@ -133,10 +133,10 @@
 				continue
 			}
 			if ways != 0 {
-				w.network.cuts[direction{a.place, b.place}] = true
+				w.network.cutLinks[link{a.address, b.address}] = true
 			}
 			if ways != 1 {
-				w.network.cuts[direction{b.place, a.place}] = true
+				w.network.cutLinks[link{b.address, a.address}] = true
 			}
 		}
 	}
@@ -144,7 +144,7 @@
 }
 
 // owns is 1 where a node owns the configuration's group.
-func (n *machineNode) owns() int {
+func (n *simulatedNode) leadsConfiguration() int {
 	if m := n.member(protocol.ConfigurationGroup); m != nil && m.replica.Owns() {
 		return 1
 	}
@@ -153,44 +153,44 @@
 
 // playLostAcks loses most answers to operators for a while, with two changes under each number
 // and every order sent again and again: the second point.
-func playLostAcks(seed uint64, defects flaws) *world {
-	w, s := scenario(seed, 3+int(seed%2), 1, 200*time.Millisecond, defects)
-	s.twins, s.orderMost = true, 60
+func simulateLostAcks(seed uint64, injected bugs) *world {
+	w, s := scenario(seed, 3+int(seed%2), 1, 200*time.Millisecond, injected)
+	s.conflictingChanges, s.changeLimit = true, 60
 	w.After(time.Second, func() {
-		for i := range operatorsCount {
+		for i := range operatorCount {
 			for _, n := range w.nodes {
-				w.network.lossy[direction{n.place, firstClient + endpoint(i)}] = 0.9
+				w.network.linkLossRate[link{n.address, firstClient + endpoint(i)}] = 0.9
 			}
 		}
 	})
-	w.After(6*time.Second, func() { clear(w.network.lossy) })
+	w.After(6*time.Second, func() { clear(w.network.linkLossRate) })
 	w.After(2*time.Second, func() { w.faultFreeze() })
 	w.After(3*time.Second, func() { _ = s.cutOff(1) })
 	w.After(5*time.Second, w.network.clear)
-	return s.finish(8 * time.Second)
+	return s.runToEnd(8 * time.Second)
 }
 
 // playSecondLoss takes a second disk right after a group has been made whole, and all other
 // machines' power at the same moment: the third point.
-func playSecondLoss(seed uint64, defects flaws) *world {
+func simulateSecondLoss(seed uint64, injected bugs) *world {
 	losses := 1 + int(seed%2)
-	w, s := scenario(seed, 2*losses+1+int(seed/2%2), losses, 300*time.Millisecond, defects)
-	s.orderMost = 60
+	w, s := scenario(seed, 2*losses+1+int(seed/2%2), losses, 300*time.Millisecond, injected)
+	s.changeLimit = 60
 	last := time.Duration(0)
 	w.After(3*time.Second, func() {
 		w.Every(5*time.Millisecond, 20*time.Millisecond, func() {
-			if w.Now < 12*time.Second && w.Now-last > 200*time.Millisecond && s.madeWhole() {
+			if w.Now < 12*time.Second && w.Now-last > 200*time.Millisecond && s.fullyReplicated() {
 				last = w.Now
-				s.lose(losses)
+				s.loseDisks(losses)
 			}
 		})
 	})
-	return s.finish(14 * time.Second)
+	return s.runToEnd(14 * time.Second)
 }
 
 // madeWhole tells whether the group's owner has as many voters as it should, all there with
 // their disks, and no change of them under way: from then on as many may be lost again.
-func (s *configurationSubject) madeWhole() bool {
+func (s *configurationWorkload) fullyReplicated() bool {
 	w := s.world
 	for _, n := range w.running() {
 		m := n.member(protocol.ConfigurationGroup)
@@ -198,41 +198,41 @@
 			continue
 		}
 		status := m.replica.Status(n.clock())
-		if status.Pending || len(status.Members.Voters) != coordinator.VotersWanted(w.losses) {
+		if status.Pending || len(status.Members.Voters) != coordinator.VotersWanted(w.toleratedDiskLosses) {
 			return false
 		}
-		return !slices.ContainsFunc(status.Members.Voters, func(id replica.NodeID) bool { return w.withID(id) == nil })
+		return !slices.ContainsFunc(status.Members.Voters, func(id replica.NodeID) bool { return w.nodeByID(id) == nil })
 	}
 	return false
 }
 
 // lose takes the disks of as many machines as may be lost, and often the power of all others.
-func (s *configurationSubject) lose(losses int) {
+func (s *configurationWorkload) loseDisks(losses int) {
 	w := s.world
 	nodes := slices.Clone(w.nodes)
 	w.Random.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 	if w.Chance(0.5) {
-		slices.SortStableFunc(nodes, func(a, b *machineNode) int { return b.owns() - a.owns() })
+		slices.SortStableFunc(nodes, func(a, b *simulatedNode) int { return b.leadsConfiguration() - a.leadsConfiguration() })
 	}
-	if copies := s.copies(); copies <= losses {
+	if copies := s.countFullCopies(); copies <= losses {
 		w.Fail("what is in force stands on %d disks, and %d may be lost", copies, losses)
 	}
 	for _, n := range nodes[:losses] {
-		n.wipe()
-		w.startSoon(n)
+		n.loseDisk()
+		w.restartLater(n)
 	}
 	if w.Chance(0.6) {
 		for _, n := range nodes[losses:] {
 			n.crash()
-			w.startSoon(n)
+			w.restartLater(n)
 		}
 	}
 }
 
 // copies counts the disks that hold all that any node has applied.
-func (s *configurationSubject) copies() int {
+func (s *configurationWorkload) countFullCopies() int {
 	newest := uint64(0)
-	for index := range s.results {
+	for index := range s.resultByIndex {
 		newest = max(newest, index)
 	}
 	count := 0
@@ -247,40 +247,40 @@
 
 // playLongHistory makes hundreds of changes with snapshots and a short log, while members are
 // away for 20 s each and come back with their disk, or without: the fourth point.
-func playLongHistory(seed uint64, defects flaws) *world {
-	w, s := scenario(seed, 3+int(seed%3), 1, 40*time.Millisecond, defects)
-	s.orderMost, s.inTurn = 1500, true
+func simulateLongHistory(seed uint64, injected bugs) *world {
+	w, s := scenario(seed, 3+int(seed%3), 1, 40*time.Millisecond, injected)
+	s.changeLimit, s.checkIncrementally = 1500, true
 	w.compactAfter = 5 + w.Random.IntN(40)
-	away := func(at time.Duration, leave func(*machineNode)) {
+	away := func(at time.Duration, leave func(*simulatedNode)) {
 		w.After(at, func() { leave(w.nodes[w.Random.IntN(len(w.nodes))]) })
 	}
-	away(3*time.Second, func(n *machineNode) {
+	away(3*time.Second, func(n *simulatedNode) {
 		n.crash()
-		w.After(cutFor, n.start)
+		w.After(troubleDuration, n.start)
 	})
-	away(27*time.Second, func(n *machineNode) {
+	away(27*time.Second, func(n *simulatedNode) {
 		for _, o := range w.nodes {
 			if o != n {
-				w.network.cutBoth(n.place, o.place)
+				w.network.cutBoth(n.address, o.address)
 			}
 		}
-		w.After(cutFor, w.network.clear)
+		w.After(troubleDuration, w.network.clear)
 	})
-	away(50*time.Second, func(n *machineNode) {
-		n.wipe()
+	away(50*time.Second, func(n *simulatedNode) {
+		n.loseDisk()
 		w.After(5*time.Second, n.start)
 	})
-	s.finish(60 * time.Second)
-	if w.Failed == nil && !w.flaws.unsafe() && s.acknowledged() < 150 {
-		w.Fail("only %d changes were taken", s.acknowledged())
+	s.runToEnd(60 * time.Second)
+	if w.Failure == nil && !w.bugs.violatesSafety() && s.acknowledgedCount() < 150 {
+		w.Fail("only %d changes were taken", s.acknowledgedCount())
 	}
 	return w
 }
 
-func (s *configurationSubject) acknowledged() int {
+func (s *configurationWorkload) acknowledgedCount() int {
 	count := 0
-	for _, o := range s.orders {
-		if o.taken != 0 {
+	for _, o := range s.changes {
+		if o.acknowledgedTime != 0 {
 			count++
 		}
 	}
@@ -288,52 +288,52 @@
 }
 
 // TestWorstDays plays the scenarios.
-func TestWorstDays(t *testing.T) {
+func TestFaultScenarios(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		play  player
-		seeds uint64
+		name     string
+		simulate simulateFunc
+		seeds    uint64
 	}{
-		{"core nodes cut off for 20 s", playCutOff, 300},
-		{"core nodes left behind while the others go dark", playLeftBehind, 300},
-		{"acknowledgements lost under two changes of each number", playLostAcks, 400},
-		{"a second loss right after a repair", playSecondLoss, 400},
-		{"hundreds of changes while members are away", playLongHistory, 40},
+		{"core nodes cut off for 20 s", simulateCutOff, 300},
+		{"core nodes left behind while the others go dark", simulateLeftBehind, 300},
+		{"acknowledgements lost under two changes of each number", simulateLostAcks, 400},
+		{"a second loss right after a repair", simulateSecondLoss, 400},
+		{"hundreds of changes while members are away", simulateLongHistory, 40},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			played, c, failure := playSeeds(seedsFor(t, test.seeds), test.play, flaws{})
+			simulations, c, failure := simulateSeeds(seedCount(t, test.seeds), test.simulate, bugs{})
 			assert.NilError(t, failure)
-			t.Logf("%d seeds: %+v", played, c)
-			assert.Assert(t, c.taken > 5*played && c.owners > played, "%+v", c)
+			t.Logf("%d seeds: %+v", simulations, c)
+			assert.Assert(t, c.acknowledged > 5*simulations && c.leaderTerms > simulations, "%+v", c)
 		})
 	}
 }
 
 // TestWorstDaysFindFlaws tests the scenarios: each defect must show.
-func TestWorstDaysFindFlaws(t *testing.T) {
-	for _, flawed := range []struct {
-		name  string
-		play  player
-		flaws flaws
+func TestFaultScenariosDetectInjectedBugs(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		simulate simulateFunc
+		bugs     bugs
 	}{
-		{"core nodes say that there is nothing new without contact to an owner", playCutOff, flaws{vouchAlways: true}},
-		{"a process believes one core node after a while", playLeftBehind, flaws{believeOne: true}},
-		{"changes are told apart by their numbers", playLostAcks, flaws{numberOnly: true}},
-		{"an order that was taken is refused when it comes again", playLostAcks, flaws{forgetTaken: true}},
-		{"a wiped node votes under its old id", playSecondLoss, flaws{forgetful: true}},
+		{"core nodes say that there is nothing new without contact to an owner", simulateCutOff, bugs{vouchWithoutLeader: true}},
+		{"a process believes one core node after a while", simulateLeftBehind, bugs{trustOneNode: true}},
+		{"changes are told apart by their numbers", simulateLostAcks, bugs{compareRevisionOnly: true}},
+		{"an order that was taken is refused when it comes again", simulateLostAcks, bugs{rejectRepeatedChange: true}},
+		{"a wiped node votes under its old id", simulateSecondLoss, bugs{reusedNodeID: true}},
 	} {
-		t.Run(flawed.name, func(t *testing.T) {
-			played, _, failure := playSeeds(5000, flawed.play, flawed.flaws)
-			assert.Assert(t, failure != nil, "no seed of %d fails", played)
-			t.Logf("after %d seeds: %v", played, failure)
+		t.Run(test.name, func(t *testing.T) {
+			simulations, _, failure := simulateSeeds(5000, test.simulate, test.bugs)
+			assert.Assert(t, failure != nil, "no seed of %d fails", simulations)
+			t.Logf("after %d seeds: %v", simulations, failure)
 		})
 	}
 }
 
 // digestOf is how a node tells changes apart.
-func (s *configurationSubject) digestOf(o *order) revisions.Digest {
-	if s.world.flaws.numberOnly {
-		return revisions.DigestOf(o.base, []byte{byte(o.rises)})
+func (s *configurationWorkload) digestOf(o *operation) revisions.Digest {
+	if s.world.bugs.compareRevisionOnly {
+		return revisions.DigestOf(o.base, []byte{byte(o.newRevision)})
 	}
 	return o.digest
 }
--- a/internal/barograph/store/contract_test.go
+++ b/internal/barograph/store/contract_test.go
@@ -12,7 +12,7 @@
 )
 
 // disk is a place on which stores are opened one after another.
-type disk interface {
+type testDisk interface {
 	open(t *testing.T) Store
 	// reopen ends the process that has the store and opens what it left.
 	reopen(t *testing.T, old Store) Store
@@ -23,10 +23,10 @@
 func (memoryDisk) open(*testing.T) Store                { return NewMemory() }
 func (memoryDisk) reopen(_ *testing.T, old Store) Store { return old.(*Memory).Reopen() }
 
-type sqliteDisk struct{ folder string }
+type sqliteDisk struct{ directory string }
 
 func (d sqliteDisk) open(t *testing.T) Store {
-	opened, err := Open(d.folder)
+	opened, err := Open(d.directory)
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.NilError(t, opened.Close()) })
 	return opened
@@ -38,9 +38,9 @@
 }
 
 // contract runs a test against each kind of store.
-func contract(t *testing.T, test func(*testing.T, disk)) {
+func runContract(t *testing.T, test func(*testing.T, testDisk)) {
 	t.Run("memory", func(t *testing.T) { test(t, memoryDisk{}) })
-	t.Run("sqlite", func(t *testing.T) { test(t, sqliteDisk{folder: t.TempDir()}) })
+	t.Run("sqlite", func(t *testing.T) { test(t, sqliteDisk{directory: t.TempDir()}) })
 }
 
 func entry(index, term uint64, data string) replica.Entry {
@@ -52,7 +52,7 @@
 }
 
 func TestIdentityIsKept(t *testing.T) {
-	contract(t, func(t *testing.T, d disk) {
+	runContract(t, func(t *testing.T, d testDisk) {
 		s := d.open(t)
 		_, found, err := s.Identity()
 		assert.NilError(t, err)
@@ -69,7 +69,7 @@
 }
 
 func TestWriteKeepsEveryField(t *testing.T) {
-	contract(t, func(t *testing.T, d disk) {
+	runContract(t, func(t *testing.T, d testDisk) {
 		s := d.open(t)
 		first := replica.Snapshot{Members: replica.Members{Voters: []replica.NodeID{1, 1 << 63}, Learners: []replica.NodeID{3}}, State: []byte("begin")}
 		assert.NilError(t, s.Write([]Write{
@@ -90,7 +90,7 @@
 }
 
 func TestEntriesTakeThePlaceOfThoseAtTheirIndex(t *testing.T) {
-	contract(t, func(t *testing.T, d disk) {
+	runContract(t, func(t *testing.T, d testDisk) {
 		s := d.open(t)
 		assert.NilError(t, s.Write([]Write{{Group: "a", Entries: []replica.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}}}))
 		assert.NilError(t, s.Write([]Write{{Group: "a", Entries: []replica.Entry{entry(2, 2, "d")}}}))
@@ -102,7 +102,7 @@
 }
 
 func TestSnapshotReplacesOrCompacts(t *testing.T) {
-	contract(t, func(t *testing.T, d disk) {
+	runContract(t, func(t *testing.T, d testDisk) {
 		s := d.open(t)
 		log := []replica.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c"), entry(4, 1, "d")}
 		assert.NilError(t, s.Write([]Write{{Group: "a", Entries: log}, {Group: "b", Entries: log}}))
@@ -123,7 +123,7 @@
 }
 
 func TestDropForgetsOneGroup(t *testing.T) {
-	contract(t, func(t *testing.T, d disk) {
+	runContract(t, func(t *testing.T, d testDisk) {
 		s := d.open(t)
 		log := []replica.Entry{entry(1, 1, "a")}
 		assert.NilError(t, s.Write([]Write{{Group: "a", Entries: log}, {Group: "b", Entries: log}}))
@@ -138,7 +138,7 @@
 }
 
 func TestGapFailsAndKeepsNothing(t *testing.T) {
-	contract(t, func(t *testing.T, d disk) {
+	runContract(t, func(t *testing.T, d testDisk) {
 		s := d.open(t)
 		err := s.Write([]Write{
 			{Group: "b", Entries: []replica.Entry{entry(1, 1, "b")}},
@@ -158,7 +158,7 @@
 }
 
 func TestClosedStoreSaysSo(t *testing.T) {
-	contract(t, func(t *testing.T, d disk) {
+	runContract(t, func(t *testing.T, d testDisk) {
 		s := d.open(t)
 		assert.NilError(t, s.Close())
 		assert.NilError(t, s.Close())
@@ -171,7 +171,7 @@
 }
 
 func TestStoreDoesNotKeepWhatIsGiven(t *testing.T) {
-	contract(t, func(t *testing.T, d disk) {
+	runContract(t, func(t *testing.T, d testDisk) {
 		s := d.open(t)
 		data := []byte("data")
 		assert.NilError(t, s.Write([]Write{{Group: "a", Entries: []replica.Entry{{Index: 1, Term: 1, Data: data}}}}))
@@ -189,14 +189,14 @@
 // TestBothStoresAgree plays the same drawn writes on both and compares what they hold.
 func TestBothStoresAgree(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	memory, sqlite := disk(memoryDisk{}), disk(sqliteDisk{folder: t.TempDir()})
+	memory, sqlite := testDisk(memoryDisk{}), testDisk(sqliteDisk{directory: t.TempDir()})
 	a, b := memory.open(t), sqlite.open(t)
-	reach := map[replica.GroupID][2]uint64{} // snapshot and last index
+	ends := map[replica.GroupID][2]uint64{} // snapshot and last index
 	for step := range 300 {
 		if step%50 == 49 {
 			a, b = memory.reopen(t, a), sqlite.reopen(t, b)
 		}
-		batch := drawBatch(random, reach)
+		batch := randomBatch(random, ends)
 		assert.NilError(t, a.Write(batch))
 		assert.NilError(t, b.Write(batch))
 		left, err := a.Load()
@@ -207,11 +207,11 @@
 	}
 }
 
-func drawBatch(random *rand.Rand, reach map[replica.GroupID][2]uint64) []Write {
+func randomBatch(random *rand.Rand, ends map[replica.GroupID][2]uint64) []Write {
 	var batch []Write
 	for range 1 + random.IntN(4) {
 		name := replica.GroupID(fmt.Sprintf("group-%d", random.IntN(3)))
-		at := reach[name]
+		at := ends[name]
 		w := Write{Group: name, Hard: &replica.HardState{Term: random.Uint64(), Vote: replica.NodeID(random.Uint64())}}
 		switch random.IntN(5) {
 		case 0:
@@ -226,7 +226,7 @@
 			w.Entries = append(w.Entries, entry(from+i, 1, fmt.Sprint(random.Uint64())))
 			at[1] = from + i
 		}
-		reach[name] = at
+		ends[name] = at
 		batch = append(batch, w)
 	}
 	return batch
--- a/internal/barograph/store/load.go
+++ b/internal/barograph/store/load.go
@@ -12,8 +12,8 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// versionLine writes schemaVersion.
-var versionLine = fmt.Sprintf("PRAGMA user_version = %d;", schemaVersion)
+// setVersionSQL writes schemaVersion.
+var setVersionSQL = fmt.Sprintf("PRAGMA user_version = %d;", schemaVersion)
 
 // VersionError tells of a database file that another version of the program wrote.
 type VersionError struct {
@@ -37,30 +37,30 @@
 
 // load reads all groups, and notes those that aren't noted.
 func (s *SQLite) load() (map[replica.GroupID]replica.Stored, error) {
-	held := map[int64]*replica.Stored{}
+	byID := map[int64]*replica.Stored{}
 	names := map[int64]replica.GroupID{}
-	if err := s.query(sqlReadGroups, s.readGroup(held, names)); err != nil {
+	if err := s.query(sqlReadGroups, s.readGroup(byID, names)); err != nil {
 		return nil, errors.Wrap(err, "read the groups")
 	}
-	if err := s.query(sqlReadSnapshots, readSnapshot(held)); err != nil {
+	if err := s.query(sqlReadSnapshots, readSnapshot(byID)); err != nil {
 		return nil, errors.Wrap(err, "read the snapshots")
 	}
-	if err := s.query(sqlReadEntries, s.readEntry(held)); err != nil {
+	if err := s.query(sqlReadEntries, s.readEntry(byID)); err != nil {
 		return nil, errors.Wrap(err, "read the entries")
 	}
-	stored := make(map[replica.GroupID]replica.Stored, len(held))
-	for id, one := range held {
-		stored[names[id]] = *one
+	stored := make(map[replica.GroupID]replica.Stored, len(byID))
+	for id, loaded := range byID {
+		stored[names[id]] = *loaded
 	}
 	return stored, nil
 }
 
-func (s *SQLite) readGroup(held map[int64]*replica.Stored, names map[int64]replica.GroupID) func([]driver.Value) error {
+func (s *SQLite) readGroup(byID map[int64]*replica.Stored, names map[int64]replica.GroupID) func([]driver.Value) error {
 	return func(row []driver.Value) error {
-		id, name := row[0].(int64), replica.GroupID(text(row[1]))
+		id, name := row[0].(int64), replica.GroupID(textOf(row[1]))
 		names[id] = name
 		hard := replica.HardState{Term: uint64(row[2].(int64)), Vote: replica.NodeID(row[3].(int64))}
-		held[id] = &replica.Stored{Hard: hard}
+		byID[id] = &replica.Stored{Hard: hard}
 		if _, ok := s.groups[name]; !ok {
 			s.groups[name] = &group{id: id}
 		}
@@ -69,27 +69,27 @@
 	}
 }
 
-func readSnapshot(held map[int64]*replica.Stored) func([]driver.Value) error {
+func readSnapshot(byID map[int64]*replica.Stored) func([]driver.Value) error {
 	return func(row []driver.Value) error {
-		one, ok := held[row[0].(int64)]
+		loaded, ok := byID[row[0].(int64)]
 		if !ok {
 			return nil
 		}
-		one.Snapshot.Index = uint64(row[1].(int64))
-		one.Snapshot.Term = uint64(row[2].(int64))
-		one.Snapshot.State = bytesOf(row[4])
-		return wrap(cbor.Unmarshal(bytesOf(row[3]), &one.Snapshot.Members), "decode members")
+		loaded.Snapshot.Index = uint64(row[1].(int64))
+		loaded.Snapshot.Term = uint64(row[2].(int64))
+		loaded.Snapshot.State = bytesOf(row[4])
+		return wrap(cbor.Unmarshal(bytesOf(row[3]), &loaded.Snapshot.Members), "decode members")
 	}
 }
 
-func (s *SQLite) readEntry(held map[int64]*replica.Stored) func([]driver.Value) error {
+func (s *SQLite) readEntry(byID map[int64]*replica.Stored) func([]driver.Value) error {
 	return func(row []driver.Value) error {
 		s.nextSeq = max(s.nextSeq, row[0].(int64)+1)
-		one, ok := held[row[1].(int64)]
+		loaded, ok := byID[row[1].(int64)]
 		if !ok {
 			return nil
 		}
-		one.Entries = append(one.Entries, replica.Entry{
+		loaded.Entries = append(loaded.Entries, replica.Entry{
 			Index: uint64(row[2].(int64)),
 			Term:  uint64(row[3].(int64)),
 			Kind:  replica.EntryKind(row[4].(int64)),
@@ -100,8 +100,8 @@
 }
 
 // query gives each row of a question to take. The values are the row's own.
-func (s *SQLite) query(question string, take func([]driver.Value) error) error {
-	rows, err := s.connection.Query(question, nil)
+func (s *SQLite) query(statement string, handleRow func([]driver.Value) error) error {
+	rows, err := s.connection.Query(statement, nil)
 	if err != nil {
 		return err
 	}
@@ -114,19 +114,19 @@
 		if err != nil {
 			return errors.Join(err, rows.Close())
 		}
-		if err := take(row); err != nil {
+		if err := handleRow(row); err != nil {
 			return errors.Join(err, rows.Close())
 		}
 	}
 }
 
-// spanOf tells how far a stored log reaches.
-func spanOf(stored replica.Stored) span {
-	reach := span{last: stored.Snapshot.Index}
+// logEndOf tells how far a stored log reaches.
+func logEndOf(stored replica.Stored) logEnd {
+	end := logEnd{last: stored.Snapshot.Index}
 	if n := len(stored.Entries); n > 0 {
-		reach.last = max(reach.last, stored.Entries[n-1].Index)
+		end.last = max(end.last, stored.Entries[n-1].Index)
 	}
-	return reach
+	return end
 }
 
 // escapePath makes a path fit for a file: location.
@@ -150,7 +150,7 @@
 	return data
 }
 
-func text(value driver.Value) string {
+func textOf(value driver.Value) string {
 	switch v := value.(type) {
 	case string:
 		return v
--- a/internal/barograph/store/memory.go
+++ b/internal/barograph/store/memory.go
@@ -17,30 +17,30 @@
 // Memory is a Store without a disk, with its contract and with switches for what a disk may do.
 // What it holds survives Crash and Close: Reopen gives a new store on the same content.
 type Memory struct {
-	mu      sync.Mutex
-	disk    *content
-	broken  error
-	failing error               // the next change fails with it
-	full    bool                // changes fail as on a full disk
-	loses   bool                // Write answers nil and keeps nothing until Sync
-	unsaved []func(*content)    // what loses holds back
-	tears   *rand.Rand          // the next change fails, and is kept by lot
-	onWrite func(batch []Write) // is told of each Write after it is durable
-	before  func(batch []Write) // is told of each Write before it begins
+	mu            sync.Mutex
+	disk          *diskContent
+	failure       error
+	nextFailure   error                // the next change fails with it
+	full          bool                 // changes fail as on a full disk
+	losesUnsynced bool                 // Write answers nil and keeps nothing until Sync
+	unsynced      []func(*diskContent) // what loses holds back
+	tearRandom    *rand.Rand           // the next change fails, and is kept by lot
+	afterWrite    func(batch []Write)  // is told of each Write after it is durable
+	beforeWrite   func(batch []Write)  // is told of each Write before it begins
 }
 
-// content is what a disk holds.
-type content struct {
-	identity replica.NodeID
-	named    bool
-	groups   map[replica.GroupID]replica.Stored
+// diskContent is what a disk holds.
+type diskContent struct {
+	identity    replica.NodeID
+	identitySet bool
+	groups      map[replica.GroupID]replica.Stored
 }
 
 var _ Store = (*Memory)(nil)
 
 // NewMemory makes an empty store.
 func NewMemory() *Memory {
-	return &Memory{disk: &content{groups: map[replica.GroupID]replica.Stored{}}}
+	return &Memory{disk: &diskContent{groups: map[replica.GroupID]replica.Stored{}}}
 }
 
 // Reopen gives a store on what this one has kept, as a restart of the process does,
@@ -48,18 +48,18 @@
 func (m *Memory) Reopen() *Memory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.broken = ErrClosed
-	return &Memory{disk: m.disk.copy()}
+	m.failure = ErrClosed
+	return &Memory{disk: m.disk.clone()}
 }
 
-// Fail lets the next change fail and keep nothing.
-func (m *Memory) Fail() { m.setFailing(&FailedError{Cause: errInjected}) }
+// FailNextChange lets the next change fail and keep nothing.
+func (m *Memory) FailNextChange() { m.setNextFailure(&FailedError{Cause: errInjected}) }
 
-// Fill lets changes fail as on a full disk, and keep nothing, until Empty.
-func (m *Memory) Fill() { m.setFull(true) }
+// FillDisk lets changes fail as on a full disk, and keep nothing, until Empty.
+func (m *Memory) FillDisk() { m.setFull(true) }
 
-// Empty ends what Fill began.
-func (m *Memory) Empty() { m.setFull(false) }
+// FreeDisk ends what Fill began.
+func (m *Memory) FreeDisk() { m.setFull(false) }
 
 func (m *Memory) setFull(full bool) {
 	m.mu.Lock()
@@ -67,30 +67,30 @@
 	m.full = full
 }
 
-// Tear lets the next change fail, and whether it is kept is drawn: what a power loss during
+// TearNextChange lets the next change fail, and whether it is kept is drawn: what a power loss during
 // a commit leaves.
-func (m *Memory) Tear(random *rand.Rand) {
+func (m *Memory) TearNextChange(random *rand.Rand) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.failing, m.tears = &FailedError{Cause: errInjected}, random
+	m.nextFailure, m.tearRandom = &FailedError{Cause: errInjected}, random
 }
 
-// Lose lets changes be answered before they are kept, as a disk that lies about its syncs does:
+// LoseUnsyncedChanges lets changes be answered before they are kept, as a disk that lies about its syncs does:
 // a Reopen loses those since the last Sync. A caller can't notice; tests use it to prove that they would.
-func (m *Memory) Lose() {
+func (m *Memory) LoseUnsyncedChanges() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.loses = true
+	m.losesUnsynced = true
 }
 
 // Sync keeps what Lose has held back.
 func (m *Memory) Sync() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, change := range m.unsaved {
+	for _, change := range m.unsynced {
 		change(m.disk)
 	}
-	m.unsaved = nil
+	m.unsynced = nil
 }
 
 // OnWrite has the two functions told of each Write, before it begins and after it is durable.
@@ -98,35 +98,35 @@
 func (m *Memory) OnWrite(before, after func(batch []Write)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.before, m.onWrite = before, after
+	m.beforeWrite, m.afterWrite = before, after
 }
 
 // Identity implements Store.
 func (m *Memory) Identity() (replica.NodeID, bool, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.broken == ErrClosed {
+	if m.failure == ErrClosed {
 		return 0, false, ErrClosed
 	}
-	seen := m.seen()
-	return seen.identity, seen.named, nil
+	seen := m.visibleContent()
+	return seen.identity, seen.identitySet, nil
 }
 
 // SetIdentity implements Store.
 func (m *Memory) SetIdentity(id replica.NodeID) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.change(func(c *content) { c.identity, c.named = id, true })
+	return m.change(func(c *diskContent) { c.identity, c.identitySet = id, true })
 }
 
 // Load implements Store.
 func (m *Memory) Load() (map[replica.GroupID]replica.Stored, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.broken == ErrClosed {
+	if m.failure == ErrClosed {
 		return nil, ErrClosed
 	}
-	return m.seen().copy().groups, nil
+	return m.visibleContent().clone().groups, nil
 }
 
 // Write implements Store.
@@ -134,13 +134,13 @@
 	if len(batch) == 0 {
 		return nil
 	}
-	if before := m.hook(&m.before); before != nil {
+	if before := m.hook(&m.beforeWrite); before != nil {
 		before(batch)
 	}
 	if err := m.write(batch); err != nil {
 		return err
 	}
-	if after := m.hook(&m.onWrite); after != nil {
+	if after := m.hook(&m.afterWrite); after != nil {
 		after(batch)
 	}
 	return nil
@@ -150,21 +150,21 @@
 func (m *Memory) Drop(group replica.GroupID) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.change(func(c *content) { delete(c.groups, group) })
+	return m.change(func(c *diskContent) { delete(c.groups, group) })
 }
 
 // Close implements Store.
 func (m *Memory) Close() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.broken = ErrClosed
+	m.failure = ErrClosed
 	return nil
 }
 
-func (m *Memory) setFailing(failure *FailedError) {
+func (m *Memory) setNextFailure(failure *FailedError) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.failing, m.tears = failure, nil
+	m.nextFailure, m.tearRandom = failure, nil
 }
 
 func (m *Memory) hook(which *func([]Write)) func([]Write) {
@@ -176,15 +176,15 @@
 func (m *Memory) write(batch []Write) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.broken != nil {
-		return m.broken
+	if m.failure != nil {
+		return m.failure
 	}
-	if err := m.seen().check(batch); err != nil {
-		m.broken = &FailedError{Cause: err}
-		return m.broken
+	if err := m.visibleContent().check(batch); err != nil {
+		m.failure = &FailedError{Cause: err}
+		return m.failure
 	}
 	kept := copyBatch(batch)
-	return m.change(func(c *content) {
+	return m.change(func(c *diskContent) {
 		for i := range kept {
 			c.write(&kept[i])
 		}
@@ -192,63 +192,63 @@
 }
 
 // change carries out a change as the switches say.
-func (m *Memory) change(apply func(*content)) error {
-	if m.broken != nil {
-		return m.broken
+func (m *Memory) change(apply func(*diskContent)) error {
+	if m.failure != nil {
+		return m.failure
 	}
 	if m.full {
 		return &FullError{Cause: errInjected}
 	}
-	if m.failing != nil {
-		m.broken = m.failing
-		if m.tears != nil && m.tears.IntN(2) == 0 {
+	if m.nextFailure != nil {
+		m.failure = m.nextFailure
+		if m.tearRandom != nil && m.tearRandom.IntN(2) == 0 {
 			apply(m.disk)
 		}
-		return m.broken
+		return m.failure
 	}
-	if m.loses {
-		m.unsaved = append(m.unsaved, apply)
+	if m.losesUnsynced {
+		m.unsynced = append(m.unsynced, apply)
 		return nil
 	}
 	apply(m.disk)
 	return nil
 }
 
-// seen is the content as the process sees it: the kept one and what isn't saved yet.
-func (m *Memory) seen() *content {
-	if len(m.unsaved) == 0 {
+// visibleContent is the content as the process sees it: the kept one and what isn't saved yet.
+func (m *Memory) visibleContent() *diskContent {
+	if len(m.unsynced) == 0 {
 		return m.disk
 	}
-	seen := m.disk.copy()
-	for _, change := range m.unsaved {
+	seen := m.disk.clone()
+	for _, change := range m.unsynced {
 		change(seen)
 	}
 	return seen
 }
 
-func (c *content) check(batch []Write) error {
-	spans := map[replica.GroupID]*span{}
+func (c *diskContent) check(batch []Write) error {
+	ends := map[replica.GroupID]*logEnd{}
 	for i := range batch {
 		w := &batch[i]
-		if spans[w.Group] == nil {
-			reach := spanOf(c.groups[w.Group])
-			spans[w.Group] = &reach
+		if ends[w.Group] == nil {
+			end := logEndOf(c.groups[w.Group])
+			ends[w.Group] = &end
 		}
-		if err := spans[w.Group].check(w); err != nil {
+		if err := ends[w.Group].advance(w); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *content) write(w *Write) {
+func (c *diskContent) write(w *Write) {
 	stored := c.groups[w.Group]
 	if w.Hard != nil {
 		stored.Hard = *w.Hard
 	}
 	if w.Snapshot != nil {
 		stored.Snapshot = *w.Snapshot
-		stored.Entries = after(stored.Entries, w)
+		stored.Entries = entriesAfterSnapshot(stored.Entries, w)
 	}
 	if len(w.Entries) > 0 {
 		kept := slices.IndexFunc(stored.Entries, func(e replica.Entry) bool { return e.Index >= w.Entries[0].Index })
@@ -260,8 +260,8 @@
 	c.groups[w.Group] = stored
 }
 
-// after gives the entries that stay beside the write's snapshot.
-func after(entries []replica.Entry, w *Write) []replica.Entry {
+// entriesAfterSnapshot gives the entries that stay beside the write's snapshot.
+func entriesAfterSnapshot(entries []replica.Entry, w *Write) []replica.Entry {
 	if w.CompactTo == 0 {
 		return nil
 	}
@@ -273,14 +273,14 @@
 	return slices.Clone(entries[first:])
 }
 
-func (c *content) copy() *content {
-	twin := &content{identity: c.identity, named: c.named, groups: maps.Clone(c.groups)}
-	for name, stored := range twin.groups {
+func (c *diskContent) clone() *diskContent {
+	copied := &diskContent{identity: c.identity, identitySet: c.identitySet, groups: maps.Clone(c.groups)}
+	for name, stored := range copied.groups {
 		stored.Snapshot = copySnapshot(stored.Snapshot)
 		stored.Entries = copyEntries(stored.Entries)
-		twin.groups[name] = stored
+		copied.groups[name] = stored
 	}
-	return twin
+	return copied
 }
 
 func copyBatch(batch []Write) []Write {
--- a/internal/barograph/store/memory_test.go
+++ b/internal/barograph/store/memory_test.go
@@ -10,11 +10,11 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-func one(index uint64) []Write {
+func oneEntry(index uint64) []Write {
 	return []Write{{Group: "a", Entries: []replica.Entry{entry(index, 1, "data")}}}
 }
 
-func held(t *testing.T, m *Memory) int {
+func countEntries(t *testing.T, m *Memory) int {
 	stored, err := m.Load()
 	assert.NilError(t, err)
 	return len(stored["a"].Entries)
@@ -22,39 +22,39 @@
 
 func TestMemoryFailsForGood(t *testing.T) {
 	m := NewMemory()
-	assert.NilError(t, m.Write(one(1)))
-	m.Fail()
-	err := m.Write(one(2))
+	assert.NilError(t, m.Write(oneEntry(1)))
+	m.FailNextChange()
+	err := m.Write(oneEntry(2))
 	assert.ErrorIs(t, err, ErrFailed)
 	assert.Assert(t, !errors.Is(err, ErrFull))
 	assert.ErrorIs(t, m.SetIdentity(1), ErrFailed)
-	assert.Equal(t, held(t, m.Reopen()), 1)
+	assert.Equal(t, countEntries(t, m.Reopen()), 1)
 }
 
 func TestMemoryIsFullUntilItIsEmptied(t *testing.T) {
 	m := NewMemory()
-	assert.NilError(t, m.Write(one(1)))
-	m.Fill()
+	assert.NilError(t, m.Write(oneEntry(1)))
+	m.FillDisk()
 	for range 3 {
-		err := m.Write(one(2))
+		err := m.Write(oneEntry(2))
 		assert.ErrorIs(t, err, ErrFull)
 		assert.Assert(t, !errors.Is(err, ErrFailed))
 		assert.ErrorIs(t, m.SetIdentity(1), ErrFull)
-		assert.Equal(t, held(t, m), 1)
+		assert.Equal(t, countEntries(t, m), 1)
 	}
-	m.Empty()
-	assert.NilError(t, m.Write(one(2)))
-	assert.Equal(t, held(t, m.Reopen()), 2)
+	m.FreeDisk()
+	assert.NilError(t, m.Write(oneEntry(2)))
+	assert.Equal(t, countEntries(t, m.Reopen()), 2)
 }
 
 func TestMemoryLosesWhatWasNotSynced(t *testing.T) {
 	m := NewMemory()
-	m.Lose()
-	assert.NilError(t, m.Write(one(1)))
+	m.LoseUnsyncedChanges()
+	assert.NilError(t, m.Write(oneEntry(1)))
 	m.Sync()
-	assert.NilError(t, m.Write(one(2)))
-	assert.Equal(t, held(t, m), 2)
-	assert.Equal(t, held(t, m.Reopen()), 1)
+	assert.NilError(t, m.Write(oneEntry(2)))
+	assert.Equal(t, countEntries(t, m), 2)
+	assert.Equal(t, countEntries(t, m.Reopen()), 1)
 }
 
 func TestMemoryTearsEitherWay(t *testing.T) {
@@ -62,9 +62,9 @@
 	found := map[int]bool{}
 	for range 30 {
 		m := NewMemory()
-		m.Tear(random)
-		assert.ErrorIs(t, m.Write(one(1)), ErrFailed)
-		found[held(t, m.Reopen())] = true
+		m.TearNextChange(random)
+		assert.ErrorIs(t, m.Write(oneEntry(1)), ErrFailed)
+		found[countEntries(t, m.Reopen())] = true
 	}
 	assert.DeepEqual(t, found, map[int]bool{0: true, 1: true})
 }
@@ -72,7 +72,7 @@
 func TestMemoryTellsOfWritesBeforeAndAfter(t *testing.T) {
 	m := NewMemory()
 	var steps []int
-	m.OnWrite(func([]Write) { steps = append(steps, held(t, m)) }, func([]Write) { steps = append(steps, held(t, m)) })
-	assert.NilError(t, m.Write(one(1)))
+	m.OnWrite(func([]Write) { steps = append(steps, countEntries(t, m)) }, func([]Write) { steps = append(steps, countEntries(t, m)) })
+	assert.NilError(t, m.Write(oneEntry(1)))
 	assert.DeepEqual(t, steps, []int{0, 1})
 }
--- a/internal/barograph/store/schema.go
+++ b/internal/barograph/store/schema.go
@@ -19,10 +19,10 @@
 	cacheKiB        = 2048
 )
 
-// settings are made on each opening, in this order: the lock must be exclusive before the
+// pragmas are made on each opening, in this order: the lock must be exclusive before the
 // write-ahead log is entered, so that its index stays in this process's memory and no
 // shared-memory file is needed; FULL syncs the log in every commit.
-func settings(maxPages int) []string {
+func pragmas(maxPages int) []string {
 	list := []string{
 		fmt.Sprintf("PRAGMA page_size = %d", pageBytes),
 		"PRAGMA locking_mode = EXCLUSIVE",
--- a/internal/barograph/store/sqlite.go
+++ b/internal/barograph/store/sqlite.go
@@ -14,41 +14,41 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// folderMode is of the folders that Open makes: the state is the process's own.
-const folderMode = 0o700
+// directoryMode is of the folders that Open makes: the state is the process's own.
+const directoryMode = 0o700
 
 // SQLite is a Store in one database file. It holds the file's lock as long as it is open.
 type SQLite struct {
 	mu         sync.Mutex
 	connection *sqlite3.SQLiteConn
 	statements map[string]*sqlite3.SQLiteStmt // the prepared ones, by their text
-	values     []driver.NamedValue            // run's own, used again
+	arguments  []driver.NamedValue            // run's own, used again
 	groups     map[replica.GroupID]*group
 	nextID     int64
 	nextSeq    int64    // of the next entry, over all groups
 	undo       []func() // what the change under way did to the fields above
-	broken     error    // *FailedError or ErrClosed: no further change
+	failure    error    // *FailedError or ErrClosed: no further change
 	closed     bool
 }
 
 // group is what is known of a stored group without reading.
 type group struct {
-	id   int64
-	span span
+	id  int64
+	end logEnd
 }
 
 var _ Store = (*SQLite)(nil)
 
 // Open opens the store in the folder, and makes both where they don't exist.
 // ErrInUse: another process has it open.
-func Open(folder string) (*SQLite, error) { return open(folder, 0) }
+func Open(directory string) (*SQLite, error) { return openLimited(directory, 0) }
 
-// open is Open with a bound on the database's pages, 0 for none.
-func open(folder string, maxPages int) (*SQLite, error) {
-	if err := makeFolder(folder); err != nil {
+// openLimited is Open with a bound on the database's pages, 0 for none.
+func openLimited(directory string, maxPages int) (*SQLite, error) {
+	if err := makeDirectory(directory); err != nil {
 		return nil, err
 	}
-	connection, err := connect(filepath.Join(folder, fileName))
+	connection, err := connect(filepath.Join(directory, fileName))
 	if err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 		nextID:     1,
 		nextSeq:    1,
 	}
-	if err := s.begin(folder, maxPages); err != nil {
+	if err := s.initialize(directory, maxPages); err != nil {
 		return nil, errors.Join(err, connection.Close())
 	}
 	return s, nil
@@ -70,43 +70,43 @@
 	location := "file:" + escapePath(path) + "?_busy_timeout=0"
 	opened, err := (&sqlite3.SQLiteDriver{}).Open(location)
 	if err != nil {
-		return nil, errors.Wrapf(openFailure(err), "open %s", path)
+		return nil, errors.Wrapf(classifyOpenError(err), "open %s", path)
 	}
 	return opened.(*sqlite3.SQLiteConn), nil
 }
 
-// begin makes the settings and tables, syncs the folder and reads what is there of each group.
-func (s *SQLite) begin(folder string, maxPages int) error {
-	for _, line := range settings(maxPages) {
-		if _, err := s.connection.Exec(line, nil); err != nil {
-			return wrap(openFailure(err), line)
+// initialize makes the settings and tables, syncs the folder and reads what is there of each group.
+func (s *SQLite) initialize(directory string, maxPages int) error {
+	for _, statement := range pragmas(maxPages) {
+		if _, err := s.connection.Exec(statement, nil); err != nil {
+			return wrap(classifyOpenError(err), statement)
 		}
 	}
-	if err := s.makeTables(); err != nil {
+	if err := s.createTables(); err != nil {
 		return err
 	}
-	if err := syncFolder(folder); err != nil {
+	if err := syncDirectory(directory); err != nil {
 		return err
 	}
 	stored, err := s.load()
 	if err != nil {
 		return err
 	}
-	for name, held := range stored {
-		s.groups[name].span = spanOf(held)
+	for name, record := range stored {
+		s.groups[name].end = logEndOf(record)
 	}
 	return nil
 }
 
-// makeTables makes the tables of a new file and refuses a file of another version.
-func (s *SQLite) makeTables() error {
+// createTables makes the tables of a new file and refuses a file of another version.
+func (s *SQLite) createTables() error {
 	var version int64
 	err := s.query(sqlReadVersion, func(row []driver.Value) error {
 		version = row[0].(int64)
 		return nil
 	})
 	if err != nil {
-		return wrap(openFailure(err), "read the version")
+		return wrap(classifyOpenError(err), "read the version")
 	}
 	if version != 0 && version != schemaVersion {
 		return &VersionError{Found: version}
@@ -114,8 +114,8 @@
 	if version == schemaVersion {
 		return nil // nothing needs to be written: a full disk can be read
 	}
-	_, err = s.connection.Exec("BEGIN IMMEDIATE;"+schema+versionLine+"COMMIT;", nil)
-	return wrap(openFailure(err), "make the tables")
+	_, err = s.connection.Exec("BEGIN IMMEDIATE;"+schema+setVersionSQL+"COMMIT;", nil)
+	return wrap(classifyOpenError(err), "make the tables")
 }
 
 // Identity implements Store.
@@ -157,17 +157,17 @@
 // Drop implements Store.
 func (s *SQLite) Drop(name replica.GroupID) error {
 	return s.commit(func() error {
-		held, ok := s.groups[name]
+		record, ok := s.groups[name]
 		if !ok {
 			return nil
 		}
-		for _, line := range []string{sqlDrop, sqlDropSnap, sqlDropLog} {
-			if err := s.run(line, held.id); err != nil {
+		for _, statement := range []string{sqlDrop, sqlDropSnap, sqlDropLog} {
+			if err := s.run(statement, record.id); err != nil {
 				return errors.Wrapf(err, "drop group %s", name)
 			}
 		}
 		delete(s.groups, name)
-		s.undo = append(s.undo, func() { s.groups[name] = held })
+		s.undo = append(s.undo, func() { s.groups[name] = record })
 		return nil
 	})
 }
@@ -179,7 +179,7 @@
 	if s.closed {
 		return nil
 	}
-	s.closed, s.broken = true, ErrClosed
+	s.closed, s.failure = true, ErrClosed
 	var failures []error
 	for _, statement := range s.statements {
 		failures = append(failures, statement.Close())
@@ -193,8 +193,8 @@
 func (s *SQLite) commit(change func() error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.broken != nil {
-		return s.broken
+	if s.failure != nil {
+		return s.failure
 	}
 	s.undo = s.undo[:0]
 	err := s.transact(change)
@@ -202,11 +202,11 @@
 	case err == nil:
 		return nil
 	case isFull(err):
-		s.takeBack()
+		s.undoChange()
 		return &FullError{Cause: err}
 	}
-	s.broken = &FailedError{Cause: err}
-	return s.broken
+	s.failure = &FailedError{Cause: err}
+	return s.failure
 }
 
 func (s *SQLite) transact(change func() error) error {
@@ -223,9 +223,9 @@
 	return err
 }
 
-// takeBack undoes what a change that was rolled back did to the store's own fields. What the
+// undoChange undoes what a change that was rolled back did to the store's own fields. What the
 // write-ahead log holds is moved into the database, so that its room can be used again.
-func (s *SQLite) takeBack() {
+func (s *SQLite) undoChange() {
 	for i := len(s.undo) - 1; i >= 0; i-- {
 		s.undo[i]()
 	}
@@ -234,26 +234,26 @@
 }
 
 func (s *SQLite) write(w *Write) error {
-	held, err := s.group(w.Group)
+	record, err := s.group(w.Group)
 	if err != nil {
 		return err
 	}
-	before := held.span.last
-	s.undo = append(s.undo, func() { held.span.last = before })
-	if err := held.span.check(w); err != nil {
+	before := record.end.last
+	s.undo = append(s.undo, func() { record.end.last = before })
+	if err := record.end.advance(w); err != nil {
 		return err
 	}
 	if w.Hard != nil {
-		if err := s.run(sqlHard, int64(w.Hard.Term), int64(w.Hard.Vote), held.id); err != nil {
+		if err := s.run(sqlHard, int64(w.Hard.Term), int64(w.Hard.Vote), record.id); err != nil {
 			return err
 		}
 	}
 	if w.Snapshot != nil {
-		if err := s.writeSnapshot(held.id, w); err != nil {
+		if err := s.writeSnapshot(record.id, w); err != nil {
 			return err
 		}
 	}
-	return s.writeEntries(held.id, before, w.Entries)
+	return s.writeEntries(record.id, before, w.Entries)
 }
 
 func (s *SQLite) writeSnapshot(id int64, w *Write) error {
@@ -295,20 +295,20 @@
 
 // group gives the record of a group, made where it is new.
 func (s *SQLite) group(name replica.GroupID) (*group, error) {
-	if held, ok := s.groups[name]; ok {
-		return held, nil
+	if record, ok := s.groups[name]; ok {
+		return record, nil
 	}
-	held := &group{id: s.nextID}
-	if err := s.run(sqlGroup, held.id, string(name)); err != nil {
+	record := &group{id: s.nextID}
+	if err := s.run(sqlGroup, record.id, string(name)); err != nil {
 		return nil, err
 	}
 	s.nextID++
-	s.groups[name] = held
+	s.groups[name] = record
 	s.undo = append(s.undo, func() {
 		s.nextID--
 		delete(s.groups, name)
 	})
-	return held, nil
+	return record, nil
 }
 
 // run carries out a statement, prepared when it is first used.
@@ -322,12 +322,12 @@
 		statement = prepared.(*sqlite3.SQLiteStmt)
 		s.statements[text] = statement
 	}
-	s.values = s.values[:0]
+	s.arguments = s.arguments[:0]
 	for i, value := range values {
-		s.values = append(s.values, driver.NamedValue{Ordinal: i + 1, Value: value})
+		s.arguments = append(s.arguments, driver.NamedValue{Ordinal: i + 1, Value: value})
 	}
-	_, err := statement.ExecContext(context.Background(), s.values)
-	clear(s.values) // keeps no state alive
+	_, err := statement.ExecContext(context.Background(), s.arguments)
+	clear(s.arguments) // keeps no state alive
 	return err
 }
 
@@ -338,8 +338,8 @@
 	return errors.As(err, &failure) && failure.Code == sqlite3.ErrFull
 }
 
-// openFailure marks a failure of opening by what it tells.
-func openFailure(err error) error {
+// classifyOpenError marks a failure of opening by what it tells.
+func classifyOpenError(err error) error {
 	var failure sqlite3.Error
 	switch {
 	case err == nil:
@@ -352,15 +352,15 @@
 	return err
 }
 
-func makeFolder(folder string) error {
-	if err := os.MkdirAll(folder, folderMode); err != nil {
+func makeDirectory(directory string) error {
+	if err := os.MkdirAll(directory, directoryMode); err != nil {
 		return wrap(err, "make the store's folder")
 	}
-	return syncFolder(filepath.Dir(folder))
+	return syncDirectory(filepath.Dir(directory))
 }
 
-func syncFolder(folder string) error {
-	opened, err := os.Open(folder)
+func syncDirectory(directory string) error {
+	opened, err := os.Open(directory)
 	if err != nil {
 		return wrap(err, "open the folder to sync it")
 	}
--- a/internal/barograph/store/sqlite_test.go
+++ b/internal/barograph/store/sqlite_test.go
@@ -14,13 +14,13 @@
 )
 
 // copyFiles gives a folder with what stands in the store's files now: what a power loss leaves.
-func copyFiles(t *testing.T, folder string) string {
+func copyFiles(t *testing.T, directory string) string {
 	t.Helper()
 	target := t.TempDir()
-	names, err := os.ReadDir(folder)
+	names, err := os.ReadDir(directory)
 	assert.NilError(t, err)
 	for _, name := range names {
-		data, err := os.ReadFile(filepath.Join(folder, name.Name()))
+		data, err := os.ReadFile(filepath.Join(directory, name.Name()))
 		assert.NilError(t, err)
 		assert.NilError(t, os.WriteFile(filepath.Join(target, name.Name()), data, 0o600))
 	}
@@ -28,12 +28,12 @@
 }
 
 func TestWriteIsInTheFilesWhenItReturns(t *testing.T) {
-	folder := t.TempDir()
-	s := sqliteDisk{folder: folder}.open(t)
+	directory := t.TempDir()
+	s := sqliteDisk{directory: directory}.open(t)
 	for i := uint64(1); i <= 20; i++ {
 		assert.NilError(t, s.Write([]Write{{Group: "a", Entries: []replica.Entry{entry(i, 1, "data")}}}))
-		left := sqliteDisk{folder: copyFiles(t, folder)}.open(t)
-		stored, err := left.Load()
+		copied := sqliteDisk{directory: copyFiles(t, directory)}.open(t)
+		stored, err := copied.Load()
 		assert.NilError(t, err)
 		assert.Equal(t, uint64(len(stored["a"].Entries)), i)
 	}
@@ -56,10 +56,10 @@
 }
 
 func TestNoSharedMemoryFileIsMade(t *testing.T) {
-	folder := filepath.Join(t.TempDir(), "with space?", "and#more")
-	s := sqliteDisk{folder: folder}.open(t)
+	directory := filepath.Join(t.TempDir(), "with space?", "and#more")
+	s := sqliteDisk{directory: directory}.open(t)
 	assert.NilError(t, s.SetIdentity(1))
-	names, err := os.ReadDir(folder)
+	names, err := os.ReadDir(directory)
 	assert.NilError(t, err)
 	var found []string
 	for _, name := range names {
@@ -69,20 +69,20 @@
 }
 
 func TestSecondOpeningIsRefused(t *testing.T) {
-	folder := t.TempDir()
-	_ = sqliteDisk{folder: folder}.open(t)
-	_, err := Open(folder)
+	directory := t.TempDir()
+	_ = sqliteDisk{directory: directory}.open(t)
+	_, err := Open(directory)
 	assert.ErrorIs(t, err, ErrInUse)
 }
 
 func TestOtherVersionIsRefused(t *testing.T) {
-	folder := t.TempDir()
-	opened, err := Open(folder)
+	directory := t.TempDir()
+	opened, err := Open(directory)
 	assert.NilError(t, err)
 	_, err = opened.connection.Exec("PRAGMA user_version = 9", nil)
 	assert.NilError(t, err)
 	assert.NilError(t, opened.Close())
-	_, err = Open(folder)
+	_, err = Open(directory)
 	var version *VersionError
 	assert.Assert(t, errors.As(err, &version))
 	assert.Equal(t, version.Found, int64(9))
@@ -91,8 +91,8 @@
 // A full disk loses nothing that was written, shows nothing of what wasn't, and the same write
 // comes through once there is room.
 func TestFullDiskKeepsWhatWasWrittenAndTakesTheRestLater(t *testing.T) {
-	folder := t.TempDir()
-	opened, err := open(folder, 40)
+	directory := t.TempDir()
+	opened, err := openLimited(directory, 40)
 	assert.NilError(t, err)
 	data := make([]byte, 10*pageBytes)
 	kept := uint64(0)
@@ -120,7 +120,7 @@
 	assert.NilError(t, err)
 	assert.NilError(t, opened.Write(last))
 	assert.NilError(t, opened.Close())
-	stored, err = sqliteDisk{folder: folder}.open(t).Load()
+	stored, err = sqliteDisk{directory: directory}.open(t).Load()
 	assert.NilError(t, err)
 	assert.Equal(t, uint64(len(stored["a"].Entries)), kept+1)
 	assert.Equal(t, uint64(len(stored)), kept+2)
@@ -128,11 +128,11 @@
 
 // A process can start on a full disk: what is there is read, and nothing needs to be written.
 func TestFullDiskCanBeOpened(t *testing.T) {
-	folder := t.TempDir()
-	first := sqliteDisk{folder: folder}.open(t)
+	directory := t.TempDir()
+	first := sqliteDisk{directory: directory}.open(t)
 	assert.NilError(t, first.SetIdentity(7))
 	assert.NilError(t, first.Close())
-	opened, err := open(folder, 1)
+	opened, err := openLimited(directory, 1)
 	assert.NilError(t, err)
 	id, held, err := opened.Identity()
 	assert.NilError(t, err)
@@ -142,8 +142,8 @@
 
 // TestFilesStayBounded writes 80 MB through a log that is compacted at 1 MiB.
 func TestFilesStayBounded(t *testing.T) {
-	folder := t.TempDir()
-	s := sqliteDisk{folder: folder}.open(t)
+	directory := t.TempDir()
+	s := sqliteDisk{directory: directory}.open(t)
 	data := make([]byte, 8<<10)
 	const each, rounds, bound = 16, 640, 20 << 20
 	index := uint64(0)
@@ -158,12 +158,12 @@
 			snapshot := &replica.Snapshot{Index: index, Term: 1, State: make([]byte, 1<<20)}
 			assert.NilError(t, s.Write([]Write{{Group: "a", Snapshot: snapshot, CompactTo: index}}))
 		}
-		assert.Assert(t, sizeOf(t, folder) < bound, "after round %d", round)
+		assert.Assert(t, sizeOf(t, directory) < bound, "after round %d", round)
 	}
 }
 
-func sizeOf(t *testing.T, folder string) int64 {
-	names, err := os.ReadDir(folder)
+func sizeOf(t *testing.T, directory string) int64 {
+	names, err := os.ReadDir(directory)
 	assert.NilError(t, err)
 	total := int64(0)
 	for _, name := range names {
--- a/internal/barograph/store/store.go
+++ b/internal/barograph/store/store.go
@@ -89,13 +89,13 @@
 // Unwrap gives the cause.
 func (e *FailedError) Unwrap() error { return e.Cause }
 
-// span is what is known of a group's log: its last index, or the snapshot's where it is empty.
-type span struct {
+// logEnd is what is known of a group's log: its last index, or the snapshot's where it is empty.
+type logEnd struct {
 	last uint64
 }
 
-// check tells whether the write's entries follow on the span, and moves the span on.
-func (s *span) check(w *Write) error {
+// advance tells whether the write's entries follow on the span, and moves the span on.
+func (s *logEnd) advance(w *Write) error {
 	if w.Snapshot != nil && (w.CompactTo == 0 || w.Snapshot.Index > s.last) {
 		s.last = w.Snapshot.Index
 	}
