--- a/internal/anemometer/dispatch/dispatch.go
+++ b/internal/anemometer/dispatch/dispatch.go
@@ -113,7 +113,7 @@
 // open starts the owner of a service; d.mu is held.
 func (d *Dispatcher) open(name string, classes []logic.Class) {
 	settings := logic.Settings{
-		Zone: d.opt.Zone, Classes: classes, ReportFields: []string{logic.ReportHeld}, Slots: true,
+		Zone: d.opt.Zone, Classes: classes, ReportFields: []string{logic.ReportInFlight}, Slots: true,
 		SecondCopies: true, CanCancel: true, MaxRetryAfter: retryAfter,
 		ConnIdle: idleFor, CrossCharge: crossCharge, ConnectCharge: connectCharge,
 	}
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -288,7 +288,7 @@
 			return "an unsafe req was sent again while an earlier attempt may have run"
 		case c.Effect == logic.Keyed && at-s.at >= c.Window:
 			return "a keyed req was sent again after its window"
-		case c.Effect == logic.Keyed && (c.Group == logic.GroupZone && s.zone != zone || c.Group == logic.GroupCell && s.cell != cell):
+		case c.Effect == logic.Keyed && (c.Group == logic.DedupZone && s.zone != zone || c.Group == logic.DedupCell && s.cell != cell):
 			return "a keyed req was sent again outside the group that drops repeats"
 		}
 	}
@@ -323,7 +323,7 @@
 	o.note(at, "ran", id, -1, server)
 	if o.class.Effect == logic.Keyed {
 		for _, e := range o.effects {
-			same := o.class.Group == logic.GroupAll || o.class.Group == logic.GroupZone && e.zone == zone || o.class.Group == logic.GroupCell && e.cell == cell
+			same := o.class.Group == logic.DedupAll || o.class.Group == logic.DedupZone && e.zone == zone || o.class.Group == logic.DedupCell && e.cell == cell
 			if same && at-e.at < o.class.Window {
 				return // dropped as a repeat
 			}
@@ -358,7 +358,7 @@
 		}
 		a.breach(Unanswered, at, t.node, id, "", why, t.op.notes)
 		return
-	case kind == Refused && c != nil && (c.Effect == logic.Unsafe || c.Effect == logic.Keyed && c.Group != logic.GroupAll) && !t.judged:
+	case kind == Refused && c != nil && (c.Effect == logic.Unsafe || c.Effect == logic.Keyed && c.Group != logic.DedupAll) && !t.judged:
 		for _, s := range t.sends {
 			if !s.never {
 				t.judged = true
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -15,7 +15,7 @@
 var rules = Rules{AnswerSlack: 20 * ms, DrainGrace: 1500 * ms, FallMultiple: 2.5, FallAfter: 1500 * ms, FallSlack: .1,
 	Classes: []logic.Class{
 		{Name: "unsafe", Effect: logic.Unsafe, Deadline: 2 * time.Second},
-		{Name: "keyed", Effect: logic.Keyed, Group: logic.GroupZone, Window: 15 * time.Second, Deadline: 3 * time.Second},
+		{Name: "keyed", Effect: logic.Keyed, Group: logic.DedupZone, Window: 15 * time.Second, Deadline: 3 * time.Second},
 		{Name: "safe", Effect: logic.Safe, Deadline: 3 * time.Second},
 	}}
 
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -58,7 +58,7 @@
 // loadNames holds the names that a report's header has for what the settings
 // call otherwise.
 var loadNames = map[string]string{
-	logic.ReportHeld: "inflight", "pending": "queue", "cpu_share": "util",
+	logic.ReportInFlight: "inflight", "pending": "queue", "cpu_share": "util",
 	"svc_ms": "latency_ms", "served_ps": "qps", "failed_ps": "eps",
 }
 
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -23,7 +23,7 @@
 	}{
 		{"inflight=7,queue=2,util=0.61", []string{"pending"}, []float64{2}},
 		{"pending=3", []string{"pending"}, []float64{3}},
-		{"inflight=7, queue=2", []string{"pending", logic.ReportHeld}, []float64{2, 7}},
+		{"inflight=7, queue=2", []string{"pending", logic.ReportInFlight}, []float64{2, 7}},
 		{"inflight=7", []string{"pending"}, nil},
 		{"queue=many", []string{"pending"}, nil},
 		{"queue=NaN", []string{"pending"}, nil},
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -90,17 +90,17 @@
 // Known returns how many backends are listed, and how many of these the module
 // avoids now, where it tells.
 func (o *Owner) Known() (listed, avoided int) {
-	if m, ok := o.module.(interface{ Avoided(time.Duration) int }); ok {
-		avoided = m.Avoided(o.clock(o.world.Now()))
+	if m, ok := o.module.(interface{ CountAvoided(time.Duration) int }); ok {
+		avoided = m.CountAvoided(o.clock(o.world.Now()))
 	}
 	return len(o.listed), avoided
 }
 
 // pupil is a module that hands on what it learned.
 type pupil interface {
-	Learned() ([]byte, error)
-	Learn([]byte) error
-	Recall([]byte) error
+	ExportLearned() ([]byte, error)
+	ImportLearned([]byte) error
+	ImportAfterRestart([]byte) error
 }
 
 // Learned returns what the module learned, empty where it does not tell.
@@ -109,7 +109,7 @@
 	if !ok {
 		return nil
 	}
-	text, err := m.Learned()
+	text, err := m.ExportLearned()
 	if err != nil {
 		o.world.Log.Warn("module: what it learned can't be told", logging.Cause, err)
 	}
@@ -120,9 +120,9 @@
 // instant, else what holds through a stop.
 func (o *Owner) Learn(text []byte, whole bool) {
 	if m, ok := o.module.(pupil); ok {
-		learn := m.Recall
+		learn := m.ImportAfterRestart
 		if whole {
-			learn = m.Learn
+			learn = m.ImportLearned
 		}
 		if err := learn(text); err != nil {
 			o.world.Log.Warn("module: what another learned is not taken on", logging.Cause, err)
@@ -191,7 +191,7 @@
 				t.cancel()
 			}
 		}
-	case logic.Refuse:
+	case logic.Reject:
 		o.answer(a.ID, Answer{Kind: Refused, RetryAfter: a.RetryAfter})
 	case logic.Fail:
 		o.answer(a.ID, Answer{Kind: Failed})
@@ -238,11 +238,11 @@
 		h.Arrived = o.world.Now()
 		h.until = h.Arrived.Add(openMost)
 	}
-	q := logic.Request{ID: id, Class: r.Class, Retry: r.Retry, Tenant: r.Tenant, Hint: r.Hint, Expires: r.Wait, Coming: r.Open,
-		Prefer: r.Prefer, Worth: r.Worth, MaxAttempts: r.MaxAttempts, Avoid: r.Avoid}
+	q := logic.Request{ID: id, Class: r.Class, Retry: r.Retry, Tenant: r.Tenant, WorkHint: r.Hint, ClientTimeout: r.Wait, BodyPending: r.Open,
+		Preferred: r.Prefer, Worth: r.Worth, MaxAttempts: r.MaxAttempts, Avoid: r.Avoid}
 	if !r.Open {
 		// What the request waited for its turn is gone from the client's patience.
-		q.Expires = h.until.Sub(o.world.Now())
+		q.ClientTimeout = h.until.Sub(o.world.Now())
 	}
 	o.tell(id, q)
 }
@@ -263,7 +263,7 @@
 		a := &r.attempts[i]
 		a.at, a.until = now, now.Add(a.within)
 	}
-	o.tell(id, logic.Whole{ID: id, Took: now.Sub(r.Arrived)})
+	o.tell(id, logic.Whole{ID: id, BodyTime: now.Sub(r.Arrived)})
 	for _, t := range r.timers {
 		o.act(t)
 	}
@@ -325,22 +325,22 @@
 		return
 	}
 	now := o.at
-	until := now.Add(a.Within)
-	if a.Within <= 0 || until.After(r.until) {
+	until := now.Add(a.Timeout)
+	if a.Timeout <= 0 || until.After(r.until) {
 		until = r.until
 	}
 	n := len(r.attempts)
-	r.attempts = append(r.attempts, sent{at: now, until: until, within: a.Within, server: a.Server, cancel: func() {}})
+	r.attempts = append(r.attempts, sent{at: now, until: until, within: a.Timeout, server: a.Server, cancel: func() {}})
 	r.open++
 	place, known := o.places[a.Server]
 	if most := o.most(r); r.over || !known || !until.After(now) || most > 0 && n >= most {
-		o.local = append(o.local, func() { o.ended(a.ID, n, Ended{Result: logic.Moot, At: now}) })
+		o.local = append(o.local, func() { o.ended(a.ID, n, Ended{Result: logic.NotSent, At: now}) })
 		return
 	}
 	o.world.Count.Add("attempt.sent")
 	out := Attempt{Call: r.Call, Place: place, Until: until, Before: r.before()}
 	if r.Open {
-		out.Until, out.Within = time.Time{}, min(a.Within, r.Wait)
+		out.Until, out.Within = time.Time{}, min(a.Timeout, r.Wait)
 	}
 	r.attempts[n].cancel = o.world.Backends.Start(out, func(e Ended) {
 		o.world.Post(func() { o.ended(a.ID, n, e) })
@@ -384,7 +384,7 @@
 		Duplicate: "answer.duplicate"}
 	outcomeCounts = [...]string{logic.OK: "outcome.ok", logic.Failed: "outcome.error", logic.QueueFull: "outcome.queue-full",
 		logic.TimedOut: "outcome.timed-out", logic.ConnectFailed: "outcome.connect-failed", logic.Reset: "outcome.reset",
-		logic.Canceled: "outcome.canceled", logic.Moot: "outcome.moot"}
+		logic.Canceled: "outcome.canceled", logic.NotSent: "outcome.moot"}
 	listCounts = [...]string{logic.ListFull: "list.full", logic.ListChanges: "list.changes",
 		logic.ListCached: "list.cached", logic.ListFailed: "list.failed"}
 )
@@ -452,7 +452,7 @@
 		o.listed = make(map[logic.ServerID]Entry, len(entries))
 	}
 	for _, e := range entries {
-		p := Place{ID: e.ID, Endpoint: e.Endpoint, Born: e.Born}
+		p := Place{ID: e.ID, Endpoint: e.Endpoint, Born: e.StartedAt}
 		if old, ok := was[e.ID]; ok && (old != p || e.State != logic.Serving) {
 			o.world.Backends.Withdraw(old)
 			if old != p || e.State == logic.Gone {
--- a/internal/core/owner_test.go
+++ b/internal/core/owner_test.go
@@ -34,7 +34,7 @@
 func (s *sender) Handle(_ time.Duration, ev logic.Event) []logic.Action {
 	s.out = s.out[:0]
 	if r, ok := ev.(logic.Request); ok {
-		s.out = append(s.out, logic.Send{ID: r.ID, Server: "b", Within: time.Second})
+		s.out = append(s.out, logic.Send{ID: r.ID, Server: "b", Timeout: time.Second})
 	}
 	return s.out
 }
@@ -139,7 +139,7 @@
 		h := &hand{do: func(ev logic.Event) []logic.Action {
 			switch ev.(type) {
 			case logic.Request, logic.Outcome:
-				return []logic.Action{logic.Send{ID: "r", Server: "a", Within: time.Second}}
+				return []logic.Action{logic.Send{ID: "r", Server: "a", Timeout: time.Second}}
 			}
 			return nil
 		}}
@@ -167,7 +167,7 @@
 func TestListsWithdrawAttempts(t *testing.T) {
 	a := Place{ID: "a", Endpoint: "x:1"}
 	entry := func(state logic.ServerState, endpoint string, born time.Duration) Entry {
-		return Entry{Server: logic.Server{ID: "a", State: state, Born: born}, Endpoint: endpoint}
+		return Entry{Server: logic.Server{ID: "a", State: state, StartedAt: born}, Endpoint: endpoint}
 	}
 	other := Entry{Server: logic.Server{ID: "b"}, Endpoint: "x:2"}
 	for name, tt := range map[string]struct {
@@ -208,14 +208,14 @@
 	at := time.Unix(1000, 0)
 	h := &hand{do: func(ev logic.Event) []logic.Action {
 		if _, ok := ev.(logic.Request); ok {
-			return []logic.Action{logic.Send{ID: "r", Server: "a", Within: time.Second}}
+			return []logic.Action{logic.Send{ID: "r", Server: "a", Timeout: time.Second}}
 		}
 		return nil
 	}}
 	o := h.play(logic.Class{Name: "c", Deadline: time.Second}, &at)
 	o.Request(Request{ID: "r", Class: "c", Arrived: at, Session: h})
 	h.told = nil
-	h.ends[0](Ended{Result: logic.Moot, Left: true, At: at})
+	h.ends[0](Ended{Result: logic.NotSent, Left: true, At: at})
 	if assert.Len(t, h.told, 2) {
 		assert.Equal(t, logic.ClientGone{ID: "r"}, h.told[0])
 		assert.True(t, h.told[1].(logic.Outcome).Final)
--- a/internal/core/stream_test.go
+++ b/internal/core/stream_test.go
@@ -123,9 +123,9 @@
 		want   Answer // whose Reply is filled in: the second failure, where it is passed on
 	}{
 		"fails":            {logic.Fail{ID: "r"}, true, Ended{Result: logic.Failed, Pass: true}, Answer{Kind: Failed, Attempts: 2}},
-		"refuses":          {logic.Refuse{ID: "r", RetryAfter: time.Second}, true, Ended{Result: logic.Failed, Pass: true}, Answer{Kind: Failed, Attempts: 2}},
+		"refuses":          {logic.Reject{ID: "r", RetryAfter: time.Second}, true, Ended{Result: logic.Failed, Pass: true}, Answer{Kind: Failed, Attempts: 2}},
 		"the other served": {logic.Fail{ID: "r"}, true, Ended{Result: logic.OK}, Answer{Kind: Served, Attempts: 2}},
-		"nothing to pass":  {logic.Refuse{ID: "r", RetryAfter: time.Second}, false, Ended{Result: logic.Failed}, Answer{Kind: Refused, RetryAfter: time.Second, Ran: true, Attempts: 2}},
+		"nothing to pass":  {logic.Reject{ID: "r", RetryAfter: time.Second}, false, Ended{Result: logic.Failed}, Answer{Kind: Refused, RetryAfter: time.Second, Ran: true, Attempts: 2}},
 	} {
 		s := newStreamed(giveUp(tt.action))
 		first, second := &closing{}, &closing{}
@@ -181,7 +181,7 @@
 	at := time.Unix(1000, 0)
 	l := &learner{hand: hand{do: func(ev logic.Event) []logic.Action {
 		if q, ok := ev.(logic.Request); ok {
-			return []logic.Action{logic.Subscribe{}, logic.Fetch{}, logic.Send{ID: q.ID, Server: "a", Within: time.Hour}}
+			return []logic.Action{logic.Subscribe{}, logic.Fetch{}, logic.Send{ID: q.ID, Server: "a", Timeout: time.Hour}}
 		}
 		return nil
 	}}}
--- a/internal/discovery/order.go
+++ b/internal/discovery/order.go
@@ -45,16 +45,16 @@
 	for _, e := range entries {
 		was, known := o.ended[e.ID]
 		switch {
-		case known && older(was) && e.Born <= was.born && e.State < was.state:
+		case known && older(was) && e.StartedAt <= was.born && e.State < was.state:
 			e.State = was.state
 		case e.State == logic.Serving:
 			delete(o.ended, e.ID)
 		case known && older(was): // what it ended was an earlier process, or it says the same
 		default:
-			o.ended[e.ID] = ending{e.State, max(e.Born, before[e.ID]), l.Rev, now}
+			o.ended[e.ID] = ending{e.State, max(e.StartedAt, before[e.ID]), l.Rev, now}
 		}
 		if e.State != logic.Gone {
-			o.listed[e.ID] = e.Born
+			o.listed[e.ID] = e.StartedAt
 		} else if delete(o.listed, e.ID); l.All {
 			continue // in a whole list it is missing
 		}
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -94,7 +94,7 @@
 		seen[t.UID] = i
 		out = append(out, core.Entry{Endpoint: t.Endpoint, Server: logic.Server{
 			ID: logic.ServerID(t.UID), Capacity: t.Capacity, State: state, Kind: t.Kind, Zone: t.Zone,
-			Cell: t.Cell, Born: time.Duration(max(t.BootMS, 0)) * time.Millisecond,
+			Cell: t.Cell, StartedAt: time.Duration(max(t.BootMS, 0)) * time.Millisecond,
 		}})
 	}
 	return out, nil
@@ -105,7 +105,7 @@
 	l := List{Rev: rev, All: all, Targets: make([]Target, 0, len(entries))}
 	for _, e := range entries {
 		t := Target{UID: string(e.ID), Endpoint: e.Endpoint, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
-			Capacity: e.Capacity, BootMS: e.Born.Milliseconds()}
+			Capacity: e.Capacity, BootMS: e.StartedAt.Milliseconds()}
 		for name, state := range states {
 			if state == e.State {
 				t.State = name
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -62,7 +62,7 @@
 	assert.NoError(t, err)
 	assert.Equal(t, []core.Entry{
 		{Endpoint: "h:1", Server: logic.Server{ID: "a", Capacity: 2, State: logic.Serving, Zone: "z", Kind: "k", Cell: 3,
-			Born: time.UnixMilli(1700000000123).Sub(time.Unix(0, 0))}},
+			StartedAt: time.UnixMilli(1700000000123).Sub(time.Unix(0, 0))}},
 		{Server: logic.Server{ID: "b", State: logic.Gone}},
 	}, got)
 }
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -227,7 +227,7 @@
 	case logic.Safe:
 		harmless = true
 	case logic.Keyed:
-		harmless = harmless || groups[o.class.Group] == logic.GroupAll && w.now-o.began < o.class.WindowS.sec()
+		harmless = harmless || groups[o.class.Group] == logic.DedupAll && w.now-o.began < o.class.WindowS.sec()
 	}
 	back := w.sc.Clients.BackoffMS.ms() << min(o.tries-1, 10)
 	wait := time.Duration((0.5 + w.rngOf(o).Float64()) * float64(back))
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -172,7 +172,7 @@
 			func(_ time.Duration, _ logic.Event, out []logic.Action) []logic.Action {
 				for i, a := range out {
 					if f, ok := a.(logic.Fail); ok {
-						out[i] = logic.Refuse{ID: f.ID}
+						out[i] = logic.Reject{ID: f.ID}
 					}
 				}
 				return out
@@ -248,8 +248,8 @@
 			e.born = map[logic.ServerID]time.Duration{}
 		}
 		for _, s := range l.Servers {
-			if delete(e.born, s.ID); s.State == logic.Serving && s.Born > 0 {
-				e.born[s.ID] = s.Born
+			if delete(e.born, s.ID); s.State == logic.Serving && s.StartedAt > 0 {
+				e.born[s.ID] = s.StartedAt
 			}
 		}
 	}
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -295,7 +295,7 @@
 	}
 	at := w.now
 	n.tell(at, func() {
-		never := r == logic.QueueFull || r == logic.ConnectFailed || r == logic.Moot
+		never := r == logic.QueueFull || r == logic.ConnectFailed || r == logic.NotSent
 		n.effect(func() { w.audit.Ended(w.now, a.try.id, string(a.b.id), never, resultNames[r]) })
 		a.done(core.Ended{Result: r, Reply: a.try, Report: report, At: w.timeAt(at)})
 	})
@@ -303,7 +303,7 @@
 
 var resultNames = [...]string{logic.OK: "ended ok", logic.Failed: "ended with an error", logic.QueueFull: "turned away",
 	logic.TimedOut: "timed out", logic.ConnectFailed: "could not connect", logic.Reset: "reset",
-	logic.Canceled: "canceled", logic.Moot: "moot"}
+	logic.Canceled: "canceled", logic.NotSent: "moot"}
 
 // release gives its connection back, or closes it.
 func (a *attempt) release(keep bool) {
@@ -358,7 +358,7 @@
 		b := n.w.byEndpoint[at.Endpoint]
 		for _, a := range n.opening {
 			if a.b == b && !a.begun {
-				a.endNow(logic.Moot, nil)
+				a.endNow(logic.NotSent, nil)
 			}
 		}
 	})
@@ -390,6 +390,6 @@
 // entry is a backend as the registry tells it.
 func (b *backend) entry(st logic.ServerState) core.Entry {
 	return core.Entry{Endpoint: "b" + strconv.Itoa(b.no), Server: logic.Server{
-		ID: b.id, Capacity: b.weight, State: st, Born: b.w.unix(b.born), Kind: b.kind.Name, Zone: b.w.sc.Zones[b.zone].Name, Cell: b.cell,
+		ID: b.id, Capacity: b.weight, State: st, StartedAt: b.w.unix(b.born), Kind: b.kind.Name, Zone: b.w.sc.Zones[b.zone].Name, Cell: b.cell,
 	}}
 }
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -281,7 +281,7 @@
 	cancelModes = []string{"none", "waiting", "all"}
 	reportNames = []string{"held", "queue"}
 	effects     = map[string]logic.Effect{"safe": logic.Safe, "keyed": logic.Keyed, "unsafe": logic.Unsafe}
-	groups      = map[string]logic.Group{"all": logic.GroupAll, "zone": logic.GroupZone, "cell": logic.GroupCell}
+	groups      = map[string]logic.DedupScope{"all": logic.DedupAll, "zone": logic.DedupZone, "cell": logic.DedupCell}
 )
 
 // Default returns a scenario with the figures that a file may leave out.
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -128,7 +128,7 @@
 			switch name {
 			case "pending":
 				name = "queue"
-			case logic.ReportHeld:
+			case logic.ReportInFlight:
 				name = "inflight"
 			}
 			fmt.Fprintf(&head, "%s=%g", name, v)
--- a/internal/rivals/rivals.go
+++ b/internal/rivals/rivals.go
@@ -169,12 +169,12 @@
 	c := p.classes[q.Class]
 	if c == nil || p.reqs[q.ID] != nil {
 		if c == nil {
-			p.do(logic.Refuse{ID: q.ID})
+			p.do(logic.Reject{ID: q.ID})
 		}
 		return
 	}
 	p.seq++
-	r := &req{id: q.ID, seq: p.seq, class: c, end: p.now + min(q.Expires, c.Deadline)}
+	r := &req{id: q.ID, seq: p.seq, class: c, end: p.now + min(q.ClientTimeout, c.Deadline)}
 	p.reqs[r.id], p.bySeq[r.seq] = r, r
 	p.tokens = min(p.tokens+earned, savedMost)
 	left := r.end - p.now
@@ -198,7 +198,7 @@
 	s.out++
 	r.open++
 	r.tries = append(r.tries, attempt{s: s, zone: s.Zone, cell: s.Cell, sent: p.now, open: true, mayRun: true})
-	p.do(logic.Send{ID: r.id, Server: s.ID, Within: r.end - p.now})
+	p.do(logic.Send{ID: r.id, Server: s.ID, Timeout: r.end - p.now})
 	return true
 }
 
@@ -217,8 +217,8 @@
 		case logic.Unsafe:
 			return false
 		case logic.Keyed:
-			if p.now-t.sent >= r.class.Window || r.class.Group == logic.GroupZone && t.zone != s.Zone ||
-				r.class.Group == logic.GroupCell && t.cell != s.Cell {
+			if p.now-t.sent >= r.class.Window || r.class.Group == logic.DedupZone && t.zone != s.Zone ||
+				r.class.Group == logic.DedupCell && t.cell != s.Cell {
 				return false
 			}
 		}
@@ -232,7 +232,7 @@
 		return
 	}
 	t := &r.tries[o.Attempt]
-	t.open, t.mayRun = false, !(o.Result == logic.QueueFull || o.Result == logic.ConnectFailed || o.Result == logic.Moot)
+	t.open, t.mayRun = false, !(o.Result == logic.QueueFull || o.Result == logic.ConnectFailed || o.Result == logic.NotSent)
 	t.s.out--
 	r.open--
 	t.s.observe(p.now, o.Latency.Seconds())
@@ -262,10 +262,10 @@
 }
 
 func (p *Policy) finish(r *req) {
-	harmless := r.class.Effect == logic.Safe || r.class.Effect == logic.Keyed && r.class.Group == logic.GroupAll ||
+	harmless := r.class.Effect == logic.Safe || r.class.Effect == logic.Keyed && r.class.Group == logic.DedupAll ||
 		!slices.ContainsFunc(r.tries, func(t attempt) bool { return t.mayRun })
 	if harmless {
-		p.do(logic.Refuse{ID: r.id, RetryAfter: p.cfg.MaxRetryAfter})
+		p.do(logic.Reject{ID: r.id, RetryAfter: p.cfg.MaxRetryAfter})
 	} else {
 		p.do(logic.Fail{ID: r.id})
 	}
@@ -321,7 +321,7 @@
 		case e.State == logic.Gone:
 			delete(p.servers, e.ID)
 			continue
-		case s == nil || s.Born != e.Born:
+		case s == nil || s.StartedAt != e.StartedAt:
 			s = &server{}
 			p.servers[e.ID] = s
 		}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -76,7 +76,7 @@
 func (p *Pool) exchange(ctx context.Context, a core.Attempt, timer *time.Timer, g *gate) (end core.Ended, s *stream, err error) {
 	call := a.Call.(*message.Call)
 	if call.Rest != nil && call.Rest.Used() {
-		end.Result = logic.Moot // what followed the held part has gone to another
+		end.Result = logic.NotSent // what followed the held part has gone to another
 		return end, nil, nil
 	}
 	c, err := p.take(ctx, a.Place)
--- a/internal/upstream/error.go
+++ b/internal/upstream/error.go
@@ -37,7 +37,7 @@
 func (e *Error) result() logic.Result {
 	switch {
 	case errors.Is(e.Err, errWithdrawn), errors.Is(e.Err, errLeft), errors.Is(e.Err, errWindow):
-		return logic.Moot
+		return logic.NotSent
 	case errors.Is(e.Err, context.Canceled), errors.Is(e.Err, errClient):
 		return logic.Canceled
 	case e.Stage < WrittenWhole:
--- a/internal/upstream/gate_test.go
+++ b/internal/upstream/gate_test.go
@@ -37,13 +37,13 @@
 		kept   bool
 	}{
 		"nothing":            {0, func(*Pool, core.Place, func(), *atomic.Bool) {}, logic.OK, false, true},
-		"the backend leaves": {0, func(p *Pool, at core.Place, _ func(), _ *atomic.Bool) { p.Withdraw(at) }, logic.Moot, false, false},
+		"the backend leaves": {0, func(p *Pool, at core.Place, _ func(), _ *atomic.Bool) { p.Withdraw(at) }, logic.NotSent, false, false},
 		"another one does":   {0, func(p *Pool, at core.Place, _ func(), _ *atomic.Bool) { at.Born++; p.Withdraw(at) }, logic.OK, false, true},
-		"the client leaves":  {0, func(_ *Pool, _ core.Place, _ func(), left *atomic.Bool) { left.Store(true) }, logic.Moot, true, true},
+		"the client leaves":  {0, func(_ *Pool, _ core.Place, _ func(), left *atomic.Bool) { left.Store(true) }, logic.NotSent, true, true},
 		"it is called off":   {0, func(_ *Pool, _ core.Place, cancel func(), _ *atomic.Bool) { cancel() }, logic.Canceled, false, true},
-		"its window is over": {-1, func(*Pool, core.Place, func(), *atomic.Bool) {}, logic.Moot, false, true},
+		"its window is over": {-1, func(*Pool, core.Place, func(), *atomic.Bool) {}, logic.NotSent, false, true},
 		"its window is open": {time.Hour, func(*Pool, core.Place, func(), *atomic.Bool) {}, logic.OK, false, true},
-		"both leave":         {0, func(p *Pool, at core.Place, _ func(), left *atomic.Bool) { left.Store(true); p.Withdraw(at) }, logic.Moot, false, false},
+		"both leave":         {0, func(p *Pool, at core.Place, _ func(), left *atomic.Bool) { left.Store(true); p.Withdraw(at) }, logic.NotSent, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, err := standin.NewBackend(standin.OK)
@@ -109,7 +109,7 @@
 			switch e := <-ends; e.Result {
 			case logic.OK:
 				served++
-			case logic.Moot:
+			case logic.NotSent:
 			default:
 				assert.Fail(t, "neither written nor withdrawn", "%v", e.Result)
 			}
--- a/internal/wire/list.go
+++ b/internal/wire/list.go
@@ -66,7 +66,7 @@
 	if !ok {
 		return s, fmt.Errorf("state %q", clip(f[2]))
 	}
-	if s.Born, err = microsOr0(f[3]); err != nil {
+	if s.StartedAt, err = microsOr0(f[3]); err != nil {
 		return s, fmt.Errorf("born: %w", err)
 	}
 	if f[7] != "-" {
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -125,10 +125,10 @@
 			return nil, fmt.Errorf("key %q", clip(f[6]))
 		}
 	}
-	if q.Expires, err = micros(f[7]); err != nil {
+	if q.ClientTimeout, err = micros(f[7]); err != nil {
 		return nil, fmt.Errorf("expiry: %w", err)
 	}
-	if q.Hint, err = microsOr0(f[9]); err != nil {
+	if q.WorkHint, err = microsOr0(f[9]); err != nil {
 		return nil, fmt.Errorf("hint: %w", err)
 	}
 	return q, nil
@@ -147,7 +147,7 @@
 var results = map[string]logic.Result{
 	"Ok": logic.OK, "Failed": logic.Failed, "QueueFull": logic.QueueFull, "TimedOut": logic.TimedOut,
 	"ConnectError": logic.ConnectFailed, "ResetByPeer": logic.Reset, "Canceled": logic.Canceled,
-	"Ignored": logic.Moot,
+	"Ignored": logic.NotSent,
 }
 
 func ended(f []string) (logic.Event, error) {
--- a/internal/wire/print.go
+++ b/internal/wire/print.go
@@ -14,11 +14,11 @@
 	case logic.Send:
 		dst = head(dst, "FORWARD", node, string(a.ID))
 		dst = append(append(dst, ' '), a.Server...)
-		dst = duration(dst, max(a.Within, time.Microsecond))
+		dst = duration(dst, max(a.Timeout, time.Microsecond))
 	case logic.Cancel:
 		dst = head(dst, "ABANDON", node, string(a.ID))
 		dst = strconv.AppendInt(append(dst, ' '), int64(a.Attempt), 10)
-	case logic.Refuse:
+	case logic.Reject:
 		dst = head(dst, "REJECT", node, string(a.ID))
 		dst = duration(dst, a.RetryAfter)
 	case logic.Fail:
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -60,7 +60,7 @@
 	if fields := f.text("report.fields"); fields != "" && f.text("report.how") != "none" {
 		for name := range strings.SplitSeq(fields, ",") {
 			if name == "busy_reqs" {
-				name = logic.ReportHeld
+				name = logic.ReportInFlight
 			}
 			s.ReportFields = append(s.ReportFields, name)
 		}
@@ -77,7 +77,7 @@
 
 var effects = map[string]logic.Effect{"safe": logic.Safe, "keyed": logic.Keyed, "unsafe": logic.Unsafe}
 
-var groups = map[string]logic.Group{"": logic.GroupAll, "all": logic.GroupAll, "zone": logic.GroupZone, "cell": logic.GroupCell}
+var groups = map[string]logic.DedupScope{"": logic.DedupAll, "all": logic.DedupAll, "zone": logic.DedupZone, "cell": logic.DedupCell}
 
 func (f *facts) class(p string) logic.Class {
 	effect, ok := effects[f.text(p+"effect")]
@@ -169,7 +169,7 @@
 	how := "none"
 	fields := make([]any, 0, len(s.ReportFields))
 	for _, f := range s.ReportFields {
-		if how = "answers"; f == logic.ReportHeld {
+		if how = "answers"; f == logic.ReportInFlight {
 			f = "busy_reqs"
 		}
 		fields = append(fields, f)
--- a/logic/affinity_test.go
+++ b/logic/affinity_test.go
@@ -27,7 +27,7 @@
 
 func ask(t *testing.T, b *Balancer, id string, prefer ...ServerID) ServerID {
 	t.Helper()
-	sends := of[Send](b.Handle(b.now+ms, Request{ID: RequestID(id), Class: "c", Expires: 20 * time.Second, Prefer: prefer}))
+	sends := of[Send](b.Handle(b.now+ms, Request{ID: RequestID(id), Class: "c", ClientTimeout: 20 * time.Second, Preferred: prefer}))
 	require.Len(t, sends, 1)
 	return sends[0].Server
 }
@@ -118,7 +118,7 @@
 			for _, s := range b.ready {
 				answers(s, 1e6, 1)
 			}
-			return len(of[Refuse](b.Handle(ms, Request{ID: "r", Class: "c", Expires: 20 * time.Second, Prefer: prefer})))
+			return len(of[Reject](b.Handle(ms, Request{ID: "r", Class: "c", ClientTimeout: 20 * time.Second, Preferred: prefer})))
 		}
 		usual := play()
 		assert.Equal(t, usual, play("s3"), "seed %d", seed)
@@ -135,11 +135,11 @@
 		b := affinityNode(t, seed, Safe)
 		mostly(b.servers["s3"], 0.97)
 		b.classes["c"].scale = 10
-		sends := of[Send](b.Handle(ms, Request{ID: "r", Class: "c", Expires: 20 * time.Second, Prefer: []ServerID{"s3"}}))
+		sends := of[Send](b.Handle(ms, Request{ID: "r", Class: "c", ClientTimeout: 20 * time.Second, Preferred: []ServerID{"s3"}}))
 		require.Len(t, sends, 1)
 		require.Equal(t, ServerID("s3"), sends[0].Server)
-		assert.Less(t, sends[0].Within, 9*time.Second)
-		assert.Greater(t, sends[0].Within, time.Second)
+		assert.Less(t, sends[0].Timeout, 9*time.Second)
+		assert.Greater(t, sends[0].Timeout, time.Second)
 		require.NotNil(t, b.reqs["r"].alt)
 		assert.NotEqual(t, ServerID("s3"), b.reqs["r"].alt.ID)
 	}
@@ -150,7 +150,7 @@
 func TestRetryGoesToTheNextPreferred(t *testing.T) {
 	for seed := range uint64(20) {
 		b := affinityNode(t, seed, Unsafe)
-		tried, _ := turnedAway(b, ms, Request{ID: "r", Class: "c", Expires: 20 * time.Second, Prefer: []ServerID{"s3", "s5"}})
+		tried, _ := turnedAway(b, ms, Request{ID: "r", Class: "c", ClientTimeout: 20 * time.Second, Preferred: []ServerID{"s3", "s5"}})
 		require.Len(t, tried, 4, "as many as may be")
 		assert.Equal(t, []ServerID{"s3", "s5"}, tried[:2])
 		assert.NotContains(t, tried[2:], ServerID("s3"))
@@ -158,7 +158,7 @@
 
 		b = affinityNode(t, seed, Unsafe)
 		b.servers["s5"].inflight = 5
-		tried, _ = turnedAway(b, ms, Request{ID: "r", Class: "c", Expires: 20 * time.Second, Prefer: []ServerID{"s3", "s5", "s4"}})
+		tried, _ = turnedAway(b, ms, Request{ID: "r", Class: "c", ClientTimeout: 20 * time.Second, Preferred: []ServerID{"s3", "s5", "s4"}})
 		assert.Equal(t, []ServerID{"s3", "s4"}, tried[:2], "the crowded one is passed over")
 
 		b = affinityNode(t, seed, Safe)
@@ -180,7 +180,7 @@
 	cfg.OverShareWorth = 0.25
 	b := newNode(t, cfg, alike(2)...)
 	admit := func(id RequestID, worth float64, tenant string) *request {
-		return b.admit(Request{ID: id, Class: "c", Expires: 600 * ms, Worth: worth, Tenant: tenant}, b.classes["c"])
+		return b.admit(Request{ID: id, Class: "c", ClientTimeout: 600 * ms, Worth: worth, Tenant: tenant}, b.classes["c"])
 	}
 	usual, less, more := admit("usual", 0, ""), admit("less", 1, ""), admit("more", 16, "")
 	assert.Equal(t, []float64{4, 1, 16}, []float64{usual.worth, less.worth, more.worth})
--- a/logic/again_test.go
+++ b/logic/again_test.go
@@ -20,7 +20,7 @@
 			b, err := New(cfg, uint64(seed))
 			require.NoError(t, err)
 			b.Handle(0, ServerList{Kind: ListFull, Servers: alike(tt.servers)})
-			tried, last := turnedAway(b, ms, Request{ID: "r", Class: "c", Expires: 600 * ms})
+			tried, last := turnedAway(b, ms, Request{ID: "r", Class: "c", ClientTimeout: 600 * ms})
 			name := fmt.Sprintf("%+v seed %d: %v", tt, seed, tried)
 			assert.Len(t, tried, tt.want, name)
 			each := map[ServerID]bool{}
@@ -28,7 +28,7 @@
 				each[id] = true
 			}
 			assert.Len(t, each, len(tried), "no server twice: %s", name)
-			assert.Len(t, of[Refuse](last), 1, name)
+			assert.Len(t, of[Reject](last), 1, name)
 			assert.Empty(t, of[Fail](last), name)
 		}
 	}
@@ -49,7 +49,7 @@
 		cfg := testSettings()
 		cfg.Classes = []Class{{Name: "c", Aim: 300 * ms, Deadline: 300 * ms, Effect: Unsafe}}
 		b := newNode(t, cfg, alike(6)...)
-		first := of[Send](b.Handle(ms, Request{ID: "r", Class: "c", Expires: 300 * ms}))
+		first := of[Send](b.Handle(ms, Request{ID: "r", Class: "c", ClientTimeout: 300 * ms}))
 		require.Len(t, first, 1)
 		second := of[Send](b.Handle(2*ms, Outcome{ID: "r", Result: ConnectFailed, Server: first[0].Server, Latency: ms}))
 		require.Len(t, second, 1, tt.name)
@@ -57,6 +57,6 @@
 		out := b.Handle(tt.at, tt.second)
 		assert.Empty(t, of[Send](out), tt.name)
 		assert.Equal(t, tt.fails, len(of[Fail](out)) == 1, tt.name)
-		assert.Equal(t, !tt.fails, len(of[Refuse](out)) == 1, tt.name)
+		assert.Equal(t, !tt.fails, len(of[Reject](out)) == 1, tt.name)
 	}
 }
--- a/logic/api.go
+++ b/logic/api.go
@@ -41,14 +41,14 @@
 	Unsafe               // must never run twice
 )
 
-// Group says which servers drop the repeats of a Keyed request.
-type Group uint8
+// DedupScope says which servers drop the repeats of a Keyed request.
+type DedupScope uint8
 
 // The groups of a Keyed class.
 const (
-	GroupAll  Group = iota // every server
-	GroupZone              // the servers of one zone
-	GroupCell              // the servers of one cell
+	DedupAll  DedupScope = iota // every server
+	DedupZone                   // the servers of one zone
+	DedupCell                   // the servers of one cell
 )
 
 // Class describes one class of requests.
@@ -62,7 +62,7 @@
 	Worth       float64       // 0: unknown, the paper's example figures serve
 	LateWorth   float64       // part of the worth kept after the aim, 0 to 1
 	Effect      Effect
-	Group       Group         // for Keyed
+	Group       DedupScope    // for Keyed
 	Window      time.Duration // for Keyed: how long repeats are dropped
 	Stream      bool          // answers are streamed: Started events come
 	Resumable   bool          // for Stream: a further attempt may take the answer up, also from its middle
@@ -75,10 +75,10 @@
 	QuotaPerSec float64 // requests a second within its share, over all nodes
 }
 
-// ReportHeld is the name in Settings.ReportFields of the count of requests that
+// ReportInFlight is the name in Settings.ReportFields of the count of requests that
 // a server holds, running and waiting. Where reports lack it, the count of those
 // waiting, "pending", is heeded in its place.
-const ReportHeld = "held"
+const ReportInFlight = "held"
 
 // Settings is what a node is told at start. Durations of 0 mean "not stated".
 type Settings struct {
@@ -170,13 +170,13 @@
 
 // Server is one entry of a server list.
 type Server struct {
-	ID       ServerID
-	Capacity float64 // relative size, for comparison with other servers
-	State    ServerState
-	Born     time.Duration // when it last started, on the clock of Handle; 0: long ago
-	Kind     string
-	Zone     string
-	Cell     int
+	ID        ServerID
+	Capacity  float64 // relative size, for comparison with other servers
+	State     ServerState
+	StartedAt time.Duration // when it last started, on the clock of Handle; 0: long ago
+	Kind      string
+	Zone      string
+	Cell      int
 }
 
 // ServerList brings news of the servers. The Balancer keeps no reference to
@@ -189,15 +189,15 @@
 // Request is a client's request. The node owes it one final answer. The Balancer keeps
 // Prefer until then.
 type Request struct {
-	ID      RequestID
-	Class   string
-	Retry   bool          // the client marked it as a repetition
-	Expires time.Duration // how long the client still waits for this try
-	Tenant  string        // "" where there are no tenants
-	Hint    time.Duration // expected work on a standard core, 0: not known
-	Coming  bool          // its last byte has not come: one attempt can be made, which is no load yet
-	Worth   float64       // of this request, above 0 and finite; 0: its class's
-	Prefer  []ServerID    // servers known to hold part of its prompt, best first
+	ID            RequestID
+	Class         string
+	Retry         bool          // the client marked it as a repetition
+	ClientTimeout time.Duration // how long the client still waits for this try
+	Tenant        string        // "" where there are no tenants
+	WorkHint      time.Duration // expected work on a standard core, 0: not known
+	BodyPending   bool          // its last byte has not come: one attempt can be made, which is no load yet
+	Worth         float64       // of this request, above 0 and finite; 0: its class's
+	Preferred     []ServerID    // servers known to hold part of its prompt, best first
 
 	MaxAttempts int      // attempts allowed for this request, 0: its class's
 	Avoid       ServerID // gets it only where there is no other server, "": any may
@@ -206,8 +206,8 @@
 // Whole tells that the last byte has come of a request that was told as Coming: its time
 // starts only now. The timers set for it until then start now as well.
 type Whole struct {
-	ID   RequestID
-	Took time.Duration // since the Request
+	ID       RequestID
+	BodyTime time.Duration // since the Request
 }
 
 // Started tells that the streamed answer of an attempt has begun. From then on
@@ -231,11 +231,11 @@
 	ConnectFailed        // no connection; it never ran
 	Reset                // the connection broke; it may have run
 	Canceled             // called off; it may have run
-	Moot                 // never sent
+	NotSent              // never sent
 )
 
 // NeverRan tells whether the result proves that the attempt did not run.
-func (r Result) NeverRan() bool { return r == QueueFull || r == ConnectFailed || r == Moot }
+func (r Result) NeverRan() bool { return r == QueueFull || r == ConnectFailed || r == NotSent }
 
 // Outcome tells how an attempt ended. There is one for every Send.
 type Outcome struct {
@@ -278,9 +278,9 @@
 
 // Send starts an attempt.
 type Send struct {
-	ID     RequestID
-	Server ServerID
-	Within time.Duration // time-out of the attempt
+	ID      RequestID
+	Server  ServerID
+	Timeout time.Duration // time-out of the attempt
 }
 
 // Cancel stops waiting for an attempt.
@@ -289,8 +289,8 @@
 	Attempt int
 }
 
-// Refuse is a final answer: trying again is harmless.
-type Refuse struct {
+// Reject is a final answer: trying again is harmless.
+type Reject struct {
 	ID         RequestID
 	RetryAfter time.Duration // how long the client should stay away, 0: no advice
 }
@@ -318,7 +318,7 @@
 
 func (Send) action()      {}
 func (Cancel) action()    {}
-func (Refuse) action()    {}
+func (Reject) action()    {}
 func (Fail) action()      {}
 func (SetTimer) action()  {}
 func (Subscribe) action() {}
--- a/logic/attempt.go
+++ b/logic/attempt.go
@@ -15,7 +15,7 @@
 	s.report, s.sent = s.report+1, b.now
 	b.room = max(b.room-1, -2*roomMost)
 	r.open++
-	b.do(Send{ID: r.id, Server: s.ID, Within: within})
+	b.do(Send{ID: r.id, Server: s.ID, Timeout: within})
 }
 
 func (b *Balancer) outcome(o Outcome) {
@@ -98,7 +98,7 @@
 	if late || !b.mayRefuse(r) {
 		b.do(Fail{ID: r.id})
 	} else {
-		b.do(Refuse{ID: r.id, RetryAfter: b.cfg.MaxRetryAfter})
+		b.do(Reject{ID: r.id, RetryAfter: b.cfg.MaxRetryAfter})
 	}
 	b.close(r, false)
 }
--- a/logic/balancer.go
+++ b/logic/balancer.go
@@ -132,7 +132,7 @@
 		b.tenants[t.Name] = &quota{perSecond: part, left: most, most: most}
 	}
 	for i, f := range s.ReportFields {
-		if f == ReportHeld || f == "pending" && b.field < 0 {
+		if f == ReportInFlight || f == "pending" && b.field < 0 {
 			b.field = i
 		}
 	}
@@ -183,7 +183,7 @@
 		b.stream(e)
 	case Whole:
 		if r := b.reqs[e.ID]; r != nil && r.work == 0 { // what was no load so far is now
-			r.aim, r.end, r.work = r.aim+e.Took, r.end+e.Took, 1
+			r.aim, r.end, r.work = r.aim+e.BodyTime, r.end+e.BodyTime, 1
 			for i := range r.tries {
 				r.tries[i].s.inflight += r.open
 			}
@@ -222,7 +222,7 @@
 	}
 	c := b.classes[q.Class]
 	if c == nil {
-		b.do(Refuse{ID: q.ID}) // nothing is known of what it may do, and nothing has run
+		b.do(Reject{ID: q.ID}) // nothing is known of what it may do, and nothing has run
 		return
 	}
 	r := b.admit(q, c)
@@ -239,19 +239,19 @@
 func (b *Balancer) admit(q Request, c *class) *request {
 	b.seq++
 	r := &request{id: q.ID, seq: b.seq, class: c, unit: c.scale, cost: 1, idle: true, told: q}
-	if r.most, r.work = cmp.Or(q.MaxAttempts, c.MaxAttempts, b.cfg.MaxAttempts), 1; q.Coming {
+	if r.most, r.work = cmp.Or(q.MaxAttempts, c.MaxAttempts, b.cfg.MaxAttempts), 1; q.BodyPending {
 		r.most, r.work = 1, 0
 	}
 	// An answer still has to travel to the client and is seen a tick late.
-	aim := c.Aim + time.Duration(c.AimStretch*float64(q.Hint)) - 2*b.cfg.Tick
-	if h := q.Hint.Seconds(); h > 0 {
+	aim := c.Aim + time.Duration(c.AimStretch*float64(q.WorkHint)) - 2*b.cfg.Tick
+	if h := q.WorkHint.Seconds(); h > 0 {
 		c.hint = cmp.Or(c.hint, h)
 		c.hint += (h - c.hint) * scaleStep
 		r.cost = h / c.hint
 		// Half of a usual latency is the request's own work, half is waiting for others'.
 		r.unit = c.scale * (0.5 + 0.5*r.cost)
 	}
-	expires := min(q.Expires, c.Deadline)
+	expires := min(q.ClientTimeout, c.Deadline)
 	aim -= c.passed(r, expires, aim)
 	if r.worth = cmp.Or(max(q.Worth, 0), c.r); b.overShare(q.Tenant) {
 		r.worth *= b.cfg.OverShareWorth
--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -22,7 +22,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now := time.Duration(i) * ms
-				for _, s := range of[Send](bal.Handle(now, Request{ID: RequestID(fmt.Sprint(i)), Class: "safe", Expires: 300 * ms})) {
+				for _, s := range of[Send](bal.Handle(now, Request{ID: RequestID(fmt.Sprint(i)), Class: "safe", ClientTimeout: 300 * ms})) {
 					bal.Handle(now, Outcome{ID: s.ID, Result: OK, Final: true, Server: s.Server, Latency: 20 * ms})
 				}
 			}
--- a/logic/capacity_test.go
+++ b/logic/capacity_test.go
@@ -45,7 +45,7 @@
 	for i := 0; b.Loop(); i++ {
 		now := time.Duration(i) * ms
 		id := RequestID(fmt.Sprint(i))
-		for _, s := range of[Send](balancer.Handle(now, Request{ID: id, Class: "safe", Expires: time.Hour})) {
+		for _, s := range of[Send](balancer.Handle(now, Request{ID: id, Class: "safe", ClientTimeout: time.Hour})) {
 			open[s.ID] = s
 			order = append(order, s.ID)
 		}
--- a/logic/choose.go
+++ b/logic/choose.go
@@ -88,7 +88,7 @@
 
 // preferred returns the first server that holds part of the prompt, promises such a gain and isn't crowded.
 func (b *Balancer) preferred(r *request, least float64) *server {
-	for _, id := range r.told.Prefer {
+	for _, id := range r.told.Preferred {
 		s := b.servers[id]
 		if s != nil && !s.aside(b.now) && b.maySend(r, s) && b.gain(r, s, 0) >= least &&
 			s.load(b.now) <= heldLeast+heldTimes*float64(len(b.bySeq))*s.Capacity/b.nearSum {
@@ -182,7 +182,7 @@
 
 // sees tells whether the server drops the repeats of what was sent to a zone and cell.
 func (c *class) sees(zone string, cell int, s *server) bool {
-	return (c.Group != GroupZone || zone == s.Zone) && (c.Group != GroupCell || cell == s.Cell)
+	return (c.Group != DedupZone || zone == s.Zone) && (c.Group != DedupCell || cell == s.Cell)
 }
 
 // draw returns a random server, likelier the more capacity it has now.
--- a/logic/classes_test.go
+++ b/logic/classes_test.go
@@ -29,9 +29,9 @@
 		cfg.MaxAttempts = tt.settings
 		cfg.Classes = []Class{{Name: "c", Aim: 300 * ms, Deadline: 600 * ms, MaxAttempts: tt.class}}
 		b := newNode(t, cfg, alike(8)...)
-		tried, last := turnedAway(b, ms, Request{ID: "r", Class: "c", Expires: 600 * ms})
+		tried, last := turnedAway(b, ms, Request{ID: "r", Class: "c", ClientTimeout: 600 * ms})
 		assert.Len(t, tried, tt.want, "%+v", tt)
-		assert.Len(t, of[Refuse](last), 1, "%+v", tt)
+		assert.Len(t, of[Reject](last), 1, "%+v", tt)
 	}
 	_, err := New(Settings{Classes: []Class{{Name: "c", Aim: ms, Deadline: ms, MaxAttempts: -1}}}, 1)
 	assert.Error(t, err)
@@ -45,7 +45,7 @@
 	b := newNode(t, cfg, alike(4)...)
 	for i := range 40 {
 		now := time.Duration(i) * 10 * ms
-		for _, s := range of[Send](b.Handle(now, Request{ID: RequestID(fmt.Sprint(i)), Class: "kept", Expires: 600 * ms, Hint: 5 * ms})) {
+		for _, s := range of[Send](b.Handle(now, Request{ID: RequestID(fmt.Sprint(i)), Class: "kept", ClientTimeout: 600 * ms, WorkHint: 5 * ms})) {
 			b.Handle(now+8*ms, Outcome{ID: s.ID, Result: OK, Final: true, Server: s.Server, Latency: 8 * ms})
 		}
 	}
@@ -54,7 +54,7 @@
 	require.NotZero(t, learned.hint)
 
 	now := time.Second
-	first := of[Send](b.Handle(now, Request{ID: "under way", Class: "dropped", Expires: 600 * ms}))
+	first := of[Send](b.Handle(now, Request{ID: "under way", Class: "dropped", ClientTimeout: 600 * ms}))
 	require.Len(t, first, 1)
 	changed := Class{Name: "kept", Aim: 100 * ms, Deadline: 400 * ms, Worth: 6, Effect: Unsafe}
 	require.NoError(t, b.SetClasses([]Class{changed, {Name: "added", Aim: 300 * ms, Deadline: 600 * ms, Worth: 1}}))
@@ -66,8 +66,8 @@
 	assert.Equal(t, 6*exampleV/exampleR, kept.v)
 	assert.Equal(t, 6*retryPrice*exampleC2/exampleR, kept.c2)
 
-	assert.Len(t, of[Send](b.Handle(now, Request{ID: "new", Class: "added", Expires: 600 * ms})), 1)
-	assert.Len(t, of[Refuse](b.Handle(now, Request{ID: "late", Class: "dropped", Expires: 600 * ms})), 1)
+	assert.Len(t, of[Send](b.Handle(now, Request{ID: "new", Class: "added", ClientTimeout: 600 * ms})), 1)
+	assert.Len(t, of[Reject](b.Handle(now, Request{ID: "late", Class: "dropped", ClientTimeout: 600 * ms})), 1)
 	again := of[Send](b.Handle(now+ms, Outcome{ID: "under way", Result: QueueFull, Server: first[0].Server, Latency: ms}))
 	require.Len(t, again, 1, "a request under way keeps its class")
 	assert.NotEqual(t, first[0].Server, again[0].Server)
@@ -81,7 +81,7 @@
 	cfg.Classes = []Class{class}
 	b := newNode(t, cfg, alike(4)...)
 	for _, id := range []RequestID{"served", "failed"} {
-		require.Len(t, of[Send](b.Handle(ms, Request{ID: id, Class: "c", Expires: 600 * ms})), 1)
+		require.Len(t, of[Send](b.Handle(ms, Request{ID: id, Class: "c", ClientTimeout: 600 * ms})), 1)
 	}
 	class.Effect = Safe
 	require.NoError(t, b.SetClasses([]Class{class}))
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -30,7 +30,7 @@
 	const at, end = 25 * time.Second, 40 * time.Second
 	w := newWorld(t, cfg, d.nodes, seed)
 	w.sound = true
-	w.broken = func(now time.Duration, s Server) bool { return d.fail && now >= at && s.Born == 0 }
+	w.broken = func(now time.Duration, s Server) bool { return d.fail && now >= at && s.StartedAt == 0 }
 	rng := rand.New(rand.NewPCG(seed, 9))
 	for i := range w.nodes {
 		c := cfg
@@ -39,7 +39,7 @@
 	}
 	sent := map[ServerID][]time.Duration{}
 	w.onSend = func(now time.Duration, _ int, s Server) {
-		if s.Born == 0 || now >= s.Born+cfg.WarmWithin {
+		if s.StartedAt == 0 || now >= s.StartedAt+cfg.WarmWithin {
 			return // warm
 		}
 		sends++
@@ -48,7 +48,7 @@
 			list = list[1:]
 		}
 		sent[s.ID] = list
-		share := cfg.ColdFrom + (1-cfg.ColdFrom)*float64(now-s.Born)/float64(cfg.WarmWithin)
+		share := cfg.ColdFrom + (1-cfg.ColdFrom)*float64(now-s.StartedAt)/float64(cfg.WarmWithin)
 		n := cfg.FallMultiple * share * d.each * d.window.Seconds()
 		over = max(over, float64(len(list))-(n+2*math.Sqrt(n)+2))
 	}
@@ -57,7 +57,7 @@
 		s := Server{ID: ServerID(fmt.Sprint("s", i)), Capacity: 1, Zone: fmt.Sprint("z", i%2)}
 		before = append(before, s)
 		if i < d.cold {
-			s.ID, s.Born = ServerID(fmt.Sprint("c", i)), at+time.Duration(rng.IntN(500))*ms
+			s.ID, s.StartedAt = ServerID(fmt.Sprint("c", i)), at+time.Duration(rng.IntN(500))*ms
 			changes = append(changes, Server{ID: before[i].ID, State: Gone}, s)
 		}
 		after = append(after, s)
@@ -104,7 +104,7 @@
 				}
 			}
 			now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-			w.ask(now, node, Request{ID: RequestID(fmt.Sprint(node, "/", i)), Class: class.Name, Expires: class.Deadline}, class)
+			w.ask(now, node, Request{ID: RequestID(fmt.Sprint(node, "/", i)), Class: class.Name, ClientTimeout: class.Deadline}, class)
 		}
 	}
 	w.run(end)
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -18,7 +18,7 @@
 		panic(err)
 	}
 	b.Handle(0, logic.ServerList{Kind: logic.ListFull, Servers: []logic.Server{{ID: "a", Capacity: 1}}})
-	actions := b.Handle(time.Millisecond, logic.Request{ID: "r1", Class: "get", Expires: time.Second})
+	actions := b.Handle(time.Millisecond, logic.Request{ID: "r1", Class: "get", ClientTimeout: time.Second})
 	for _, a := range actions {
 		switch a := a.(type) {
 		case logic.Send:
--- a/logic/guard.go
+++ b/logic/guard.go
@@ -46,16 +46,16 @@
 
 // mayRefuse tells whether a refusal, which calls a repetition harmless, is true.
 func (b *Balancer) mayRefuse(r *request) bool {
-	return r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll ||
+	return r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == DedupAll ||
 		!slices.ContainsFunc(r.tries, func(t attempt) bool { return t.mayRun })
 }
 
 // warmth is the share of its capacity that a server surely has by now.
 func (b *Balancer) warmth(s *server) float64 {
-	if s.Born <= 0 || b.cfg.WarmWithin <= 0 {
+	if s.StartedAt <= 0 || b.cfg.WarmWithin <= 0 {
 		return 1
 	}
-	age := float64(b.now-s.Born) / float64(b.cfg.WarmWithin)
+	age := float64(b.now-s.StartedAt) / float64(b.cfg.WarmWithin)
 	return min(max(b.cfg.ColdFrom+(1-b.cfg.ColdFrom)*max(age, 0), 0.01), 1)
 }
 
--- a/logic/list.go
+++ b/logic/list.go
@@ -29,7 +29,7 @@
 
 func (b *Balancer) entry(e Server) {
 	s := b.servers[e.ID]
-	if s != nil && (e.State == Gone || s.Born != e.Born) { // another process under an id is another server
+	if s != nil && (e.State == Gone || s.StartedAt != e.StartedAt) { // a new process is a new server
 		s.listed, s.State = false, Gone
 		delete(b.servers, e.ID)
 		s = nil
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -207,11 +207,11 @@
 		{"less than no time", []Server{one}, -5 * ms, 0},
 	} {
 		b := newNode(t, cfg, tt.servers...)
-		out := b.Handle(ms, Request{ID: "r", Class: "safe", Expires: tt.expires})
+		out := b.Handle(ms, Request{ID: "r", Class: "safe", ClientTimeout: tt.expires})
 		if got := len(of[Send](out)); got != tt.sends {
 			t.Errorf("%s: %d sends, want %d", tt.name, got, tt.sends)
 		}
-		if got := len(of[Refuse](out)); got != 1-tt.sends {
+		if got := len(of[Reject](out)); got != 1-tt.sends {
 			t.Errorf("%s: %d refusals, want %d", tt.name, got, 1-tt.sends)
 		}
 		if len(b.ready) > 1 {
@@ -223,7 +223,7 @@
 // The alternative has drained by the time of the retry: the next best gets it.
 func TestRetryPassesOverADrainedAlternative(t *testing.T) {
 	b := newNode(t, testSettings(), testServer(0), testServer(2), testServer(4))
-	sent := of[Send](b.Handle(ms, Request{ID: "r", Class: "safe", Expires: 300 * ms}))[0]
+	sent := of[Send](b.Handle(ms, Request{ID: "r", Class: "safe", ClientTimeout: 300 * ms}))[0]
 	r := b.reqs["r"]
 	for _, s := range b.ready {
 		if s.ID != sent.Server {
@@ -247,7 +247,7 @@
 		again  bool
 	}{{QueueFull, true}, {ConnectFailed, true}, {Failed, false}, {Reset, false}, {TimedOut, false}} {
 		b := newNode(t, testSettings(), testServer(0), testServer(1), testServer(2))
-		sent := of[Send](b.Handle(ms, Request{ID: "r", Class: "unsafe", Expires: 500 * ms}))[0]
+		sent := of[Send](b.Handle(ms, Request{ID: "r", Class: "unsafe", ClientTimeout: 500 * ms}))[0]
 		out := b.Handle(3*ms, Outcome{ID: "r", Result: tt.result, Server: sent.Server, Latency: 2 * ms})
 		if got := len(of[Send](out)) == 1; got != tt.again {
 			t.Errorf("after %d: sent again %v", tt.result, got)
@@ -255,7 +255,7 @@
 		if got := len(of[Fail](out)) == 1; got == tt.again {
 			t.Errorf("after %d: failed %v", tt.result, got)
 		}
-		if n := len(of[Refuse](out)); n > 0 {
+		if n := len(of[Reject](out)); n > 0 {
 			t.Errorf("after %d: refused", tt.result)
 		}
 	}
@@ -264,14 +264,14 @@
 // A caller's mistakes get an answer or none, and never a panic.
 func TestMisuse(t *testing.T) {
 	b := newNode(t, testSettings(), testServer(0), testServer(1))
-	if out := b.Handle(ms, Request{ID: "x", Class: "nonesuch", Expires: time.Second}); len(of[Refuse](out)) != 1 {
+	if out := b.Handle(ms, Request{ID: "x", Class: "nonesuch", ClientTimeout: time.Second}); len(of[Reject](out)) != 1 {
 		t.Errorf("unknown class: %v", out)
 	}
-	if out := b.Handle(ms, Request{ID: "y", Class: "safe", Tenant: "nonesuch", Expires: 300 * ms}); len(of[Send](out)) != 1 {
+	if out := b.Handle(ms, Request{ID: "y", Class: "safe", Tenant: "nonesuch", ClientTimeout: 300 * ms}); len(of[Send](out)) != 1 {
 		t.Errorf("unknown tenant: %v", out)
 	}
 	for name, ev := range map[string]Event{
-		"request known already":      Request{ID: "y", Class: "safe", Expires: 300 * ms},
+		"request known already":      Request{ID: "y", Class: "safe", ClientTimeout: 300 * ms},
 		"outcome of unknown request": Outcome{ID: "z", Result: OK},
 		"outcome of unknown attempt": Outcome{ID: "y", Attempt: 9, Result: OK},
 		"negative attempt":           Outcome{ID: "y", Attempt: -1, Result: OK},
@@ -285,7 +285,7 @@
 		}
 	}
 	b.Handle(time.Second, ServerList{Kind: ListFailed})
-	b.Handle(0, Request{ID: "back", Class: "safe", Expires: 300 * ms}) // the clock runs backwards
+	b.Handle(0, Request{ID: "back", Class: "safe", ClientTimeout: 300 * ms}) // the clock runs backwards
 	if b.now != time.Second {
 		t.Errorf("the clock went back to %v", b.now)
 	}
@@ -316,7 +316,7 @@
 	b.classes["safe"].scale = 2 // seconds, for an aim of 100 ms
 	sent := 0
 	for i := range 400 {
-		out := b.Handle(time.Duration(i)*20*ms, Request{ID: RequestID(fmt.Sprint(i)), Class: "safe", Expires: 300 * ms})
+		out := b.Handle(time.Duration(i)*20*ms, Request{ID: RequestID(fmt.Sprint(i)), Class: "safe", ClientTimeout: 300 * ms})
 		for _, s := range of[Send](out) {
 			sent++
 			b.Handle(b.now, Outcome{ID: s.ID, Result: OK, Final: true, Server: s.Server, Latency: 20 * ms})
@@ -368,7 +368,7 @@
 // A cut may stop no work: the server is not idle at once.
 func TestCutAttemptStillCounts(t *testing.T) {
 	b := newNode(t, testSettings(), testServer(0))
-	sent := of[Send](b.Handle(ms, Request{ID: "r", Class: "unsafe", Expires: 500 * ms}))[0]
+	sent := of[Send](b.Handle(ms, Request{ID: "r", Class: "unsafe", ClientTimeout: 500 * ms}))[0]
 	b.Handle(101*ms, Outcome{ID: "r", Result: TimedOut, Server: sent.Server, Latency: 100 * ms})
 	s := b.servers[sent.Server]
 	if l := s.load(150 * ms); l != 1 {
@@ -383,7 +383,7 @@
 func TestFirstAttemptStaysOutBesideItsRetry(t *testing.T) {
 	b := newNode(t, testSettings(), testServer(0), testServer(2))
 	s := b.servers["s0"]
-	r := b.admit(Request{ID: "r", Class: "safe", Expires: 300 * ms}, b.classes["safe"])
+	r := b.admit(Request{ID: "r", Class: "safe", ClientTimeout: 300 * ms}, b.classes["safe"])
 	b.send(r, s, r.end-b.now)
 	out := b.Handle(40*ms, Wake{Token: 2*r.seq + 1})
 	if len(of[Send](out)) != 1 || len(of[Cancel](out)) != 0 {
@@ -403,7 +403,7 @@
 		b := newNode(t, cfg, testServer(0), testServer(1), testServer(2), testServer(3))
 		n := 0
 		for i := range 200 {
-			out := b.Handle(time.Duration(i)*50*ms, Request{ID: RequestID(fmt.Sprint(i)), Class: "unsafe", Expires: 500 * ms})
+			out := b.Handle(time.Duration(i)*50*ms, Request{ID: RequestID(fmt.Sprint(i)), Class: "unsafe", ClientTimeout: 500 * ms})
 			for _, s := range of[Send](out) {
 				if b.servers[s.Server].Zone == cfg.Zone {
 					n++
@@ -428,7 +428,7 @@
 		cfg := testSettings()
 		cfg.ConnectCharge = charge
 		b := newNode(t, cfg, testServer(0))
-		b.Handle(ms, Request{ID: "r", Class: "unsafe", Expires: 500 * ms})
+		b.Handle(ms, Request{ID: "r", Class: "unsafe", ClientTimeout: 500 * ms})
 		out := b.Handle(9*ms, Outcome{ID: "r", Result: OK, Final: true, Server: "s0", Latency: 8 * ms})
 		if got := len(of[CloseIdle](out)); got != want {
 			t.Errorf("charge %v: %d closed, want %d", charge, got, want)
@@ -441,7 +441,7 @@
 func TestLateTryIsTold(t *testing.T) {
 	b := newNode(t, testSettings(), testServer(0))
 	ask := func(id RequestID, expires time.Duration) int {
-		sent := of[Send](b.Handle(b.now+200*ms, Request{ID: id, Class: "safe", Expires: expires}))
+		sent := of[Send](b.Handle(b.now+200*ms, Request{ID: id, Class: "safe", ClientTimeout: expires}))
 		for _, s := range sent {
 			b.Handle(b.now, Outcome{ID: id, Result: OK, Final: true, Server: s.Server, Latency: 5 * ms})
 		}
@@ -477,7 +477,7 @@
 			}
 			b.servers["s0"].bad, b.room, b.missed = 0, roomMost, 0
 			b.servers["s0"].stats, b.kinds = curve{}, map[string]*curve{}
-			for _, s := range of[Send](b.Handle(time.Duration(i)*20*ms, Request{ID: RequestID(fmt.Sprint(i)), Class: "safe", Expires: wait})) {
+			for _, s := range of[Send](b.Handle(time.Duration(i)*20*ms, Request{ID: RequestID(fmt.Sprint(i)), Class: "safe", ClientTimeout: wait})) {
 				b.Handle(b.now+5*ms, Outcome{ID: s.ID, Result: result, Final: result == OK, Server: s.Server, Latency: 5 * ms})
 				if i >= 100 && wait == 60*ms {
 					sent++
@@ -531,7 +531,7 @@
 			at := time.Duration(i) * 400 * ms
 			b.servers["s0"].bad = 0 // it isn't set aside
 			b.servers["s0"].stats, b.kinds = curve{}, map[string]*curve{}
-			for _, s := range of[Send](b.Handle(at, Request{ID: RequestID(fmt.Sprint(i)), Class: "unsafe", Expires: tt.wait})) {
+			for _, s := range of[Send](b.Handle(at, Request{ID: RequestID(fmt.Sprint(i)), Class: "unsafe", ClientTimeout: tt.wait})) {
 				tt.end(b, s)
 				ended++
 			}
@@ -553,7 +553,7 @@
 	b := newNode(t, cfg, testServer(0), testServer(2), testServer(4), testServer(6))
 	used := map[ServerID]bool{}
 	for i := range 50 {
-		out := b.Handle(time.Duration(i)*100*ms, Request{ID: RequestID(fmt.Sprint(i)), Class: "unsafe", Expires: 500 * ms})
+		out := b.Handle(time.Duration(i)*100*ms, Request{ID: RequestID(fmt.Sprint(i)), Class: "unsafe", ClientTimeout: 500 * ms})
 		for _, s := range of[Send](out) {
 			used[s.Server] = true
 			b.Handle(b.now+20*ms, Outcome{ID: s.ID, Result: OK, Final: true, Server: s.Server, Latency: 20 * ms})
@@ -579,7 +579,7 @@
 		}
 	}
 	// What a server holds is heeded, and what waits there only where that is all it tells.
-	for _, fields := range [][]string{{"other", ReportHeld}, {"pending", ReportHeld}, {"other", "pending"}} {
+	for _, fields := range [][]string{{"other", ReportInFlight}, {"pending", ReportInFlight}, {"other", "pending"}} {
 		cfg := testSettings()
 		cfg.ReportFields = fields
 		b := newNode(t, cfg, testServer(0), testServer(2))
@@ -598,7 +598,7 @@
 func TestWarmedServersAreCounted(t *testing.T) {
 	servers := alike(6)
 	for i := range servers {
-		servers[i].Born = time.Duration(i) * time.Second
+		servers[i].StartedAt = time.Duration(i) * time.Second
 	}
 	b := newNode(t, testSettings(), servers...)
 	for at, want := range map[time.Duration]float64{5 * time.Second: 1, 12 * time.Second: 3, 20 * time.Second: 6} {
@@ -614,11 +614,11 @@
 	refused = map[string]int{}
 	for at := from; at < to; at += every {
 		class := classes[int(at/every)%len(classes)]
-		out := b.Handle(at, Request{ID: RequestID(fmt.Sprint(at)), Class: class, Expires: 500 * ms})
-		refused[class] += len(of[Refuse](out))
+		out := b.Handle(at, Request{ID: RequestID(fmt.Sprint(at)), Class: class, ClientTimeout: 500 * ms})
+		refused[class] += len(of[Reject](out))
 		for _, s := range of[Send](out) {
 			sent = append(sent, s.Server)
-			took := map[Result]time.Duration{OK: 9 * ms, Failed: 9 * ms, TimedOut: s.Within}[end]
+			took := map[Result]time.Duration{OK: 9 * ms, Failed: 9 * ms, TimedOut: s.Timeout}[end]
 			b.Handle(at, Outcome{ID: s.ID, Result: end, Final: end == OK, Server: s.Server, Latency: took})
 		}
 	}
@@ -697,7 +697,7 @@
 		b.subset()
 		for i := range 100 { // answers alone, whatever is refused meanwhile
 			at := 12*time.Second + time.Duration(i)*20*ms
-			r := b.admit(Request{ID: RequestID(fmt.Sprint("late", i)), Class: "dear", Expires: 500 * ms}, b.classes["dear"])
+			r := b.admit(Request{ID: RequestID(fmt.Sprint("late", i)), Class: "dear", ClientTimeout: 500 * ms}, b.classes["dear"])
 			r.tries = append(r.tries, attempt{s: b.ready[0]})
 			b.now = at + late
 			b.close(r, late < 500*ms)
@@ -713,14 +713,14 @@
 // are warm ones, in the first instant as later.
 func TestFreshNodeSparesColdServers(t *testing.T) {
 	cold := testServer(1)
-	cold.Born = time.Second
+	cold.StartedAt = time.Second
 	b, err := New(testSettings(), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.Handle(time.Second, ServerList{Kind: ListCached, Servers: []Server{testServer(0), cold}})
 	for i := range 200 {
-		for _, s := range of[Send](b.Handle(time.Second, Request{ID: RequestID(fmt.Sprint(i)), Class: "unsafe", Expires: 500 * ms})) {
+		for _, s := range of[Send](b.Handle(time.Second, Request{ID: RequestID(fmt.Sprint(i)), Class: "unsafe", ClientTimeout: 500 * ms})) {
 			if s.Server == cold.ID {
 				t.Fatalf("request %d went to the cold server", i)
 			}
@@ -768,7 +768,7 @@
 		b := newNode(t, testSettings(), testServer(0), testServer(1), testServer(2), testServer(3), testServer(4))
 		for i := range 500 {
 			c := testClasses()[i%5]
-			out := b.Handle(time.Duration(i)*3*ms, Request{ID: RequestID(fmt.Sprint(i)), Class: c.Name, Expires: c.Deadline})
+			out := b.Handle(time.Duration(i)*3*ms, Request{ID: RequestID(fmt.Sprint(i)), Class: c.Name, ClientTimeout: c.Deadline})
 			all = append(all, out...)
 			for _, s := range of[Send](out) {
 				end := Outcome{ID: s.ID, Result: []Result{OK, Failed, QueueFull}[i%3], Server: s.Server, Latency: 2 * ms}
@@ -799,7 +799,7 @@
 	class := testClasses()[3]
 	for i := range 20000 {
 		at := time.Duration(i) * 10 * ms
-		w.ask(at, 0, Request{ID: RequestID(fmt.Sprint(i)), Class: class.Name, Expires: class.Deadline}, class)
+		w.ask(at, 0, Request{ID: RequestID(fmt.Sprint(i)), Class: class.Name, ClientTimeout: class.Deadline}, class)
 		if i%100 == 0 { // a new set of servers every second
 			l := ServerList{Kind: ListFull}
 			for j := range 10 {
@@ -820,7 +820,7 @@
 
 // send makes a node send a request and returns where it went, "" for a refusal.
 func send(b *Balancer, now time.Duration, id string) (RequestID, ServerID) {
-	for _, a := range of[Send](b.Handle(now, Request{ID: RequestID(id), Class: "unsafe", Expires: 300 * ms})) {
+	for _, a := range of[Send](b.Handle(now, Request{ID: RequestID(id), Class: "unsafe", ClientTimeout: 300 * ms})) {
 		return a.ID, a.Server
 	}
 	return "", ""
@@ -914,7 +914,7 @@
 		}
 		id := RequestID(strconv.Itoa(i))
 		took := latency * time.Duration(80+i%41) / 100 // 0.8 to 1.2 of it
-		for _, s := range of[Send](b.Handle(now, Request{ID: id, Class: class, Expires: time.Second})) {
+		for _, s := range of[Send](b.Handle(now, Request{ID: id, Class: class, ClientTimeout: time.Second})) {
 			coming = append(coming, due{now + latency, Outcome{ID: id, Result: OK, Final: true, Server: s.Server, Latency: took}})
 		}
 		if scale := b.classes[class].scale; i > n/4 && (scale < latency.Seconds()/2 || scale > 2*latency.Seconds()) {
@@ -932,7 +932,7 @@
 	now := time.Hour
 	b.Handle(now, ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 1}}})
 	var to ServerID
-	for _, a := range b.Handle(now, Request{ID: "r", Class: "c", Expires: 2 * time.Second, Coming: true}) {
+	for _, a := range b.Handle(now, Request{ID: "r", Class: "c", ClientTimeout: 2 * time.Second, BodyPending: true}) {
 		if s, ok := a.(Send); ok {
 			to = s.Server
 		}
@@ -940,11 +940,11 @@
 	require.NotEmpty(t, to)
 	assert.Zero(t, b.servers[to].load(now))
 	now += 10 * time.Second // its body takes as long as it takes
-	b.Handle(now, Whole{ID: "r", Took: 10 * time.Second})
+	b.Handle(now, Whole{ID: "r", BodyTime: 10 * time.Second})
 	assert.EqualValues(t, 1, b.servers[to].load(now))
 	assert.Equal(t, now+2*time.Second, b.reqs["r"].end)
 	out := b.Handle(now, Outcome{ID: "r", Result: ConnectFailed, Server: to})
-	assert.Contains(t, out, Action(Refuse{ID: "r"}), "no second attempt, and nothing has run")
+	assert.Contains(t, out, Action(Reject{ID: "r"}), "no second attempt, and nothing has run")
 	assert.Zero(t, b.servers[to].load(now))
 }
 
@@ -971,7 +971,7 @@
 			}
 		}
 		id, hint := RequestID(fmt.Sprint(i)), work*time.Duration(2+i*7%16)/10
-		for _, s := range of[Send](b.Handle(now, Request{ID: id, Class: "c", Expires: 2 * time.Second, Hint: hint})) {
+		for _, s := range of[Send](b.Handle(now, Request{ID: id, Class: "c", ClientTimeout: 2 * time.Second, WorkHint: hint})) {
 			took := way + time.Duration(times*float64(hint))
 			if due[s.ID] = (Outcome{ID: id, Result: OK, Final: true, Server: "a", Latency: took}); i > n/4 && i <= n/4+silent {
 				took = time.Hour
@@ -1015,7 +1015,7 @@
 	}
 	b := newNode(t, cfg, servers...)
 	ask := func(at time.Duration, i int) []Send {
-		return of[Send](b.Handle(at, Request{ID: RequestID(fmt.Sprint(i)), Class: "c", Expires: 800 * ms}))
+		return of[Send](b.Handle(at, Request{ID: RequestID(fmt.Sprint(i)), Class: "c", ClientTimeout: 800 * ms}))
 	}
 	burst := []Send{}
 	for i := range 300 {
@@ -1063,15 +1063,15 @@
 			coming = coming[1:]
 		}
 		class := cfg.Classes[i%2]
-		sent := of[Send](b.Handle(now, Request{ID: RequestID(fmt.Sprint(i)), Class: class.Name, Expires: class.Deadline / 2}))
+		sent := of[Send](b.Handle(now, Request{ID: RequestID(fmt.Sprint(i)), Class: class.Name, ClientTimeout: class.Deadline / 2}))
 		if len(sent) == 0 && i > 1000 {
 			refused[i%2]++
 		}
 		for _, s := range sent {
 			free[s.Server] = max(free[s.Server], now) + 100*ms
 			o := Outcome{ID: s.ID, Result: OK, Final: true, Server: s.Server, Latency: free[s.Server] - now}
-			if o.Latency > s.Within {
-				o.Result, o.Latency, o.Final = TimedOut, s.Within, false
+			if o.Latency > s.Timeout {
+				o.Result, o.Latency, o.Final = TimedOut, s.Timeout, false
 			}
 			coming = append(coming, due{now + o.Latency, o})
 		}
@@ -1090,7 +1090,7 @@
 	born := time.Hour
 	var servers []Server
 	for i := range 8 {
-		servers = append(servers, Server{ID: ServerID(fmt.Sprint(i)), Capacity: 1, Born: born})
+		servers = append(servers, Server{ID: ServerID(fmt.Sprint(i)), Capacity: 1, StartedAt: born})
 	}
 	b, err := New(cfg, 7)
 	require.NoError(t, err)
@@ -1099,9 +1099,9 @@
 	for i := range 13 * 100 { // a hundred a second, each done in 20 ms
 		now := born + time.Duration(i)*10*ms
 		if i == 1200 {
-			b.Handle(now, ServerList{Kind: ListChanges, Servers: []Server{{ID: "new", Capacity: 1, Born: now}}})
+			b.Handle(now, ServerList{Kind: ListChanges, Servers: []Server{{ID: "new", Capacity: 1, StartedAt: now}}})
 		}
-		for _, s := range of[Send](b.Handle(now, Request{ID: RequestID(fmt.Sprint(i)), Class: "c", Expires: 800 * ms})) {
+		for _, s := range of[Send](b.Handle(now, Request{ID: RequestID(fmt.Sprint(i)), Class: "c", ClientTimeout: 800 * ms})) {
 			b.Handle(now, Outcome{ID: s.ID, Result: OK, Final: true, Server: s.Server, Latency: 20 * ms})
 			if i >= 100 && i < 300 {
 				early++
@@ -1137,8 +1137,8 @@
 		for i := range 1000 {
 			class := cfg.Classes[i%2].Name
 			at := time.Duration(i) * 30 * ms
-			out := b.Handle(at, Request{ID: RequestID(fmt.Sprint(i)), Class: class, Expires: 500 * ms, Hint: 40 * ms})
-			refused[class] += len(of[Refuse](out))
+			out := b.Handle(at, Request{ID: RequestID(fmt.Sprint(i)), Class: class, ClientTimeout: 500 * ms, WorkHint: 40 * ms})
+			refused[class] += len(of[Reject](out))
 			for _, s := range of[Send](out) {
 				took := 40 * ms
 				if slices.IndexFunc(b.ring, func(o *server) bool { return o.ID == s.Server }) < tt.slow {
--- a/logic/prompt_test.go
+++ b/logic/prompt_test.go
@@ -54,7 +54,7 @@
 
 func sendFirst(t *testing.T, b *Balancer) Send {
 	t.Helper()
-	sends := of[Send](b.Handle(0, Request{ID: "r", Class: "c", Expires: time.Second}))
+	sends := of[Send](b.Handle(0, Request{ID: "r", Class: "c", ClientTimeout: time.Second}))
 	require.Len(t, sends, 1)
 	return sends[0]
 }
@@ -98,11 +98,11 @@
 // A request may be allowed fewer attempts than its class.
 func TestARequestsOwnLimitOfAttempts(t *testing.T) {
 	b := resumableNode(t, Safe, true)
-	sends := of[Send](b.Handle(0, Request{ID: "r", Class: "c", Expires: time.Second, MaxAttempts: 1}))
+	sends := of[Send](b.Handle(0, Request{ID: "r", Class: "c", ClientTimeout: time.Second, MaxAttempts: 1}))
 	require.Len(t, sends, 1)
 	out := b.Handle(30*ms, Outcome{ID: "r", Result: QueueFull, Server: sends[0].Server, Latency: 30 * ms})
 	assert.Empty(t, of[Send](out))
-	assert.Len(t, of[Refuse](out), 1)
+	assert.Len(t, of[Reject](out), 1)
 }
 
 // A request keeps away from the server that it is to avoid, unless that is the only one.
@@ -110,12 +110,12 @@
 	for seq := range 50 {
 		b := resumableNode(t, Safe, true)
 		id := RequestID(strconv.Itoa(seq))
-		sends := of[Send](b.Handle(0, Request{ID: id, Class: "c", Expires: time.Second, Avoid: "s1", Prefer: []ServerID{"s1"}}))
+		sends := of[Send](b.Handle(0, Request{ID: id, Class: "c", ClientTimeout: time.Second, Avoid: "s1", Preferred: []ServerID{"s1"}}))
 		require.Len(t, sends, 1)
 		assert.NotEqual(t, ServerID("s1"), sends[0].Server)
 	}
 	cfg := testSettings()
 	b := newNode(t, cfg, Server{ID: "only", Capacity: 1})
-	sends := of[Send](b.Handle(0, Request{ID: "r", Class: cfg.Classes[0].Name, Expires: time.Second, Avoid: "only"}))
+	sends := of[Send](b.Handle(0, Request{ID: "r", Class: cfg.Classes[0].Name, ClientTimeout: time.Second, Avoid: "only"}))
 	assert.Len(t, sends, 1)
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -140,8 +140,8 @@
 		if now-before.sent > class.Window {
 			c.fault("%v: keyed %s sent after its window", now, a.ID)
 		}
-		if class.Group == GroupZone && before.server.Zone != s.Zone ||
-			class.Group == GroupCell && before.server.Cell != s.Cell {
+		if class.Group == DedupZone && before.server.Zone != s.Zone ||
+			class.Group == DedupCell && before.server.Cell != s.Cell {
 			c.fault("%v: keyed %s sent outside its group", now, a.ID)
 		}
 	}
@@ -158,7 +158,7 @@
 	if now > r.deadline+c.cfg.AnswerSlack {
 		c.fault("%v: answer for %s after its deadline %v", now, id, r.deadline)
 	}
-	if !refusal || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll {
+	if !refusal || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == DedupAll {
 		return
 	}
 	for _, t := range r.tries {
@@ -212,7 +212,7 @@
 // ask sends a request to a node; its client leaves at the deadline unless answered.
 func (w *world) ask(t time.Duration, node int, q Request, class Class) {
 	w.at(t, node, func() Event {
-		w.checks[node].reqs[q.ID] = &owed{class: class, deadline: t + q.Expires}
+		w.checks[node].reqs[q.ID] = &owed{class: class, deadline: t + q.ClientTimeout}
 		return q
 	})
 }
@@ -242,7 +242,7 @@
 			}
 			w.outcome(now, node, a, i)
 		}
-	case Refuse:
+	case Reject:
 		w.answers++
 		c.answered(now, a.ID, true)
 	case Fail:
@@ -274,7 +274,7 @@
 		result, took = Failed, 2*ms
 	}
 	r := c.reqs[a.ID]
-	if limit := min(a.Within, r.deadline-now); took >= limit {
+	if limit := min(a.Timeout, r.deadline-now); took >= limit {
 		took, result = limit, TimedOut
 	}
 	w.at(now+took, node, func() Event {
@@ -306,7 +306,7 @@
 // testClasses has every effect and group once.
 func testClasses() []Class {
 	var out []Class
-	for i, g := range []Group{GroupAll, GroupZone, GroupCell} {
+	for i, g := range []DedupScope{DedupAll, DedupZone, DedupCell} {
 		out = append(out, Class{Name: fmt.Sprintf("keyed%d", i), Aim: 150 * ms, Deadline: 500 * ms, Worth: 3,
 			Effect: Keyed, Group: g, Window: 120 * ms, LateWorth: 0.3})
 	}
@@ -336,7 +336,7 @@
 	case 1:
 		s.State = Gone
 	case 2:
-		s.Born = t
+		s.StartedAt = t
 	case 3:
 		l.Kind = ListFull
 		for i := range w.rng.IntN(14) {
@@ -374,7 +374,7 @@
 				if asked%4 == 0 {
 					left = time.Duration(w.rng.Float64() * float64(left))
 				}
-				w.ask(at, node, Request{ID: RequestID(fmt.Sprintf("%d/%d", node, asked)), Class: c.Name, Expires: left,
+				w.ask(at, node, Request{ID: RequestID(fmt.Sprintf("%d/%d", node, asked)), Class: c.Name, ClientTimeout: left,
 					Retry: asked%7 == 0}, c)
 				asked++
 				if w.rng.IntN(20) == 0 {
@@ -463,13 +463,13 @@
 		window := map[int]float64{}
 		warmSends := 0
 		w.onSend = func(now time.Duration, _ int, s Server) {
-			if s.Born > 0 {
+			if s.StartedAt > 0 {
 				window[int((now-born)/cfg.FallAfter)]++
 			} else if now >= born/2 && now < born {
 				warmSends++
 			}
 		}
-		w.sound, w.broken = true, func(now time.Duration, s Server) bool { return now >= born && s.Born == 0 }
+		w.sound, w.broken = true, func(now time.Duration, s Server) bool { return now >= born && s.StartedAt == 0 }
 		class := cfg.Classes[3]
 		for node := range nodes {
 			var servers []Server
@@ -478,11 +478,11 @@
 			}
 			w.tell(0, node, ServerList{Kind: ListFull, Servers: servers})
 			w.tell(born, node, ServerList{Kind: ListChanges,
-				Servers: []Server{{ID: "cold", Capacity: 1, Zone: "z0", Born: born}}})
+				Servers: []Server{{ID: "cold", Capacity: 1, Zone: "z0", StartedAt: born}}})
 			for i := range int(end.Seconds()) * perNode {
 				at := time.Duration(float64(i)+w.rng.Float64()) * time.Second / perNode
 				w.ask(at, node, Request{ID: RequestID(fmt.Sprintf("%d/%d", node, i)), Class: class.Name,
-					Expires: class.Deadline}, class)
+					ClientTimeout: class.Deadline}, class)
 			}
 		}
 		w.run(end)
--- a/logic/slots_test.go
+++ b/logic/slots_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	b, err := New(Settings{
 		Classes:      []Class{{Name: "c", Aim: time.Second, Deadline: time.Second}},
-		ReportFields: []string{ReportHeld}, Slots: slots,
+		ReportFields: []string{ReportInFlight}, Slots: slots,
 	}, 7)
 	require.NoError(t, err)
 	list := func(n int) ServerList {
@@ -30,7 +30,7 @@
 		now += 300 * time.Millisecond // thin: what is left is not known to bear it
 		id := RequestID(fmt.Sprint("r", n))
 		sent := false
-		for _, a := range b.Handle(now, Request{ID: id, Class: "c", Expires: time.Second}) {
+		for _, a := range b.Handle(now, Request{ID: id, Class: "c", ClientTimeout: time.Second}) {
 			if s, ok := a.(Send); ok {
 				sent = true
 				b.Handle(now+20*time.Millisecond, Outcome{ID: id, Result: OK, Final: true, Server: s.Server, Latency: 20 * time.Millisecond, Report: []float64{held}})
--- a/logic/state.go
+++ b/logic/state.go
@@ -50,8 +50,8 @@
 
 func (c *curve) form() learnedCurve { return learnedCurve{c.done[:], c.cut[:], c.aged} }
 
-// Learned returns what was learned so far.
-func (b *Balancer) Learned() ([]byte, error) {
+// ExportLearned returns what was learned so far.
+func (b *Balancer) ExportLearned() ([]byte, error) {
 	l := learned{
 		Peak: b.peak, Full: b.full, Usual: b.usual, Missed: b.missed, Worth: b.worth, Held: b.held,
 		Cov: b.trust.cov, Sq: b.trust.sq, Common: b.common,
@@ -65,14 +65,14 @@
 		l.Kinds[n] = k.form()
 	}
 	for id, s := range b.servers {
-		l.Servers[id] = learnedServer{s.Born, s.until, s.judged, s.stats.form(), s.bad, s.badPart}
+		l.Servers[id] = learnedServer{s.StartedAt, s.until, s.judged, s.stats.form(), s.bad, s.badPart}
 	}
 	return json.Marshal(l)
 }
 
-// Learn takes on what Learned returned, for the classes and servers that are known here
+// ImportLearned takes on what Learned returned, for the classes and servers that are known here
 // too. It changes nothing where a figure can't be one.
-func (b *Balancer) Learn(text []byte) error {
+func (b *Balancer) ImportLearned(text []byte) error {
 	l, err := b.recall(text)
 	if err != nil {
 		return err
@@ -84,11 +84,11 @@
 	return nil
 }
 
-// Recall takes on what holds through a stop of the node: how long reqs take, by class and
+// ImportAfterRestart takes on what holds through a stop of the node: how long reqs take, by class and
 // kind of server, and the judgements on servers that are still the same processes. What it
 // had learned of the load speaks of a fleet that may have stopped as well: by it, a fleet
 // that starts cold would be taken for one that has lost its capacity.
-func (b *Balancer) Recall(text []byte) error {
+func (b *Balancer) ImportAfterRestart(text []byte) error {
 	_, err := b.recall(text)
 	return err
 }
@@ -111,7 +111,7 @@
 		b.kind(n).take(k)
 	}
 	for id, o := range l.Servers {
-		if s := b.servers[id]; s != nil && s.Born == o.Born { // another process of it is not known
+		if s := b.servers[id]; s != nil && s.StartedAt == o.Born { // another process of it is not known
 			s.until, s.judged, s.bad, s.badPart = o.Until, o.Judged, o.Bad, o.BadPart
 			s.stats.take(o.Stats)
 		}
--- a/logic/state_test.go
+++ b/logic/state_test.go
@@ -13,40 +13,40 @@
 // but not of a server that has started anew; what can't be is turned down whole.
 func TestLearnedIsTakenOn(t *testing.T) {
 	settings := Settings{Classes: []Class{{Name: "c", Aim: time.Second, Deadline: time.Second, Effect: Unsafe}}, Nodes: 1}
-	servers := []Server{{ID: "a", Capacity: 1, Kind: "k"}, {ID: "b", Capacity: 1, Kind: "k", Born: 1}}
+	servers := []Server{{ID: "a", Capacity: 1, Kind: "k"}, {ID: "b", Capacity: 1, Kind: "k", StartedAt: 1}}
 	old, err := New(settings, 1)
 	require.NoError(t, err)
 	now := time.Hour
 	old.Handle(now, ServerList{Kind: ListFull, Servers: servers})
 	for i := range 50 {
 		id := RequestID(strings.Repeat("i", i+1))
-		for _, a := range old.Handle(now, Request{ID: id, Class: "c", Expires: time.Second}) {
+		for _, a := range old.Handle(now, Request{ID: id, Class: "c", ClientTimeout: time.Second}) {
 			if s, ok := a.(Send); ok {
 				now += 20 * time.Millisecond
 				old.Handle(now, Outcome{ID: id, Result: OK, Server: s.Server, Latency: 20 * time.Millisecond, Final: true})
 			}
 		}
 	}
-	text, err := old.Learned()
+	text, err := old.ExportLearned()
 	require.NoError(t, err)
 	next, err := New(settings, 2)
 	require.NoError(t, err)
-	servers[1].Born = 2
+	servers[1].StartedAt = 2
 	next.Handle(now, ServerList{Kind: ListFull, Servers: servers})
 	for _, bad := range []string{"{", "{}", strings.Replace(string(text), `"Usual":1`, `"Usual":7`, 1), strings.Replace(string(text), `"Done":[`, `"Done":[-1,`, 1),
 		strings.Replace(string(text), `"Brief":0`, `"Brief":2`, 1)} {
-		assert.Error(t, next.Learn([]byte(bad)), "%.40q", bad)
+		assert.Error(t, next.ImportLearned([]byte(bad)), "%.40q", bad)
 		assert.Zero(t, next.classes["c"].seen)
 	}
-	require.NoError(t, next.Learn(text))
+	require.NoError(t, next.ImportLearned(text))
 	assert.Equal(t, old.classes["c"].scale, next.classes["c"].scale)
 	assert.Equal(t, old.served, next.served)
 	assert.Equal(t, old.servers["a"].stats.done, next.servers["a"].stats.done)
 	assert.NotZero(t, old.servers["b"].stats.done)
 	assert.Zero(t, next.servers["b"].stats.done, "another process")
-	again, err := next.Learned()
+	again, err := next.ExportLearned()
 	require.NoError(t, err)
-	assert.NoError(t, next.Learn(again))
+	assert.NoError(t, next.ImportLearned(again))
 }
 
 // A successor serves clients of little patience from the first on, as it need not learn anew
@@ -58,7 +58,7 @@
 		for i := range reqs { // waits that differ, none of them usual
 			now += 50 * time.Millisecond
 			id := RequestID(strings.Repeat("i", i+1))
-			for _, s := range of[Send](b.Handle(now, Request{ID: id, Class: "c", Expires: time.Duration(500+i%7*100) * time.Millisecond})) {
+			for _, s := range of[Send](b.Handle(now, Request{ID: id, Class: "c", ClientTimeout: time.Duration(500+i%7*100) * time.Millisecond})) {
 				b.Handle(now, Outcome{ID: id, Result: OK, Server: s.Server, Latency: 20 * time.Millisecond, Final: true})
 				sent++
 			}
@@ -73,14 +73,14 @@
 	}
 	old := start()
 	play(old, 100)
-	text, err := old.Learned()
+	text, err := old.ExportLearned()
 	require.NoError(t, err)
 	assert.Less(t, play(start(), 10), 10, "nothing is known of them")
 	next := start()
-	require.NoError(t, next.Learn(text))
+	require.NoError(t, next.ImportLearned(text))
 	assert.Equal(t, 10, play(next, 10))
 	stopped := start()
-	require.NoError(t, stopped.Recall(text))
+	require.NoError(t, stopped.ImportAfterRestart(text))
 	assert.Equal(t, 10, play(stopped, 10), "it holds through a stop")
 }
 
@@ -92,7 +92,7 @@
 	list := func(born time.Duration) ServerList {
 		l := ServerList{Kind: ListFull}
 		for _, id := range []ServerID{"a", "b", "c", "d", "e", "f", "g", "h"} {
-			l.Servers = append(l.Servers, Server{ID: id, Capacity: 1, Kind: "k", Born: born})
+			l.Servers = append(l.Servers, Server{ID: id, Capacity: 1, Kind: "k", StartedAt: born})
 		}
 		return l
 	}
@@ -100,7 +100,7 @@
 		for i := range 300 { // thirty a second
 			now := from + time.Duration(i)*33*time.Millisecond
 			id := RequestID(strings.Repeat("i", i+1))
-			for _, s := range of[Send](b.Handle(now, Request{ID: id, Class: "c", Expires: time.Second})) {
+			for _, s := range of[Send](b.Handle(now, Request{ID: id, Class: "c", ClientTimeout: time.Second})) {
 				b.Handle(now, Outcome{ID: id, Result: OK, Server: s.Server, Latency: 20 * time.Millisecond, Final: true})
 				sent++
 			}
@@ -111,7 +111,7 @@
 	require.NoError(t, err)
 	warm.Handle(time.Hour, list(0))
 	play(warm, time.Hour)
-	text, err := warm.Learned()
+	text, err := warm.ExportLearned()
 	require.NoError(t, err)
 	after := time.Hour + 14*time.Second
 	sent := map[bool]int{}
@@ -120,7 +120,7 @@
 		require.NoError(t, err)
 		b.Handle(after, list(after))
 		if recall {
-			require.NoError(t, b.Recall(text))
+			require.NoError(t, b.ImportAfterRestart(text))
 			assert.Equal(t, warm.classes["c"].scale, b.classes["c"].scale)
 		}
 		sent[recall] = play(b, after)
@@ -135,13 +135,13 @@
 	require.NoError(t, err)
 	now := time.Hour
 	b.Handle(now, ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 1}, {ID: "d", Capacity: 1, State: Draining}}})
-	assert.Equal(t, 1, b.Avoided(now), "the one that drains")
+	assert.Equal(t, 1, b.CountAvoided(now), "the one that drains")
 	a := b.servers["a"]
 	a.bad, a.until, a.judged = outlierAfter, now+time.Minute, now
-	assert.Equal(t, 1, b.Avoided(now), "just now")
-	assert.Equal(t, 2, b.Avoided(now+time.Second))
+	assert.Equal(t, 1, b.CountAvoided(now), "just now")
+	assert.Equal(t, 2, b.CountAvoided(now+time.Second))
 	a.inflight = 1
-	assert.Equal(t, 1, b.Avoided(now+time.Second), "on trial")
+	assert.Equal(t, 1, b.CountAvoided(now+time.Second), "on trial")
 	a.inflight = 0
-	assert.Equal(t, 1, b.Avoided(now+time.Hour), "its time is over")
+	assert.Equal(t, 1, b.CountAvoided(now+time.Hour), "its time is over")
 }
--- a/logic/stream_test.go
+++ b/logic/stream_test.go
@@ -12,7 +12,7 @@
 // streamNode is a node with one server and one class of streamed answers.
 func streamNode(t *testing.T) *Balancer {
 	cfg := testSettings()
-	cfg.ReportFields = []string{ReportHeld}
+	cfg.ReportFields = []string{ReportInFlight}
 	cfg.Classes = []Class{{Name: "c", Aim: 300 * ms, Deadline: 600 * ms, Stream: true}}
 	return newNode(t, cfg, Server{ID: "a", Capacity: 1, Kind: "k"})
 }
@@ -20,7 +20,7 @@
 // begin sends a request whose answer begins after some time.
 func begin(t *testing.T, b *Balancer, now time.Duration, id RequestID, after time.Duration) {
 	t.Helper()
-	require.Len(t, of[Send](b.Handle(now, Request{ID: id, Class: "c", Expires: 600 * ms})), 1)
+	require.Len(t, of[Send](b.Handle(now, Request{ID: id, Class: "c", ClientTimeout: 600 * ms})), 1)
 	b.Handle(now+after, Started{ID: id, Server: "a", Latency: after})
 }
 
@@ -78,7 +78,7 @@
 // An answer that never began is learnt from its outcome, as any other.
 func TestAStreamThatNeverBeganIsLearntAtItsEnd(t *testing.T) {
 	b := streamNode(t)
-	require.Len(t, of[Send](b.Handle(0, Request{ID: "r", Class: "c", Expires: 600 * ms})), 1)
+	require.Len(t, of[Send](b.Handle(0, Request{ID: "r", Class: "c", ClientTimeout: 600 * ms})), 1)
 	b.Handle(50*ms, Outcome{ID: "r", Result: OK, Final: true, Server: "a", Latency: 50 * ms})
 	assert.EqualValues(t, 1, b.classes["c"].seen)
 	assert.InDelta(t, 1, total(&b.servers["a"].stats), 1e-9)
@@ -112,7 +112,7 @@
 		out := b.Handle(20*time.Second, tt.end)
 		assert.Empty(t, of[Send](out), "%s: it goes to no other server", tt.name)
 		assert.Empty(t, of[Fail](out), "%s: a begun answer is the client's", tt.name)
-		assert.Empty(t, of[Refuse](out), "%s: a begun answer is the client's", tt.name)
+		assert.Empty(t, of[Reject](out), "%s: a begun answer is the client's", tt.name)
 		assert.Equal(t, tt.missed, b.missed > 0, tt.name)
 		assert.Equal(t, tt.earned, b.budget > 0, tt.name)
 		assert.Equal(t, tt.earned, b.borne > 0, tt.name)
@@ -125,7 +125,7 @@
 	cfg := testSettings()
 	cfg.Classes = []Class{{Name: "c", Aim: 300 * ms, Deadline: 600 * ms, Stream: true}}
 	b := newNode(t, cfg, alike(4)...)
-	first := of[Send](b.Handle(0, Request{ID: "r", Class: "c", Expires: 600 * ms}))
+	first := of[Send](b.Handle(0, Request{ID: "r", Class: "c", ClientTimeout: 600 * ms}))
 	require.Len(t, first, 1)
 	second := of[Send](b.Handle(ms, Outcome{ID: "r", Result: QueueFull, Server: first[0].Server, Latency: ms}))
 	require.Len(t, second, 1)
@@ -141,7 +141,7 @@
 	cfg := testSettings()
 	cfg.Classes = []Class{{Name: "c", Aim: 300 * ms, Deadline: 600 * ms, Stream: true}}
 	b := newNode(t, cfg, alike(4)...)
-	first := of[Send](b.Handle(0, Request{ID: "r", Class: "c", Expires: 600 * ms}))
+	first := of[Send](b.Handle(0, Request{ID: "r", Class: "c", ClientTimeout: 600 * ms}))
 	require.Len(t, first, 1)
 	second := of[Send](b.Handle(ms, Outcome{ID: "r", Result: QueueFull, Server: first[0].Server, Latency: ms}))
 	require.Len(t, second, 1)
