--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -94,7 +94,7 @@
 		seen[t.UID] = i
 		out = append(out, core.Backend{Endpoint: t.Endpoint, Server: logic.Server{
 			ID: logic.ServerID(t.UID), Capacity: t.Capacity, State: state, Kind: t.Model, Zone: t.Zone,
-			Cell: t.PodGroup, Born: time.Duration(max(t.BootMS, 0)) * time.Millisecond,
+			Cell: t.PodGroup, StartedAt: time.Duration(max(t.BootMS, 0)) * time.Millisecond,
 		}})
 	}
 	return out, nil
@@ -105,7 +105,7 @@
 	l := List{Revision: rev, Full: all, Targets: make([]Target, 0, len(entries))}
 	for _, e := range entries {
 		t := Target{UID: string(e.ID), Endpoint: e.Endpoint, Zone: e.Zone, Model: e.Kind, PodGroup: e.Cell,
-			Capacity: e.Capacity, BootMS: e.Born.Milliseconds()}
+			Capacity: e.Capacity, BootMS: e.StartedAt.Milliseconds()}
 		for name, state := range states {
 			if state == e.State {
 				t.State = name
