--- a/internal/barograph/coordinator/coordinator.go
+++ b/internal/barograph/coordinator/coordinator.go
@@ -220,7 +220,7 @@
 // repair makes one change to a group's members where one is due.
 func (c *Coordinator) repair(ctx context.Context, group replica.GroupID, d protocol.Directory) {
 	status, err := c.node.Host.Status(group)
-	if err != nil || !status.Settled {
+	if err != nil || !status.LeaderReady {
 		return
 	}
 	cores := OfClass(d, protocol.Core)
@@ -273,7 +273,7 @@
 	}
 	status, err := c.node.Host.Status(protocol.ConfigurationGroup)
 	nodes := OfClass(d, protocol.Storage)
-	if err != nil || !status.Settled || len(nodes) == 0 || !c.settled(len(nodes)) {
+	if err != nil || !status.LeaderReady || len(nodes) == 0 || !c.settled(len(nodes)) {
 		return
 	}
 	assignment := &revisions.Assignment{}
--- a/internal/barograph/coordinator/coordinator_test.go
+++ b/internal/barograph/coordinator/coordinator_test.go
@@ -52,7 +52,7 @@
 		_, changed := n.Host.Applied(group)
 		status, err := n.Host.Status(group)
 		assert.NilError(t, err)
-		if status.Settled {
+		if status.LeaderReady {
 			return
 		}
 		select {
@@ -93,7 +93,7 @@
 	assert.Equal(t, c.Replace(t.Context(), 7, configuration(8)).Result, operators.ReplaceConflict)
 	after, err := c.node.Host.Status(protocol.ConfigurationGroup)
 	assert.NilError(t, err)
-	assert.Equal(t, after.Last, before.Last)
+	assert.Equal(t, after.LastIndex, before.LastIndex)
 }
 
 // Without an owner nothing is refused.
--- a/internal/barograph/coordinator/duty.go
+++ b/internal/barograph/coordinator/duty.go
@@ -24,7 +24,7 @@
 // cut off or frozen may not know yet that another holds it.
 func (d *listerDuty) Held() (epoch uint64, ok bool) {
 	status, err := d.c.node.Host.Status(protocol.ListerDuty)
-	if err != nil || !status.Settled {
+	if err != nil || !status.LeaderReady {
 		return 0, false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), heldWithin)
--- a/internal/barograph/coordinator/gone.go
+++ b/internal/barograph/coordinator/gone.go
@@ -53,7 +53,7 @@
 			return
 		}
 		status, err := c.node.Host.Status(protocol.ConfigurationGroup)
-		if err != nil || !status.Settled {
+		if err != nil || !status.LeaderReady {
 			silent = graveyard{}
 			continue
 		}
--- a/internal/barograph/host/call.go
+++ b/internal/barograph/host/call.go
@@ -71,7 +71,7 @@
 	}
 	w := &waiter{term: term, done: make(chan outcome, 1)}
 	if old := g.waiting[index]; old != nil { // its entry was cut from the log
-		old.tell(nil, &UnknownOutcomeError{Cause: &replica.NotOwnerError{Owner: g.replica.Owner()}})
+		old.tell(nil, &UnknownOutcomeError{Cause: &replica.NotLeaderError{Leader: g.replica.Leader()}})
 	}
 	g.waiting[index] = w
 	return g, index, w, nil
@@ -120,13 +120,13 @@
 	if err != nil {
 		return nil, 0, 0, err
 	}
-	if !g.replica.Owns() {
-		return nil, 0, 0, &replica.NotOwnerError{Owner: g.replica.Owner()}
+	if !g.replica.IsLeader() {
+		return nil, 0, 0, &replica.NotLeaderError{Leader: g.replica.Leader()}
 	}
-	if !g.replica.Leased(h.options.Now()) {
+	if !g.replica.HasLease(h.options.Now()) {
 		return nil, 0, 0, ErrNoLease
 	}
-	return g, g.replica.Commit(), g.replica.Term(), nil
+	return g, g.replica.CommitIndex(), g.replica.Term(), nil
 }
 
 func (h *Host) awaitApplied(ctx context.Context, id replica.GroupID, index uint64) error {
@@ -175,7 +175,7 @@
 		return err
 	}
 	defer h.touch(g)
-	return g.replica.Handover(h.options.Now(), to)
+	return g.replica.TransferLeadership(h.options.Now(), to)
 }
 
 // Campaign has this node ask for the ownership at once, for the first start of a group.
@@ -246,7 +246,7 @@
 		return Unproven
 	}
 	now := h.options.Now()
-	return now - g.replica.CurrentAt(now, g.applied)
+	return now - g.replica.FreshAsOf(now, g.applied)
 }
 
 // Unproven is an Age that says nothing.
--- a/internal/barograph/host/capacity_test.go
+++ b/internal/barograph/host/capacity_test.go
@@ -41,7 +41,7 @@
 
 func benchmarkIdle(b *testing.B, groups int) {
 	timing := realTiming
-	timing.Heartbeat = 100 * time.Millisecond
+	timing.HeartbeatInterval = 100 * time.Millisecond
 	w := &counted{wire: &wire{began: time.Now(), queues: map[replica.NodeID]chan []replica.Message{}}}
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
@@ -91,7 +91,7 @@
 
 func settled(processes []*process, id replica.GroupID) bool {
 	for _, p := range processes {
-		if status, err := p.Status(id); err == nil && status.Settled {
+		if status, err := p.Status(id); err == nil && status.LeaderReady {
 			return true
 		}
 	}
--- a/internal/barograph/host/harness_test.go
+++ b/internal/barograph/host/harness_test.go
@@ -16,11 +16,11 @@
 const testGroup = replica.GroupID("group")
 
 var testTiming = replica.Timing{
-	Heartbeat: 10 * time.Millisecond,
-	Election:  100 * time.Millisecond,
-	Spread:    50 * time.Millisecond,
-	Lease:     80 * time.Millisecond,
-	Silent:    time.Second,
+	HeartbeatInterval: 10 * time.Millisecond,
+	ElectionTimeout:   100 * time.Millisecond,
+	ElectionJitter:    50 * time.Millisecond,
+	LeaseDuration:     80 * time.Millisecond,
+	LostAfter:         time.Second,
 }
 
 // list is a machine that keeps all commands.
@@ -176,7 +176,7 @@
 
 func (c *cluster) owner(group replica.GroupID) *node {
 	for _, id := range c.order {
-		if status, err := c.nodes[id].Status(group); err == nil && status.Settled && !c.cut[id] {
+		if status, err := c.nodes[id].Status(group); err == nil && status.LeaderReady && !c.cut[id] {
 			return c.nodes[id]
 		}
 	}
--- a/internal/barograph/host/host.go
+++ b/internal/barograph/host/host.go
@@ -71,9 +71,9 @@
 
 	mu      sync.Mutex
 	groups  map[replica.GroupID]*group
-	dirty   []*group                           // may have something to do
-	loaded  map[replica.GroupID]replica.Stored // waits for Add
-	held    map[replica.GroupID]bool           // is in the store
+	dirty   []*group                                    // may have something to do
+	loaded  map[replica.GroupID]replica.PersistentState // waits for Add
+	held    map[replica.GroupID]bool                    // is in the store
 	stopped bool
 }
 
@@ -154,12 +154,12 @@
 }
 
 // firstStored is what a group begins with, nothing where there are no members.
-func firstStored(first replica.Members, state []byte) replica.Stored {
+func firstStored(first replica.Members, state []byte) replica.PersistentState {
 	if len(first.Voters) == 0 {
-		return replica.Stored{}
+		return replica.PersistentState{}
 	}
 	snapshot := replica.Snapshot{Index: firstIndex, Members: first.Clone(), State: slices.Clone(state)}
-	return replica.Stored{Snapshot: snapshot}
+	return replica.PersistentState{Snapshot: snapshot}
 }
 
 func restore(id replica.GroupID, machine Machine, state []byte) error {
@@ -173,14 +173,14 @@
 }
 
 // begin makes a group on what is kept of it.
-func (h *Host) begin(id replica.GroupID, stored replica.Stored, machine Machine) *group {
+func (h *Host) begin(id replica.GroupID, stored replica.PersistentState, machine Machine) *group {
 	lot := rand.New(rand.NewPCG(h.options.Seed^uint64(h.options.Self), xxhash.Sum64String(string(id))))
 	g := &group{
 		id:       id,
 		replica:  replica.New(id, h.options.Self, h.options.Timing, stored, lot, h.startOf(stored)),
 		snapshot: stored.Snapshot,
 		applied:  stored.Snapshot.Index,
-		term:     stored.Hard.Term,
+		term:     stored.HardState.Term,
 		waiting:  map[uint64]*waiter{},
 		machine:  machine,
 	}
@@ -190,10 +190,10 @@
 
 // startOf is the time at which a replica begins. A node that has taken part in no term has
 // promised no owner a lease, so it needn't let one run out before it campaigns.
-func (h *Host) startOf(stored replica.Stored) time.Duration {
+func (h *Host) startOf(stored replica.PersistentState) time.Duration {
 	now := h.options.Now()
-	if stored.Hard == (replica.HardState{}) && len(stored.Entries) == 0 {
-		return now - h.options.Timing.Election
+	if stored.HardState == (replica.HardState{}) && len(stored.Entries) == 0 {
+		return now - h.options.Timing.ElectionTimeout
 	}
 	return now
 }
--- a/internal/barograph/host/host_test.go
+++ b/internal/barograph/host/host_test.go
@@ -27,10 +27,10 @@
 		if n == owner {
 			continue
 		}
-		var notOwner *replica.NotOwnerError
+		var notOwner *replica.NotLeaderError
 		_, err := n.Propose(t.Context(), testGroup, []byte("x"))
 		assert.Assert(t, errors.As(err, &notOwner))
-		assert.Equal(t, notOwner.Owner, owner.id)
+		assert.Equal(t, notOwner.Leader, owner.id)
 		err = n.Read(t.Context(), testGroup, func(Machine) { t.Error("looked") })
 		assert.Assert(t, errors.As(err, &notOwner))
 	}
@@ -156,7 +156,7 @@
 	look := func(m Machine) { seen = m.(*list).text() }
 	assert.NilError(t, owner.Read(t.Context(), testGroup, look))
 	assert.Equal(t, seen, "first")
-	err := owner.Read(t.Context(), testGroup, func(Machine) { c.now += testTiming.Lease + time.Millisecond })
+	err := owner.Read(t.Context(), testGroup, func(Machine) { c.now += testTiming.LeaseDuration + time.Millisecond })
 	assert.ErrorIs(t, err, ErrNoLease) // it ran out while looking
 	assert.ErrorIs(t, owner.Read(t.Context(), testGroup, look), ErrNoLease)
 	assert.NilError(t, owner.Peek(testGroup, look))
@@ -411,11 +411,11 @@
 	c.restart(1)
 	assert.NilError(t, c.nodes[1].turn())
 	asks := c.nodes[1].wait()
-	assert.Assert(t, asks > 0 && asks < testTiming.Election, "%v", asks)
-	c.now += 3 * testTiming.Election
+	assert.Assert(t, asks > 0 && asks < testTiming.ElectionTimeout, "%v", asks)
+	c.now += 3 * testTiming.ElectionTimeout
 	assert.NilError(t, c.nodes[1].turn())
 	wait := c.nodes[1].wait()
-	assert.Assert(t, wait >= testTiming.Election && wait <= testTiming.Election+testTiming.Spread, "%v", wait)
+	assert.Assert(t, wait >= testTiming.ElectionTimeout && wait <= testTiming.ElectionTimeout+testTiming.ElectionJitter, "%v", wait)
 	empty := startNodes(t, 20, 0, 1)
 	assert.NilError(t, empty.nodes[1].turn())
 	assert.Equal(t, empty.nodes[1].wait(), time.Hour)
--- a/internal/barograph/host/round.go
+++ b/internal/barograph/host/round.go
@@ -83,7 +83,7 @@
 	if len(jobs) == 0 {
 		return false, nil
 	}
-	h.send(jobs, func(j *job) []replica.Message { return j.ready.Early })
+	h.send(jobs, func(j *job) []replica.Message { return j.ready.Immediate })
 	if err := h.persist(ctx, jobs); err != nil {
 		return false, err
 	}
@@ -119,7 +119,7 @@
 		if j := g.job(); j != nil {
 			jobs = append(jobs, j)
 		}
-		g.next = g.replica.Next()
+		g.next = g.replica.NextTick()
 	}
 	return jobs
 }
@@ -141,7 +141,7 @@
 
 // writes tells what the job makes durable, false for nothing.
 func (j *job) writes() (store.Write, bool) {
-	w := store.Write{Group: j.group.id, Hard: j.ready.Hard, Snapshot: j.ready.Snapshot, Entries: j.ready.Entries}
+	w := store.Write{Group: j.group.id, Hard: j.ready.HardState, Snapshot: j.ready.Snapshot, Entries: j.ready.Entries}
 	if j.own != nil {
 		w.Snapshot, w.CompactTo = j.own, j.own.Index
 	}
@@ -214,10 +214,10 @@
 	for _, g := range h.groups {
 		if g.next <= now {
 			g.replica.Tick(now)
-			g.next = max(g.replica.Next(), now+shortestWait)
+			g.next = max(g.replica.NextTick(), now+shortestWait)
 			h.touch(g)
 		}
-		byNode.add(g.replica.Beats())
+		byNode.add(g.replica.TakeImmediate())
 	}
 	h.mu.Unlock()
 	byNode.send(h.options.Transport)
@@ -404,7 +404,7 @@
 
 // noticeOwner tells who waits for news that the owner or the term is another.
 func (g *group) noticeOwner() {
-	owner, term := g.replica.Owner(), g.replica.Term()
+	owner, term := g.replica.Leader(), g.replica.Term()
 	if owner == g.owner && term == g.term {
 		return
 	}
--- a/internal/barograph/host/sqlite_test.go
+++ b/internal/barograph/host/sqlite_test.go
@@ -65,11 +65,11 @@
 
 // realTiming outlasts a busy disk: an owner whose write is under way sends nothing.
 var realTiming = replica.Timing{
-	Heartbeat: 50 * time.Millisecond,
-	Election:  10 * time.Second,
-	Spread:    10 * time.Second,
-	Lease:     8 * time.Second,
-	Silent:    30 * time.Second,
+	HeartbeatInterval: 50 * time.Millisecond,
+	ElectionTimeout:   10 * time.Second,
+	ElectionJitter:    10 * time.Second,
+	LeaseDuration:     8 * time.Second,
+	LostAfter:         30 * time.Second,
 }
 
 // startProcesses starts processes on the disks, and gives them in the order of their ids.
@@ -113,7 +113,7 @@
 		for _, p := range processes {
 			status, err := p.Status(testGroup)
 			assert.NilError(t, err)
-			if status.Settled {
+			if status.LeaderReady {
 				return p
 			}
 		}
@@ -152,7 +152,7 @@
 
 	processes = startProcesses(t, openDisks(t, folder, 3), newList)
 	defer stopProcesses(t, processes)
-	processes[0].wire.ahead.Store(int64(realTiming.Election)) // the old owner's lease has run out
+	processes[0].wire.ahead.Store(int64(realTiming.ElectionTimeout)) // the old owner's lease has run out
 	owner = settledOwner(t, processes)
 	assert.DeepEqual(t, commandsOf(t, owner), want)
 	result, err := owner.Propose(t.Context(), testGroup, []byte("more"))
--- a/internal/barograph/host/waiter.go
+++ b/internal/barograph/host/waiter.go
@@ -34,7 +34,7 @@
 		delete(g.waiting, e.Index)
 		j.answers[i].waiter = w
 		if w.term != e.Term { // another took its place: it will never be in force
-			j.answers[i].outcome.err = &replica.NotOwnerError{Owner: g.replica.Owner()}
+			j.answers[i].outcome.err = &replica.NotLeaderError{Leader: g.replica.Leader()}
 		}
 	}
 }
@@ -45,13 +45,13 @@
 	if len(g.waiting) == 0 {
 		return
 	}
-	owns, term, commit := g.replica.Owns(), g.replica.Term(), g.replica.Commit()
+	owns, term, commit := g.replica.IsLeader(), g.replica.Term(), g.replica.CommitIndex()
 	for index, w := range g.waiting {
 		if index <= commit || owns && w.term == term {
 			continue
 		}
 		delete(g.waiting, index)
-		w.tell(nil, &UnknownOutcomeError{Cause: &replica.NotOwnerError{Owner: g.replica.Owner()}})
+		w.tell(nil, &UnknownOutcomeError{Cause: &replica.NotLeaderError{Leader: g.replica.Leader()}})
 	}
 }
 
@@ -60,7 +60,7 @@
 	for at, w := range g.waiting {
 		if at <= index {
 			delete(g.waiting, at)
-			w.tell(nil, &UnknownOutcomeError{Cause: &replica.NotOwnerError{Owner: g.replica.Owner()}})
+			w.tell(nil, &UnknownOutcomeError{Cause: &replica.NotLeaderError{Leader: g.replica.Leader()}})
 		}
 	}
 }
--- a/internal/barograph/keeper/calls.go
+++ b/internal/barograph/keeper/calls.go
@@ -59,7 +59,7 @@
 	defer cancel()
 	for _, partition := range s.k.partitions() {
 		status, err := s.k.node.Host.Status(protocol.TurnGroup(partition))
-		if err != nil || !status.Settled {
+		if err != nil || !status.LeaderReady {
 			continue
 		}
 		err = s.k.node.Host.Read(ctx, protocol.TurnGroup(partition), func(m host.Machine) {
--- a/internal/barograph/keeper/keeper.go
+++ b/internal/barograph/keeper/keeper.go
@@ -159,7 +159,7 @@
 	var done sync.WaitGroup
 	for _, partition := range k.partitions() {
 		status, err := k.node.Host.Status(protocol.TurnGroup(partition))
-		if err != nil || !status.Settled {
+		if err != nil || !status.LeaderReady {
 			continue
 		}
 		done.Go(func() { k.repair(ctx, partition, status, directory) })
@@ -215,7 +215,7 @@
 	}
 	for _, id := range status.Members.Voters {
 		n, known := k.node.Addresses.Find(id)
-		if id == k.node.Self.ID || !known || slices.Contains(d.Retiring, n.Name) || status.Matched[id] < status.Commit {
+		if id == k.node.Self.ID || !known || slices.Contains(d.Retiring, n.Name) || status.MatchIndex[id] < status.CommitIndex {
 			continue
 		}
 		return k.node.Host.Handover(status.Group, id) == nil
@@ -228,11 +228,11 @@
 // back first, an announcement whose answer is lost could undo itself again and again.
 func (k *Keeper) report(ctx context.Context, partition int, status replica.Status, d protocol.Directory) {
 	told := d.Partitions[partition]
-	if status.Pending || slices.Equal(told.Voters, status.Members.Voters) {
+	if status.ChangePending || slices.Equal(told.Voters, status.Members.Voters) {
 		return
 	}
-	moved := &revisions.Moved{Partition: partition, Change: status.Commit, Voters: status.Members.Voters}
-	if told.Change == status.Commit {
+	moved := &revisions.Moved{Partition: partition, Change: status.CommitIndex, Voters: status.Members.Voters}
+	if told.Change == status.CommitIndex {
 		moved.Step = told.Step + 1
 	}
 	if _, err := k.move(ctx, moved); err != nil {
@@ -246,8 +246,8 @@
 	if len(next.Voters) <= len(status.Members.Voters) {
 		return true // nobody becomes a voter: one comes or goes at a time
 	}
-	moved := &revisions.Moved{Partition: partition, Change: status.Commit, Ahead: true, Voters: next.Voters}
-	if told := d.Partitions[partition]; told.Change == status.Commit {
+	moved := &revisions.Moved{Partition: partition, Change: status.CommitIndex, Ahead: true, Voters: next.Voters}
+	if told := d.Partitions[partition]; told.Change == status.CommitIndex {
 		moved.Step = told.Step + 1
 	}
 	result, err := k.move(ctx, moved)
@@ -256,7 +256,7 @@
 		return false
 	}
 	now, err := k.node.Host.Status(status.Group)
-	return err == nil && now.Term == status.Term && now.Changed == status.Changed
+	return err == nil && now.Term == status.Term && now.MembersIndex == status.MembersIndex
 }
 
 // move tells the directory of a partition's members.
@@ -278,7 +278,7 @@
 	for _, partition := range k.partitions() {
 		group := protocol.TurnGroup(partition)
 		status, err := k.node.Host.Status(group)
-		if err != nil || !status.Settled {
+		if err != nil || !status.LeaderReady {
 			continue
 		}
 		var resting []turns.Rest
--- a/internal/barograph/keeper/keeper_test.go
+++ b/internal/barograph/keeper/keeper_test.go
@@ -47,7 +47,7 @@
 		_, changed := n.Host.Applied(group)
 		status, err := n.Host.Status(group)
 		assert.NilError(t, err)
-		if status.Settled {
+		if status.LeaderReady {
 			return
 		}
 		select {
--- a/internal/barograph/node/alive.go
+++ b/internal/barograph/node/alive.go
@@ -55,7 +55,7 @@
 	for until := time.Now().Add(handOverWithin); time.Now().Before(until); time.Sleep(handOverPause) {
 		owned := 0
 		for _, status := range n.Host.Statuses() {
-			if !status.Settled {
+			if !status.LeaderReady {
 				continue
 			}
 			owned++
@@ -73,7 +73,7 @@
 func successor(s replica.Status) replica.NodeID {
 	best := replica.NodeID(0)
 	for _, id := range s.Members.Voters {
-		if id != s.Self && (best == 0 || s.Matched[id] > s.Matched[best]) {
+		if id != s.Self && (best == 0 || s.MatchIndex[id] > s.MatchIndex[best]) {
 			best = id
 		}
 	}
--- a/internal/barograph/node/calls.go
+++ b/internal/barograph/node/calls.go
@@ -68,10 +68,10 @@
 // OutcomeOf gives a failure the form that calls hand back, and who is the owner where that is
 // known. A proposal that a deposed owner took may still come into force.
 func OutcomeOf(err error) (protocol.Outcome, replica.NodeID) {
-	var notOwner *replica.NotOwnerError
+	var notOwner *replica.NotLeaderError
 	owner := replica.NodeID(0)
 	if errors.As(err, &notOwner) {
-		owner = notOwner.Owner
+		owner = notOwner.Leader
 	}
 	var unknown *host.UnknownOutcomeError
 	switch {
@@ -201,7 +201,7 @@
 	if err != nil {
 		return 0
 	}
-	return status.Owner
+	return status.Leader
 }
 
 // another picks one of the nodes that may know a group's owner, in turn.
--- a/internal/barograph/node/node.go
+++ b/internal/barograph/node/node.go
@@ -25,12 +25,12 @@
 // message what is committed; news of the configuration go out at once.
 func Timing(class protocol.Class) replica.Timing {
 	return replica.Timing{
-		Heartbeat: 100 * time.Millisecond,
-		Election:  400 * time.Millisecond,
-		Spread:    150 * time.Millisecond,
-		Lease:     300 * time.Millisecond,
-		Silent:    Silent,
-		Lazy:      class == protocol.Storage,
+		HeartbeatInterval: 100 * time.Millisecond,
+		ElectionTimeout:   400 * time.Millisecond,
+		ElectionJitter:    150 * time.Millisecond,
+		LeaseDuration:     300 * time.Millisecond,
+		LostAfter:         Silent,
+		LazyCommit:        class == protocol.Storage,
 	}
 }
 
--- a/internal/barograph/node/node_test.go
+++ b/internal/barograph/node/node_test.go
@@ -61,21 +61,21 @@
 // What is told of a failure decides whether a call may be made again elsewhere and whether an
 // operator is refused: nothing that may have been done counts as not done.
 func TestOutcomes(t *testing.T) {
-	deposed := &host.UnknownOutcomeError{Cause: &replica.NotOwnerError{Owner: 7}}
+	deposed := &host.UnknownOutcomeError{Cause: &replica.NotLeaderError{Leader: 7}}
 	for _, c := range []struct {
 		err   error
 		want  protocol.Outcome
 		owner replica.NodeID
 	}{
 		{nil, protocol.Done, 0},
-		{&replica.NotOwnerError{Owner: 7}, protocol.NotOwner, 7},
-		{errors.Wrap(&replica.NotOwnerError{Owner: 7}, "propose"), protocol.NotOwner, 7},
+		{&replica.NotLeaderError{Leader: 7}, protocol.NotOwner, 7},
+		{errors.Wrap(&replica.NotLeaderError{Leader: 7}, "propose"), protocol.NotOwner, 7},
 		{&host.UnknownOutcomeError{Cause: context.DeadlineExceeded}, protocol.Unknown, 0},
 		{&host.UnknownOutcomeError{Cause: host.ErrStopped}, protocol.Unknown, 0},
 		{deposed, protocol.Unknown, 7},
 		{host.ErrNoLease, protocol.Unavailable, 0},
 		{host.ErrNoGroup, protocol.Unavailable, 0},
-		{replica.ErrHandover, protocol.Unavailable, 0},
+		{replica.ErrTransferInProgress, protocol.Unavailable, 0},
 	} {
 		outcome, owner := OutcomeOf(c.err)
 		assert.Equal(t, outcome, c.want, "%v", c.err)
@@ -89,10 +89,10 @@
 func TestTimingHoldsTogether(t *testing.T) {
 	for _, class := range []protocol.Class{protocol.Core, protocol.Storage} {
 		timing := Timing(class)
-		assert.Assert(t, timing.Lease < timing.Election)
-		assert.Assert(t, 2*timing.Heartbeat <= timing.Lease, "one heartbeat may get lost")
-		assert.Assert(t, timing.Silent > timing.Election+timing.Spread)
-		assert.Assert(t, timing.Spread > 0)
+		assert.Assert(t, timing.LeaseDuration < timing.ElectionTimeout)
+		assert.Assert(t, 2*timing.HeartbeatInterval <= timing.LeaseDuration, "one heartbeat may get lost")
+		assert.Assert(t, timing.LostAfter > timing.ElectionTimeout+timing.ElectionJitter)
+		assert.Assert(t, timing.ElectionJitter > 0)
 	}
 	assert.Assert(t, Silent > time.Second)
 }
--- a/internal/barograph/node/transport.go
+++ b/internal/barograph/node/transport.go
@@ -47,12 +47,12 @@
 	var prompt []replica.Message
 	size := 0
 	for _, m := range messages {
-		if m.Kind == replica.Install {
-			t.bulk.send(n, []replica.Message{m}, m.Bytes())
+		if m.Kind == replica.InstallSnapshot {
+			t.bulk.send(n, []replica.Message{m}, m.PayloadSize())
 			continue
 		}
 		prompt = append(prompt, m)
-		size += m.Bytes()
+		size += m.PayloadSize()
 	}
 	if len(prompt) > 0 {
 		t.prompt.send(n, prompt, size)
--- a/internal/barograph/repair/repair.go
+++ b/internal/barograph/repair/repair.go
@@ -42,7 +42,7 @@
 // Plan returns the members that the group should have next, and whether they differ.
 func (p *Planner) Plan(v View) (replica.Members, bool) {
 	now := v.Status.Members
-	if !v.Status.Settled || v.Status.Pending {
+	if !v.Status.LeaderReady || v.Status.ChangePending {
 		return now, false
 	}
 	p.begin()
@@ -67,7 +67,7 @@
 // Wanting tells whether the group needs another member: who of the nodes answers must be
 // known for Plan then.
 func (p *Planner) Wanting(v View) bool {
-	return v.Status.Settled && !v.Status.Pending && len(v.Status.Members.Voters)-len(p.lost(v)) < v.Voters
+	return v.Status.LeaderReady && !v.Status.ChangePending && len(v.Status.Members.Voters)-len(p.lost(v)) < v.Voters
 }
 
 func (p *Planner) begin() {
@@ -85,7 +85,7 @@
 		switch {
 		case !known && id != v.Status.Self:
 			gone = append(gone, id)
-		case id != v.Status.Self && v.Now-v.Status.Heard[id] > v.Silent:
+		case id != v.Status.Self && v.Now-v.Status.LastHeard[id] > v.Silent:
 			silent = append(silent, id)
 		case known && slices.Contains(v.Retiring, n.Name):
 			retired = append(retired, id)
@@ -198,14 +198,14 @@
 }
 
 func heard(v View, id replica.NodeID) bool {
-	at, ok := v.Status.Heard[id]
+	at, ok := v.Status.LastHeard[id]
 	return ok && v.Now-at <= v.Silent/2
 }
 
 // caughtUp tells whether a learner holds all that is committed, but for the newest entries.
 func caughtUp(v View, id replica.NodeID) bool {
-	matched := v.Status.Matched[id]
-	return matched > 0 && matched+lagMost >= v.Status.Commit
+	matched := v.Status.MatchIndex[id]
+	return matched > 0 && matched+lagMost >= v.Status.CommitIndex
 }
 
 func without(m replica.Members, id replica.NodeID) replica.Members {
--- a/internal/barograph/repair/repair_test.go
+++ b/internal/barograph/repair/repair_test.go
@@ -61,14 +61,14 @@
 
 func (g *group) view() View {
 	status := replica.Status{
-		Group: "turns-1", Self: g.self, Owner: g.self, Members: g.members.Clone(), Settled: true, Commit: g.commit,
-		Heard: map[replica.NodeID]time.Duration{}, Matched: map[replica.NodeID]uint64{},
+		Group: "turns-1", Self: g.self, Leader: g.self, Members: g.members.Clone(), LeaderReady: true, CommitIndex: g.commit,
+		LastHeard: map[replica.NodeID]time.Duration{}, MatchIndex: map[replica.NodeID]uint64{},
 	}
 	for _, id := range g.members.All() {
 		if id != g.self {
-			status.Heard[id] = g.heard[id]
+			status.LastHeard[id] = g.heard[id]
 			if g.met[id] {
-				status.Matched[id] = g.commit - g.lag[id]
+				status.MatchIndex[id] = g.commit - g.lag[id]
 			}
 		}
 	}
@@ -358,8 +358,8 @@
 
 func TestNothingIsDueAtAnOwnerThatIsNotSettled(t *testing.T) {
 	for _, change := range []func(*replica.Status){
-		func(s *replica.Status) { s.Settled = false },
-		func(s *replica.Status) { s.Pending = true },
+		func(s *replica.Status) { s.LeaderReady = false },
+		func(s *replica.Status) { s.ChangePending = true },
 	} {
 		g := newGroup(t, 1, 3)
 		g.voters = 3
--- a/internal/barograph/replica/api.go
+++ b/internal/barograph/replica/api.go
@@ -1,155 +1,158 @@
-// Package replica keeps one group's state alike on its members: ballots give the
-// group one owner at a time, the owner orders commands in a log, and a member that
-// is behind takes a snapshot and then follows changes.
+// Package replica implements one member of a replicated group in the manner of Raft. Elections give
+// the group one leader per term, the leader orders commands in a log, and a member that is too far
+// behind receives a snapshot and then the entries that follow it.
 //
-// A Replica is pure: messages and time go in, writes and messages come out. It does
-// no I/O, reads no clock and starts no goroutine. The caller carries out each Ready
-// in the order that its fields state.
+// A Replica is a pure state machine: messages and the time go in, writes and messages come out. It
+// does no I/O, reads no clock and starts no goroutine. The caller carries out each Ready in the
+// order that is documented there.
 package replica
 
 import (
 	"time"
 )
 
-// NodeID names one incarnation of a node: a disk that was lost takes its id along,
-// so a node that has forgotten its votes comes back as another.
+// NodeID identifies one incarnation of a node. The ID is lost together with the node's disk, so a
+// node that has forgotten its votes returns under a new ID.
 type NodeID uint64
 
-// GroupID names a group.
+// GroupID identifies a replicated group.
 type GroupID string
 
-// EntryKind says what an Entry holds.
+// EntryKind is the kind of a log Entry. It is sent and stored as a number.
 type EntryKind uint8
 
-// The kinds of Entry.
+// The kinds of Entry. Their numbers are sent and stored and must not change.
 const (
-	Command EntryKind = iota // for the state machine
-	Opening                  // the first of an owner's term, empty
-	Change                   // new Members
+	Command          EntryKind = iota // a command for the state machine
+	NoOp                              // the empty first entry of a leader's term
+	MembershipChange                  // the encoded Members that are in force from this entry on
 )
 
-// Entry is one step of a group's log.
+// Entry is one entry of a group's log.
 type Entry struct {
 	Index, Term uint64
 	Kind        EntryKind
 	Data        []byte
 }
 
-// Members are the nodes of a group. Voters elect the owner and make entries durable;
-// learners follow the log only.
+// Members are the nodes of a group. Voters elect the leader and make entries durable; learners only
+// follow the log.
 type Members struct {
 	Voters   []NodeID
 	Learners []NodeID
 }
 
-// HardState is what a node must not forget: the newest term that it knows, and whom it
-// gave its vote in it (0: nobody).
+// HardState is what a node must never forget: the newest term that it knows, and the candidate that
+// it voted for in that term (0: none).
 type HardState struct {
 	Term uint64
 	Vote NodeID
 }
 
-// Snapshot is a group's state after the entry at Index, with the members then in force.
+// Snapshot is a group's state after the entry at Index, with the members in force there.
 type Snapshot struct {
 	Index, Term uint64
 	Members     Members
 	State       []byte
 }
 
-// MessageKind says what a Message is about.
+// MessageKind is the kind of a Message. It is sent as a number.
 type MessageKind uint8
 
-// The kinds of Message.
+// The kinds of Message. Their numbers are sent and must not change.
 const (
-	Canvass      MessageKind = iota // would you vote for me? (no term is opened)
-	CanvassReply                    //
-	Vote                            // vote for me
-	VoteReply                       //
-	Append                          // entries, or a heartbeat without any
-	AppendReply                     //
-	Install                         // a part of a snapshot
-	Handover                        // the owner asks the receiver to campaign at once
-	InstallReply                    // how much of the snapshot has come
+	PreVote              MessageKind = iota // asks whether the receiver would vote for the sender; starts no term
+	PreVoteReply                            // answers PreVote
+	Vote                                    // Raft's RequestVote
+	VoteReply                               // answers Vote
+	Append                                  // entries, or a heartbeat if it has none
+	AppendReply                             // answers Append, and InstallSnapshot once the snapshot is complete
+	InstallSnapshot                         // a chunk of a snapshot
+	TimeoutNow                              // the leader asks the receiver to start an election at once
+	InstallSnapshotReply                    // how many bytes of the snapshot the receiver holds
 )
 
-// Message goes from one member of a group to another.
+// Message is sent from one member of a group to another. Its type and field names are part of the
+// wire format.
 type Message struct {
 	Group    GroupID
 	Kind     MessageKind
 	From, To NodeID
 	Term     uint64
-	// Index and LogTerm are of the entry before Entries (Append), of the last entry of a
-	// candidate (Canvass, Vote), or the newest that is matched (AppendReply; of a rejecting
-	// one Index is what was rejected and LogTerm is the term at Hint).
+	// Index and LogTerm identify the entry before Entries (Append), the last entry of the candidate's
+	// log (PreVote, Vote), the newest entry known to match (AppendReply) or the last entry covered by
+	// the snapshot (InstallSnapshot). In a rejecting AppendReply, Index is the rejected index and
+	// LogTerm is the term at Hint.
 	Index, LogTerm uint64
-	Commit         uint64
+	Commit         uint64 // the commit index that the leader tells the receiver
 	Entries        []Entry
 	Reject         bool
-	Hint           uint64        // of a rejecting AppendReply: the receiver's newest index that may match, at most Index
-	Forced         bool          // of a Vote: the owner gave its lease up, so voters needn't keep it
-	Sent           time.Duration // on the owner's clock, given back in replies of its term: the lease counts from it
-	// Snapshot holds, in an Install, the bytes of the state from Offset on; Size is the state's
-	// whole. Of an InstallReply Offset is how many bytes have come.
+	Hint           uint64        // in a rejecting AppendReply: the receiver's newest index that may match, at most Index
+	Forced         bool          // in a Vote: the leader gave up its lease for a transfer, so voters need not honor it
+	Sent           time.Duration // the leader's clock when it sent the request, echoed in replies of its term; the lease counts from it
+	// Snapshot carries, in an InstallSnapshot, the bytes of the state from Offset on; Size is the
+	// size of the whole state. In an InstallSnapshotReply, Offset is the number of bytes received.
 	Snapshot     *Snapshot
 	Offset, Size uint64
-	// Returning asks voters that have started anew not to wait for what they may have promised
-	// before, and tells in their answer that they would have to; Life names the life of a
-	// process that a voter answered in.
+	// Returning is set in a PreVote or Vote that asks restarted voters to ignore leases that they may
+	// have promised before their restart. In a PreVoteReply it says that the voter is bound by such a
+	// promise. Life is the incarnation of the process in which the voter answered. See restart.go.
 	Returning bool
 	Life      uint64
-	// Asked is the sender's time in an AppendReply, given back in an Append along with the life
-	// that it belongs to; Newest is the owner's commit index then. See freshness.go.
+	// Asked is the member's clock in an AppendReply; the leader echoes it in a later Append, together
+	// with Life, the incarnation that the clock belongs to. Newest is the leader's commit index at
+	// that moment. See freshness.go.
 	Asked  time.Duration
 	Newest uint64
 }
 
-// Ready is what a Replica wants done. The caller sends Early at once, makes Hard,
-// Snapshot and Entries durable together, calls Persisted, then sends Messages and
-// hands Committed to the state machine in order.
+// Ready is the work that a Replica wants done. The caller sends Immediate at once, makes HardState,
+// Snapshot and Entries durable together, calls Persisted, then sends Messages and applies Committed
+// to the state machine in order.
 type Ready struct {
-	Hard      *HardState // nil: as before
-	Snapshot  *Snapshot  // not nil: takes the place of the log and of the state machine's state
-	Entries   []Entry    // take the place of whatever stands at and after the first one's index
-	Committed []Entry    // to be applied; Opening and Change entries among them
-	Early     []Message  // promise nothing that is not durable yet
+	HardState *HardState // nil: unchanged
+	Snapshot  *Snapshot  // if not nil, replaces the log and the state of the state machine
+	Entries   []Entry    // replace everything in the log at and after the index of the first one
+	Committed []Entry    // to be applied, NoOp and MembershipChange entries included
+	Immediate []Message  // promise nothing that is not durable yet
 	Messages  []Message  // to be sent after the writes
 }
 
-// Empty tells whether there is nothing to do.
+// Empty reports whether there is nothing to do.
 func (r *Ready) Empty() bool {
-	return r.Hard == nil && r.Snapshot == nil && len(r.Entries) == 0 && len(r.Committed) == 0 &&
-		len(r.Early) == 0 && len(r.Messages) == 0
+	return r.HardState == nil && r.Snapshot == nil && len(r.Entries) == 0 && len(r.Committed) == 0 &&
+		len(r.Immediate) == 0 && len(r.Messages) == 0
 }
 
-// Timing are the durations that a group keeps, on steady clocks of bounded drift.
+// Timing holds the durations that a group uses, measured on monotonic clocks of bounded drift.
 type Timing struct {
-	Heartbeat time.Duration // between two messages of an owner to each member
-	Election  time.Duration // a voter that hears nothing for this long may campaign, and votes for no other before
-	Spread    time.Duration // added to Election by lot
-	Lease     time.Duration // below Election: an owner whose majority answered what was sent this long ago is alone
-	Silent    time.Duration // a member not heard from for this long counts as lost
-	// Lazy lets members learn what is committed with the next message that they get anyhow.
-	Lazy bool
+	HeartbeatInterval time.Duration // between two heartbeats of a leader to each member
+	ElectionTimeout   time.Duration // a voter that hears no leader for this long may campaign, and votes for nobody else before
+	ElectionJitter    time.Duration // upper bound of the random delay added to ElectionTimeout
+	LeaseDuration     time.Duration // below ElectionTimeout: no other leader exists if a majority answered what was sent less than this ago
+	LostAfter         time.Duration // a member not heard from for this long counts as lost
+	// LazyCommit sends members a new commit index only with the next message that they get anyway.
+	LazyCommit bool
 }
 
-// Stored is what a node kept of a group.
-type Stored struct {
-	Hard     HardState
-	Snapshot Snapshot // Index 0: none but the first members and state
-	Entries  []Entry  // after the snapshot
+// PersistentState is what a node has stored of a group.
+type PersistentState struct {
+	HardState HardState
+	Snapshot  Snapshot // Index 0: only the initial members and state
+	Entries   []Entry  // after the snapshot
 }
 
-// Status is a view of a Replica.
+// Status is a snapshot of a Replica's state for its caller.
 type Status struct {
-	Group        GroupID
-	Self, Owner  NodeID // Owner 0: not known
-	Term         uint64
-	Commit, Last uint64
-	Members      Members
-	Settled      bool                     // this node is the owner and an entry of its term is committed
-	Pending      bool                     // a change of members is not committed yet
-	Changed      uint64                   // index of the entry that Members come from, 0: the first ones
-	Heard        map[NodeID]time.Duration // at the owner: when each other member was last heard from
-	Matched      map[NodeID]uint64        // at the owner: what each other member holds
-	Contradicted bool                     // an owner sent what differs from committed entries: a member or a disk is broken
+	Group                  GroupID
+	Self, Leader           NodeID // Leader 0: unknown
+	Term                   uint64
+	CommitIndex, LastIndex uint64
+	Members                Members
+	LeaderReady            bool                     // this node is the leader and has committed an entry of its term
+	ChangePending          bool                     // a membership change is not committed yet
+	MembersIndex           uint64                   // index of the entry that Members come from, 0: the initial members
+	LastHeard              map[NodeID]time.Duration // on the leader: when each other member was last heard from
+	MatchIndex             map[NodeID]uint64        // on the leader: the last entry known to be durable on each other member
+	LogConflict            bool                     // a leader sent entries that contradict committed ones: a member or a disk is faulty
 }
--- a/internal/barograph/replica/errors.go
+++ b/internal/barograph/replica/errors.go
@@ -6,37 +6,38 @@
 	"github.com/go-faster/errors"
 )
 
-// Failures that errors.Is finds.
+// Errors that callers match with errors.Is.
 var (
-	// ErrNotSettled: the owner has not committed an entry of its term yet. Try again soon.
-	ErrNotSettled = errors.New("owner is not settled yet")
-	// ErrPending: a change of members is not committed yet.
-	ErrPending = errors.New("a change of members is pending")
-	// ErrNotCaughtUp: the member's log is too far behind the owner's, or it was not heard from of late.
+	// ErrLeaderNotReady means that the leader has not committed an entry of its term yet. Retry soon.
+	ErrLeaderNotReady = errors.New("leader has not committed an entry of its term yet")
+	// ErrChangePending means that a membership change is not committed yet.
+	ErrChangePending = errors.New("a membership change is pending")
+	// ErrNotCaughtUp means that the member's log is too far behind the leader's, or that the member was
+	// not heard from recently.
 	ErrNotCaughtUp = errors.New("member is not caught up")
-	// ErrNotLearner: a node must follow as a learner before it becomes a voter.
+	// ErrNotLearner means that a node must be a learner before it becomes a voter.
 	ErrNotLearner = errors.New("a voter to be added must be a learner")
-	// ErrNotVoter: ownership goes to voters only.
-	ErrNotVoter = errors.New("node is no voter")
-	// ErrManyVoters: one change adds or removes one voter at most.
-	ErrManyVoters = errors.New("more than one voter would change")
-	// ErrMembers: the members have no voter, node 0 or a node twice.
-	ErrMembers = errors.New("members are malformed")
-	// ErrHandover: the ownership is being handed over, no proposals are taken meanwhile.
-	ErrHandover = errors.New("ownership is being handed over")
-	// ErrOverloaded: too many bytes wait for their commit.
-	ErrOverloaded = errors.New("too much waits to be committed")
+	// ErrNotVoter means that leadership can be transferred to voters only.
+	ErrNotVoter = errors.New("node is not a voter")
+	// ErrMultipleVoterChanges means that a change would add or remove more than one voter.
+	ErrMultipleVoterChanges = errors.New("more than one voter would change")
+	// ErrInvalidMembers means that the members have no voter, contain node 0 or contain a node twice.
+	ErrInvalidMembers = errors.New("members are malformed")
+	// ErrTransferInProgress means that the leadership is being transferred and no proposals are accepted.
+	ErrTransferInProgress = errors.New("leadership transfer is in progress")
+	// ErrOverloaded means that too many bytes wait to be committed.
+	ErrOverloaded = errors.New("too many uncommitted bytes")
 )
 
-// NotOwnerError tells that a node is not the group's owner.
-type NotOwnerError struct {
-	Owner NodeID // who is, as far as is known; 0: not known
+// NotLeaderError means that a node is not the group's leader.
+type NotLeaderError struct {
+	Leader NodeID // the leader as far as this node knows; 0: unknown
 }
 
-// Error names the owner if it is known.
-func (e *NotOwnerError) Error() string {
-	if e.Owner == 0 {
-		return "node is not the owner, nor does it know one"
+// Error names the leader if it is known.
+func (e *NotLeaderError) Error() string {
+	if e.Leader == 0 {
+		return "node is not the leader, and the leader is unknown"
 	}
-	return fmt.Sprintf("node is not the owner, %d is", e.Owner)
+	return fmt.Sprintf("node is not the leader, node %d is", e.Leader)
 }
--- a/internal/barograph/replica/export_test.go
+++ b/internal/barograph/replica/export_test.go
@@ -1,23 +1,23 @@
 package replica
 
-// Flaws are defects that a replica can be given, to test the tests.
-type Flaws = flaws
+// InjectedDefects are bugs that a replica can be given to verify that the tests detect them.
+type InjectedDefects = injectedDefects
 
-// The flaws, one at a time.
+// The injected defects, one at a time.
 var (
-	FlawAnswerEarly   = Flaws{answerEarly: true}
-	FlawCachedLease   = Flaws{cachedLease: true}
-	FlawCountOldTerms = Flaws{countOldTerms: true}
-	FlawNoRefusal     = Flaws{noRefusal: true}
-	FlawVouchUnleased = Flaws{vouchUnleased: true}
-	FlawAnyLife       = Flaws{anyLife: true}
+	DefectReplyBeforeWrite  = InjectedDefects{replyBeforeWrite: true}
+	DefectCachedLease       = InjectedDefects{cachedLease: true}
+	DefectCountOldTerms     = InjectedDefects{countOldTerms: true}
+	DefectIgnoreLease       = InjectedDefects{ignoreLease: true}
+	DefectProveWithoutLease = InjectedDefects{proveWithoutLease: true}
+	DefectAnyIncarnation    = InjectedDefects{anyIncarnation: true}
 )
 
-// SetFlaws gives the replica defects.
-func (r *Replica) SetFlaws(defects Flaws) { r.flaws = defects }
+// SetDefects injects defects into the replica.
+func (r *Replica) SetDefects(defects InjectedDefects) { r.defects = defects }
 
-// SetBounds makes the replica keep tail entries before a snapshot, and send batch entries, or so
-// many bytes of a state, at once.
-func (r *Replica) SetBounds(tail uint64, batch int, part uint64) {
-	r.tail, r.batch, r.part = tail, batch, part
+// SetBounds makes the replica keep tailEntries entries before a snapshot, and send at most batchEntries entries,
+// or chunkBytes bytes of a state, in one message.
+func (r *Replica) SetBounds(tailEntries uint64, batchEntries int, chunkBytes uint64) {
+	r.tailEntries, r.batchEntries, r.chunkBytes = tailEntries, batchEntries, chunkBytes
 }
--- a/internal/barograph/replica/freshness.go
+++ b/internal/barograph/replica/freshness.go
@@ -2,76 +2,77 @@
 
 import "time"
 
-// How recent a member's state is can be proven without a clock in common, in the manner of a
-// read index (Ongaro's thesis, 6.4), on the heartbeats that go out anyhow: a member puts its
-// own time into each answer to the owner (Asked), and the owner gives it back in a later
-// heartbeat, with its commit index (Newest), if it holds its lease at that moment. The member
-// then knows: at some moment after Asked on its own clock there was no other owner, and
-// nothing beyond Newest was committed. What it has applied up to Newest is thus as recent as
-// Asked, however late the heartbeat comes. Life tells apart the clocks of two lives of a node.
+// How recent a member's state is can be proven without synchronized clocks, in the manner of a read
+// index (Ongaro's thesis, 6.4), on the heartbeats that are sent anyway. A member puts its own clock
+// into each reply to the leader (Asked). The leader echoes it in a later heartbeat together with its
+// commit index (Newest), if it holds its lease at that moment. The member then knows that at some
+// moment after Asked on its own clock there was no other leader, and nothing beyond Newest was
+// committed. What it has applied up to Newest is therefore as recent as Asked, however late the
+// heartbeat arrives. Life distinguishes the clocks of two incarnations of a node.
 
-// proofsMost bounds the proofs that wait for their index to be applied.
-const proofsMost = 8
+// maxPendingProofs bounds the proofs whose index is not applied yet.
+const maxPendingProofs = 8
 
-// proof says that all that was committed at a moment after at, on this node's clock, stands at
-// or before index.
-type proof struct {
+// freshnessProof states that everything committed at some moment after asOf, on this node's clock, is
+// at or before index.
+type freshnessProof struct {
 	index uint64
-	at    time.Duration
+	asOf  time.Duration
 }
 
-// freshness is what a member knows of how recent its state is.
+// freshness is what a member knows about how recent its state is.
 type freshness struct {
-	waiting []proof       // index and at both ascend
-	current time.Duration // of the newest proof whose index was applied; never: none
+	pending  []freshnessProof // index and asOf both ascend
+	provenAt time.Duration    // asOf of the newest proof whose index was applied; never: none
 }
 
-// add takes a proof in. Where many wait, the newest of them makes way: the oldest is applied first.
-func (f *freshness) add(p proof) {
-	if n := len(f.waiting); n > 0 {
-		last := f.waiting[n-1]
-		if p.at <= last.at || p.index < last.index {
-			return // overtaken on the way
+// add adds a proof. If too many are pending, the newest one is replaced, because the oldest is applied first.
+func (f *freshness) add(p freshnessProof) {
+	if n := len(f.pending); n > 0 {
+		last := f.pending[n-1]
+		if p.asOf <= last.asOf || p.index < last.index {
+			return // arrived after a newer one
 		}
-		if p.index == last.index || n == proofsMost {
-			f.waiting[n-1] = p
+		if p.index == last.index || n == maxPendingProofs {
+			f.pending[n-1] = p
 			return
 		}
 	}
-	f.waiting = append(f.waiting, p)
+	f.pending = append(f.pending, p)
 }
 
-// settle returns the newest moment that is proven when everything up to applied is applied.
-func (f *freshness) settle(applied uint64) time.Duration {
-	for len(f.waiting) > 0 && f.waiting[0].index <= applied {
-		f.current = max(f.current, f.waiting[0].at)
-		f.waiting = f.waiting[1:]
+// provenAsOf returns the newest moment that is proven when everything up to applied is applied.
+func (f *freshness) provenAsOf(applied uint64) time.Duration {
+	for len(f.pending) > 0 && f.pending[0].index <= applied {
+		f.provenAt = max(f.provenAt, f.pending[0].asOf)
+		f.pending = f.pending[1:]
 	}
-	return f.current
+	return f.provenAt
 }
 
-// CurrentAt returns a moment on this node's clock, at most now: all that was committed before it
-// is among what stands at or before applied, the index up to which the caller has applied the
-// log. It lies far in the past where nothing is proven.
-func (r *Replica) CurrentAt(now time.Duration, applied uint64) time.Duration {
-	if r.role == owner && applied >= r.commit && r.Leased(now) {
+// FreshAsOf returns a moment on this node's clock, at most now: everything committed before it is at or
+// before applied, the index up to which the caller has applied the log. The moment lies far in the past
+// if nothing is proven.
+func (r *Replica) FreshAsOf(now time.Duration, applied uint64) time.Duration {
+	if r.role == leader && applied >= r.commitIndex && r.HasLease(now) {
 		return now
 	}
-	return r.fresh.settle(applied)
+	return r.freshness.provenAsOf(applied)
 }
 
-// witness puts what proves the receiver's state recent into a heartbeat, under the lease only.
-func (r *Replica) witness(m *Message, p *progress) {
-	if p.life == 0 || !r.flaws.vouchUnleased && !r.Leased(r.now) {
+// attachFreshnessProof puts the proof of how recent the receiver's state is into a heartbeat, if this
+// leader holds its lease.
+func (r *Replica) attachFreshnessProof(m *Message, p *progress) {
+	if p.incarnation == 0 || !r.defects.proveWithoutLease && !r.HasLease(r.now) {
 		return
 	}
-	m.Asked, m.Life, m.Newest = p.asked, p.life, r.commit
+	m.Asked, m.Life, m.Newest = p.memberTime, p.incarnation, r.commitIndex
 }
 
-// freshen takes in what a heartbeat proves.
-func (r *Replica) freshen(m Message) {
-	if m.Life == 0 || m.Life != r.life && !r.flaws.anyLife || m.Asked > r.now {
+// recordFreshnessProof stores the proof that a heartbeat carries.
+func (r *Replica) recordFreshnessProof(m Message) {
+	if m.Life == 0 || m.Life != r.incarnation && !r.defects.anyIncarnation || m.Asked > r.now {
 		return
 	}
-	r.fresh.add(proof{index: m.Newest, at: m.Asked})
+	r.freshness.add(freshnessProof{index: m.Newest, asOf: m.Asked})
 }
--- a/internal/barograph/replica/group_test.go
+++ b/internal/barograph/replica/group_test.go
@@ -11,36 +11,36 @@
 const testGroup = GroupID("group")
 
 var testTiming = Timing{
-	Heartbeat: 20 * time.Millisecond,
-	Election:  100 * time.Millisecond,
-	Spread:    50 * time.Millisecond,
-	Lease:     80 * time.Millisecond,
-	Silent:    time.Second,
+	HeartbeatInterval: 20 * time.Millisecond,
+	ElectionTimeout:   100 * time.Millisecond,
+	ElectionJitter:    50 * time.Millisecond,
+	LeaseDuration:     80 * time.Millisecond,
+	LostAfter:         time.Second,
 }
 
-// group runs replicas by hand: writes are durable at once, and messages come when told.
+// group runs replicas in a test: writes are durable at once, and messages are delivered on request.
 type group struct {
-	t        *testing.T
-	now      time.Duration
-	replicas map[NodeID]*Replica
-	order    []NodeID
-	mail     []Message
-	lost     func(Message) bool
-	shuffle  *rand.Rand // puts messages out of order; nil: they come as they were sent
-	applied  map[NodeID][]Entry
-	restored map[NodeID]Snapshot
-	carried  []Message // all that were delivered
+	t         *testing.T
+	now       time.Duration
+	replicas  map[NodeID]*Replica
+	order     []NodeID
+	inTransit []Message
+	drop      func(Message) bool // drops a message if it returns true; nil: none
+	shuffle   *rand.Rand         // reorders messages; nil: they arrive in the order they were sent
+	applied   map[NodeID][]Entry
+	restored  map[NodeID]Snapshot
+	delivered []Message // all messages delivered so far
 }
 
-func newReplica(id NodeID, stored Stored, now time.Duration) *Replica {
+func newReplica(id NodeID, stored PersistentState, now time.Duration) *Replica {
 	return New(testGroup, id, testTiming, stored, rand.New(rand.NewPCG(uint64(id), 1)), now)
 }
 
-func startedWith(voters ...NodeID) Stored {
-	return Stored{Snapshot: Snapshot{Members: Members{Voters: voters}}}
+func initialState(voters ...NodeID) PersistentState {
+	return PersistentState{Snapshot: Snapshot{Members: Members{Voters: voters}}}
 }
 
-// newGroup starts voters 1 to count, of which 1 has become the settled owner.
+// newGroup starts voters 1 to count. Voter 1 is the leader and has committed an entry of its term.
 func newGroup(t *testing.T, count int) *group {
 	t.Helper()
 	g := &group{t: t, replicas: map[NodeID]*Replica{}, applied: map[NodeID][]Entry{}, restored: map[NodeID]Snapshot{}}
@@ -49,28 +49,28 @@
 		voters = append(voters, NodeID(id+1))
 	}
 	for _, id := range voters {
-		g.add(id, startedWith(voters...))
+		g.addReplica(id, initialState(voters...))
 	}
 	g.replicas[1].Campaign(g.now)
-	g.settle()
-	assert.Assert(t, g.replicas[1].Status(g.now).Settled)
+	g.deliverAll()
+	assert.Assert(t, g.replicas[1].Status(g.now).LeaderReady)
 	return g
 }
 
-func (g *group) add(id NodeID, stored Stored) *Replica {
+func (g *group) addReplica(id NodeID, stored PersistentState) *Replica {
 	g.replicas[id] = newReplica(id, stored, g.now)
 	g.order = append(g.order, id)
 	return g.replicas[id]
 }
 
-// collect takes what the replicas want done, until they want nothing more.
-func (g *group) collect() {
+// processReadies carries out the Readys of all replicas until there are none.
+func (g *group) processReadies() {
 	for _, id := range g.order {
 		r := g.replicas[id]
 		for ready := r.Ready(); !ready.Empty(); ready = r.Ready() {
 			r.Persisted(g.now, ready)
-			g.mail = append(g.mail, ready.Early...)
-			g.mail = append(g.mail, ready.Messages...)
+			g.inTransit = append(g.inTransit, ready.Immediate...)
+			g.inTransit = append(g.inTransit, ready.Messages...)
 			if ready.Snapshot != nil {
 				g.restored[id] = *ready.Snapshot
 			}
@@ -79,62 +79,62 @@
 	}
 }
 
-// deliver brings the messages that are on the way.
+// deliver delivers the messages in transit.
 func (g *group) deliver() {
-	mail := g.mail
-	g.mail = nil
+	inTransit := g.inTransit
+	g.inTransit = nil
 	if g.shuffle != nil {
-		g.shuffle.Shuffle(len(mail), func(i, j int) { mail[i], mail[j] = mail[j], mail[i] })
+		g.shuffle.Shuffle(len(inTransit), func(i, j int) { inTransit[i], inTransit[j] = inTransit[j], inTransit[i] })
 	}
-	for _, m := range mail {
+	for _, m := range inTransit {
 		receiver := g.replicas[m.To]
-		if receiver == nil || g.lost != nil && g.lost(m) {
+		if receiver == nil || g.drop != nil && g.drop(m) {
 			continue
 		}
-		g.carried = append(g.carried, m)
+		g.delivered = append(g.delivered, m)
 		receiver.Step(g.now, m)
 	}
 }
 
-// settle goes on until no message is on the way.
-func (g *group) settle() {
+// deliverAll delivers messages until none is in transit.
+func (g *group) deliverAll() {
 	g.t.Helper()
 	for range 10_000 {
-		g.collect()
-		if len(g.mail) == 0 {
+		g.processReadies()
+		if len(g.inTransit) == 0 {
 			return
 		}
 		g.deliver()
 	}
-	g.t.Fatal("the group does not come to rest")
+	g.t.Fatal("the replicas never stop sending messages")
 }
 
-// pass lets time go by, in steps that are short enough for all.
-func (g *group) pass(span time.Duration) {
+// advance lets time pass, in steps shorter than any timeout.
+func (g *group) advance(span time.Duration) {
 	g.t.Helper()
 	for until := g.now + span; g.now < until; {
-		g.now += min(testTiming.Heartbeat/2, until-g.now)
+		g.now += min(testTiming.HeartbeatInterval/2, until-g.now)
 		for _, id := range g.order {
 			g.replicas[id].Tick(g.now)
 		}
-		g.settle()
+		g.deliverAll()
 	}
 }
 
-// isolate loses all that goes to or comes from a node.
+// isolate drops all messages to and from a node.
 func (g *group) isolate(node NodeID) {
-	g.lost = func(m Message) bool { return m.From == node || m.To == node }
+	g.drop = func(m Message) bool { return m.From == node || m.To == node }
 }
 
-func (g *group) propose(r *Replica, text string) (index, term uint64) {
+func (g *group) propose(r *Replica, command string) (index, term uint64) {
 	g.t.Helper()
-	index, term, err := r.Propose(g.now, []byte(text))
+	index, term, err := r.Propose(g.now, []byte(command))
 	assert.NilError(g.t, err)
 	return index, term
 }
 
-// entriesOf makes entries of one term from first to last.
-func entriesOf(term, first, last uint64) []Entry {
+// makeEntries returns entries of one term from first to last.
+func makeEntries(term, first, last uint64) []Entry {
 	var entries []Entry
 	for index := first; index <= last; index++ {
 		entries = append(entries, Entry{Index: index, Term: term})
@@ -142,12 +142,12 @@
 	return entries
 }
 
-// persist takes one Ready and tells that it is durable.
+// persist takes one Ready and reports it durable.
 func persist(r *Replica, now time.Duration) Ready {
 	ready := r.Ready()
 	r.Persisted(now, ready)
 	return ready
 }
 
-// lot is a source of lots of its own.
-func lot(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 2)) }
+// newRandom returns a seeded source of random numbers.
+func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 2)) }
--- a/internal/barograph/replica/progress.go
+++ b/internal/barograph/replica/progress.go
@@ -5,69 +5,69 @@
 // never is a time long before all others.
 const never = time.Duration(-1 << 62)
 
-// progress is what an owner knows of one other member.
+// progress is what a leader knows about one other member.
 type progress struct {
-	matched  uint64        // the member holds the log up to here
-	next     uint64        // the next entry to send
-	probing  bool          // where the logs part is not known, or an answer is overdue
-	flight   []uint64      // the last index of each append that is unanswered
-	moved    time.Duration // when the flight last began or got shorter
-	heard    time.Duration // when the member was last heard from
-	answered time.Duration // the sending time of the newest message that it answered
-	told     uint64        // the commit index that it was sent
-	probe    uint64        // the index before the entries of the newest append, while probing
-	transfer *transfer     // the snapshot that is on the way; nil: none
-	asked    time.Duration // the member's own time in its newest answer
-	life     uint64        // of the member, that this time belongs to; 0: none
+	matchIndex       uint64            // the member holds the log durably up to here
+	nextIndex        uint64            // the next entry to send
+	probing          bool              // the last matching entry is unknown, or a reply is overdue: one append at a time
+	inFlight         []uint64          // the last index of each unanswered append
+	lastProgressAt   time.Duration     // when inFlight last became non-empty or matchIndex last advanced
+	lastHeard        time.Duration     // when the member was last heard from
+	answeredSendTime time.Duration     // the send time of the newest message that it answered
+	sentCommitIndex  uint64            // the newest commit index sent to it
+	probeIndex       uint64            // the index before the entries of the newest append, while probing
+	snapshotTransfer *snapshotTransfer // the snapshot being sent; nil: none
+	memberTime       time.Duration     // the member's own clock in its newest reply
+	incarnation      uint64            // the member's incarnation that memberTime belongs to; 0: none
 }
 
 func newProgress(now time.Duration, next uint64) *progress {
-	return &progress{next: next, probing: true, moved: now, heard: now, answered: never}
+	return &progress{nextIndex: next, probing: true, lastProgressAt: now, lastHeard: now, answeredSendTime: never}
 }
 
-// open tells whether another append may be sent.
-func (p *progress) open() bool {
+// canSend reports whether another append may be sent.
+func (p *progress) canSend() bool {
 	if p.probing {
-		return len(p.flight) == 0
+		return len(p.inFlight) == 0
 	}
-	return len(p.flight) < maxFlight
+	return len(p.inFlight) < maxInFlightAppends
 }
 
-// sent notes an append of the entries from next up to last.
-func (p *progress) sent(now time.Duration, last uint64) {
-	if len(p.flight) == 0 {
-		p.moved = now
+// recordSent records an append of the entries from nextIndex up to last.
+func (p *progress) recordSent(now time.Duration, last uint64) {
+	if len(p.inFlight) == 0 {
+		p.lastProgressAt = now
 	}
-	p.probe = p.next - 1
-	p.flight = append(p.flight, last)
-	p.next = last + 1
+	p.probeIndex = p.nextIndex - 1
+	p.inFlight = append(p.inFlight, last)
+	p.nextIndex = last + 1
 }
 
-// match notes that the member holds the log up to index.
-func (p *progress) match(now time.Duration, index uint64) {
-	if index > p.matched {
-		p.moved = now
+// recordMatch records that the member holds the log up to index.
+func (p *progress) recordMatch(now time.Duration, index uint64) {
+	if index > p.matchIndex {
+		p.lastProgressAt = now
 		p.probing = false
 	}
-	p.matched = max(p.matched, index)
-	p.next = max(p.next, p.matched+1)
-	if p.transfer != nil && p.transfer.snapshot.Index <= p.matched {
-		p.transfer = nil
+	p.matchIndex = max(p.matchIndex, index)
+	p.nextIndex = max(p.nextIndex, p.matchIndex+1)
+	if p.snapshotTransfer != nil && p.snapshotTransfer.snapshot.Index <= p.matchIndex {
+		p.snapshotTransfer = nil
 	}
-	for len(p.flight) > 0 && p.flight[0] <= p.matched {
-		p.flight = p.flight[1:]
+	for len(p.inFlight) > 0 && p.inFlight[0] <= p.matchIndex {
+		p.inFlight = p.inFlight[1:]
 	}
 }
 
-// stale tells whether a rejection of the entries after index was overtaken by news.
-func (p *progress) stale(index uint64) bool {
-	return index <= p.matched || p.probing && index != p.probe
+// isStaleReject reports whether newer replies have superseded a rejection of the entries after index.
+func (p *progress) isStaleReject(index uint64) bool {
+	return index <= p.matchIndex || p.probing && index != p.probeIndex
 }
 
-// restart begins anew from next, one append at a time.
-func (p *progress) restart(now time.Duration, next uint64) {
-	p.next = max(next, p.matched+1)
+// resetToProbe starts again from next, one append at a time.
+func (p *progress) resetToProbe(now time.Duration, next uint64) {
+	p.nextIndex = max(next, p.matchIndex+1)
 	p.probing = true
-	p.flight = nil
-	p.moved = now
+	p.inFlight = nil
+	p.lastProgressAt = now
 }
--- a/internal/barograph/replica/ready.go
+++ b/internal/barograph/replica/ready.go
@@ -2,62 +2,63 @@
 
 import "time"
 
-// Ready hands out what is to be done since the last call, and clears it. One Ready is out at a
-// time: the next is called for after Persisted.
+// Ready returns the work that has accumulated since the last call, and clears it. Only one Ready may be
+// outstanding: the caller asks for the next one after Persisted.
 func (r *Replica) Ready() Ready {
-	if r.role == owner {
+	if r.role == leader {
 		r.replicate()
 	}
 	ready := Ready{
-		Snapshot:  r.incoming,
-		Entries:   r.log.slice(r.handed+1, r.log.last(), int(r.log.last()-r.handed), 1<<62),
-		Committed: r.log.slice(r.applied+1, r.commit, maxApply, 1<<62),
-		Early:     r.early,
+		Snapshot:  r.incomingSnapshot,
+		Entries:   r.log.slice(r.issuedIndex+1, r.log.lastIndex(), int(r.log.lastIndex()-r.issuedIndex), 1<<62),
+		Committed: r.log.slice(r.appliedIndex+1, r.commitIndex, maxApplyEntries, 1<<62),
+		Immediate: r.immediate,
 		Messages:  r.messages,
 	}
-	if r.hardChanged {
-		hard := r.hard
-		ready.Hard = &hard
+	if r.hardStateChanged {
+		hard := r.hardState
+		ready.HardState = &hard
 	}
-	r.hardOut, r.snapshotOut = ready.Hard != nil, ready.Snapshot != nil
-	r.handed = r.log.last()
-	r.applied += uint64(len(ready.Committed))
-	r.incoming, r.early, r.messages, r.hardChanged = nil, nil, nil, false
+	r.hardStateWriting, r.snapshotWriting = ready.HardState != nil, ready.Snapshot != nil
+	r.issuedIndex = r.log.lastIndex()
+	r.appliedIndex += uint64(len(ready.Committed))
+	r.incomingSnapshot, r.immediate, r.messages, r.hardStateChanged = nil, nil, nil, false
 	return ready
 }
 
-// Beats hands out what may be sent while a Ready is still being written: heartbeats, and answers
-// that promise nothing which isn't durable. A slow disk is thus not taken for a lost node.
-func (r *Replica) Beats() []Message {
-	early := r.early
-	r.early = nil
-	return early
+// TakeImmediate returns the messages that may be sent while a Ready is still being written: heartbeats,
+// and replies that promise nothing that isn't durable. Thanks to them a node with a slow disk is not
+// mistaken for a lost one.
+func (r *Replica) TakeImmediate() []Message {
+	immediate := r.immediate
+	r.immediate = nil
+	return immediate
 }
 
-// durable tells whether an answer to an owner promises only what this node has on its disk.
-func (r *Replica) durable(m Message) bool {
-	if r.hardChanged || r.hardOut || r.snapshotOut || r.incoming != nil {
+// promisesOnlyDurable reports whether a reply to a leader promises only what is on this node's disk.
+func (r *Replica) promisesOnlyDurable(m Message) bool {
+	if r.hardStateChanged || r.hardStateWriting || r.snapshotWriting || r.incomingSnapshot != nil {
 		return false
 	}
-	return m.Kind == InstallReply || m.Reject || m.Index <= r.stable
+	return m.Kind == InstallSnapshotReply || m.Reject || m.Index <= r.durableIndex
 }
 
-// Persisted tells that the writes of ready are durable. Calls come in the order of the Readys.
+// Persisted reports that the writes of ready are durable. Calls must come in the order of the Readys.
 func (r *Replica) Persisted(now time.Duration, ready Ready) {
-	r.advance(now)
-	r.hardOut, r.snapshotOut = false, false
-	if ready.Hard != nil {
-		r.voted(*ready.Hard)
+	r.advanceClock(now)
+	r.hardStateWriting, r.snapshotWriting = false, false
+	if ready.HardState != nil {
+		r.recordOwnVote(*ready.HardState)
 	}
 	if len(ready.Entries) == 0 {
 		return
 	}
 	last := ready.Entries[len(ready.Entries)-1]
 	if !r.log.matches(last.Index, last.Term) {
-		return // replaced in the meantime
+		return // replaced by later entries
 	}
-	r.stable = max(r.stable, last.Index)
-	if r.role == owner {
-		r.count()
+	r.durableIndex = max(r.durableIndex, last.Index)
+	if r.role == leader {
+		r.updateCommitIndex()
 	}
 }
--- a/internal/barograph/replica/replica.go
+++ b/internal/barograph/replica/replica.go
@@ -5,170 +5,171 @@
 	"time"
 )
 
-// Bounds of what an owner sends and holds.
+// Bounds on what a leader sends and on what a replica holds in memory.
 const (
-	maxBatchEntries = 256       // entries in one append
-	maxBatchBytes   = 256 << 10 // bytes in one append, unless a single entry is larger
-	maxFlight       = 4         // unanswered appends to one member
-	maxUncommitted  = 64 << 20  // bytes that may wait for their commit
-	maxApply        = 4096      // committed entries in one Ready
-	tailEntries     = 512       // entries kept in memory before the newest snapshot
-	tailBytes       = 4 << 20   // and their bytes
-	learnerPatience = 3         // a learner waits this many times Election longer than a voter
-	farAway         = time.Hour // Next of a replica that waits for messages only
+	maxBatchEntries      = 256       // entries in one append
+	maxBatchBytes        = 256 << 10 // bytes in one append, unless a single entry is larger
+	maxInFlightAppends   = 4         // unanswered appends to one member
+	maxUncommittedBytes  = 64 << 20  // bytes that may wait to be committed
+	maxApplyEntries      = 4096      // committed entries in one Ready
+	maxTailEntries       = 512       // entries kept in memory before the newest snapshot
+	maxTailBytes         = 4 << 20   // bytes of those entries
+	learnerTimeoutFactor = 3         // a learner waits this many ElectionTimeouts longer than a voter
+	idleTickDelay        = time.Hour // NextTick of a replica that only waits for messages
 )
 
 type role uint8
 
 const (
-	follower  role = iota // follows an owner, or waits for one
-	canvasser             // asks whether a ballot would be won
-	candidate             // holds a ballot
-	owner                 // orders the group's entries
+	follower     role = iota // follows a leader or waits for one
+	preCandidate             // asks whether it would win an election
+	candidate                // requests votes
+	leader                   // orders the group's entries
 )
 
-// flaws are defects that tests of the tests turn on.
-type flaws struct {
-	answerEarly   bool // replies go out before the writes
-	cachedLease   bool // Leased tells what held at the newest Tick
-	countOldTerms bool // entries of older terms are committed by counting
-	noRefusal     bool // votes are given while an owner's lease may run
-	returnByMost  bool // a majority suffices for a node that has started anew
-	vouchUnleased bool // an owner proves members recent without its lease
-	anyLife       bool // what another life of the node asked proves this one recent
+// injectedDefects are bugs that tests inject to verify that the tests detect them.
+type injectedDefects struct {
+	replyBeforeWrite  bool // replies are sent before the writes are durable
+	cachedLease       bool // HasLease returns what held at the newest Tick
+	countOldTerms     bool // entries of older terms are committed by counting replicas
+	ignoreLease       bool // votes are granted while a leader's lease may be active
+	restartByMajority bool // a majority of restarted voters suffices to ignore old leases
+	proveWithoutLease bool // a leader proves members recent without holding its lease
+	anyIncarnation    bool // a clock reading of another incarnation of the node proves this one recent
 }
 
-// Replica is one member's part of one group. It isn't safe for use by several goroutines.
+// Replica is one member of one group. It isn't safe for concurrent use.
 type Replica struct {
-	group  GroupID
-	self   NodeID
-	timing Timing
-	random *rand.Rand
-	source func() Snapshot
-	flaws  flaws
-	tail   uint64        // entries kept in memory before the newest snapshot
-	batch  int           // entries in one append
-	part   uint64        // bytes of a state in one message
-	now    time.Duration // the newest time that was told
+	group          GroupID
+	self           NodeID
+	timing         Timing
+	random         *rand.Rand
+	snapshotSource func() Snapshot
+	defects        injectedDefects
+	tailEntries    uint64        // entries kept in memory before the newest snapshot
+	batchEntries   int           // entries in one append
+	chunkBytes     uint64        // bytes of a state in one message
+	now            time.Duration // the newest time passed in
 
-	log         *entryLog
-	hard        HardState
-	commit      uint64
-	handed      uint64 // entries up to here were handed out to be written
-	stable      uint64 // entries up to here are durable
-	applied     uint64 // committed entries up to here were handed out
-	hardChanged bool
-	hardOut     bool      // a hard state was handed out and isn't durable yet
-	snapshotOut bool      // so was a snapshot
-	incoming    *Snapshot // a snapshot to be handed out
-	assembly    *assembly // a snapshot that is on its way in; nil: none
-	early       []Message
-	messages    []Message
+	log              *entryLog
+	hardState        HardState
+	commitIndex      uint64
+	issuedIndex      uint64 // entries up to here were returned by Ready to be written
+	durableIndex     uint64 // entries up to here are durable
+	appliedIndex     uint64 // committed entries up to here were returned by Ready
+	hardStateChanged bool
+	hardStateWriting bool              // a hard state was returned by Ready and isn't durable yet
+	snapshotWriting  bool              // a snapshot was returned by Ready and isn't durable yet
+	incomingSnapshot *Snapshot         // a complete snapshot that the next Ready returns
+	snapshotAssembly *snapshotAssembly // a snapshot that is being received; nil: none
+	immediate        []Message
+	messages         []Message
 
-	role         role
-	owner        NodeID            // 0: not known
-	heard        time.Duration     // when an owner was last heard from; never: this node has promised none anything
-	campaignAt   time.Duration     // when to campaign if no owner is heard from
-	life         uint64            // drawn at the start: names this life of the process
-	restarted    bool              // nothing but what was promised before the start binds this node
-	started      time.Duration     // when this life began
-	grants       map[NodeID]bool   // who would vote, or has voted, for this node
-	excuses      map[NodeID]bool   // of those, who may have promised a lease before it started anew
-	lives        map[NodeID]uint64 // in which they answered
-	unanimous    bool              // all of them have: who starts anew may vote
-	contradicted bool
-	fresh        freshness
+	role              role
+	leaderID          NodeID            // 0: unknown
+	lastLeaderContact time.Duration     // when a leader was last heard from; never: this node has promised nothing to any leader
+	electionDeadline  time.Duration     // when to campaign if no leader is heard from
+	incarnation       uint64            // random number that identifies this run of the process
+	restarted         bool              // only promises from before the restart can bind this node
+	startedAt         time.Duration     // when this incarnation began
+	grantedBy         map[NodeID]bool   // who would vote, or has voted, for this node
+	boundVoters       map[NodeID]bool   // those of them that may have promised a lease before a restart
+	incarnations      map[NodeID]uint64 // the incarnations in which they answered
+	unanimous         bool              // all voters granted the pre-vote, so restarted voters may vote
+	logConflict       bool
+	freshness         freshness
 
-	// Of an owner:
-	progress    map[NodeID]*progress
-	heartbeatAt time.Duration
-	opening     uint64 // the index of its term's first entry
-	uncommitted int    // bytes
-	handover    handover
-	leased      bool // at the newest Tick, for flaws only
+	// Used only by a leader:
+	progress           map[NodeID]*progress
+	nextHeartbeat      time.Duration
+	noOpIndex          uint64 // the index of the first entry of its term
+	uncommittedBytes   int
+	leadershipTransfer leadershipTransfer
+	leasedAtTick       bool // whether the lease was held at the newest Tick; used only by the cachedLease defect
 }
 
-// handover is an owner's intent to give up the ownership. The zero value is none.
-type handover struct {
-	to    NodeID
-	until time.Duration // given up then
-	sent  bool          // the receiver may campaign at any time: no lease holds any more in this term
+// leadershipTransfer is a leader's attempt to hand over the leadership. The zero value is none.
+type leadershipTransfer struct {
+	target    NodeID
+	deadline  time.Duration // when the attempt is aborted
+	requested bool          // TimeoutNow was sent: the target may campaign at any time, so this term has no lease any more
 }
 
-// New returns the replica of a node that has kept stored; now is on the node's own steady
-// clock. Its lot, and so when it campaigns, is from random. A node that kept anything
-// counts as having just heard from an owner, since it may have promised a lease.
+// New returns the replica of a node that has stored this state; now is on the node's own monotonic
+// clock. The election jitter and the incarnation are drawn from random. A node that has stored
+// anything counts as having just heard from a leader, because it may have promised a lease.
 func New(
-	group GroupID, self NodeID, timing Timing, stored Stored, random *rand.Rand, now time.Duration,
+	group GroupID, self NodeID, timing Timing, stored PersistentState, random *rand.Rand, now time.Duration,
 ) *Replica {
 	r := &Replica{
-		group: group, self: self, timing: timing, random: random, now: now, tail: tailEntries, batch: maxBatchEntries, part: partBytes,
-		source: func() Snapshot { return stored.Snapshot },
-		log:    newLog(stored),
-		hard:   stored.Hard,
-		commit: stored.Snapshot.Index, applied: stored.Snapshot.Index,
-		heard: now, life: max(random.Uint64(), 1), restarted: true, started: now,
-		fresh: freshness{current: never},
+		group: group, self: self, timing: timing, random: random, now: now,
+		tailEntries: maxTailEntries, batchEntries: maxBatchEntries, chunkBytes: maxChunkBytes,
+		snapshotSource: func() Snapshot { return stored.Snapshot },
+		log:            newLog(stored),
+		hardState:      stored.HardState,
+		commitIndex:    stored.Snapshot.Index, appliedIndex: stored.Snapshot.Index,
+		lastLeaderContact: now, incarnation: max(random.Uint64(), 1), restarted: true, startedAt: now,
+		freshness: freshness{provenAt: never},
 	}
-	r.handed, r.stable = r.log.last(), r.log.last()
-	if r.untouched() {
-		r.heard = never
+	r.issuedIndex, r.durableIndex = r.log.lastIndex(), r.log.lastIndex()
+	if r.hasNoHistory() {
+		r.lastLeaderContact = never
 	}
-	r.postpone()
+	r.resetElectionTimer()
 	return r
 }
 
-// untouched tells whether the node has never taken part in a term, and so promised nothing.
-func (r *Replica) untouched() bool { return r.hard == HardState{} && r.log.last() == 0 }
+// hasNoHistory reports whether the node has never taken part in a term, and so has promised nothing.
+func (r *Replica) hasNoHistory() bool { return r.hardState == HardState{} && r.log.lastIndex() == 0 }
 
-// SetSnapshotSource tells where the newest durable snapshot is got when a member needs one.
-// It must be at least as new as the one last given to Compact.
-func (r *Replica) SetSnapshotSource(source func() Snapshot) { r.source = source }
+// SetSnapshotSource sets the function that returns the newest durable snapshot when a member needs one.
+// It must be at least as new as the one last passed to Compact.
+func (r *Replica) SetSnapshotSource(source func() Snapshot) { r.snapshotSource = source }
 
-// Campaign opens a ballot at once, for the first start of a group. A replica that heard from
-// an owner of late, or is no voter, does nothing.
+// Campaign starts a pre-vote at once, for the first start of a group. It does nothing on a leader, on a
+// candidate, on a replica that heard from a leader recently, and on one that may not become leader.
 func (r *Replica) Campaign(now time.Duration) {
-	r.advance(now)
-	if r.role == owner || r.role == candidate || r.bound() || !r.eligible() {
+	r.advanceClock(now)
+	if r.role == leader || r.role == candidate || r.heardLeaderRecently() || !r.canCampaign() {
 		return
 	}
-	r.canvass()
+	r.startPreVote()
 }
 
-// Tick tells the time. It is due at the latest when Next says.
+// Tick advances the time. It must be called no later than NextTick says.
 func (r *Replica) Tick(now time.Duration) {
-	r.advance(now)
-	if r.role == owner {
-		r.tickOwner()
+	r.advanceClock(now)
+	if r.role == leader {
+		r.tickLeader()
 		return
 	}
-	if now >= r.campaignAt && r.eligible() {
-		r.canvass()
+	if now >= r.electionDeadline && r.canCampaign() {
+		r.startPreVote()
 	}
 }
 
-// Next is when Tick is due at the latest, if no message comes in before.
-func (r *Replica) Next() time.Duration {
+// NextTick returns when Tick must be called at the latest if no message arrives before.
+func (r *Replica) NextTick() time.Duration {
 	switch {
-	case r.role == owner:
-		return r.nextOfOwner()
-	case r.eligible():
-		return r.campaignAt
+	case r.role == leader:
+		return r.nextLeaderTick()
+	case r.canCampaign():
+		return r.electionDeadline
 	}
-	return r.now + farAway
+	return r.now + idleTickDelay
 }
 
-// Step takes in a message from another member.
+// Step processes a message from another member.
 func (r *Replica) Step(now time.Duration, m Message) {
-	r.advance(now)
+	r.advanceClock(now)
 	if m.Group != r.group || m.To != r.self || m.From == r.self {
 		return
 	}
-	if m.Term < r.hard.Term {
-		r.refuseOld(m)
+	if m.Term < r.hardState.Term {
+		r.rejectStaleTerm(m)
 		return
 	}
-	if m.Term > r.hard.Term && !r.acceptTerm(m) {
+	if m.Term > r.hardState.Term && !r.acceptNewerTerm(m) {
 		return
 	}
 	r.dispatch(m)
@@ -176,124 +177,127 @@
 
 func (r *Replica) dispatch(m Message) {
 	switch m.Kind {
-	case Canvass:
-		r.onCanvass(m)
-	case CanvassReply:
-		r.onCanvassReply(m)
+	case PreVote:
+		r.handlePreVote(m)
+	case PreVoteReply:
+		r.handlePreVoteReply(m)
 	case Vote:
-		r.onVote(m)
+		r.handleVote(m)
 	case VoteReply:
-		r.onVoteReply(m)
+		r.handleVoteReply(m)
 	case Append:
-		r.onAppend(m)
+		r.handleAppend(m)
 	case AppendReply:
-		r.onAppendReply(m)
-	case Install:
-		r.onInstall(m)
-	case InstallReply:
-		r.onInstallReply(m)
-	case Handover:
-		r.onHandover(m)
+		r.handleAppendReply(m)
+	case InstallSnapshot:
+		r.handleInstallSnapshot(m)
+	case InstallSnapshotReply:
+		r.handleInstallSnapshotReply(m)
+	case TimeoutNow:
+		r.handleTimeoutNow(m)
 	}
 }
 
-// refuseOld lets a sender of an older term know the newer one, so that it steps down. It gives
-// no sending time back: the sender may own the newer term by now, and may have started with
-// another clock since, so that the answer would stand for a lease that was never promised.
-func (r *Replica) refuseOld(m Message) {
-	refusal := Message{To: m.From, Term: r.hard.Term, Reject: true, Sent: never}
+// rejectStaleTerm tells a sender of an older term about the newer one, so that it steps down. It does not
+// echo the send time: the sender may lead the newer term by now, and may have restarted with another
+// clock since, so the reply would count toward a lease that was never promised.
+func (r *Replica) rejectStaleTerm(m Message) {
+	rejection := Message{To: m.From, Term: r.hardState.Term, Reject: true, Sent: never}
 	switch m.Kind {
-	case Append, Install:
-		refusal.Kind = AppendReply
-	case Canvass:
-		refusal.Kind = CanvassReply
+	case Append, InstallSnapshot:
+		rejection.Kind = AppendReply
+	case PreVote:
+		rejection.Kind = PreVoteReply
 	case Vote:
-		refusal.Kind = VoteReply
+		rejection.Kind = VoteReply
 	default:
 		return
 	}
-	r.send(refusal)
+	r.send(rejection)
 }
 
-// acceptTerm takes in the newer term of a message, and tells whether the message counts.
-func (r *Replica) acceptTerm(m Message) bool {
+// acceptNewerTerm adopts the newer term of a message and reports whether the message is processed.
+func (r *Replica) acceptNewerTerm(m Message) bool {
 	switch m.Kind {
-	case Canvass:
-		return true // opens no term
-	case CanvassReply:
+	case PreVote:
+		return true // starts no term
+	case PreVoteReply:
 		if !m.Reject {
-			return true // of the term that this node would open
+			return true // of the term that this node would start
 		}
 	case Vote:
-		if r.refuses(m) {
+		if r.rejectsCandidate(m) {
 			return false
 		}
-	case Handover:
-		return false // from an owner whose entries this node doesn't have
-	case AppendReply, InstallReply:
-		if r.role == owner && r.progress[m.From] == nil {
-			return false // of a node that was removed
+	case TimeoutNow:
+		return false // from a leader whose entries this node doesn't have
+	case AppendReply, InstallSnapshotReply:
+		if r.role == leader && r.progress[m.From] == nil {
+			return false // from a node that was removed
 		}
 	}
-	r.follow(m.Term, 0)
+	r.becomeFollower(m.Term, 0)
 	return true
 }
 
-// follow becomes a follower in a term, of an owner if one is known.
-func (r *Replica) follow(term uint64, from NodeID) {
-	if term > r.hard.Term {
-		r.hard = HardState{Term: term}
-		r.hardChanged = true
+// becomeFollower makes this node a follower in a term. from is the leader, 0 if it is unknown.
+func (r *Replica) becomeFollower(term uint64, from NodeID) {
+	if term > r.hardState.Term {
+		r.hardState = HardState{Term: term}
+		r.hardStateChanged = true
 	}
 	if r.role != follower {
 		r.role = follower
-		r.postpone()
+		r.resetElectionTimer()
 	}
-	r.owner = from
-	r.grants, r.progress = nil, nil
-	r.handover = handover{}
+	r.leaderID = from
+	r.grantedBy, r.progress = nil, nil
+	r.leadershipTransfer = leadershipTransfer{}
 }
 
-// advance takes in the time, which never goes back.
-func (r *Replica) advance(now time.Duration) { r.now = max(r.now, now) }
+// advanceClock takes over the caller's time. Time never goes back.
+func (r *Replica) advanceClock(now time.Duration) { r.now = max(r.now, now) }
 
-// postpone draws anew when to campaign. A learner leaves the voters time to do so.
-func (r *Replica) postpone() {
-	r.campaignAt = r.now + r.timing.Election
-	if r.members().IsLearner(r.self) && !r.leaving() {
-		r.campaignAt += learnerPatience * r.timing.Election
+// resetElectionTimer draws a new election deadline. A learner gives the voters time to campaign first.
+func (r *Replica) resetElectionTimer() {
+	r.electionDeadline = r.now + r.timing.ElectionTimeout
+	if r.members().IsLearner(r.self) && !r.beingRemoved() {
+		r.electionDeadline += learnerTimeoutFactor * r.timing.ElectionTimeout
 	}
-	if r.timing.Spread > 0 {
-		r.campaignAt += time.Duration(r.random.Int64N(int64(r.timing.Spread)))
+	if r.timing.ElectionJitter > 0 {
+		r.electionDeadline += time.Duration(r.random.Int64N(int64(r.timing.ElectionJitter)))
 	}
-	if r.mayReturn() && r.members().IsVoter(r.self) {
-		r.campaignAt = min(r.campaignAt, r.returnAt())
+	if r.inRestartWindow() && r.members().IsVoter(r.self) {
+		r.electionDeadline = min(r.electionDeadline, r.nextRestartPreVote())
 	}
 }
 
-// bound tells whether an owner was heard from less than Election ago, whose lease may run.
-func (r *Replica) bound() bool { return r.now-r.heard < r.timing.Election }
+// heardLeaderRecently reports whether a leader, whose lease may be active, was heard from less than
+// ElectionTimeout ago.
+func (r *Replica) heardLeaderRecently() bool {
+	return r.now-r.lastLeaderContact < r.timing.ElectionTimeout
+}
 
-func (r *Replica) members() Members { return r.log.newest().Members }
+func (r *Replica) members() Members { return r.log.currentMembers().Members }
 
-// send queues a message that goes out after the writes.
+// send queues a message that is sent after the writes.
 func (r *Replica) send(m Message) {
 	m.Group, m.From = r.group, r.self
-	if r.flaws.answerEarly {
-		r.early = append(r.early, m)
+	if r.defects.replyBeforeWrite {
+		r.immediate = append(r.immediate, m)
 		return
 	}
 	r.messages = append(r.messages, m)
 }
 
-// reply queues the answer to a message, in the term of this node.
-func (r *Replica) reply(to, m Message) { r.send(r.addressed(to, m)) }
+// reply queues the reply to a message, in this node's term unless m names another.
+func (r *Replica) reply(to, m Message) { r.send(r.asReplyTo(to, m)) }
 
-// addressed makes m the answer to a message, in the term of this node where it names none.
-func (r *Replica) addressed(to, m Message) Message {
+// asReplyTo addresses m as the reply to a message and sets this node's term if m has none.
+func (r *Replica) asReplyTo(to, m Message) Message {
 	m.To, m.Sent = to.From, to.Sent
 	if m.Term == 0 {
-		m.Term = r.hard.Term
+		m.Term = r.hardState.Term
 	}
 	return m
 }
--- a/internal/barograph/replica/simulation_client_test.go
+++ b/internal/barograph/replica/simulation_client_test.go
@@ -10,10 +10,10 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// The bounds of what the client has under way keep its history fit to be judged.
+// The client's concurrency is bounded so that its history can be checked in reasonable time.
 const (
-	mostUnfinished = 3
-	patience       = 150 * time.Millisecond
+	maxUnfinished    = 3                      // proposals in flight
+	operationTimeout = 150 * time.Millisecond // the client stops waiting for a proposal after this
 )
 
 type operationKind byte
@@ -24,18 +24,19 @@
 	compareAndSet
 )
 
-// operation is one of the client's, on a register.
+// operation is one operation of the client on a register.
 type operation struct {
-	number     uint64
-	kind       operationKind
-	expected   uint64 // of compareAndSet
-	value      uint64 // to be written, or what was read
-	term       uint64 // that it was proposed in
-	began      time.Duration
-	call, done int64
-	known      bool // the outcome is
-	failed     bool // certainly not carried out
-	succeeded  bool // of compareAndSet
+	number       uint64
+	kind         operationKind
+	expected     uint64 // of compareAndSet
+	value        uint64 // the value written or read
+	term         uint64 // the term in which it was proposed
+	startedAt    time.Duration
+	call         int64
+	done         int64
+	outcomeKnown bool
+	failed       bool // certainly had no effect
+	succeeded    bool // of compareAndSet
 }
 
 func (o *operation) encode() []byte {
@@ -54,7 +55,7 @@
 	}
 }
 
-// machine is the state machine: a register.
+// machine is the replicated state machine: a register.
 type machine struct{ index, term, value uint64 }
 
 func (m *machine) apply(entry replica.Entry) (succeeded bool) {
@@ -80,110 +81,110 @@
 	return m
 }
 
-// client calls for operations and keeps their history.
+// client issues operations and records their history.
 type client struct {
-	world   *world
-	ticks   int64
-	history []*operation
-	effect  map[uint64]int64 // by number, when any node first applied it
-	silent  bool
-	turnsAt time.Duration // when silent changes
-	seen    uint64        // the value last seen
-	doneAt  time.Duration // when an operation was last carried out
+	simulation    *simulation
+	lastTimestamp int64
+	history       []*operation
+	effectAt      map[uint64]int64 // by number, when any node first applied it
+	readOnly      bool
+	modeChangeAt  time.Duration // when readOnly changes next
+	lastValue     uint64        // the value last seen
+	lastWriteAt   time.Duration // when a proposal last took effect
 }
 
-func (c *client) tick() int64 {
-	c.ticks++
-	return c.ticks
+func (c *client) timestamp() int64 {
+	c.lastTimestamp++
+	return c.lastTimestamp
 }
 
-// next starts an operation, at a node that takes itself for the owner most of the time.
-func (c *client) next() {
-	if !c.world.faulty && c.world.Chance(0.9) {
+// startOperation starts an operation, most of the time at a node that considers itself the leader.
+func (c *client) startOperation() {
+	if !c.simulation.faultsActive && c.simulation.Chance(0.9) {
 		return
 	}
-	nodes := c.world.owners()
-	if len(nodes) == 0 || c.world.Chance(0.05) {
-		nodes = c.world.running()
+	nodes := c.simulation.leaders()
+	if len(nodes) == 0 || c.simulation.Chance(0.05) {
+		nodes = c.simulation.running()
 	}
 	if len(nodes) == 0 {
 		return
 	}
-	n := nodes[c.world.Random.IntN(len(nodes))]
-	if c.quiet() || c.world.Chance(0.5) {
-		n.act(func() { c.readAt(n) })
+	n := nodes[c.simulation.Random.IntN(len(nodes))]
+	if c.isReadOnly() || c.simulation.Chance(0.5) {
+		n.do(func() { c.readAt(n) })
 		return
 	}
-	if c.unfinished() >= mostUnfinished {
+	if c.unfinished() >= maxUnfinished {
 		return
 	}
 	number := uint64(len(c.history) + 1)
-	o := &operation{number: number, kind: write, value: number, call: c.tick(), began: c.world.Now}
+	o := &operation{number: number, kind: write, value: number, call: c.timestamp(), startedAt: c.simulation.Now}
 	c.history = append(c.history, o)
-	n.act(func() { c.propose(n, o) })
+	n.do(func() { c.propose(n, o) })
 }
 
-// quiet tells whether the client only reads for now: logs stay alike then, so that a node that
-// was cut off can win ballots.
-func (c *client) quiet() bool {
-	if c.world.Now >= c.turnsAt {
-		c.silent = c.world.faulty && !c.silent
-		c.turnsAt = c.world.Now + c.world.Between(0, 5*simulatedTiming.Election)
+// isReadOnly reports whether the client currently only reads. Logs stay equal meanwhile, so a node that was
+// partitioned away can win elections.
+func (c *client) isReadOnly() bool {
+	if c.simulation.Now >= c.modeChangeAt {
+		c.readOnly = c.simulation.faultsActive && !c.readOnly
+		c.modeChangeAt = c.simulation.Now + c.simulation.Between(0, 5*simulatedTiming.ElectionTimeout)
 	}
-	return c.silent
+	return c.readOnly
 }
 
-// unfinished counts the proposals under way that the client still waits for.
+// unfinished counts the proposals in flight that the client still waits for.
 func (c *client) unfinished() int {
 	count := 0
 	for _, o := range c.history {
-		if o.done == 0 && c.effect[o.number] == 0 && c.world.Now-o.began < patience {
+		if o.done == 0 && c.effectAt[o.number] == 0 && c.simulation.Now-o.startedAt < operationTimeout {
 			count++
 		}
 	}
 	return count
 }
 
-// readAt reads at a node, as a node's process does: under a lease, once all that is committed is applied.
+// readAt reads at a node as a real process does: under a lease, once everything committed is applied.
 func (c *client) readAt(n *node) {
-	if n.replica == nil || !n.replica.Leased(n.clock()) || n.machine.index < n.replica.Commit() {
+	if n.replica == nil || !n.replica.HasLease(n.clock()) || n.machine.index < n.replica.CommitIndex() {
 		return
 	}
-	call := c.tick()
-	c.world.counts.reads++
-	c.seen = n.machine.value
-	c.history = append(c.history, &operation{kind: read, value: c.seen, call: call, done: c.tick(), known: true})
+	call := c.timestamp()
+	c.simulation.counts.reads++
+	c.lastValue = n.machine.value
+	c.history = append(c.history, &operation{kind: read, value: c.lastValue, call: call, done: c.timestamp(), outcomeKnown: true})
 }
 
 func (c *client) propose(n *node, o *operation) {
-	if c.world.Chance(0.6) {
-		o.kind, o.expected = compareAndSet, c.seen
+	if c.simulation.Chance(0.6) {
+		o.kind, o.expected = compareAndSet, c.lastValue
 	}
 	index, term, err := n.replica.Propose(n.clock(), o.encode())
 	if err != nil {
-		o.failed, o.done = true, c.tick()
+		o.failed, o.done = true, c.timestamp()
 		return
 	}
 	o.term = term
-	n.waiting[index] = o
+	n.proposals[index] = o
 }
 
-// applied notes the outcome of a proposal, by what was committed in its place.
+// applied records the outcome of a proposal by the entry that was committed at its index.
 func (c *client) applied(o *operation, entry replica.Entry, succeeded bool) {
-	o.known, o.done = true, c.tick()
+	o.outcomeKnown, o.done = true, c.timestamp()
 	if entry.Term != o.term {
 		o.failed = true
 		return
 	}
 	o.succeeded = succeeded
-	c.world.counts.writes++
-	c.doneAt = c.world.Now
+	c.simulation.counts.writes++
+	c.lastWriteAt = c.simulation.Now
 	if succeeded {
-		c.seen = o.value
+		c.lastValue = o.value
 	}
 }
 
-// registerModel is what a history must fit: one register.
+// registerModel is the sequential specification of one register.
 var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) {
@@ -195,7 +196,7 @@
 			return true, o.value
 		}
 		matches := o.expected == value
-		if o.known && o.succeeded != matches {
+		if o.outcomeKnown && o.succeeded != matches {
 			return false, value
 		}
 		if matches {
@@ -207,17 +208,17 @@
 
 var errNotLinearizable = errors.New("history is not linearizable")
 
-// errNotJudged says nothing of the replicas: the check itself took too long.
-var errNotJudged = errors.New("history could not be judged in time")
+// errCheckTimeout says nothing about the replicas: the linearizability check itself took too long.
+var errCheckTimeout = errors.New("linearizability check timed out")
 
-// check judges the history. What nobody knows the outcome of was carried out before any node
-// applied it, or not at all.
+// check checks that the history is linearizable. An operation with unknown outcome took effect before any
+// node applied it, or not at all.
 func (c *client) check() error {
 	var history []porcupine.Operation
 	for _, o := range c.history {
 		done := o.done
-		if !o.known {
-			done = c.effect[o.number]
+		if !o.outcomeKnown {
+			done = c.effectAt[o.number]
 		}
 		if o.failed || done == 0 {
 			continue
@@ -226,9 +227,9 @@
 	}
 	switch porcupine.CheckOperationsTimeout(registerModel, history, 20*time.Second) {
 	case porcupine.Illegal:
-		return errors.Wrapf(errNotLinearizable, "seed %d", c.world.Seed)
+		return errors.Wrapf(errNotLinearizable, "seed %d", c.simulation.Seed)
 	case porcupine.Unknown:
-		return errors.Wrapf(errNotJudged, "seed %d", c.world.Seed)
+		return errors.Wrapf(errCheckTimeout, "seed %d", c.simulation.Seed)
 	}
 	return nil
 }
--- a/internal/barograph/replica/simulation_faults_test.go
+++ b/internal/barograph/replica/simulation_faults_test.go
@@ -7,237 +7,237 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// fault makes something go wrong, or all go well again for a while.
-func (w *world) fault() {
-	if !w.faulty {
+// fault injects a random fault, or heals the network for a while.
+func (s *simulation) fault() {
+	if !s.faultsActive {
 		return
 	}
 	faults := []func(){
-		w.faultHeal, w.faultHeal, w.faultHeal, w.faultCutOne, w.faultCutBoth, w.faultIsolate, w.faultSplit,
-		w.faultWeather, w.faultFreeze, w.faultFreeze, w.faultCrash, w.faultCrash, w.faultPower,
-		w.faultWipe, w.faultHandover, w.faultHandover,
+		s.faultHeal, s.faultHeal, s.faultHeal, s.faultCutOne, s.faultCutBoth, s.faultIsolate, s.faultSplit,
+		s.faultNetworkQuality, s.faultFreeze, s.faultFreeze, s.faultCrash, s.faultCrash, s.faultPowerLoss,
+		s.faultDiskLoss, s.faultLeadershipTransfer, s.faultLeadershipTransfer,
 	}
-	if w.frequent {
-		faults = []func(){w.faultHeal, w.faultHeal, w.faultCutOne, w.faultIsolate, w.faultCrash, w.faultSplit, w.faultWeather}
+	if s.frequentFaults {
+		faults = []func(){s.faultHeal, s.faultHeal, s.faultCutOne, s.faultIsolate, s.faultCrash, s.faultSplit, s.faultNetworkQuality}
 	}
-	faults[w.Random.IntN(len(faults))]()
+	faults[s.Random.IntN(len(faults))]()
 }
 
-// anyone draws a running node, an owner often.
-func (w *world) anyone() *node {
-	nodes := w.owners()
-	if len(nodes) == 0 || w.Chance(0.6) {
-		nodes = w.running()
+// randomNode draws a running node, often a leader.
+func (s *simulation) randomNode() *node {
+	nodes := s.leaders()
+	if len(nodes) == 0 || s.Chance(0.6) {
+		nodes = s.running()
 	}
 	if len(nodes) == 0 {
 		return nil
 	}
-	return nodes[w.Random.IntN(len(nodes))]
+	return nodes[s.Random.IntN(len(nodes))]
 }
 
-// pair draws two nodes.
-func (w *world) pair() (a, b replica.NodeID) {
-	drawn := w.Random.Perm(len(w.nodes))
+// randomPair draws two nodes.
+func (s *simulation) randomPair() (a, b replica.NodeID) {
+	drawn := s.Random.Perm(len(s.nodes))
 	return replica.NodeID(drawn[0] + 1), replica.NodeID(drawn[len(drawn)-1] + 1)
 }
 
-func (w *world) faultHeal() { w.net.clear() }
+func (s *simulation) faultHeal() { s.net.clear() }
 
-func (w *world) faultCutOne() {
-	a, b := w.pair()
-	w.net.cuts[link{a, b}] = true
+func (s *simulation) faultCutOne() {
+	a, b := s.randomPair()
+	s.net.cuts[link{a, b}] = true
 }
 
-func (w *world) faultCutBoth() { w.net.cutBoth(w.pair()) }
+func (s *simulation) faultCutBoth() { s.net.cutBoth(s.randomPair()) }
 
-// faultIsolate cuts one node off: it hears nothing, or isn't heard, or both.
-func (w *world) faultIsolate() {
-	lone := w.anyone()
-	if lone == nil {
+// faultIsolate partitions one node away in one direction or in both.
+func (s *simulation) faultIsolate() {
+	target := s.randomNode()
+	if target == nil {
 		return
 	}
-	ways := w.Random.IntN(3)
-	for _, other := range w.nodes {
+	ways := s.Random.IntN(3)
+	for _, other := range s.nodes {
 		if ways != 0 {
-			w.net.cuts[link{lone.id, other.id}] = true
+			s.net.cuts[link{target.id, other.id}] = true
 		}
 		if ways != 1 {
-			w.net.cuts[link{other.id, lone.id}] = true
+			s.net.cuts[link{other.id, target.id}] = true
 		}
 	}
 }
 
-// beset cuts a new owner off before it has told all others about its term, and lets the ones
-// that were cut off before come back: logs part as much as they can.
-func (w *world) beset(lone *node) {
-	if !w.frequent || !w.faulty || w.Chance(0.5) {
+// isolateNewLeader partitions a new leader away before all others know about its term, and reconnects the nodes
+// that were cut off before, so that the logs diverge as far as possible.
+func (s *simulation) isolateNewLeader(target *node) {
+	if !s.frequentFaults || !s.faultsActive || s.Chance(0.5) {
 		return
 	}
-	w.After(w.Between(0, 2*w.delay), func() {
-		if !w.faulty {
+	s.After(s.Between(0, 2*s.maxDelay), func() {
+		if !s.faultsActive {
 			return
 		}
-		w.net.clear()
-		for _, other := range w.nodes {
-			w.net.cutBoth(lone.id, other.id)
+		s.net.clear()
+		for _, other := range s.nodes {
+			s.net.cutBoth(target.id, other.id)
 		}
 	})
 }
 
-func (w *world) faultSplit() {
-	left := make([]bool, len(w.nodes))
-	for i := range left {
-		left[i] = w.Chance(0.5)
+func (s *simulation) faultSplit() {
+	leftSide := make([]bool, len(s.nodes))
+	for i := range leftSide {
+		leftSide[i] = s.Chance(0.5)
 	}
-	for i, a := range w.nodes {
-		for j, b := range w.nodes {
-			if left[i] != left[j] {
-				w.net.cuts[link{a.id, b.id}] = true
+	for i, a := range s.nodes {
+		for j, b := range s.nodes {
+			if leftSide[i] != leftSide[j] {
+				s.net.cuts[link{a.id, b.id}] = true
 			}
 		}
 	}
 }
 
-func (w *world) faultWeather() {
-	w.net.loss = []float64{0, 0.02, 0.1, 0.3}[w.Random.IntN(4)]
-	w.net.double = []float64{0, 0.1, 0.5}[w.Random.IntN(3)]
-	w.net.slow = []float64{0, 0.05, 0.3}[w.Random.IntN(3)]
+func (s *simulation) faultNetworkQuality() {
+	s.net.loss = []float64{0, 0.02, 0.1, 0.3}[s.Random.IntN(4)]
+	s.net.duplicated = []float64{0, 0.1, 0.5}[s.Random.IntN(3)]
+	s.net.delayed = []float64{0, 0.05, 0.3}[s.Random.IntN(3)]
 }
 
-func (w *world) faultFreeze() {
-	if n := w.anyone(); n != nil {
-		n.freeze(w.Between(10*time.Millisecond, 3*simulatedTiming.Election))
+func (s *simulation) faultFreeze() {
+	if n := s.randomNode(); n != nil {
+		n.freeze(s.Between(10*time.Millisecond, 3*simulatedTiming.ElectionTimeout))
 	}
 }
 
-func (w *world) faultCrash() {
-	if n := w.anyone(); n != nil {
-		w.restart(n)
+func (s *simulation) faultCrash() {
+	if n := s.randomNode(); n != nil {
+		s.restart(n)
 	}
 }
 
 // restart crashes a node and starts it again soon.
-func (w *world) restart(n *node) {
+func (s *simulation) restart(n *node) {
 	n.crash()
-	life := n.life
-	w.After(w.Between(time.Millisecond, 2*simulatedTiming.Election), func() {
-		if n.life == life && !n.gone {
+	incarnation := n.incarnation
+	s.After(s.Between(time.Millisecond, 2*simulatedTiming.ElectionTimeout), func() {
+		if n.incarnation == incarnation && !n.diskLost {
 			n.start()
 		}
 	})
 }
 
-func (w *world) faultPower() {
-	if w.Chance(0.7) {
+func (s *simulation) faultPowerLoss() {
+	if s.Chance(0.7) {
 		return
 	}
-	for _, n := range w.running() {
-		w.restart(n)
+	for _, n := range s.running() {
+		s.restart(n)
 	}
 }
 
-// faultWipe takes a voter's disk, unless another one's loss isn't made up for yet.
-func (w *world) faultWipe() {
-	voters := w.book.members.Voters
-	for _, n := range w.nodes {
-		if n.gone && w.known(n.id) {
+// faultDiskLoss destroys a voter's disk, unless an earlier lost node is still a member of the group.
+func (s *simulation) faultDiskLoss() {
+	voters := s.checker.committedMembers.Voters
+	for _, n := range s.nodes {
+		if n.diskLost && s.isKnownMember(n.id) {
 			return
 		}
 	}
 	if len(voters) < 3 {
 		return
 	}
-	lost := w.node(voters[w.Random.IntN(len(voters))])
+	lost := s.node(voters[s.Random.IntN(len(voters))])
 	lost.crash()
-	if w.forgetful {
-		lost.disk = lost.first
+	if s.keepIDAfterDiskLoss {
+		lost.disk = lost.initial
 		lost.start()
 		return
 	}
-	lost.gone = true
-	w.counts.wipes++
-	w.addNode(replica.Stored{})
+	lost.diskLost = true
+	s.counts.diskLosses++
+	s.addNode(replica.PersistentState{})
 }
 
-// known tells whether a node stands in the members of any log.
-func (w *world) known(id replica.NodeID) bool {
-	if w.book.members.Contains(id) {
+// isKnownMember reports whether a node is among the members in any log.
+func (s *simulation) isKnownMember(id replica.NodeID) bool {
+	if s.checker.committedMembers.Contains(id) {
 		return true
 	}
-	return slices.ContainsFunc(w.running(), func(n *node) bool {
+	return slices.ContainsFunc(s.running(), func(n *node) bool {
 		return n.replica.Status(n.clock()).Members.Contains(id)
 	})
 }
 
-func (w *world) faultHandover() {
-	for _, n := range w.owners() {
-		n.act(func() {
+func (s *simulation) faultLeadershipTransfer() {
+	for _, n := range s.leaders() {
+		n.do(func() {
 			voters := n.replica.Status(n.clock()).Members.Voters
-			if n.replica.Handover(n.clock(), voters[w.Random.IntN(len(voters))]) == nil {
-				w.counts.handovers++
+			if n.replica.TransferLeadership(n.clock(), voters[s.Random.IntN(len(voters))]) == nil {
+				s.counts.transfers++
 			}
 		})
 	}
 }
 
-// administer brings the members of the group to what it wants: lost nodes out, new ones in.
-func (w *world) administer() {
-	for _, n := range w.owners() {
-		n.act(func() {
+// administer changes the group's members step by step: lost nodes are removed, new nodes are added.
+func (s *simulation) administer() {
+	for _, n := range s.leaders() {
+		n.do(func() {
 			status := n.replica.Status(n.clock())
-			if to, ok := w.wanted(status); ok && status.Settled && !status.Pending {
+			if to, ok := s.nextMembers(status); ok && status.LeaderReady && !status.ChangePending {
 				_, _, _ = n.replica.ChangeMembers(n.clock(), to)
 			}
 		})
 	}
 }
 
-// wanted returns the next step for the members.
-func (w *world) wanted(status replica.Status) (replica.Members, bool) {
+// nextMembers returns the next membership change, and whether there is one.
+func (s *simulation) nextMembers(status replica.Status) (replica.Members, bool) {
 	now := status.Members.Clone()
-	if w.frequent {
+	if s.frequentFaults {
 		return now, false
 	}
-	for _, other := range w.nodes {
-		if other.gone && now.Contains(other.id) {
-			return drop(now, other.id), true
+	for _, other := range s.nodes {
+		if other.diskLost && now.Contains(other.id) {
+			return withoutMember(now, other.id), true
 		}
 	}
-	for _, other := range w.nodes {
-		if !other.gone && !now.Contains(other.id) {
+	for _, other := range s.nodes {
+		if !other.diskLost && !now.Contains(other.id) {
 			now.Learners = append(now.Learners, other.id)
 			return now, true
 		}
 	}
-	if len(now.Learners) > 0 && len(now.Voters) < 5 && (len(now.Voters) < 3 || w.Chance(0.2)) {
-		raised := now.Learners[w.Random.IntN(len(now.Learners))]
-		now = drop(now, raised)
-		now.Voters = append(now.Voters, raised)
+	if len(now.Learners) > 0 && len(now.Voters) < 5 && (len(now.Voters) < 3 || s.Chance(0.2)) {
+		promoted := now.Learners[s.Random.IntN(len(now.Learners))]
+		now = withoutMember(now, promoted)
+		now.Voters = append(now.Voters, promoted)
 		return now, true
 	}
-	return w.whim(now)
+	return s.randomMemberChange(now)
 }
 
-// whim changes members for no reason, while the faults last.
-func (w *world) whim(now replica.Members) (replica.Members, bool) {
-	if !w.faulty || !w.Chance(0.1) {
+// randomMemberChange changes the members at random while faults are active.
+func (s *simulation) randomMemberChange(now replica.Members) (replica.Members, bool) {
+	if !s.faultsActive || !s.Chance(0.1) {
 		return now, false
 	}
 	if len(now.Voters) < 4 {
-		if len(w.nodes) < 6 && w.Chance(0.3) {
-			w.addNode(replica.Stored{})
+		if len(s.nodes) < 6 && s.Chance(0.3) {
+			s.addNode(replica.PersistentState{})
 		}
 		return now, false
 	}
-	lowered := now.Voters[w.Random.IntN(len(now.Voters))]
-	now = drop(now, lowered)
-	if w.Chance(0.7) {
-		now.Learners = append(now.Learners, lowered)
+	demoted := now.Voters[s.Random.IntN(len(now.Voters))]
+	now = withoutMember(now, demoted)
+	if s.Chance(0.7) {
+		now.Learners = append(now.Learners, demoted)
 	}
 	return now, true
 }
 
-func drop(members replica.Members, id replica.NodeID) replica.Members {
+func withoutMember(members replica.Members, id replica.NodeID) replica.Members {
 	is := func(other replica.NodeID) bool { return other == id }
 	members.Voters = slices.DeleteFunc(members.Voters, is)
 	members.Learners = slices.DeleteFunc(members.Learners, is)
--- a/internal/barograph/replica/simulation_network_test.go
+++ b/internal/barograph/replica/simulation_network_test.go
@@ -9,42 +9,42 @@
 // link is one direction between two nodes.
 type link struct{ from, to replica.NodeID }
 
-// network carries messages, unless it loses, doubles or holds them up.
+// network delivers messages and may lose, duplicate or delay them.
 type network struct {
-	world  *world
-	cuts   map[link]bool
-	loss   float64
-	double float64
-	slow   float64 // share of messages held up for long, so that others overtake them
+	simulation *simulation
+	cuts       map[link]bool
+	loss       float64
+	duplicated float64
+	delayed    float64 // share of messages with a long delay, so that others overtake them
 }
 
 func (n *network) clear() {
-	n.loss, n.double, n.slow = 0, 0, 0
+	n.loss, n.duplicated, n.delayed = 0, 0, 0
 	clear(n.cuts)
 }
 
-// send takes a message on its way.
+// send sends a message unless it gets lost.
 func (n *network) send(m replica.Message) {
-	if n.cuts[link{m.From, m.To}] || n.world.Chance(n.loss) {
+	if n.cuts[link{m.From, m.To}] || n.simulation.Chance(n.loss) {
 		return
 	}
 	n.carry(m)
-	if n.world.Chance(n.double) {
+	if n.simulation.Chance(n.duplicated) {
 		n.carry(m)
 	}
 }
 
 func (n *network) carry(m replica.Message) {
-	delay := n.world.Between(200*time.Microsecond, n.world.delay)
-	if n.world.Chance(n.slow) {
-		delay += n.world.Between(0, 3*simulatedTiming.Election)
+	delay := n.simulation.Between(200*time.Microsecond, n.simulation.maxDelay)
+	if n.simulation.Chance(n.delayed) {
+		delay += n.simulation.Between(0, 3*simulatedTiming.ElectionTimeout)
 	}
-	n.world.After(delay, func() {
-		if n.cuts[link{m.From, m.To}] || int(m.To) > len(n.world.nodes) {
+	n.simulation.After(delay, func() {
+		if n.cuts[link{m.From, m.To}] || int(m.To) > len(n.simulation.nodes) {
 			return
 		}
-		receiver := n.world.node(m.To)
-		receiver.act(func() { receiver.replica.Step(receiver.clock(), m) })
+		receiver := n.simulation.node(m.To)
+		receiver.do(func() { receiver.replica.Step(receiver.clock(), m) })
 	})
 }
 
--- a/internal/barograph/replica/simulation_node_test.go
+++ b/internal/barograph/replica/simulation_node_test.go
@@ -9,181 +9,181 @@
 
 // node is a process with a disk and a clock.
 type node struct {
-	id    replica.NodeID
-	world *world
-	first replica.Stored // what it began with
-	disk  replica.Stored // durable
-	gone  bool           // for good: the disk is lost
-
-	life    int // counts starts: what an earlier process began has no effect
-	replica *replica.Replica
-	offset  time.Duration
-	rate    float64
-	machine machine
-	waiting map[uint64]*operation // by index, of proposals made here
-	writing *replica.Ready
-	tickAt  time.Duration // when the next Tick comes; 0: none will
-	frozen  bool
-	held    []func()
-}
-
-// clock is the node's own: it starts near zero or anywhere, and drifts by a percent at most.
+	id         replica.NodeID
+	simulation *simulation
+	initial    replica.PersistentState // the disk's initial content
+	disk       replica.PersistentState // durable
+	diskLost   bool                    // the node never comes back
+
+	incarnation  int // counts starts: what an earlier process began has no effect
+	replica      *replica.Replica
+	clockOffset  time.Duration
+	clockRate    float64
+	machine      machine
+	proposals    map[uint64]*operation // by index: operations proposed at this node
+	pendingWrite *replica.Ready
+	nextTickAt   time.Duration // when the next Tick comes; 0: none is scheduled
+	frozen       bool
+	heldActions  []func()
+}
+
+// clock is the node's own clock. It starts near zero or anywhere, and drifts by at most one percent.
 func (n *node) clock() time.Duration {
-	return n.offset + time.Duration(float64(n.world.Now)*n.rate)
+	return n.clockOffset + time.Duration(float64(n.simulation.Now)*n.clockRate)
 }
 
-// fromClock is the simulation's time when the node's clock shows at.
-func (n *node) fromClock(at time.Duration) time.Duration {
-	return time.Duration(float64(at-n.offset)/n.rate) + 1
+// simulationTime returns the simulation's time at which the node's clock shows at.
+func (n *node) simulationTime(at time.Duration) time.Duration {
+	return time.Duration(float64(at-n.clockOffset)/n.clockRate) + 1
 }
 
-// start begins a process on what the disk holds.
+// start starts a process on what the disk holds.
 func (n *node) start() {
-	w := n.world
-	n.life++
-	n.rate = 0.99 + 0.02*w.Random.Float64()
-	n.offset = time.Duration(w.Random.Int64N(int64(time.Hour)))
-	if w.Chance(0.5) {
-		// It counts from about the start of the process, as real ones do.
-		n.offset = w.Between(0, 3*simulatedTiming.Election) - time.Duration(float64(w.Now)*n.rate)
-	}
-	n.writing, n.tickAt, n.frozen, n.held = nil, 0, false, nil
-	n.waiting = map[uint64]*operation{}
+	s := n.simulation
+	n.incarnation++
+	n.clockRate = 0.99 + 0.02*s.Random.Float64()
+	n.clockOffset = time.Duration(s.Random.Int64N(int64(time.Hour)))
+	if s.Chance(0.5) {
+		// The clock counts from about the start of the process, as real ones do.
+		n.clockOffset = s.Between(0, 3*simulatedTiming.ElectionTimeout) - time.Duration(float64(s.Now)*n.clockRate)
+	}
+	n.pendingWrite, n.nextTickAt, n.frozen, n.heldActions = nil, 0, false, nil
+	n.proposals = map[uint64]*operation{}
 	n.machine = decodeMachine(n.disk.Snapshot)
-	lot := rand.New(rand.NewPCG(w.Seed, w.Random.Uint64()))
-	n.replica = replica.New(simulatedGroup, n.id, simulatedTiming, n.disk, lot, n.clock())
-	n.replica.SetFlaws(w.flaws)
-	n.replica.SetBounds(w.tail, w.batch, w.part)
+	random := rand.New(rand.NewPCG(s.Seed, s.Random.Uint64()))
+	n.replica = replica.New(simulatedGroup, n.id, simulatedTiming, n.disk, random, n.clock())
+	n.replica.SetDefects(s.defects)
+	n.replica.SetBounds(s.tailEntries, s.batchEntries, s.chunkBytes)
 	n.replica.SetSnapshotSource(func() replica.Snapshot { return n.disk.Snapshot })
-	n.settle()
+	n.processReady()
 }
 
-// crash ends the process. A write under way gets lost, or was durable already.
+// crash ends the process. A write in progress is either lost or already durable.
 func (n *node) crash() {
 	if n.replica == nil {
 		return
 	}
-	if n.writing != nil && n.world.Chance(0.5) {
-		n.store(*n.writing)
+	if n.pendingWrite != nil && n.simulation.Chance(0.5) {
+		n.store(*n.pendingWrite)
 	}
-	n.life++
-	n.replica, n.writing = nil, nil
+	n.incarnation++
+	n.replica, n.pendingWrite = nil, nil
 }
 
-// act runs something in the process, or later if it is frozen.
-func (n *node) act(run func()) {
+// do runs a function in the process, or after the freeze if it is frozen.
+func (n *node) do(run func()) {
 	if n.replica == nil {
 		return
 	}
 	if n.frozen {
-		n.held = append(n.held, run)
+		n.heldActions = append(n.heldActions, run)
 		return
 	}
 	run()
-	n.settle()
+	n.processReady()
 }
 
-// later runs something in the process after a delay, if it is the same process then.
-func (n *node) later(delay time.Duration, run func()) {
-	life := n.life
-	n.world.After(delay, func() {
-		if n.life == life {
-			n.act(run)
+// doLater runs a function in the process after a delay, if it is still the same process then.
+func (n *node) doLater(delay time.Duration, run func()) {
+	incarnation := n.incarnation
+	n.simulation.After(delay, func() {
+		if n.incarnation == incarnation {
+			n.do(run)
 		}
 	})
 }
 
-// freeze stops the process for a while: its clock goes on.
+// freeze stops the process for a while. Its clock goes on.
 func (n *node) freeze(span time.Duration) {
 	if n.frozen || n.replica == nil {
 		return
 	}
 	n.frozen = true
-	life := n.life
-	n.world.After(span, func() {
-		if n.life == life {
-			n.thaw()
+	incarnation := n.incarnation
+	n.simulation.After(span, func() {
+		if n.incarnation == incarnation {
+			n.unfreeze()
 		}
 	})
 }
 
-// thaw goes on with what was held, in order.
-func (n *node) thaw() {
+// unfreeze runs the actions that were held during a freeze, in order.
+func (n *node) unfreeze() {
 	if !n.frozen {
 		return
 	}
 	n.frozen = false
-	held := n.held
-	n.held = nil
-	if n.world.faulty {
-		n.world.client.readAt(n)
+	held := n.heldActions
+	n.heldActions = nil
+	if n.simulation.faultsActive {
+		n.simulation.client.readAt(n)
 	}
 	for _, run := range held {
-		n.act(run)
+		n.do(run)
 	}
-	n.act(func() {})
+	n.do(func() {})
 }
 
-// settle checks the node, carries out what its replica wants, and plans its next Tick.
-func (n *node) settle() {
-	n.world.book.look(n)
-	for n.writing == nil && n.world.Failed == nil {
+// processReady checks the node, carries out what its replica wants, and schedules its next Tick.
+func (n *node) processReady() {
+	n.simulation.checker.checkNode(n)
+	for n.pendingWrite == nil && n.simulation.Failed == nil {
 		ready := n.replica.Ready()
 		if ready.Empty() {
 			break
 		}
-		n.carryOut(ready)
+		n.executeReady(ready)
 	}
-	if n.writing != nil {
-		for _, m := range n.replica.Beats() {
-			n.world.net.send(m)
+	if n.pendingWrite != nil {
+		for _, m := range n.replica.TakeImmediate() {
+			n.simulation.net.send(m)
 		}
 	}
-	n.planTick()
+	n.scheduleTick()
 }
 
-func (n *node) carryOut(ready replica.Ready) {
-	n.world.book.written(n, ready)
-	for _, m := range ready.Early {
-		n.world.net.send(m)
+func (n *node) executeReady(ready replica.Ready) {
+	n.simulation.checker.checkWritten(n, ready)
+	for _, m := range ready.Immediate {
+		n.simulation.net.send(m)
 	}
-	if ready.Hard == nil && ready.Snapshot == nil && len(ready.Entries) == 0 {
-		n.finish(ready)
+	if ready.HardState == nil && ready.Snapshot == nil && len(ready.Entries) == 0 {
+		n.completeReady(ready)
 		return
 	}
-	n.writing = &ready
-	span := n.world.Between(100*time.Microsecond, 3*time.Millisecond)
-	if n.world.faulty && n.world.Chance(0.02) {
+	n.pendingWrite = &ready
+	span := n.simulation.Between(100*time.Microsecond, 3*time.Millisecond)
+	if n.simulation.faultsActive && n.simulation.Chance(0.02) {
 		span *= 20
 	}
-	n.later(span, func() {
-		n.writing = nil
+	n.doLater(span, func() {
+		n.pendingWrite = nil
 		n.store(ready)
-		n.finish(ready)
+		n.completeReady(ready)
 	})
 }
 
-// finish goes on once the writes of a Ready are durable.
-func (n *node) finish(ready replica.Ready) {
+// completeReady continues once the writes of a Ready are durable.
+func (n *node) completeReady(ready replica.Ready) {
 	n.replica.Persisted(n.clock(), ready)
 	for _, m := range ready.Messages {
-		n.world.net.send(m)
+		n.simulation.net.send(m)
 	}
 	if ready.Snapshot != nil {
 		n.machine = decodeMachine(*ready.Snapshot)
-		n.world.book.restored(n)
+		n.simulation.checker.checkRestored(n)
 	}
 	for _, entry := range ready.Committed {
 		n.apply(entry)
 	}
-	n.compact()
-	n.world.book.look(n)
+	n.maybeSnapshot()
+	n.simulation.checker.checkNode(n)
 }
 
 // store makes the writes of a Ready durable.
 func (n *node) store(ready replica.Ready) {
-	if ready.Hard != nil {
-		n.disk.Hard = *ready.Hard
+	if ready.HardState != nil {
+		n.disk.HardState = *ready.HardState
 	}
 	if ready.Snapshot != nil {
 		n.disk.Snapshot, n.disk.Entries = *ready.Snapshot, nil
@@ -198,20 +198,20 @@
 
 func (n *node) apply(entry replica.Entry) {
 	if entry.Index != n.machine.index+1 {
-		n.world.Fail("node %d applies entry %d after %d", n.id, entry.Index, n.machine.index)
+		n.simulation.Fail("node %d applies entry %d after %d", n.id, entry.Index, n.machine.index)
 		return
 	}
 	succeeded := n.machine.apply(entry)
-	n.world.book.applied(n, entry)
-	if waiting := n.waiting[entry.Index]; waiting != nil {
-		delete(n.waiting, entry.Index)
-		n.world.client.applied(waiting, entry, succeeded)
+	n.simulation.checker.checkApplied(n, entry)
+	if proposal := n.proposals[entry.Index]; proposal != nil {
+		delete(n.proposals, entry.Index)
+		n.simulation.client.applied(proposal, entry, succeeded)
 	}
 }
 
-// compact makes a snapshot when enough was applied since the last.
-func (n *node) compact() {
-	if n.machine.index < n.disk.Snapshot.Index+n.world.snapshotEvery {
+// maybeSnapshot makes a snapshot when enough entries were applied since the last one.
+func (n *node) maybeSnapshot() {
+	if n.machine.index < n.disk.Snapshot.Index+n.simulation.snapshotEvery {
 		return
 	}
 	index := n.machine.index
@@ -225,16 +225,16 @@
 	n.replica.Compact(snapshot)
 }
 
-// planTick sees to a Tick when the replica wants one.
-func (n *node) planTick() {
-	due := max(n.fromClock(n.replica.Next()), n.world.Now)
-	if n.tickAt != 0 && n.tickAt <= due {
+// scheduleTick schedules a Tick for when the replica wants one.
+func (n *node) scheduleTick() {
+	due := max(n.simulationTime(n.replica.NextTick()), n.simulation.Now)
+	if n.nextTickAt != 0 && n.nextTickAt <= due {
 		return
 	}
-	n.tickAt = due
-	n.later(due-n.world.Now, func() {
-		if n.tickAt == due {
-			n.tickAt = 0
+	n.nextTickAt = due
+	n.doLater(due-n.simulation.Now, func() {
+		if n.nextTickAt == due {
+			n.nextTickAt = 0
 			n.replica.Tick(n.clock())
 		}
 	})
--- a/internal/barograph/replica/simulation_test.go
+++ b/internal/barograph/replica/simulation_test.go
@@ -14,8 +14,8 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// simulateSeeds runs simulations on all processors until one fails, and returns how
-// many were run and that failure.
+// simulateSeeds runs simulations on all processors until one fails. It returns the number of simulations that
+// were run and that failure.
 func simulateSeeds(seeds uint64, o options) (runs uint64, failure error) {
 	var next, ran atomic.Uint64
 	var failed atomic.Pointer[error]
@@ -46,15 +46,15 @@
 	err  error
 }
 
-func (e *seedError) Error() string { return e.err.Error() } // which names the seed
+func (e *seedError) Error() string { return e.err.Error() } // the message names the seed
 func (e *seedError) Unwrap() error { return e.err }
 
-// counts are of what happened in simulations: what never happens is not tested either.
+// counts are of events in simulations: an event that never happens isn't tested either.
 type counts struct {
-	owners, changes, restored, handovers, wipes, reads, writes, recent uint64
+	leaders, changes, snapshots, transfers, diskLosses, reads, writes, provenFresh uint64
 }
 
-// tally sums counts up over simulations that run at once.
+// tally sums counts up over concurrent simulations.
 type tally struct {
 	lock   sync.Mutex
 	counts counts
@@ -66,36 +66,36 @@
 	}
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	t.counts.owners += c.owners
+	t.counts.leaders += c.leaders
 	t.counts.changes += c.changes
-	t.counts.restored += c.restored
-	t.counts.handovers += c.handovers
-	t.counts.wipes += c.wipes
+	t.counts.snapshots += c.snapshots
+	t.counts.transfers += c.transfers
+	t.counts.diskLosses += c.diskLosses
 	t.counts.reads += c.reads
 	t.counts.writes += c.writes
-	t.counts.recent += c.recent
+	t.counts.provenFresh += c.provenFresh
 }
 
-// checkSeen holds that the simulations did what they are for.
+// checkSeen checks that the simulations exercised what they are for.
 func (t *tally) checkSeen(test *testing.T, seeds uint64) {
 	test.Helper()
 	c := t.counts
-	assert.Assert(test, c.owners > 2*seeds, "owners: %+v", c)
-	assert.Assert(test, c.changes > seeds && c.wipes > seeds/10, "changes of members: %+v", c)
-	assert.Assert(test, c.restored > seeds/10 && c.handovers > seeds/10, "snapshots, handovers: %+v", c)
-	assert.Assert(test, c.recent > 10*seeds, "members proven recent: %+v", c)
+	assert.Assert(test, c.leaders > 2*seeds, "leaders: %+v", c)
+	assert.Assert(test, c.changes > seeds && c.diskLosses > seeds/10, "membership changes: %+v", c)
+	assert.Assert(test, c.snapshots > seeds/10 && c.transfers > seeds/10, "snapshots, leadership transfers: %+v", c)
+	assert.Assert(test, c.provenFresh > 10*seeds, "members proven fresh: %+v", c)
 	assert.Assert(test, c.reads > 10*seeds && c.writes > 10*seeds, "operations: %+v", c)
 }
 
-// seedsFor is how many seeds a test plays: SIMULATION_SEEDS says so for a long search.
-func seedsFor(usual uint64) uint64 {
-	if many, err := strconv.ParseUint(os.Getenv("SIMULATION_SEEDS"), 10, 64); err == nil {
-		return many
+// seedsFor returns how many seeds a test runs. SIMULATION_SEEDS overrides it for a long search.
+func seedsFor(defaultSeeds uint64) uint64 {
+	if requested, err := strconv.ParseUint(os.Getenv("SIMULATION_SEEDS"), 10, 64); err == nil {
+		return requested
 	}
 	if testing.Short() {
-		return usual / 10
+		return defaultSeeds / 10
 	}
-	return usual
+	return defaultSeeds
 }
 
 func TestSimulation(t *testing.T) {
@@ -107,39 +107,39 @@
 	tally.checkSeen(t, seeds)
 }
 
-func TestSimulationOfFrequentFaults(t *testing.T) {
+func TestSimulationWithFrequentFaults(t *testing.T) {
 	seeds := seedsFor(500)
-	_, failure := simulateSeeds(seeds, options{frequent: true, startNodes: 5})
+	_, failure := simulateSeeds(seeds, options{frequentFaults: true, startNodes: 5})
 	assert.NilError(t, failure)
 }
 
-// TestSimulationFindsFlaws tests the tests: each defect must show. The seed that shows it is
-// played without the defect too, so that the same fault in the code itself would show as well.
-func TestSimulationFindsFlaws(t *testing.T) {
+// TestSimulationFindsInjectedDefects verifies that the simulation detects each injected defect. The seed that shows it is
+// also run without the defect, so that the same bug in the real code would be noticed, too.
+func TestSimulationFindsInjectedDefects(t *testing.T) {
 	const seeds = 10_000
-	for _, flawed := range []struct {
+	for _, test := range []struct {
 		name    string
 		options options
 	}{
-		{"vote after a wipe under the old id", options{forgetful: true}},
-		{"answer before the write is durable", options{flaws: replica.FlawAnswerEarly, frequent: true, startNodes: 3, faults: 4}},
-		{"lease not checked after a freeze", options{flaws: replica.FlawCachedLease}},
-		{"older terms committed by counting", options{flaws: replica.FlawCountOldTerms, frequent: true, startNodes: 5, faults: 10}},
-		{"votes given while a lease may run", options{flaws: replica.FlawNoRefusal}},
-		{"an owner without a lease proves members recent", options{flaws: replica.FlawVouchUnleased}},
-		{"what an earlier life asked proves this one recent", options{flaws: replica.FlawAnyLife}},
+		{"vote after a disk loss under the old ID", options{keepIDAfterDiskLoss: true}},
+		{"reply before the write is durable", options{defects: replica.DefectReplyBeforeWrite, frequentFaults: true, startNodes: 3, faultPhases: 4}},
+		{"lease not checked after a freeze", options{defects: replica.DefectCachedLease}},
+		{"entries of older terms committed by counting", options{defects: replica.DefectCountOldTerms, frequentFaults: true, startNodes: 5, faultPhases: 10}},
+		{"votes granted while a lease may be active", options{defects: replica.DefectIgnoreLease}},
+		{"a leader without a lease proves members fresh", options{defects: replica.DefectProveWithoutLease}},
+		{"a clock reading of an earlier incarnation proves this one fresh", options{defects: replica.DefectAnyIncarnation}},
 	} {
-		t.Run(flawed.name, func(t *testing.T) {
-			flawed.options.safetyOnly = true
-			runs, failure := simulateSeeds(seeds, flawed.options)
+		t.Run(test.name, func(t *testing.T) {
+			test.options.safetyOnly = true
+			runs, failure := simulateSeeds(seeds, test.options)
 			assert.Assert(t, failure != nil, "no seed of %d fails", runs)
-			assert.Assert(t, !errors.Is(failure, errNotJudged), "%v", failure)
+			assert.Assert(t, !errors.Is(failure, errCheckTimeout), "%v", failure)
 			t.Logf("after %d seeds: %v", runs, failure)
 			var shown *seedError
 			assert.Assert(t, errors.As(failure, &shown))
-			right := flawed.options
-			right.flaws, right.forgetful, right.seed = replica.Flaws{}, false, shown.seed
-			assert.NilError(t, simulate(right), "seed %d without the flaw", shown.seed)
+			correct := test.options
+			correct.defects, correct.keepIDAfterDiskLoss, correct.seed = replica.InjectedDefects{}, false, shown.seed
+			assert.NilError(t, simulate(correct), "seed %d without the defect", shown.seed)
 		})
 	}
 }
--- a/internal/barograph/replica/status.go
+++ b/internal/barograph/replica/status.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// Term is the newest term that the node knows.
-func (r *Replica) Term() uint64 { return r.hard.Term }
+// Term returns the newest term that the node knows.
+func (r *Replica) Term() uint64 { return r.hardState.Term }
 
-// Owner is the owner of that term, 0 if it is not known.
-func (r *Replica) Owner() NodeID { return r.owner }
+// Leader returns the leader of that term, 0 if it is unknown.
+func (r *Replica) Leader() NodeID { return r.leaderID }
 
-// Owns tells whether this node is the owner.
-func (r *Replica) Owns() bool { return r.role == owner }
+// IsLeader reports whether this node is the leader.
+func (r *Replica) IsLeader() bool { return r.role == leader }
 
-// Commit is the index up to which entries are known to be committed.
-func (r *Replica) Commit() uint64 { return r.commit }
+// CommitIndex returns the index up to which entries are known to be committed.
+func (r *Replica) CommitIndex() uint64 { return r.commitIndex }
 
-// MembersAt returns the members in force at an index, for a snapshot made there. The index
-// must not lie before what Compact has let go.
+// MembersAt returns the members in force at an index, for a snapshot made there. The index must not lie
+// before the entries that Compact has dropped.
 func (r *Replica) MembersAt(index uint64) Members {
-	return r.log.changes[r.log.change(index)].Members.Clone()
+	return r.log.memberHistory[r.log.membersPosition(index)].Members.Clone()
 }
 
-// Status is a view of the replica, sharing nothing with it.
+// Status returns a copy of the replica's state that shares nothing with it.
 func (r *Replica) Status(now time.Duration) Status {
-	r.advance(now)
+	r.advanceClock(now)
 	status := Status{
-		Group: r.group, Self: r.self, Owner: r.owner, Term: r.hard.Term,
-		Commit: r.commit, Last: r.log.last(),
-		Members: r.members().Clone(), Settled: r.settled(), Pending: r.pending(), Changed: r.log.newest().Index,
-		Contradicted: r.contradicted,
+		Group: r.group, Self: r.self, Leader: r.leaderID, Term: r.hardState.Term,
+		CommitIndex: r.commitIndex, LastIndex: r.log.lastIndex(),
+		Members: r.members().Clone(), LeaderReady: r.leaderReady(), ChangePending: r.changePending(), MembersIndex: r.log.currentMembers().Index,
+		LogConflict: r.logConflict,
 	}
-	if r.role != owner {
+	if r.role != leader {
 		return status
 	}
-	status.Heard = map[NodeID]time.Duration{}
-	status.Matched = map[NodeID]uint64{}
+	status.LastHeard = map[NodeID]time.Duration{}
+	status.MatchIndex = map[NodeID]uint64{}
 	for node, p := range r.progress {
-		status.Heard[node] = p.heard
-		status.Matched[node] = p.matched
+		status.LastHeard[node] = p.lastHeard
+		status.MatchIndex[node] = p.matchIndex
 	}
 	return status
 }
--- a/internal/barograph/simulation/duties_test.go
+++ b/internal/barograph/simulation/duties_test.go
@@ -183,7 +183,7 @@
 	status := m.replica.Status(d.node.clock())
 	d.epoch = status.Term
 	if d.subject.world.flaws.dutyWithoutLease {
-		return d.epoch, status.Settled
+		return d.epoch, status.LeaderReady
 	}
 	return d.epoch, m.holdsLease()
 }
@@ -226,7 +226,7 @@
 // epoch that the partition is in.
 func (s *dutiesSubject) encode(m *member, p servers.Publication) []byte {
 	if s.world.flaws.noEpoch {
-		p.Epoch, p.Sequence = 1, m.replica.Status(m.node.clock()).Last+1
+		p.Epoch, p.Sequence = 1, m.replica.Status(m.node.clock()).LastIndex+1
 	}
 	text, err := p.Encode()
 	if err != nil {
@@ -242,7 +242,7 @@
 		return
 	}
 	for _, id := range d.heirs(m.replica.Status(d.node.clock()).Members.Voters) {
-		if m.replica.Handover(d.node.clock(), id) == nil {
+		if m.replica.TransferLeadership(d.node.clock(), id) == nil {
 			d.subject.world.tally.handovers++
 			return
 		}
--- a/internal/barograph/simulation/edge_test.go
+++ b/internal/barograph/simulation/edge_test.go
@@ -189,7 +189,7 @@
 		return string(history), found
 	}
 	m := n.member(protocol.TurnGroup(partition))
-	if s.world.flaws.admitEarly && m != nil && m.replica.Owns() && a.Previous == "" {
+	if s.world.flaws.admitEarly && m != nil && m.replica.IsLeader() && a.Previous == "" {
 		answer(admitReply{outcome: protocol.TurnGranted})
 	}
 	s.propose(n, partition, &turns.Command{Admit: a}, func(o protocol.TurnOutcome, owner replica.NodeID) {
--- a/internal/barograph/simulation/faults_test.go
+++ b/internal/barograph/simulation/faults_test.go
@@ -27,7 +27,7 @@
 	var owners []*machineNode
 	for _, n := range w.running() {
 		for _, m := range n.members {
-			if m.replica.Owns() {
+			if m.replica.IsLeader() {
 				owners = append(owners, n)
 			}
 		}
@@ -105,7 +105,7 @@
 // faultFreeze stops a process, past its lease most of the time.
 func (w *world) faultFreeze() {
 	if n := w.anyone(); n != nil {
-		n.freeze(w.Between(50*time.Millisecond, 4*w.timing().Election))
+		n.freeze(w.Between(50*time.Millisecond, 4*w.timing().ElectionTimeout))
 	}
 }
 
@@ -176,11 +176,11 @@
 // wholeAt tells whether a node owns a group that is whole.
 func (w *world) wholeAt(n *machineNode, group replica.GroupID) bool {
 	m := n.member(group)
-	if !n.up || m == nil || !m.replica.Leased(n.clock()) {
+	if !n.up || m == nil || !m.replica.HasLease(n.clock()) {
 		return false
 	}
 	status := m.replica.Status(n.clock())
-	if status.Pending || len(status.Members.Voters) < 2*w.losses+1 {
+	if status.ChangePending || len(status.Members.Voters) < 2*w.losses+1 {
 		return false
 	}
 	return !slices.ContainsFunc(status.Members.Voters, func(id replica.NodeID) bool { return w.withID(id) == nil })
@@ -191,7 +191,7 @@
 		n.act(func() {
 			for _, m := range n.members {
 				voters := m.replica.Status(n.clock()).Members.Voters
-				if m.replica.Owns() && len(voters) > 0 && m.replica.Handover(n.clock(), voters[w.Random.IntN(len(voters))]) == nil {
+				if m.replica.IsLeader() && len(voters) > 0 && m.replica.TransferLeadership(n.clock(), voters[w.Random.IntN(len(voters))]) == nil {
 					w.tally.handovers++
 				}
 			}
--- a/internal/barograph/simulation/follower_test.go
+++ b/internal/barograph/simulation/follower_test.go
@@ -73,7 +73,7 @@
 	if m == nil {
 		return told{age: time.Hour}
 	}
-	r := told{age: n.clock() - m.replica.CurrentAt(n.clock(), m.applied)}
+	r := told{age: n.clock() - m.replica.FreshAsOf(n.clock(), m.applied)}
 	r.vouched = r.age <= coordinator.StaleAfter(configApply)
 	if s.world.flaws.vouchAlways {
 		r.vouched, r.age = true, 0
--- a/internal/barograph/simulation/member_test.go
+++ b/internal/barograph/simulation/member_test.go
@@ -49,7 +49,7 @@
 	group       replica.GroupID
 	replica     *replica.Replica
 	machine     machine
-	stored      *replica.Stored // durable
+	stored      *replica.PersistentState // durable
 	applied     uint64
 	appliedTerm uint64
 	since       int // entries applied since the newest snapshot
@@ -75,7 +75,7 @@
 		m.carryOut(ready)
 	}
 	if m.writing != nil {
-		for _, message := range m.replica.Beats() {
+		for _, message := range m.replica.TakeImmediate() {
 			m.node.world.network.deliver(m.node.place, message)
 		}
 	}
@@ -85,17 +85,17 @@
 
 // notice counts terms that this node owns.
 func (m *member) notice() {
-	if m.replica.Owns() && m.owned != m.replica.Term() {
+	if m.replica.IsLeader() && m.owned != m.replica.Term() {
 		m.owned = m.replica.Term()
 		m.node.world.tally.owners++
 	}
 }
 
 func (m *member) carryOut(ready replica.Ready) {
-	for _, message := range ready.Early {
+	for _, message := range ready.Immediate {
 		m.node.world.network.deliver(m.node.place, message)
 	}
-	if ready.Hard == nil && ready.Snapshot == nil && len(ready.Entries) == 0 {
+	if ready.HardState == nil && ready.Snapshot == nil && len(ready.Entries) == 0 {
 		m.finish(ready)
 		return
 	}
@@ -130,8 +130,8 @@
 
 // store makes the writes of a Ready durable.
 func (m *member) store(ready replica.Ready) {
-	if ready.Hard != nil {
-		m.stored.Hard = *ready.Hard
+	if ready.HardState != nil {
+		m.stored.HardState = *ready.HardState
 	}
 	if ready.Snapshot != nil {
 		m.stored.Snapshot, m.stored.Entries = *ready.Snapshot, nil
@@ -168,7 +168,7 @@
 	switch {
 	case w == nil:
 	case w.term != entry.Term: // another took its place: it will never be in force
-		m.tell(entry.Index, outcome{kind: notOwner, owner: m.replica.Owner()})
+		m.tell(entry.Index, outcome{kind: notOwner, owner: m.replica.Leader()})
 	default:
 		m.tell(entry.Index, outcome{kind: carriedOut, result: result})
 	}
@@ -199,7 +199,7 @@
 // planTick sees to a Tick when the replica wants one.
 func (m *member) planTick() {
 	w := m.node.world
-	due := max(m.node.fromClock(m.replica.Next()), w.Now)
+	due := max(m.node.fromClock(m.replica.NextTick()), w.Now)
 	if m.tickAt != 0 && m.tickAt <= due {
 		return
 	}
@@ -208,7 +208,7 @@
 		if m.tickAt == due {
 			m.tickAt = 0
 			m.replica.Tick(m.node.clock())
-			m.leased = m.replica.Leased(m.node.clock())
+			m.leased = m.replica.HasLease(m.node.clock())
 		}
 	})
 }
@@ -219,7 +219,7 @@
 	if len(m.waiting) == 0 {
 		return
 	}
-	owns, term, commit := m.replica.Owns(), m.replica.Term(), m.replica.Commit()
+	owns, term, commit := m.replica.IsLeader(), m.replica.Term(), m.replica.CommitIndex()
 	for _, index := range sortedKeys(m.waiting) {
 		if index > commit && !(owns && m.waiting[index].term == term) {
 			m.tell(index, outcome{kind: unknown})
@@ -230,10 +230,10 @@
 // propose has the group carry out a command. done runs once, unless the process ends before.
 func (m *member) propose(command []byte, within time.Duration, done func(outcome)) {
 	index, term, err := m.replica.Propose(m.node.clock(), command)
-	var other *replica.NotOwnerError
+	var other *replica.NotLeaderError
 	switch {
 	case errors.As(err, &other):
-		done(outcome{kind: notOwner, owner: other.Owner})
+		done(outcome{kind: notOwner, owner: other.Leader})
 		return
 	case err != nil:
 		done(outcome{kind: unavailable})
@@ -258,22 +258,22 @@
 		done(false)
 		return
 	}
-	m.readings = append(m.readings, &reading{term: m.replica.Term(), commit: m.replica.Commit(), look: look, done: done})
+	m.readings = append(m.readings, &reading{term: m.replica.Term(), commit: m.replica.CommitIndex(), look: look, done: done})
 	m.answerReadings()
 }
 
 func (m *member) holdsLease() bool {
 	if m.node.world.flaws.oldLease {
-		return m.replica.Owns() && m.leased
+		return m.replica.IsLeader() && m.leased
 	}
-	return m.replica.Leased(m.node.clock())
+	return m.replica.HasLease(m.node.clock())
 }
 
 func (m *member) answerReadings() {
 	waiting := m.readings
 	m.readings = nil
 	for _, r := range waiting {
-		if !m.replica.Owns() || m.replica.Term() != r.term {
+		if !m.replica.IsLeader() || m.replica.Term() != r.term {
 			r.done(false)
 			continue
 		}
--- a/internal/barograph/simulation/network_test.go
+++ b/internal/barograph/simulation/network_test.go
@@ -37,7 +37,7 @@
 	}
 	delay := n.world.Between(200*time.Microsecond, n.world.delay)
 	if n.slow > 0 && n.world.Chance(n.slow) {
-		delay += n.world.Between(0, 3*n.world.timing().Election)
+		delay += n.world.Between(0, 3*n.world.timing().ElectionTimeout)
 	}
 	n.world.After(delay, func() {
 		if !n.cuts[direction{from, to}] {
--- a/internal/barograph/simulation/node_test.go
+++ b/internal/barograph/simulation/node_test.go
@@ -14,7 +14,7 @@
 	world *world
 	place endpoint
 	id    replica.NodeID // of the disk
-	disk  map[replica.GroupID]*replica.Stored
+	disk  map[replica.GroupID]*replica.PersistentState
 
 	up      bool
 	life    int // counts starts: what an earlier process began has no effect
@@ -56,7 +56,7 @@
 }
 
 // open runs a group on what is kept of it.
-func (n *machineNode) open(group replica.GroupID, stored *replica.Stored) *member {
+func (n *machineNode) open(group replica.GroupID, stored *replica.PersistentState) *member {
 	w := n.world
 	m := &member{node: n, group: group, stored: stored, waiting: map[uint64]*waiter{}}
 	m.machine = w.subject.machine(n, group)
@@ -75,8 +75,8 @@
 // startOf is the time at which a replica begins, as the host has it: one that has promised
 // nothing may campaign at once.
 func (m *member) startOf() time.Duration {
-	if m.stored.Hard == (replica.HardState{}) && len(m.stored.Entries) == 0 {
-		return m.node.clock() - m.node.world.timing().Election
+	if m.stored.HardState == (replica.HardState{}) && len(m.stored.Entries) == 0 {
+		return m.node.clock() - m.node.world.timing().ElectionTimeout
 	}
 	return m.node.clock()
 }
@@ -88,7 +88,7 @@
 
 // begin puts a group's first members and state on the disk, before the process starts.
 func (n *machineNode) begin(group replica.GroupID, members replica.Members) {
-	n.disk[group] = &replica.Stored{Snapshot: replica.Snapshot{Index: 1, Members: members}}
+	n.disk[group] = &replica.PersistentState{Snapshot: replica.Snapshot{Index: 1, Members: members}}
 }
 
 // member finds the node's member of a group, nil if it runs none.
@@ -108,7 +108,7 @@
 	}
 	m := n.member(message.Group)
 	if m == nil {
-		stored := &replica.Stored{}
+		stored := &replica.PersistentState{}
 		n.disk[message.Group] = stored
 		m = n.open(message.Group, stored)
 	}
@@ -135,7 +135,7 @@
 func (n *machineNode) wipe() {
 	n.crash()
 	n.world.tally.wipes++
-	n.disk = map[replica.GroupID]*replica.Stored{}
+	n.disk = map[replica.GroupID]*replica.PersistentState{}
 	if n.world.flaws.forgetful {
 		return
 	}
--- a/internal/barograph/simulation/registry_test.go
+++ b/internal/barograph/simulation/registry_test.go
@@ -111,7 +111,7 @@
 // repair has the owner of a group see to its members.
 func (m *member) repair(d protocol.Directory, everyone bool) {
 	status := m.replica.Status(m.node.clock())
-	if !status.Settled {
+	if !status.LeaderReady {
 		return
 	}
 	if next, due := m.plan(status, d, everyone); due {
@@ -130,15 +130,15 @@
 func (w *world) keptWell(group replica.GroupID, voters int, retiring []string) bool {
 	for _, n := range w.running() {
 		m := n.member(group)
-		if m == nil || !m.replica.Owns() || !m.replica.Leased(n.clock()) {
+		if m == nil || !m.replica.IsLeader() || !m.replica.HasLease(n.clock()) {
 			continue
 		}
 		status := m.replica.Status(n.clock())
-		if status.Pending || status.Commit != status.Last || len(status.Members.Voters) != voters {
+		if status.ChangePending || status.CommitIndex != status.LastIndex || len(status.Members.Voters) != voters {
 			return false
 		}
 		for _, id := range status.Members.All() {
-			if !w.inStep(group, id, status.Commit) {
+			if !w.inStep(group, id, status.CommitIndex) {
 				return false
 			}
 		}
@@ -156,5 +156,5 @@
 	}
 	m := n.member(group)
 	// Members of groups of turns learn late what is committed.
-	return m != nil && m.applied <= commit && m.replica.Status(n.clock()).Last >= commit
+	return m != nil && m.applied <= commit && m.replica.Status(n.clock()).LastIndex >= commit
 }
--- a/internal/barograph/simulation/scenarios_test.go
+++ b/internal/barograph/simulation/scenarios_test.go
@@ -145,7 +145,7 @@
 
 // owns is 1 where a node owns the configuration's group.
 func (n *machineNode) owns() int {
-	if m := n.member(protocol.ConfigurationGroup); m != nil && m.replica.Owns() {
+	if m := n.member(protocol.ConfigurationGroup); m != nil && m.replica.IsLeader() {
 		return 1
 	}
 	return 0
@@ -194,11 +194,11 @@
 	w := s.world
 	for _, n := range w.running() {
 		m := n.member(protocol.ConfigurationGroup)
-		if m == nil || !m.replica.Leased(n.clock()) {
+		if m == nil || !m.replica.HasLease(n.clock()) {
 			continue
 		}
 		status := m.replica.Status(n.clock())
-		if status.Pending || len(status.Members.Voters) != coordinator.VotersWanted(w.losses) {
+		if status.ChangePending || len(status.Members.Voters) != coordinator.VotersWanted(w.losses) {
 			return false
 		}
 		return !slices.ContainsFunc(status.Members.Voters, func(id replica.NodeID) bool { return w.withID(id) == nil })
--- a/internal/barograph/simulation/submit_test.go
+++ b/internal/barograph/simulation/submit_test.go
@@ -63,7 +63,7 @@
 		}
 		m.read(func(machine) {}, func(ok bool) {
 			if !ok {
-				answer(outcome{kind: notOwner, owner: m.replica.Owner()})
+				answer(outcome{kind: notOwner, owner: m.replica.Leader()})
 				return
 			}
 			answer(outcome{kind: carriedOut, index: m.applied})
@@ -88,7 +88,7 @@
 // owner is the group's owner as far as this node knows, 0: not at all.
 func (s *submission) owner() replica.NodeID {
 	if m := s.node.member(s.group); m != nil {
-		return m.replica.Owner()
+		return m.replica.Leader()
 	}
 	return 0
 }
--- a/internal/barograph/simulation/try_test.go
+++ b/internal/barograph/simulation/try_test.go
@@ -140,7 +140,7 @@
 	}
 	attempt(e, alive, t.program, s.world.Now+within, func(n *machineNode, partition int, answer func(reply)) {
 		m := n.member(protocol.TurnGroup(partition))
-		if s.world.flaws.finishEarly && m != nil && m.replica.Owns() {
+		if s.world.flaws.finishEarly && m != nil && m.replica.IsLeader() {
 			answer(reply{outcome: protocol.TurnGranted})
 		}
 		s.propose(n, partition, &turns.Command{End: ending}, func(o protocol.TurnOutcome, owner replica.NodeID) {
@@ -224,11 +224,11 @@
 	}
 	for _, n := range s.world.running() {
 		for _, m := range n.members {
-			if !m.replica.Leased(n.clock()) || !strings.HasSuffix(string(m.group), fmt.Sprint(s.partitionOf(kept.program))) {
+			if !m.replica.HasLease(n.clock()) || !strings.HasSuffix(string(m.group), fmt.Sprint(s.partitionOf(kept.program))) {
 				continue
 			}
 			history, found := m.machine.(*turns.Machine).History(kept.id)
-			if m.applied == m.replica.Commit() && (!found || string(history) != kept.text) {
+			if m.applied == m.replica.CommitIndex() && (!found || string(history) != kept.text) {
 				s.world.Fail("turn %s of %s is kept as %q (%v) and was %q", kept.id, kept.program.name, history, found, kept.text)
 			}
 		}
--- a/internal/barograph/simulation/turns_test.go
+++ b/internal/barograph/simulation/turns_test.go
@@ -138,7 +138,7 @@
 	d := s.directory(n)
 	for _, m := range n.members {
 		status := m.replica.Status(n.clock())
-		if !status.Settled {
+		if !status.LeaderReady {
 			continue
 		}
 		s.forget(m)
@@ -163,8 +163,8 @@
 		return
 	}
 	partition, _ := protocol.TurnPartitionOf(m.group)
-	moved := &revisions.Moved{Partition: partition, Change: status.Commit, Ahead: true, Voters: next.Voters}
-	if told := d.Partitions[partition]; told.Change == status.Commit {
+	moved := &revisions.Moved{Partition: partition, Change: status.CommitIndex, Ahead: true, Voters: next.Voters}
+	if told := d.Partitions[partition]; told.Change == status.CommitIndex {
 		moved.Step = told.Step + 1
 	}
 	m.busyUntil = s.world.Now + submitWithin
@@ -176,7 +176,7 @@
 		m.node.act(func() {
 			m.busyUntil = 0
 			now := m.replica.Status(m.node.clock())
-			if result == revisions.Taken && now.Term == status.Term && now.Changed == status.Changed {
+			if result == revisions.Taken && now.Term == status.Term && now.MembersIndex == status.MembersIndex {
 				m.change(next)
 			}
 		})
@@ -189,21 +189,21 @@
 	}
 	for _, id := range status.Members.Voters {
 		n := s.world.withID(id)
-		if id == m.node.id || n == nil || status.Matched[id] < status.Commit {
+		if id == m.node.id || n == nil || status.MatchIndex[id] < status.CommitIndex {
 			continue
 		}
-		return m.replica.Handover(m.node.clock(), id) == nil
+		return m.replica.TransferLeadership(m.node.clock(), id) == nil
 	}
 	return false
 }
 
 func (s *turnsSubject) report(m *member, status replica.Status, d protocol.Directory) {
 	partition, _ := protocol.TurnPartitionOf(m.group)
-	if status.Pending || slices.Equal(d.Partitions[partition].Voters, status.Members.Voters) {
+	if status.ChangePending || slices.Equal(d.Partitions[partition].Voters, status.Members.Voters) {
 		return
 	}
-	moved := &revisions.Moved{Partition: partition, Change: status.Commit, Voters: status.Members.Voters}
-	if told := d.Partitions[partition]; told.Change == status.Commit {
+	moved := &revisions.Moved{Partition: partition, Change: status.CommitIndex, Voters: status.Members.Voters}
+	if told := d.Partitions[partition]; told.Change == status.CommitIndex {
 		moved.Step = told.Step + 1
 	}
 	s.registry.submit(&revisions.Command{Moved: moved}, ignore)
@@ -218,7 +218,7 @@
 	for _, n := range s.world.running() {
 		for _, m := range n.members {
 			status := m.replica.Status(n.clock())
-			if status.Pending || !m.replica.Leased(n.clock()) {
+			if status.ChangePending || !m.replica.HasLease(n.clock()) {
 				continue
 			}
 			for _, id := range status.Members.Voters {
--- a/internal/barograph/simulation/world_test.go
+++ b/internal/barograph/simulation/world_test.go
@@ -176,7 +176,7 @@
 // addNode adds a machine with an empty disk; start begins its process.
 func (w *world) addNode() *machineNode {
 	w.ids++
-	n := &machineNode{world: w, place: endpoint(len(w.nodes)), id: w.ids, disk: map[replica.GroupID]*replica.Stored{}}
+	n := &machineNode{world: w, place: endpoint(len(w.nodes)), id: w.ids, disk: map[replica.GroupID]*replica.PersistentState{}}
 	w.nodes = append(w.nodes, n)
 	return n
 }
--- a/internal/barograph/store/contract_test.go
+++ b/internal/barograph/store/contract_test.go
@@ -74,17 +74,17 @@
 		first := replica.Snapshot{Members: replica.Members{Voters: []replica.NodeID{1, 1 << 63}, Learners: []replica.NodeID{3}}, State: []byte("begin")}
 		assert.NilError(t, s.Write([]Write{
 			{Group: "a", Hard: &replica.HardState{Term: 3, Vote: 2}, Snapshot: &first,
-				Entries: []replica.Entry{entry(1, 2, ""), {Index: 2, Term: 3, Kind: replica.Change, Data: []byte("x")}}},
+				Entries: []replica.Entry{entry(1, 2, ""), {Index: 2, Term: 3, Kind: replica.MembershipChange, Data: []byte("x")}}},
 			{Group: "b", Hard: &replica.HardState{Term: 1 << 63}},
 			{Group: "a", Entries: []replica.Entry{entry(3, 3, "y")}},
 		}))
 		s = d.reopen(t, s)
 		stored, err := s.Load()
 		assert.NilError(t, err)
-		assert.DeepEqual(t, stored, map[replica.GroupID]replica.Stored{
-			"a": {Hard: replica.HardState{Term: 3, Vote: 2}, Snapshot: first, Entries: []replica.Entry{
-				entry(1, 2, ""), {Index: 2, Term: 3, Kind: replica.Change, Data: []byte("x")}, entry(3, 3, "y")}},
-			"b": {Hard: replica.HardState{Term: 1 << 63}},
+		assert.DeepEqual(t, stored, map[replica.GroupID]replica.PersistentState{
+			"a": {HardState: replica.HardState{Term: 3, Vote: 2}, Snapshot: first, Entries: []replica.Entry{
+				entry(1, 2, ""), {Index: 2, Term: 3, Kind: replica.MembershipChange, Data: []byte("x")}, entry(3, 3, "y")}},
+			"b": {HardState: replica.HardState{Term: 1 << 63}},
 		})
 	})
 }
@@ -115,7 +115,7 @@
 		s = d.reopen(t, s)
 		stored, err := s.Load()
 		assert.NilError(t, err)
-		assert.DeepEqual(t, stored, map[replica.GroupID]replica.Stored{
+		assert.DeepEqual(t, stored, map[replica.GroupID]replica.PersistentState{
 			"a": {Snapshot: compacted, Entries: log[2:]},
 			"b": {Snapshot: installed, Entries: []replica.Entry{entry(10, 2, "j")}},
 		})
@@ -132,7 +132,7 @@
 		s = d.reopen(t, s)
 		stored, err := s.Load()
 		assert.NilError(t, err)
-		assert.DeepEqual(t, stored, map[replica.GroupID]replica.Stored{"b": {Entries: log}})
+		assert.DeepEqual(t, stored, map[replica.GroupID]replica.PersistentState{"b": {Entries: log}})
 		assert.NilError(t, s.Write([]Write{{Group: "a", Entries: log}})) // begins anew
 	})
 }
--- a/internal/barograph/store/load.go
+++ b/internal/barograph/store/load.go
@@ -26,7 +26,7 @@
 }
 
 // Load implements Store.
-func (s *SQLite) Load() (map[replica.GroupID]replica.Stored, error) {
+func (s *SQLite) Load() (map[replica.GroupID]replica.PersistentState, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -36,8 +36,8 @@
 }
 
 // load reads all groups, and notes those that aren't noted.
-func (s *SQLite) load() (map[replica.GroupID]replica.Stored, error) {
-	held := map[int64]*replica.Stored{}
+func (s *SQLite) load() (map[replica.GroupID]replica.PersistentState, error) {
+	held := map[int64]*replica.PersistentState{}
 	names := map[int64]replica.GroupID{}
 	if err := s.query(sqlReadGroups, s.readGroup(held, names)); err != nil {
 		return nil, errors.Wrap(err, "read the groups")
@@ -48,19 +48,19 @@
 	if err := s.query(sqlReadEntries, s.readEntry(held)); err != nil {
 		return nil, errors.Wrap(err, "read the entries")
 	}
-	stored := make(map[replica.GroupID]replica.Stored, len(held))
+	stored := make(map[replica.GroupID]replica.PersistentState, len(held))
 	for id, one := range held {
 		stored[names[id]] = *one
 	}
 	return stored, nil
 }
 
-func (s *SQLite) readGroup(held map[int64]*replica.Stored, names map[int64]replica.GroupID) func([]driver.Value) error {
+func (s *SQLite) readGroup(held map[int64]*replica.PersistentState, names map[int64]replica.GroupID) func([]driver.Value) error {
 	return func(row []driver.Value) error {
 		id, name := row[0].(int64), replica.GroupID(text(row[1]))
 		names[id] = name
 		hard := replica.HardState{Term: uint64(row[2].(int64)), Vote: replica.NodeID(row[3].(int64))}
-		held[id] = &replica.Stored{Hard: hard}
+		held[id] = &replica.PersistentState{HardState: hard}
 		if _, ok := s.groups[name]; !ok {
 			s.groups[name] = &group{id: id}
 		}
@@ -69,7 +69,7 @@
 	}
 }
 
-func readSnapshot(held map[int64]*replica.Stored) func([]driver.Value) error {
+func readSnapshot(held map[int64]*replica.PersistentState) func([]driver.Value) error {
 	return func(row []driver.Value) error {
 		one, ok := held[row[0].(int64)]
 		if !ok {
@@ -82,7 +82,7 @@
 	}
 }
 
-func (s *SQLite) readEntry(held map[int64]*replica.Stored) func([]driver.Value) error {
+func (s *SQLite) readEntry(held map[int64]*replica.PersistentState) func([]driver.Value) error {
 	return func(row []driver.Value) error {
 		s.nextSeq = max(s.nextSeq, row[0].(int64)+1)
 		one, ok := held[row[1].(int64)]
@@ -121,7 +121,7 @@
 }
 
 // spanOf tells how far a stored log reaches.
-func spanOf(stored replica.Stored) span {
+func spanOf(stored replica.PersistentState) span {
 	reach := span{last: stored.Snapshot.Index}
 	if n := len(stored.Entries); n > 0 {
 		reach.last = max(reach.last, stored.Entries[n-1].Index)
--- a/internal/barograph/store/memory.go
+++ b/internal/barograph/store/memory.go
@@ -33,14 +33,14 @@
 type content struct {
 	identity replica.NodeID
 	named    bool
-	groups   map[replica.GroupID]replica.Stored
+	groups   map[replica.GroupID]replica.PersistentState
 }
 
 var _ Store = (*Memory)(nil)
 
 // NewMemory makes an empty store.
 func NewMemory() *Memory {
-	return &Memory{disk: &content{groups: map[replica.GroupID]replica.Stored{}}}
+	return &Memory{disk: &content{groups: map[replica.GroupID]replica.PersistentState{}}}
 }
 
 // Reopen gives a store on what this one has kept, as a restart of the process does,
@@ -120,7 +120,7 @@
 }
 
 // Load implements Store.
-func (m *Memory) Load() (map[replica.GroupID]replica.Stored, error) {
+func (m *Memory) Load() (map[replica.GroupID]replica.PersistentState, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.broken == ErrClosed {
@@ -244,7 +244,7 @@
 func (c *content) write(w *Write) {
 	stored := c.groups[w.Group]
 	if w.Hard != nil {
-		stored.Hard = *w.Hard
+		stored.HardState = *w.Hard
 	}
 	if w.Snapshot != nil {
 		stored.Snapshot = *w.Snapshot
--- a/internal/barograph/store/store.go
+++ b/internal/barograph/store/store.go
@@ -32,7 +32,7 @@
 	// SetIdentity keeps the node's id.
 	SetIdentity(replica.NodeID) error
 	// Load reads all groups. Entries are consecutive, the first one at most one after the snapshot.
-	Load() (map[replica.GroupID]replica.Stored, error)
+	Load() (map[replica.GroupID]replica.PersistentState, error)
 	// Write makes the batch durable in one commit, in order.
 	Write(batch []Write) error
 	// Drop forgets a group durably; one that isn't held is no error.
