--- a/internal/barograph/host/process_test.go
+++ b/internal/barograph/host/process_test.go
@@ -67,11 +67,11 @@
 
 // realTiming outlasts a busy disk: an owner whose write is under way sends nothing.
 var processTiming = replica.Timing{
-	Heartbeat: 50 * time.Millisecond,
-	Election:  10 * time.Second,
-	Spread:    10 * time.Second,
-	Lease:     8 * time.Second,
-	Silent:    30 * time.Second,
+	HeartbeatInterval: 50 * time.Millisecond,
+	ElectionTimeout:   10 * time.Second,
+	ElectionJitter:    10 * time.Second,
+	LeaseDuration:     8 * time.Second,
+	LostAfter:         30 * time.Second,
 }
 
 // startProcesses starts processes on the disks, and gives them in the order of their ids.
@@ -115,7 +115,7 @@
 		for _, p := range processes {
 			status, err := p.Status(testGroup)
 			assert.NilError(t, err)
-			if status.Settled {
+			if status.LeaderReady {
 				return p
 			}
 		}
@@ -154,7 +154,7 @@
 
 	processes = startProcesses(t, openDisks(t, folder, 3), newCommandLog)
 	defer stopProcesses(t, processes)
-	processes[0].transport.clockAdvance.Store(int64(processTiming.Election)) // the old owner's lease has run out
+	processes[0].transport.clockAdvance.Store(int64(processTiming.ElectionTimeout)) // the old owner's lease has run out
 	leader = awaitSettledLeader(t, processes)
 	assert.DeepEqual(t, readCommands(t, leader), want)
 	result, err := leader.Propose(t.Context(), testGroup, []byte("more"))
--- a/internal/barograph/host/round.go
+++ b/internal/barograph/host/round.go
@@ -83,7 +83,7 @@
 	if len(jobs) == 0 {
 		return false, nil
 	}
-	h.send(jobs, func(j *job) []replica.Message { return j.ready.Early })
+	h.send(jobs, func(j *job) []replica.Message { return j.ready.Immediate })
 	if err := h.persist(ctx, jobs); err != nil {
 		return false, err
 	}
@@ -119,7 +119,7 @@
 		if j := g.takeJob(); j != nil {
 			jobs = append(jobs, j)
 		}
-		g.nextTick = g.replica.Next()
+		g.nextTick = g.replica.NextTick()
 	}
 	return jobs
 }
@@ -141,7 +141,7 @@
 
 // storeWrite tells what the job makes durable, false for nothing.
 func (j *job) storeWrite() (store.Write, bool) {
-	w := store.Write{Group: j.group.id, Hard: j.ready.Hard, Snapshot: j.ready.Snapshot, Entries: j.ready.Entries}
+	w := store.Write{Group: j.group.id, Hard: j.ready.HardState, Snapshot: j.ready.Snapshot, Entries: j.ready.Entries}
 	if j.compaction != nil {
 		w.Snapshot, w.CompactTo = j.compaction, j.compaction.Index
 	}
@@ -214,10 +214,10 @@
 	for _, g := range h.groups {
 		if g.nextTick <= now {
 			g.replica.Tick(now)
-			g.nextTick = max(g.replica.Next(), now+minWait)
+			g.nextTick = max(g.replica.NextTick(), now+minWait)
 			h.markDirty(g)
 		}
-		byNode.add(g.replica.Beats())
+		byNode.add(g.replica.TakeImmediate())
 	}
 	h.mu.Unlock()
 	byNode.send(h.options.Transport)
@@ -404,7 +404,7 @@
 
 // noticeLeaderChange tells who waits for news that the owner or the term is another.
 func (g *group) noticeLeaderChange() {
-	owner, term := g.replica.Owner(), g.replica.Term()
+	owner, term := g.replica.Leader(), g.replica.Term()
 	if owner == g.notifiedLeader && term == g.notifiedTerm {
 		return
 	}
--- a/internal/barograph/host/waiter.go
+++ b/internal/barograph/host/waiter.go
@@ -34,7 +34,7 @@
 		delete(g.waiters, e.Index)
 		j.completions[i].waiter = w
 		if w.term != e.Term { // another took its place: it will never be in force
-			j.completions[i].outcome.err = &replica.NotOwnerError{Owner: g.replica.Owner()}
+			j.completions[i].outcome.err = &replica.NotLeaderError{Leader: g.replica.Leader()}
 		}
 	}
 }
@@ -45,13 +45,13 @@
 	if len(g.waiters) == 0 {
 		return
 	}
-	owns, term, commit := g.replica.Owns(), g.replica.Term(), g.replica.Commit()
+	owns, term, commit := g.replica.IsLeader(), g.replica.Term(), g.replica.CommitIndex()
 	for index, w := range g.waiters {
 		if index <= commit || owns && w.term == term {
 			continue
 		}
 		delete(g.waiters, index)
-		w.complete(nil, &UnknownOutcomeError{Cause: &replica.NotOwnerError{Owner: g.replica.Owner()}})
+		w.complete(nil, &UnknownOutcomeError{Cause: &replica.NotLeaderError{Leader: g.replica.Leader()}})
 	}
 }
 
@@ -60,7 +60,7 @@
 	for at, w := range g.waiters {
 		if at <= index {
 			delete(g.waiters, at)
-			w.complete(nil, &UnknownOutcomeError{Cause: &replica.NotOwnerError{Owner: g.replica.Owner()}})
+			w.complete(nil, &UnknownOutcomeError{Cause: &replica.NotLeaderError{Leader: g.replica.Leader()}})
 		}
 	}
 }
--- a/internal/barograph/simulation/edge_test.go
+++ b/internal/barograph/simulation/edge_test.go
@@ -189,7 +189,7 @@
 		return string(history), found
 	}
 	m := n.member(protocol.TurnGroup(partition))
-	if s.world.bugs.admitBeforeCommit && m != nil && m.replica.Owns() && a.Previous == "" {
+	if s.world.bugs.admitBeforeCommit && m != nil && m.replica.IsLeader() && a.Previous == "" {
 		answer(admitReply{outcome: protocol.TurnGranted})
 	}
 	s.propose(n, partition, &turns.Command{Admit: a}, func(o protocol.TurnOutcome, leader replica.NodeID) {
--- a/internal/barograph/simulation/follower_test.go
+++ b/internal/barograph/simulation/follower_test.go
@@ -73,7 +73,7 @@
 	if m == nil {
 		return watchReply{age: time.Hour}
 	}
-	r := watchReply{age: n.clock() - m.replica.CurrentAt(n.clock(), m.applied)}
+	r := watchReply{age: n.clock() - m.replica.FreshAsOf(n.clock(), m.applied)}
 	r.vouched = r.age <= coordinator.StaleAfter(maxConfigDelay)
 	if s.world.bugs.vouchWithoutLeader {
 		r.vouched, r.age = true, 0
--- a/internal/barograph/simulation/lister_test.go
+++ b/internal/barograph/simulation/lister_test.go
@@ -183,7 +183,7 @@
 	status := m.replica.Status(d.node.clock())
 	d.epoch = status.Term
 	if d.workload.world.bugs.listWithoutLease {
-		return d.epoch, status.Settled
+		return d.epoch, status.LeaderReady
 	}
 	return d.epoch, m.holdsLease()
 }
@@ -226,7 +226,7 @@
 // epoch that the partition is in.
 func (s *listerWorkload) encode(m *member, p servers.Publication) []byte {
 	if s.world.bugs.epochFromPartition {
-		p.Epoch, p.Sequence = 1, m.replica.Status(m.node.clock()).Last+1
+		p.Epoch, p.Sequence = 1, m.replica.Status(m.node.clock()).LastIndex+1
 	}
 	text, err := p.Encode()
 	if err != nil {
@@ -242,7 +242,7 @@
 		return
 	}
 	for _, id := range d.successors(m.replica.Status(d.node.clock()).Members.Voters) {
-		if m.replica.Handover(d.node.clock(), id) == nil {
+		if m.replica.TransferLeadership(d.node.clock(), id) == nil {
 			d.workload.world.tally.leadershipTransfers++
 			return
 		}
--- a/internal/barograph/simulation/member_test.go
+++ b/internal/barograph/simulation/member_test.go
@@ -49,7 +49,7 @@
 	group                replica.GroupID
 	replica              *replica.Replica
 	stateMachine         stateMachine
-	stored               *replica.Stored // durable
+	stored               *replica.PersistentState // durable
 	applied              uint64
 	appliedTerm          uint64
 	appliedSinceSnapshot int // entries applied since the newest snapshot
@@ -75,7 +75,7 @@
 		m.handleReady(ready)
 	}
 	if m.pendingWrite != nil {
-		for _, message := range m.replica.Beats() {
+		for _, message := range m.replica.TakeImmediate() {
 			m.node.world.network.deliver(m.node.address, message)
 		}
 	}
@@ -85,17 +85,17 @@
 
 // notice counts terms that this node owns.
 func (m *member) countLedTerm() {
-	if m.replica.Owns() && m.lastLedTerm != m.replica.Term() {
+	if m.replica.IsLeader() && m.lastLedTerm != m.replica.Term() {
 		m.lastLedTerm = m.replica.Term()
 		m.node.world.tally.leaderTerms++
 	}
 }
 
 func (m *member) handleReady(ready replica.Ready) {
-	for _, message := range ready.Early {
+	for _, message := range ready.Immediate {
 		m.node.world.network.deliver(m.node.address, message)
 	}
-	if ready.Hard == nil && ready.Snapshot == nil && len(ready.Entries) == 0 {
+	if ready.HardState == nil && ready.Snapshot == nil && len(ready.Entries) == 0 {
 		m.completeReady(ready)
 		return
 	}
@@ -130,8 +130,8 @@
 
 // store makes the writes of a Ready durable.
 func (m *member) persist(ready replica.Ready) {
-	if ready.Hard != nil {
-		m.stored.Hard = *ready.Hard
+	if ready.HardState != nil {
+		m.stored.HardState = *ready.HardState
 	}
 	if ready.Snapshot != nil {
 		m.stored.Snapshot, m.stored.Entries = *ready.Snapshot, nil
@@ -168,7 +168,7 @@
 	switch {
 	case w == nil:
 	case w.term != entry.Term: // another took its place: it will never be in force
-		m.completeWaiter(entry.Index, outcome{kind: notLeader, leader: m.replica.Owner()})
+		m.completeWaiter(entry.Index, outcome{kind: notLeader, leader: m.replica.Leader()})
 	default:
 		m.completeWaiter(entry.Index, outcome{kind: succeeded, result: result})
 	}
@@ -199,7 +199,7 @@
 // planTick sees to a Tick when the replica wants one.
 func (m *member) scheduleTick() {
 	w := m.node.world
-	due := max(m.node.simulationTime(m.replica.Next()), w.Now)
+	due := max(m.node.simulationTime(m.replica.NextTick()), w.Now)
 	if m.nextTick != 0 && m.nextTick <= due {
 		return
 	}
@@ -208,7 +208,7 @@
 		if m.nextTick == due {
 			m.nextTick = 0
 			m.replica.Tick(m.node.clock())
-			m.leasedAtTick = m.replica.Leased(m.node.clock())
+			m.leasedAtTick = m.replica.HasLease(m.node.clock())
 		}
 	})
 }
@@ -219,7 +219,7 @@
 	if len(m.waiters) == 0 {
 		return
 	}
-	owns, term, commit := m.replica.Owns(), m.replica.Term(), m.replica.Commit()
+	owns, term, commit := m.replica.IsLeader(), m.replica.Term(), m.replica.CommitIndex()
 	for _, index := range sortedKeys(m.waiters) {
 		if index > commit && !(owns && m.waiters[index].term == term) {
 			m.completeWaiter(index, outcome{kind: outcomeUnknown})
@@ -230,10 +230,10 @@
 // propose has the group carry out a command. done runs once, unless the process ends before.
 func (m *member) propose(command []byte, within time.Duration, done func(outcome)) {
 	index, term, err := m.replica.Propose(m.node.clock(), command)
-	var other *replica.NotOwnerError
+	var other *replica.NotLeaderError
 	switch {
 	case errors.As(err, &other):
-		done(outcome{kind: notLeader, leader: other.Owner})
+		done(outcome{kind: notLeader, leader: other.Leader})
 		return
 	case err != nil:
 		done(outcome{kind: unavailable})
@@ -258,22 +258,22 @@
 		done(false)
 		return
 	}
-	m.pendingReads = append(m.pendingReads, &pendingRead{term: m.replica.Term(), commit: m.replica.Commit(), look: look, done: done})
+	m.pendingReads = append(m.pendingReads, &pendingRead{term: m.replica.Term(), commit: m.replica.CommitIndex(), look: look, done: done})
 	m.answerReads()
 }
 
 func (m *member) holdsLease() bool {
 	if m.node.world.bugs.staleLease {
-		return m.replica.Owns() && m.leasedAtTick
+		return m.replica.IsLeader() && m.leasedAtTick
 	}
-	return m.replica.Leased(m.node.clock())
+	return m.replica.HasLease(m.node.clock())
 }
 
 func (m *member) answerReads() {
 	reads := m.pendingReads
 	m.pendingReads = nil
 	for _, r := range reads {
-		if !m.replica.Owns() || m.replica.Term() != r.term {
+		if !m.replica.IsLeader() || m.replica.Term() != r.term {
 			r.done(false)
 			continue
 		}
--- a/internal/barograph/simulation/network_test.go
+++ b/internal/barograph/simulation/network_test.go
@@ -37,7 +37,7 @@
 	}
 	delay := n.world.Between(200*time.Microsecond, n.world.maxDelay)
 	if n.slowRate > 0 && n.world.Chance(n.slowRate) {
-		delay += n.world.Between(0, 3*n.world.timing().Election)
+		delay += n.world.Between(0, 3*n.world.timing().ElectionTimeout)
 	}
 	n.world.After(delay, func() {
 		if !n.cutLinks[link{from, to}] {
--- a/internal/barograph/simulation/submit_test.go
+++ b/internal/barograph/simulation/submit_test.go
@@ -63,7 +63,7 @@
 		}
 		m.read(func(stateMachine) {}, func(ok bool) {
 			if !ok {
-				answer(outcome{kind: notLeader, leader: m.replica.Owner()})
+				answer(outcome{kind: notLeader, leader: m.replica.Leader()})
 				return
 			}
 			answer(outcome{kind: succeeded, index: m.applied})
@@ -88,7 +88,7 @@
 // owner is the group's owner as far as this node knows, 0: not at all.
 func (s *submission) knownLeader() replica.NodeID {
 	if m := s.node.member(s.group); m != nil {
-		return m.replica.Owner()
+		return m.replica.Leader()
 	}
 	return 0
 }
--- a/internal/barograph/simulation/turn_attempt_test.go
+++ b/internal/barograph/simulation/turn_attempt_test.go
@@ -140,7 +140,7 @@
 	}
 	callPartitionLeader(e, alive, t.program, s.world.Now+within, func(n *simulatedNode, partition int, answer func(reply)) {
 		m := n.member(protocol.TurnGroup(partition))
-		if s.world.bugs.endBeforeCommit && m != nil && m.replica.Owns() {
+		if s.world.bugs.endBeforeCommit && m != nil && m.replica.IsLeader() {
 			answer(reply{outcome: protocol.TurnGranted})
 		}
 		s.propose(n, partition, &turns.Command{End: ending}, func(o protocol.TurnOutcome, leader replica.NodeID) {
@@ -224,11 +224,11 @@
 	}
 	for _, n := range s.world.running() {
 		for _, m := range n.members {
-			if !m.replica.Leased(n.clock()) || !strings.HasSuffix(string(m.group), fmt.Sprint(s.partitionOf(completed.program))) {
+			if !m.replica.HasLease(n.clock()) || !strings.HasSuffix(string(m.group), fmt.Sprint(s.partitionOf(completed.program))) {
 				continue
 			}
 			history, found := m.stateMachine.(*turns.Machine).History(completed.id)
-			if m.applied == m.replica.Commit() && (!found || string(history) != completed.text) {
+			if m.applied == m.replica.CommitIndex() && (!found || string(history) != completed.text) {
 				s.world.Fail("turn %s of %s is kept as %q (%v) and was %q", completed.id, completed.program.name, history, found, completed.text)
 			}
 		}
--- a/internal/barograph/simulation/turns_test.go
+++ b/internal/barograph/simulation/turns_test.go
@@ -142,7 +142,7 @@
 	d := s.directory(n)
 	for _, m := range n.members {
 		status := m.replica.Status(n.clock())
-		if !status.Settled {
+		if !status.LeaderReady {
 			continue
 		}
 		s.forget(m)
@@ -167,8 +167,8 @@
 		return
 	}
 	partition, _ := protocol.TurnPartitionOf(m.group)
-	moved := &revisions.Moved{Partition: partition, Change: status.Commit, Ahead: true, Voters: next.Voters}
-	if watchReply := d.Partitions[partition]; watchReply.Change == status.Commit {
+	moved := &revisions.Moved{Partition: partition, Change: status.CommitIndex, Ahead: true, Voters: next.Voters}
+	if watchReply := d.Partitions[partition]; watchReply.Change == status.CommitIndex {
 		moved.Step = watchReply.Step + 1
 	}
 	m.announcingUntil = s.world.Now + submitTimeout
@@ -180,7 +180,7 @@
 		m.node.execute(func() {
 			m.announcingUntil = 0
 			now := m.replica.Status(m.node.clock())
-			if result == revisions.Taken && now.Term == status.Term && now.Changed == status.Changed {
+			if result == revisions.Taken && now.Term == status.Term && now.MembersIndex == status.MembersIndex {
 				m.changeMembers(next)
 			}
 		})
@@ -193,21 +193,21 @@
 	}
 	for _, id := range status.Members.Voters {
 		n := s.world.nodeByID(id)
-		if id == m.node.id || n == nil || status.Matched[id] < status.Commit {
+		if id == m.node.id || n == nil || status.MatchIndex[id] < status.CommitIndex {
 			continue
 		}
-		return m.replica.Handover(m.node.clock(), id) == nil
+		return m.replica.TransferLeadership(m.node.clock(), id) == nil
 	}
 	return false
 }
 
 func (s *turnsWorkload) reportMembers(m *member, status replica.Status, d protocol.Directory) {
 	partition, _ := protocol.TurnPartitionOf(m.group)
-	if status.Pending || slices.Equal(d.Partitions[partition].Voters, status.Members.Voters) {
+	if status.ChangePending || slices.Equal(d.Partitions[partition].Voters, status.Members.Voters) {
 		return
 	}
-	moved := &revisions.Moved{Partition: partition, Change: status.Commit, Voters: status.Members.Voters}
-	if watchReply := d.Partitions[partition]; watchReply.Change == status.Commit {
+	moved := &revisions.Moved{Partition: partition, Change: status.CommitIndex, Voters: status.Members.Voters}
+	if watchReply := d.Partitions[partition]; watchReply.Change == status.CommitIndex {
 		moved.Step = watchReply.Step + 1
 	}
 	s.registry.submit(&revisions.Command{Moved: moved}, ignoreResult)
@@ -222,7 +222,7 @@
 	for _, n := range s.world.running() {
 		for _, m := range n.members {
 			status := m.replica.Status(n.clock())
-			if status.Pending || !m.replica.Leased(n.clock()) {
+			if status.ChangePending || !m.replica.HasLease(n.clock()) {
 				continue
 			}
 			for _, id := range status.Members.Voters {
--- a/internal/barograph/simulation/world_test.go
+++ b/internal/barograph/simulation/world_test.go
@@ -196,7 +196,7 @@
 // addNode adds a machine with an empty disk; start begins its process.
 func (w *world) addNode() *simulatedNode {
 	w.lastID++
-	n := &simulatedNode{world: w, address: endpoint(len(w.nodes)), id: w.lastID, disk: map[replica.GroupID]*replica.Stored{}}
+	n := &simulatedNode{world: w, address: endpoint(len(w.nodes)), id: w.lastID, disk: map[replica.GroupID]*replica.PersistentState{}}
 	w.nodes = append(w.nodes, n)
 	return n
 }
--- a/internal/barograph/store/load.go
+++ b/internal/barograph/store/load.go
@@ -26,7 +26,7 @@
 }
 
 // Load implements Store.
-func (s *SQLite) Load() (map[replica.GroupID]replica.Stored, error) {
+func (s *SQLite) Load() (map[replica.GroupID]replica.PersistentState, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -36,8 +36,8 @@
 }
 
 // load reads all groups, and notes those that aren't noted.
-func (s *SQLite) load() (map[replica.GroupID]replica.Stored, error) {
-	byID := map[int64]*replica.Stored{}
+func (s *SQLite) load() (map[replica.GroupID]replica.PersistentState, error) {
+	byID := map[int64]*replica.PersistentState{}
 	names := map[int64]replica.GroupID{}
 	if err := s.query(sqlReadGroups, s.readGroup(byID, names)); err != nil {
 		return nil, errors.Wrap(err, "read the groups")
@@ -48,19 +48,19 @@
 	if err := s.query(sqlReadEntries, s.readEntry(byID)); err != nil {
 		return nil, errors.Wrap(err, "read the entries")
 	}
-	stored := make(map[replica.GroupID]replica.Stored, len(byID))
+	stored := make(map[replica.GroupID]replica.PersistentState, len(byID))
 	for id, loaded := range byID {
 		stored[names[id]] = *loaded
 	}
 	return stored, nil
 }
 
-func (s *SQLite) readGroup(byID map[int64]*replica.Stored, names map[int64]replica.GroupID) func([]driver.Value) error {
+func (s *SQLite) readGroup(byID map[int64]*replica.PersistentState, names map[int64]replica.GroupID) func([]driver.Value) error {
 	return func(row []driver.Value) error {
 		id, name := row[0].(int64), replica.GroupID(textOf(row[1]))
 		names[id] = name
 		hard := replica.HardState{Term: uint64(row[2].(int64)), Vote: replica.NodeID(row[3].(int64))}
-		byID[id] = &replica.Stored{Hard: hard}
+		byID[id] = &replica.PersistentState{HardState: hard}
 		if _, ok := s.groups[name]; !ok {
 			s.groups[name] = &group{id: id}
 		}
@@ -69,7 +69,7 @@
 	}
 }
 
-func readSnapshot(byID map[int64]*replica.Stored) func([]driver.Value) error {
+func readSnapshot(byID map[int64]*replica.PersistentState) func([]driver.Value) error {
 	return func(row []driver.Value) error {
 		loaded, ok := byID[row[0].(int64)]
 		if !ok {
@@ -82,7 +82,7 @@
 	}
 }
 
-func (s *SQLite) readEntry(byID map[int64]*replica.Stored) func([]driver.Value) error {
+func (s *SQLite) readEntry(byID map[int64]*replica.PersistentState) func([]driver.Value) error {
 	return func(row []driver.Value) error {
 		s.nextSeq = max(s.nextSeq, row[0].(int64)+1)
 		loaded, ok := byID[row[1].(int64)]
@@ -121,7 +121,7 @@
 }
 
 // logEndOf tells how far a stored log reaches.
-func logEndOf(stored replica.Stored) logEnd {
+func logEndOf(stored replica.PersistentState) logEnd {
 	end := logEnd{last: stored.Snapshot.Index}
 	if n := len(stored.Entries); n > 0 {
 		end.last = max(end.last, stored.Entries[n-1].Index)
--- a/internal/barograph/store/memory.go
+++ b/internal/barograph/store/memory.go
@@ -33,14 +33,14 @@
 type diskContent struct {
 	identity    replica.NodeID
 	identitySet bool
-	groups      map[replica.GroupID]replica.Stored
+	groups      map[replica.GroupID]replica.PersistentState
 }
 
 var _ Store = (*Memory)(nil)
 
 // NewMemory makes an empty store.
 func NewMemory() *Memory {
-	return &Memory{disk: &diskContent{groups: map[replica.GroupID]replica.Stored{}}}
+	return &Memory{disk: &diskContent{groups: map[replica.GroupID]replica.PersistentState{}}}
 }
 
 // Reopen gives a store on what this one has kept, as a restart of the process does,
@@ -120,7 +120,7 @@
 }
 
 // Load implements Store.
-func (m *Memory) Load() (map[replica.GroupID]replica.Stored, error) {
+func (m *Memory) Load() (map[replica.GroupID]replica.PersistentState, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.failure == ErrClosed {
@@ -244,7 +244,7 @@
 func (c *diskContent) write(w *Write) {
 	stored := c.groups[w.Group]
 	if w.Hard != nil {
-		stored.Hard = *w.Hard
+		stored.HardState = *w.Hard
 	}
 	if w.Snapshot != nil {
 		stored.Snapshot = *w.Snapshot
