--- a/logic/attempt.go
+++ b/logic/attempt.go
@@ -2,167 +2,165 @@
 
 import "time"
 
-func (b *Balancer) send(r *request, s *server, within time.Duration) {
-	s.inflight += r.work
-	if b.outlier(s) {
-		s.until = b.now + outlierPause(s.bad) // one trial at a time
+func (b *Balancer) send(r *request, s *server, timeout time.Duration) {
+	s.inflight += r.load
+	if b.isOutlier(s) {
+		s.ejectedUntil = b.now + ejectionPause(s.failures) // one probe at a time
 	}
 	if b.warmth(s) < 1 {
-		s.tokens -= r.cost
-	}
-	t := attempt{s: s, zone: s.Zone, cell: s.Cell, queue: b.queue(s), sent: b.now, open: true, mayRun: true}
-	r.tries = append(r.tries, t)
-	s.report, s.sent = s.report+1, b.now
-	b.room = max(b.room-1, -2*roomMost)
-	r.open++
-	b.do(Send{ID: r.id, Server: s.ID, Timeout: within})
+		s.coldTokens -= r.cost
+	}
+	r.attempts = append(r.attempts, attempt{
+		server: s, zone: s.Zone, cell: s.Cell, queue: b.logQueue(s), sentAt: b.now, open: true, mayRun: true,
+	})
+	s.reportedLoad, s.lastSent = s.reportedLoad+1, b.now
+	b.sendTokens = max(b.sendTokens-1, -2*maxSendTokens)
+	r.inflight++
+	b.emit(Send{ID: r.id, Server: s.ID, Timeout: timeout})
 }
 
-func (b *Balancer) outcome(o Outcome) {
-	r := b.reqs[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.tries) || !r.tries[o.Attempt].open {
+func (b *Balancer) handleOutcome(o Outcome) {
+	r := b.requests[o.ID]
+	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].open {
 		return
 	}
-	t := &r.tries[o.Attempt]
-	cut := o.Result == TimedOut || o.Result == Canceled
+	t := &r.attempts[o.Attempt]
+	abandoned := o.Result == TimedOut || o.Result == Canceled
 	t.open, t.mayRun = false, !o.Result.NeverRan()
-	r.idle = o.Result == ConnectFailed || o.Result >= Canceled || t.begun && cut
-	t.s.inflight -= r.work
-	r.open--
-	if cut && !t.begun {
-		// A cut may not stop the work: the longer an attempt took, the longer it may still take.
-		t.s.ghosts = append(t.s.ghosts, b.now+o.Latency)
-	}
-	b.reported(t.s, o.Report)
-	if !t.begun {
-		b.learn(r, t, o)
+	r.loadUnknown = o.Result == ConnectFailed || o.Result >= Canceled || t.started && abandoned
+	t.server.inflight -= r.load
+	r.inflight--
+	if abandoned && !t.started {
+		// The server may go on with the work: the longer an attempt took, the longer it may still take.
+		t.server.abandoned = append(t.server.abandoned, b.now+o.Latency)
+	}
+	b.handleReport(t.server, o.Report)
+	if !t.started {
+		b.learnOutcome(r, t, o)
 	} else if !r.closed && (o.Result == Failed || o.Result == Reset) {
-		b.blame(t.s, t)
+		b.recordFailure(t.server, t)
 	}
-	if b.cfg.ConnectCharge == 0 && t.s.inflight == 0 {
-		// Many nodes' idle connections fill a server's table, which slows it. A new one has no price here.
-		b.do(CloseIdle{Server: t.s.ID})
+	if b.cfg.ConnectCharge == 0 && t.server.inflight == 0 {
+		// Idle connections of many nodes fill a server's table and slow it; a new one costs nothing here.
+		b.emit(CloseIdle{Server: t.server.ID})
 	}
 	switch {
 	case r.closed:
 		b.forget(r)
-	case o.Final || t.begun:
-		b.close(r, o.Result == OK)
-	case !r.streaming && r.open == 0 && !b.retry(r):
-		b.finish(r)
+	case o.Final || t.started:
+		b.closeRequest(r, o.Result == OK)
+	case !r.streaming && r.inflight == 0 && !b.retry(r):
+		b.answerUnserved(r)
 	}
 }
 
-// retry sends a request to its alternative, or the next best; false where it may not.
+// retry sends a request to its alternative or the next best server, and reports whether it did.
 func (b *Balancer) retry(r *request) bool {
-	left := r.end - b.now
-	last := &r.tries[len(r.tries)-1]
-	if left < minWithin || last.mayRun && (!b.mayRetry(r) || b.budget < 1) {
+	left := r.deadline - b.now
+	last := &r.attempts[len(r.attempts)-1]
+	if left < minTimeout || last.mayRun && (!b.mayRetry(r) || b.retryTokens < 1) {
 		return false
 	}
-	alt := r.alt
-	if alt == nil || alt.aside(b.now) || !b.maySend(r, alt) {
-		alt = b.alternative(r, last.s)
+	alt := r.alternative
+	if alt == nil || alt.ejected(b.now) || !b.maySend(r, alt) {
+		alt = b.alternative(r, last.server)
 	}
-	if alt == nil || b.gain(r, alt, 0) < realChance {
+	if alt == nil || b.worthShare(r, alt, 0) < admitChance {
 		return false
 	}
-	if s := b.preferred(r, max(b.gain(r, alt, 0)-clearBeat, realChance)); s != nil && !last.mayRun {
+	if s := b.preferred(r, max(b.worthShare(r, alt, 0)-clearMargin, admitChance)); s != nil && !last.mayRun {
 		alt = s
 	}
 	if last.mayRun {
 		r.retried = true
-		b.budget--
+		b.retryTokens--
 	}
 	b.send(r, alt, left)
 	return true
 }
 
-// stream learns from an answer that has begun. It has no deadline any more; its end tells only of a break.
-func (b *Balancer) stream(e Started) {
-	r := b.reqs[e.ID]
-	if r == nil || r.closed || r.streaming || e.Attempt < 0 || e.Attempt >= len(r.tries) ||
-		!r.tries[e.Attempt].open {
+// handleStarted learns from the start of a stream. After that no deadline applies and only failures count.
+func (b *Balancer) handleStarted(e Started) {
+	r := b.requests[e.ID]
+	if r == nil || r.closed || r.streaming || e.Attempt < 0 || e.Attempt >= len(r.attempts) ||
+		!r.attempts[e.Attempt].open {
 		return
 	}
-	t := &r.tries[e.Attempt]
-	b.callOff(r, e.Attempt)
-	r.streaming, r.began, r.idle, t.begun = true, b.now, true, true
-	b.learn(r, t, Outcome{Result: OK, Latency: e.Latency})
+	t := &r.attempts[e.Attempt]
+	b.cancelOthers(r, e.Attempt)
+	r.streaming, r.startedAt, r.loadUnknown, t.started = true, b.now, true, true
+	b.learnOutcome(r, t, Outcome{Result: OK, Latency: e.Latency})
 }
 
-// finish gives the final answer of a request that was not served.
-func (b *Balancer) finish(r *request) {
-	// Too late to be worth anything: a refusal would only ask the client for more of it.
-	late := r.aim-b.now < minWithin && r.class.LateWorth == 0 && r.class.Effect != Safe
-	if late || !b.mayRefuse(r) {
-		b.do(Fail{ID: r.id})
+func (b *Balancer) answerUnserved(r *request) {
+	// Too late to be worth anything: a rejection would only invite more late tries.
+	late := r.aim-b.now < minTimeout && r.class.LateWorth == 0 && r.class.Effect != Safe
+	if late || !b.mayReject(r) {
+		b.emit(Fail{ID: r.id})
 	} else {
-		b.do(Reject{ID: r.id, RetryAfter: b.cfg.MaxRetryAfter})
+		b.emit(Reject{ID: r.id, RetryAfter: b.cfg.MaxRetryAfter})
 	}
-	b.close(r, false)
+	b.closeRequest(r, false)
 }
 
-// close ends a request and calls off what is still out for it.
-func (b *Balancer) close(r *request, served bool) {
+func (b *Balancer) closeRequest(r *request, served bool) {
 	at := b.now // of the answer
 	if r.closed, r.closedAt = true, b.now; r.streaming {
-		at = r.began
+		at = r.startedAt
 	}
-	if served && !r.brief {
-		r.class.lost = max(r.class.lost-missStep, 0)
+	if served && !r.lateTry {
+		r.class.unservedShare = max(r.class.unservedShare-missedStep, 0)
 	}
-	if !served && r.idle && at < r.aim-b.cfg.Tick { // its client left, or no connection came up: no jam
-		b.room += float64(r.open)
-	} else if len(r.tries) > 0 {
+	if !served && r.loadUnknown && at < r.aim-b.cfg.Tick { // client left or no connection: no overload
+		b.sendTokens += float64(r.inflight)
+	} else if len(r.attempts) > 0 {
 		miss := 1.0
 		if served && at <= r.aim {
 			miss = 0
-			b.room += roomGain / b.usual
-			b.budget = min(b.budget+retryShare, retryBurst)
+			b.sendTokens += sendTokenGain / b.onTimeShare
+			b.retryTokens = min(b.retryTokens+retryTokenGain, maxRetryTokens)
 		}
-		step := borneStep
+		step := toleranceGain
 		if !served || r.aim-at < r.class.Aim/2 {
-			step = -borneFall // it waited: let in more, and what is left is crowded
+			step = -toleranceLoss // it queued: admitting more would crowd the rest
 		}
-		b.borne = max(b.borne+(1-b.left)*step, 0)
-		b.usual += (1 - miss - b.usual) * usualStep
-		b.missed += (miss - b.missed) * missStep * min(r.worth/b.worth, 1/missStep)
+		b.toleratedLoss = max(b.toleratedLoss+(1-b.capacityLeft)*step, 0)
+		b.onTimeShare += (1 - miss - b.onTimeShare) * onTimeStep
+		b.missedShare += (miss - b.missedShare) * missedStep * min(r.worth/b.meanWorth, 1/missedStep)
 	}
-	b.callOff(r, -1)
-	if r.open > 0 {
-		b.linger = append(b.linger, r)
+	b.cancelOthers(r, -1)
+	if r.inflight > 0 {
+		b.lingering = append(b.lingering, r)
 	}
 	b.forget(r)
 }
 
-// callOff ends the attempts that are out, but for one. A stream that has begun is the client's.
-func (b *Balancer) callOff(r *request, but int) {
-	for i, t := range r.tries {
-		if t.open && i != but && b.cfg.CanCancel && !r.streaming {
-			b.do(Cancel{ID: r.id, Attempt: i})
+// cancelOthers cancels the open attempts except one. A stream that has started belongs to the client.
+func (b *Balancer) cancelOthers(r *request, except int) {
+	for i, t := range r.attempts {
+		if t.open && i != except && b.cfg.CanCancel && !r.streaming {
+			b.emit(Cancel{ID: r.id, Attempt: i})
 		}
 	}
 }
 
-// forget drops an ended request whose outcomes are all in.
 func (b *Balancer) forget(r *request) {
 	delete(b.bySeq, r.seq)
-	if r.open == 0 {
-		delete(b.reqs, r.id)
+	if r.inflight == 0 {
+		delete(b.requests, r.id)
 	}
 }
 
-// purge drops ended requests whose outcomes never came.
-func (b *Balancer) purge() {
-	for len(b.linger) > 0 && (b.linger[0].open == 0 || b.now-b.linger[0].closedAt > lingerFor) {
-		r := b.linger[0]
-		b.linger[0], b.linger = nil, b.linger[1:]
-		for _, t := range r.tries {
+// purgeLingering drops closed requests whose outcomes never came.
+func (b *Balancer) purgeLingering() {
+	for len(b.lingering) > 0 && (b.lingering[0].inflight == 0 || b.now-b.lingering[0].closedAt > outcomeTTL) {
+		r := b.lingering[0]
+		b.lingering[0], b.lingering = nil, b.lingering[1:]
+		for _, t := range r.attempts {
 			if t.open {
-				t.s.inflight -= r.work
+				t.server.inflight -= r.load
 			}
 		}
-		delete(b.reqs, r.id)
+		delete(b.requests, r.id)
 	}
 }
--- a/logic/balancer.go
+++ b/logic/balancer.go
@@ -8,91 +8,91 @@
 
 // Balancer makes the decisions of one node. It is not safe for concurrent use.
 type Balancer struct {
-	cfg                   Settings
-	rng                   *rand.Rand
-	started               bool
-	now, birth            time.Duration // and its first event's
-	seq, stamp            uint64
-	out                   []Action
-	classes               map[string]*class
-	tenants               map[string]*quota
-	servers               map[ServerID]*server
-	kinds                 map[string]*curve
-	ready                 []*server // servers that take requests, in the order they were listed
-	ring                  []*server // the same in the order of their hashes, alike at all nodes
-	near                  []*server // the part of the ring that this node sends to
-	nearSum, warmSum      float64   // the capacity of those near, and of the warm ones among them
-	top                   float64   // largest capacity among the ready ones
-	reqs                  map[RequestID]*request
-	bySeq                 map[uint64]*request
-	linger                []*request // ended, with outcomes still to come, oldest first
-	cand                  []*server  // scratch
-	usual                 float64    // part of the requests let in that is served in time, in the long run
-	room                  float64    // sends that may be made
-	budget                float64    // retries that may be sent
-	served, span          rate       // answers of near and warm servers, seconds of capacity they took,
-	peak                  float64    // and the most per second and capacity that was seen
-	full                  float64    // the most capacity of the ready servers, slowly forgotten
-	left, borne           float64    // the part of that which is left, and the part whose loss did no harm
-	strain                float64    // logarithm of the latency of all servers against the hinted work lately
-	asked                 rate       // what was asked, by work
-	missed                float64    // part of the worth let in lately that was not served in time
-	turned                float64    // part lately refused at once of the requests that are worth most
-	worth                 float64    // mean worth of the requests lately
-	field                 int        // which value of a load report tells of requests held, -1: none
-	held                  float64    // mean of that value lately
-	trust                 trust
-	common                float64       // part of answers that were bad lately at the middle server
-	nearAt, roomAt, drawn time.Duration // when near was drawn, room brought up to date, common counted
-	ask                   asking
+	cfg               Settings
+	rng               *rand.Rand
+	started           bool
+	now, firstEventAt time.Duration
+	seq, scanID       uint64 // of the newest request and of the newest scan for candidates
+	actions           []Action
+	classes           map[string]*class
+	tenants           map[string]*quota
+	servers           map[ServerID]*server
+	kinds             map[string]*latencyCurve
+	requests          map[RequestID]*request
+	bySeq             map[uint64]*request
+	lingering         []*request // closed with outcomes missing, oldest first
+
+	ready   []*server // servers that take requests, in the order they were listed
+	ring    []*server // the same in the order of their hashes, equal on all nodes
+	subset  []*server // the part of the ring that this node sends to
+	scratch []*server // candidates of the present decision
+
+	subsetCapacity, warmCapacity float64 // of the subset and of its warm servers
+	maxCapacity                  float64 // largest capacity of a ready server
+	onTimeShare                  float64 // long-run share of the admitted requests answered in time
+	sendTokens, retryTokens      float64 // sends and retries allowed now
+	servedWork, capacityTime     rate    // work done by warm servers of the subset; seconds of capacity
+	peakRate, fullCapacity       float64 // decaying maxima of rate per capacity, and of ready capacity
+	capacityLeft, toleratedLoss  float64 // share of full capacity that is left; share whose loss did no harm
+	fleetSlowdown                float64 // EWMA of the logarithm of all servers' latency over hinted work
+	demand                       rate    // work requested
+	missedShare                  float64 // EWMA of the share of the admitted worth not answered in time
+	rejectedShare                float64 // EWMA of the share of the most valuable requests rejected at once
+	meanWorth                    float64 // EWMA of the worth of requests
+	reportField                  int     // index of the load report's requests in flight, -1: none
+	meanReport                   float64 // EWMA of that value
+	typicalFailures              float64 // failure share of the median server
+	reports                      reportModel
+	discovery                    discoveryState
+
+	subsetAt, sendTokensAt, typicalAt time.Duration // of the newest subset, sendTokens, typicalFailures
 }
 
-// class is a class of requests as told at one time, and what was learned of those of its name.
+// class is a class of requests as configured, with the statistics kept under its name.
 type class struct {
 	Class
-	r, v, c2 float64
-	*habits
+	reward, penalty, retryCost float64 // R, V and c2 of the paper
+	*classStats
 }
 
-type habits struct {
-	scale float64       // median latency in seconds, for a request of usual size
-	seen  float64       // answers behind scale
-	hint  float64       // mean work hint in seconds
-	usual time.Duration // what clients mostly wait for a try
-	votes int           // how many more tries said so than not
-	brief float64       // part of its tries that are brief
-	lost  float64       // and part that are not, and were not served: a late try follows one of those
+type classStats struct {
+	median        float64       // latency in seconds of a request of mean work
+	samples       float64       // answers behind the median
+	meanHint      float64       // mean work hint in seconds
+	usualTimeout  time.Duration // what clients mostly wait for a try
+	usualVotes    int           // how many more tries had it than not
+	lateTryShare  float64       // share of tries that seem to follow others whose aim is over
+	unservedShare float64       // share of first tries that were not served: only those bring late tries
 }
 
 // server is a listed server and what this node knows of it.
 type server struct {
 	Server
-	listed        bool
-	inflight      int
-	used, sent    time.Duration   // when it last answered, leaving an idle connection, and was sent to
-	ghosts        []time.Duration // until when cut attempts count as work it still has
-	stats         curve
-	bad           int           // bad answers in a row
-	badPart       float64       // part of its answers that were bad lately
-	judged, until time.Duration // when it was last set aside, and till when
-	report        float64       // requests held by the last load report, and this node's sends since
-	reported      time.Duration // when that came
-	tokens        float64       // cold budget left
-	filled        time.Duration // when tokens was brought up to date
-	mark, place   uint64        // seen by the present search; on the ring
-	// Where requests tell their work, what this node may have out to it (0: none learned): less while
-	// it takes twice that or more, as with two requests a core, which soon slows it further; else more.
-	limit, slow float64 // and the logarithm of its latency against that work lately
-	base        float64 // the least that an answer took, most of it the way
+	listed                  bool
+	inflight                int
+	lastAnswer, lastSent    time.Duration   // the last answer left an idle connection
+	abandoned               []time.Duration // until when attempts that timed out may run and count as load
+	latencies               latencyCurve
+	failures                int     // consecutive
+	failureShare            float64 // EWMA
+	ejectedAt, ejectedUntil time.Duration
+	reportedLoad            float64       // in flight by the last load report, plus this node's sends since
+	coldTokens              float64       // sends allowed while it is cold
+	reportedAt, refilledAt  time.Duration // of reportedLoad (0: no report) and of coldTokens
+	lastScan, hash          uint64        // the last scan for candidates that saw it; place on the ring
+	// Where requests hint their work, limit bounds what this node has out to it (0: none yet). It shrinks at
+	// twice that latency or more, as with two requests a core, which soon slows it further; else it grows.
+	limit, slowdown float64 // slowdown: EWMA of the logarithm of its latency over the hinted work
+	minLatency      float64 // in seconds, mostly network time
 }
 
 type attempt struct {
-	s                   *server
-	zone                string
-	cell                int
-	queue               float64 // logarithm of the reported queue against the mean one
-	sent                time.Duration
-	open, mayRun, begun bool // begun: its answer streams
+	server                *server
+	zone                  string
+	cell                  int
+	queue                 float64 // logarithm of the server's reported queue over the mean one
+	sentAt                time.Duration
+	open, mayRun, started bool // its outcome is missing, it may have run, its answer streams
 }
 
 // request is a client's request that is owed an answer or an outcome.
@@ -100,18 +100,18 @@
 	id                         RequestID
 	seq                        uint64
 	class                      *class
-	end, aim                   time.Duration // when the final answer is due, and one of full worth
-	unit                       float64       // seconds that this request is expected to take, usually
-	cost                       float64       // its work against a usual one's
-	worth                      float64       // what it earns, within its tenant's share or beyond
-	tries                      []attempt
-	open, most, work           int // attempts out, allowed (0: any); load of each, none while it comes
-	alt                        *server
-	told                       Request
+	aim, deadline              time.Duration // when an answer of full worth, and the final one, is due
+	usualTime, cost            float64       // usual seconds for it; its work relative to the mean
+	worth                      float64       // what it earns; less beyond its tenant's quota
+	attempts                   []attempt
+	inflight, maxAttempts      int // attempts out and allowed, 0: any number
+	load                       int // of each attempt, 0 until the body is complete
+	alternative                *server
+	source                     Request
 	retried, closed, streaming bool
-	brief                      bool // its client waits so briefly that, were it late, its aim is over
-	idle                       bool // the end of its last attempt, or that there was none, tells of no load
-	closedAt, began            time.Duration
+	lateTry                    bool          // by its client timeout it is a late try, whose aim is over
+	loadUnknown                bool          // no attempt, or its end tells nothing of load
+	startedAt, closedAt        time.Duration // of the stream and the request
 }
 
 // New returns a Balancer for one node. Equal seeds and events give equal actions.
@@ -121,26 +121,26 @@
 	}
 	b := &Balancer{
 		cfg: s, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		servers: map[ServerID]*server{}, kinds: map[string]*curve{},
-		tenants: map[string]*quota{}, reqs: map[RequestID]*request{}, bySeq: map[uint64]*request{},
-		seq: firstRequestToken, budget: retryBurst, room: roomMost, usual: 1, field: -1,
-		trust: trust{cov: 0.5, sq: 1},
+		servers: map[ServerID]*server{}, kinds: map[string]*latencyCurve{},
+		tenants: map[string]*quota{}, requests: map[RequestID]*request{}, bySeq: map[uint64]*request{},
+		seq: firstRequestToken, retryTokens: maxRetryTokens, sendTokens: maxSendTokens, onTimeShare: 1,
+		reportField: -1, reports: reportModel{covariance: 0.5, meanSquare: 1},
 	}
 	for _, t := range s.Tenants {
 		part := quotaSlack * t.QuotaPerSec / float64(max(s.Nodes, 1))
-		most := max(part*quotaSaved.Seconds(), quotaLeast)
-		b.tenants[t.Name] = &quota{perSecond: part, left: most, most: most}
+		most := max(part*quotaBurst.Seconds(), minQuota)
+		b.tenants[t.Name] = &quota{perSecond: part, tokens: most, maxTokens: most}
 	}
 	for i, f := range s.ReportFields {
-		if f == ReportInFlight || f == "pending" && b.field < 0 {
-			b.field = i
+		if f == ReportInFlight || f == "pending" && b.reportField < 0 {
+			b.reportField = i
 		}
 	}
 	return b, b.SetClasses(s.Classes)
 }
 
-// SetClasses replaces the classes. One of a known name keeps what was learned of it; requests under way keep
-// theirs. Where New would return an error it returns that and changes nothing.
+// SetClasses replaces the classes. A class of a known name keeps its statistics, requests in flight keep
+// their class. Where New would return an error, SetClasses returns it and changes nothing.
 func (b *Balancer) SetClasses(classes []Class) error {
 	if err := checkClasses(classes); err != nil {
 		return err
@@ -150,162 +150,162 @@
 	for _, c := range classes {
 		b.classes[c.Name] = newClass(c)
 		if old := known[c.Name]; old != nil {
-			b.classes[c.Name].habits = old.habits
+			b.classes[c.Name].classStats = old.classStats
 		}
 	}
 	return nil
 }
 
 func newClass(c Class) *class {
-	n := &class{c, exampleR, exampleV, exampleC2, &habits{scale: cmp.Or(c.Usual, c.Aim/3).Seconds()}}
+	n := &class{c, exampleReward, examplePenalty, exampleRetryCost, &classStats{}}
+	n.median = cmp.Or(c.Usual, c.Aim/3).Seconds()
 	if c.Worth > 0 {
-		n.r, n.v, n.c2 = c.Worth, c.Worth*exampleV/exampleR, c.Worth*retryPrice*exampleC2/exampleR
+		n.reward, n.penalty = c.Worth, c.Worth*examplePenalty/exampleReward
+		n.retryCost = c.Worth * retryCostFactor * exampleRetryCost / exampleReward
 	}
 	return n
 }
 
-// Handle takes an event and returns the actions it calls for, valid until the next call. No time runs back.
+// Handle takes an event and returns its actions, valid until the next call. Time never runs backwards.
 func (b *Balancer) Handle(now time.Duration, ev Event) []Action {
-	b.out = b.out[:0]
+	b.actions = b.actions[:0]
 	if !b.started {
-		b.started, b.now, b.birth = true, now, now
-		b.served.at, b.asked.at = now, now
-		b.firstAsk()
+		b.started, b.now, b.firstEventAt = true, now, now
+		b.servedWork.updatedAt, b.demand.updatedAt = now, now
+		b.scheduleFirstCall()
 	}
 	b.now = max(b.now, now)
-	b.purge()
+	b.purgeLingering()
 	switch e := ev.(type) {
 	case Request:
-		b.request(e)
+		b.handleRequest(e)
 	case Outcome:
-		b.outcome(e)
+		b.handleOutcome(e)
 	case Started:
-		b.stream(e)
+		b.handleStarted(e)
 	case Whole:
-		if r := b.reqs[e.ID]; r != nil && r.work == 0 { // what was no load so far is now
-			r.aim, r.end, r.work = r.aim+e.BodyTime, r.end+e.BodyTime, 1
-			for i := range r.tries {
-				r.tries[i].s.inflight += r.open
+		if r := b.requests[e.ID]; r != nil && r.load == 0 { // from now on its attempts count as load
+			r.aim, r.deadline, r.load = r.aim+e.BodyTime, r.deadline+e.BodyTime, 1
+			for i := range r.attempts {
+				r.attempts[i].server.inflight += r.inflight
 			}
 		}
 	case ClientGone:
-		if r := b.reqs[e.ID]; r != nil && !r.closed {
-			b.close(r, false)
+		if r := b.requests[e.ID]; r != nil && !r.closed {
+			b.closeRequest(r, false)
 		}
 	case Wake:
-		b.wake(e.Token)
+		b.handleWake(e.Token)
 	case Probed:
-		b.reported(b.servers[e.Server], e.Report)
+		b.handleReport(b.servers[e.Server], e.Report)
 	case ServerList:
-		b.list(e)
+		b.handleList(e)
 	}
-	return b.out
+	return b.actions
 }
 
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-func (b *Balancer) wake(token uint64) {
+func (b *Balancer) handleWake(token uint64) {
 	switch r := b.bySeq[token/2]; {
-	case token == tokenAsk:
-		b.askDue()
+	case token == askToken:
+		b.callDiscovery()
 	case r == nil || r.closed || r.streaming:
-	case token%2 == 0: // guards every final answer: whatever outcome is missing, the answer goes out
-		b.finish(r)
-	case r.open == 1 && len(r.tries) == 1 && !r.retried: // overdue: the retry goes out beside it
+	case token%2 == 0: // the final answer goes out, whatever outcome is missing
+		b.answerUnserved(r)
+	case r.inflight == 1 && len(r.attempts) == 1 && !r.retried: // timed out: the retry runs beside the first
 		b.retry(r)
 	}
 }
 
-func (b *Balancer) request(q Request) {
-	if b.reqs[q.ID] != nil {
-		return // known already: its answer is under way
+func (b *Balancer) handleRequest(q Request) {
+	if b.requests[q.ID] != nil {
+		return // a duplicate: the request is in progress
 	}
 	c := b.classes[q.Class]
 	if c == nil {
-		b.do(Reject{ID: q.ID}) // nothing is known of what it may do, and nothing has run
+		b.emit(Reject{ID: q.ID}) // unknown class and effect, but nothing has run
 		return
 	}
 	r := b.admit(q, c)
-	b.asked.add(b.now, r.cost)
-	left := r.end - b.now
-	if left < minWithin {
-		b.finish(r)
+	b.demand.add(b.now, r.cost)
+	left := r.deadline - b.now
+	if left < minTimeout {
+		b.answerUnserved(r)
 		return
 	}
-	b.do(SetTimer{Token: 2 * r.seq, After: left})
-	b.first(r)
+	b.emit(SetTimer{Token: 2 * r.seq, After: left})
+	b.sendFirst(r)
 }
 
 func (b *Balancer) admit(q Request, c *class) *request {
 	b.seq++
-	r := &request{id: q.ID, seq: b.seq, class: c, unit: c.scale, cost: 1, idle: true, told: q}
-	if r.most, r.work = cmp.Or(q.MaxAttempts, c.MaxAttempts, b.cfg.MaxAttempts), 1; q.BodyPending {
-		r.most, r.work = 1, 0
+	r := &request{id: q.ID, seq: b.seq, class: c, usualTime: c.median, cost: 1, loadUnknown: true, source: q}
+	if r.maxAttempts, r.load = cmp.Or(q.MaxAttempts, c.MaxAttempts, b.cfg.MaxAttempts), 1; q.BodyPending {
+		r.maxAttempts, r.load = 1, 0
 	}
-	// An answer still has to travel to the client and is seen a tick late.
+	// The answer still has to travel to the client and is seen up to a tick late.
 	aim := c.Aim + time.Duration(c.AimStretch*float64(q.WorkHint)) - 2*b.cfg.Tick
 	if h := q.WorkHint.Seconds(); h > 0 {
-		c.hint = cmp.Or(c.hint, h)
-		c.hint += (h - c.hint) * scaleStep
-		r.cost = h / c.hint
-		// Half of a usual latency is the request's own work, half is waiting for others'.
-		r.unit = c.scale * (0.5 + 0.5*r.cost)
+		c.meanHint = cmp.Or(c.meanHint, h)
+		c.meanHint += (h - c.meanHint) * medianStep
+		r.cost = h / c.meanHint
+		// About half of the usual latency is the request's own work, half is queueing behind others.
+		r.usualTime = c.median * (0.5 + 0.5*r.cost)
 	}
-	expires := min(q.ClientTimeout, c.Deadline)
-	aim -= c.passed(r, expires, aim)
-	if r.worth = cmp.Or(max(q.Worth, 0), c.r); b.overShare(q.Tenant) {
+	timeout := min(q.ClientTimeout, c.Deadline)
+	aim -= c.elapsed(r, timeout, aim)
+	if r.worth = cmp.Or(max(q.Worth, 0), c.reward); b.overShare(q.Tenant) {
 		r.worth *= b.cfg.OverShareWorth
 	}
-	b.worth = cmp.Or(b.worth, c.r)
-	b.worth += (r.worth - b.worth) * scaleStep
-	r.aim, r.end = b.now+aim, b.now+expires
+	b.meanWorth = cmp.Or(b.meanWorth, c.reward)
+	b.meanWorth += (r.worth - b.meanWorth) * medianStep
+	r.aim, r.deadline = b.now+aim, b.now+timeout
 	if c.LateWorth == 0 {
-		r.end = min(r.end, r.aim)
+		r.deadline = min(r.deadline, r.aim)
 	}
-	b.reqs[r.id], b.bySeq[r.seq] = r, r
+	b.requests[r.id], b.bySeq[r.seq] = r, r
 	return r
 }
 
-// overShare counts a request and tells whether it is beyond this node's part of its tenant's share. It guards
-// tenants that keep to theirs: what is beyond is worth little and is refused first.
+// overShare counts a request and reports whether it exceeds this node's part of its tenant's quota. Such
+// requests are worth little and are rejected first, which protects tenants that keep to their quota.
 func (b *Balancer) overShare(tenant string) bool {
 	t := b.tenants[tenant]
 	if t == nil {
 		return false
 	}
-	t.left, t.at = min(t.left+t.perSecond*(b.now-t.at).Seconds(), t.most), b.now
-	if t.left < 1 {
+	t.tokens, t.updatedAt = min(t.tokens+t.perSecond*(b.now-t.updatedAt).Seconds(), t.maxTokens), b.now
+	if t.tokens < 1 {
 		return true
 	}
-	t.left--
+	t.tokens--
 	return false
 }
 
-// quota is this node's part of a tenant's share.
 type quota struct {
-	perSecond, left, most float64
-	at                    time.Duration
+	perSecond, tokens, maxTokens float64
+	updatedAt                    time.Duration
 }
 
-// passed is the time since the first try of a request, as its client's wait tells: where that is not what
-// clients mostly wait, it is a late try whose time is cut by the deadline; such were served, at the cost of
-// others, when an answer was worth nothing any more. Tries with their aim over are few, though, as each
-// follows others: where many wait so briefly, clients lack patience.
-func (c *class) passed(r *request, expires, aim time.Duration) time.Duration {
-	lack := c.Deadline - expires
-	switch d := expires - c.usual; {
-	case c.votes > 0 && max(d, -d) <= c.Deadline/50:
-		c.votes, lack = min(c.votes+1, votesMost), 0
-	case c.votes > 0:
-		c.votes--
+// elapsed estimates the time since a request's first try. A client timeout that is not the usual one marks
+// a late try cut short by the deadline: its answer may be worth nothing and would delay others. A try whose
+// aim is over follows tries that were not served; if such tries are more, clients just have little patience.
+func (c *class) elapsed(r *request, timeout, aim time.Duration) time.Duration {
+	passed := c.Deadline - timeout
+	switch d := timeout - c.usualTimeout; {
+	case c.usualVotes > 0 && max(d, -d) <= c.Deadline/50:
+		c.usualVotes, passed = min(c.usualVotes+1, maxVotes), 0
+	case c.usualVotes > 0:
+		c.usualVotes--
 	default:
-		c.usual, c.votes, lack = expires, 1, 0
+		c.usualTimeout, c.usualVotes, passed = timeout, 1, 0
 	}
-	c.brief, c.lost = c.brief*(1-missStep), c.lost*(1-missStep)
-	if r.brief = lack >= aim; !r.brief {
-		c.lost += missStep // till it is served
-	} else if c.brief += missStep; c.brief > max(c.lost, briefMost) {
+	c.lateTryShare, c.unservedShare = c.lateTryShare*(1-missedStep), c.unservedShare*(1-missedStep)
+	if r.lateTry = passed >= aim; !r.lateTry {
+		c.unservedShare += missedStep // undone when it is served
+	} else if c.lateTryShare += missedStep; c.lateTryShare > max(c.unservedShare, maxLateTryShare) {
 		return 0
 	}
-	return lack
+	return passed
 }
--- a/logic/capacity_test.go
+++ b/logic/capacity_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// BenchmarkBalancer is one decision, by the number of servers that the node knows, with so
-// many requests in hand: a request, its send and its outcome. "list" is one change among
-// the servers, told as the whole list. docs/CAPACITY.md.
+// BenchmarkBalancer measures one decision, a request with its send and outcome, by the number of servers known
+// and of requests in flight. "list" is one change among the servers, sent as the whole list. See docs/CAPACITY.md.
 func BenchmarkBalancer(b *testing.B) {
 	for _, servers := range []int{10, 100, 1000, 3900} {
 		for _, held := range []int{0, 200} {
@@ -26,7 +25,7 @@
 	return l
 }
 
-func newBalancer(b *testing.B) *Balancer {
+func newBenchmarkBalancer(b *testing.B) *Balancer {
 	settings := testSettings()
 	settings.Nodes = 380
 	balancer, err := New(settings, 1)
@@ -37,7 +36,7 @@
 }
 
 func benchmarkDecide(b *testing.B, servers, held int) {
-	balancer := newBalancer(b)
+	balancer := newBenchmarkBalancer(b)
 	balancer.Handle(0, fullList(servers))
 	open := map[RequestID]Send{}
 	var order []RequestID
@@ -45,7 +44,7 @@
 	for i := 0; b.Loop(); i++ {
 		now := time.Duration(i) * ms
 		id := RequestID(fmt.Sprint(i))
-		for _, s := range of[Send](balancer.Handle(now, Request{ID: id, Class: "safe", ClientTimeout: time.Hour})) {
+		for _, s := range actionsOf[Send](balancer.Handle(now, Request{ID: id, Class: "safe", ClientTimeout: time.Hour})) {
 			open[s.ID] = s
 			order = append(order, s.ID)
 		}
@@ -59,7 +58,7 @@
 }
 
 func benchmarkList(b *testing.B, servers int) {
-	balancer := newBalancer(b)
+	balancer := newBenchmarkBalancer(b)
 	l := fullList(servers)
 	balancer.Handle(0, l)
 	for i := 0; b.Loop(); i++ {
--- a/logic/curve.go
+++ b/logic/curve.go
@@ -5,111 +5,111 @@
 	"time"
 )
 
-// Histograms count latencies in units of what is usual, in bins of a quarter of an octave from 1/8 to 32.
-const binsPerOctave, lowestOctave, bins = 4, 3, 32
+// Histograms count latencies relative to the usual one, in bins of a quarter of an octave from 1/8 to 32.
+const binsPerOctave, octavesBelowOne, bins = 4, 3, 32
 
-// curve is an ageing histogram of latencies and the survival curve drawn from it.
-type curve struct {
-	done        [bins + 1]float64 // answered; the last bin holds what came past any deadline
-	cut         [bins + 1]float64 // censored: cut off in this bin
-	surv        [bins]float64     // chance to take longer than the upper edge of each bin
-	aged, drawn time.Duration
-	valid       bool
+// latencyCurve is a decaying histogram of latencies and its survival curve.
+type latencyCurve struct {
+	answered           [bins + 1]float64 // answers; the last bin holds those past any deadline
+	censored           [bins + 1]float64 // attempts abandoned in this bin
+	survival           [bins]float64     // chance of a latency above the upper edge of each bin
+	agedAt, computedAt time.Duration
+	valid              bool
 }
 
-func position(x float64) float64 { return (math.Log2(x) + lowestOctave) * binsPerOctave }
+func binPosition(x float64) float64 { return (math.Log2(x) + octavesBelowOne) * binsPerOctave }
 
-func (c *curve) add(now, life time.Duration, x float64, censored bool) {
-	c.age(now, life)
-	i, to := int(min(max(position(max(x, 1e-9)), 0), bins)), &c.done
+func (c *latencyCurve) add(now, life time.Duration, x float64, censored bool) {
+	c.decay(now, life)
+	i, to := int(min(max(binPosition(max(x, 1e-9)), 0), bins)), &c.answered
 	if censored {
-		to = &c.cut
+		to = &c.censored
 	}
 	to[i]++
 	c.valid = false
 }
 
-func (c *curve) age(now, life time.Duration) {
-	f := math.Exp2(-float64(max(now-c.aged, 0)) / float64(life))
-	for i := range c.done {
-		c.done[i] *= f
-		c.cut[i] *= f
+func (c *latencyCurve) decay(now, life time.Duration) {
+	f := math.Exp2(-float64(max(now-c.agedAt, 0)) / float64(life))
+	for i := range c.answered {
+		c.answered[i] *= f
+		c.censored[i] *= f
 	}
-	c.aged = max(c.aged, now)
+	c.agedAt = max(c.agedAt, now)
 }
 
-// survival is the chance to take longer than x.
-func (c *curve) survival(now, life time.Duration, prior *curve, x float64) float64 {
-	if !c.valid || now-c.drawn > curveLife {
-		c.draw(now, life, prior)
+// chanceAbove is the chance of a relative latency above x.
+func (c *latencyCurve) chanceAbove(now, life time.Duration, prior *latencyCurve, x float64) float64 {
+	if !c.valid || now-c.computedAt > curveTTL {
+		c.compute(now, life, prior)
 	}
-	p := position(x)
+	p := binPosition(x)
 	i, before := int(p), 1.0
 	switch {
 	case p <= 0:
 		return 1
 	case i >= bins:
-		return c.surv[bins-1]
+		return c.survival[bins-1]
 	case i > 0:
-		before = c.surv[i-1]
+		before = c.survival[i-1]
 	}
-	return before + (p-float64(i))*(c.surv[i]-before)
+	return before + (p-float64(i))*(c.survival[i]-before)
 }
 
-// draw computes the Kaplan–Meier curve of the histogram and priorCount answers of the prior's curve.
-func (c *curve) draw(now, life time.Duration, prior *curve) {
-	c.age(now, life)
-	c.drawn, c.valid = now, true
-	count, assumed := baseCount, &basic
+// compute makes the Kaplan–Meier curve of the histogram and priorWeight answers of the prior's curve.
+func (c *latencyCurve) compute(now, life time.Duration, prior *latencyCurve) {
+	c.decay(now, life)
+	c.computedAt, c.valid = now, true
+	count, assumed := builtinWeight, &builtinSurvival
 	if prior != nil {
-		count, assumed = priorCount, &prior.surv
-		if !prior.valid || now-prior.drawn > curveLife {
-			prior.draw(now, kindLife, nil)
+		count, assumed = priorWeight, &prior.survival
+		if !prior.valid || now-prior.computedAt > curveTTL {
+			prior.compute(now, kindHalfLife, nil)
 		}
 	}
 	risk := 0.0
-	for i := range c.done {
-		risk += c.done[i] + c.cut[i]
+	for i := range c.answered {
+		risk += c.answered[i] + c.censored[i]
 	}
 	surv, before := 1.0, 1.0
-	for i := range c.surv {
+	for i := range c.survival {
 		after := assumed[i]
 		if n := risk + count*before; n > 1e-9 {
-			surv *= 1 - (c.done[i]+count*(before-after))/n
+			surv *= 1 - (c.answered[i]+count*(before-after))/n
 		}
-		c.surv[i] = max(surv, 0)
-		risk -= c.done[i] + c.cut[i]
+		c.survival[i] = max(surv, 0)
+		risk -= c.answered[i] + c.censored[i]
 		before = after
 	}
 }
 
-// basic is the curve assumed at first: log-logistic with the usual latency as its median.
-var basic = func() (surv [bins]float64) {
+// builtinSurvival is the curve assumed at first: log-logistic with the usual latency as its median.
+var builtinSurvival = func() (surv [bins]float64) {
 	for i := range surv {
-		edge := math.Exp2(float64(i+1)/binsPerOctave - lowestOctave)
+		edge := math.Exp2(float64(i+1)/binsPerOctave - octavesBelowOne)
 		surv[i] = 1 / (1 + edge*edge*edge)
 	}
 	return surv
 }()
 
-// rate is an ageing count of events.
+// rate is a decaying count of events.
 type rate struct {
-	sum float64
-	at  time.Duration
+	sum       float64
+	updatedAt time.Duration
 }
 
-func (r *rate) age(now time.Duration) {
-	r.sum *= math.Exp2(-float64(max(now-r.at, 0)) / float64(rateLife))
-	r.at = max(r.at, now)
+func (r *rate) decay(now time.Duration) {
+	r.sum *= math.Exp2(-float64(max(now-r.updatedAt, 0)) / float64(rateHalfLife))
+	r.updatedAt = max(r.updatedAt, now)
 }
 
 func (r *rate) add(now time.Duration, n float64) {
-	r.age(now)
+	r.decay(now)
 	r.sum += n
 }
 
-// perSecond is the mean rate lately; it rises from 0 as it becomes known.
+// perSecond is the recent mean rate; it rises from 0 as it becomes known.
 func (r *rate) perSecond(now time.Duration) float64 {
-	r.age(now)
-	return r.sum * math.Ln2 / rateLife.Seconds()
+	r.decay(now)
+	return r.sum * math.Ln2 / rateHalfLife.Seconds()
 }
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -7,7 +7,7 @@
 	"pipitmux/logic"
 )
 
-// A node starts a balancer, gives it a server, a request and an outcome.
+// A node creates a balancer and reports a server, a request and an outcome.
 func Example() {
 	b, err := logic.New(logic.Settings{
 		Nodes: 2, Tick: time.Millisecond, SecondCopies: true, CanCancel: true,
@@ -24,7 +24,7 @@
 		case logic.Send:
 			fmt.Println("send", a.ID, "to", a.Server)
 		case logic.SetTimer:
-			fmt.Println("set a timer") // call Handle with Wake{a.Token} after a.After
+			fmt.Println("set a timer") // after a.After call Handle with Wake{a.Token}
 		}
 	}
 	b.Handle(9*time.Millisecond, logic.Outcome{ID: "r1", Result: logic.OK, Final: true, Server: "a",
--- a/logic/learn.go
+++ b/logic/learn.go
@@ -6,113 +6,113 @@
 	"time"
 )
 
-func (b *Balancer) reported(s *server, report []float64) {
-	if s == nil || b.field < 0 || b.field >= len(report) || !(report[b.field] >= 0) {
+func (b *Balancer) handleReport(s *server, report []float64) {
+	if s == nil || b.reportField < 0 || b.reportField >= len(report) || !(report[b.reportField] >= 0) {
 		return
 	}
-	s.report, s.reported = report[b.field], b.now
-	b.held += (s.report - b.held) * trustStep
+	s.reportedLoad, s.reportedAt = report[b.reportField], b.now
+	b.meanReport += (s.reportedLoad - b.meanReport) * reportStep
 }
 
-// queue is the logarithm of what the server's last report says it holds against the mean one; it fades.
-func (b *Balancer) queue(s *server) float64 {
-	if s.reported == 0 {
+// logQueue is the logarithm of the server's last reported load over the mean one. It decays.
+func (b *Balancer) logQueue(s *server) float64 {
+	if s.reportedAt == 0 {
 		return 0
 	}
-	fresh := math.Exp2(-float64(b.now-s.reported) / float64(reportLife))
-	return fresh * math.Log((1+s.report)/(1+b.held))
+	fresh := math.Exp2(-float64(b.now-s.reportedAt) / float64(reportHalfLife))
+	return fresh * math.Log((1+s.reportedLoad)/(1+b.meanReport))
 }
 
-// trust follows how well the reported queues predict latencies, as the slope of one on the other. Reports
-// that come late predict nothing: heeding them would send all nodes to the servers that were idle long ago.
-type trust struct{ cov, sq float64 }
+// reportModel tracks how well reported queues predict latencies, as a regression slope. Outdated reports
+// predict nothing: using them would send all nodes to the servers that were idle long ago.
+type reportModel struct{ covariance, meanSquare float64 }
 
-func (t *trust) learn(queue, latency float64) {
+func (t *reportModel) observe(queue, latency float64) {
 	if queue != 0 {
-		t.cov += (queue*latency - t.cov) * trustStep
-		t.sq += (queue*queue - t.sq) * trustStep
+		t.covariance += (queue*latency - t.covariance) * reportStep
+		t.meanSquare += (queue*queue - t.meanSquare) * reportStep
 	}
 }
 
-func (t *trust) slope() float64 { return min(max(t.cov/max(t.sq, 0.01), 0), 1) }
+func (t *reportModel) slope() float64 { return min(max(t.covariance/max(t.meanSquare, 0.01), 0), 1) }
 
-func (b *Balancer) learn(r *request, t *attempt, o Outcome) {
-	s := t.s
-	x := o.Latency.Seconds() / r.unit
+func (b *Balancer) learnOutcome(r *request, t *attempt, o Outcome) {
+	s := t.server
+	x := o.Latency.Seconds() / r.usualTime
 	switch done := o.Result == OK; o.Result {
 	case OK, TimedOut, Canceled:
 		if done || x > 1 {
-			b.trust.learn(t.queue, math.Log(max(x, 1e-3)))
+			b.reports.observe(t.queue, math.Log(max(x, 1e-3)))
 		}
-		s.stats.add(b.now, halfLife, x, !done)
-		if h := r.class.hint; h > 0 {
-			s.limit = cmp.Or(s.limit, limitFirst)
-			x := min(math.Log(o.Latency.Seconds()/(s.base/2+r.cost*h)), slowMost*math.Ln2)
-			b.strain += (x - b.strain) * strainStep
-			if s.slow += (x - s.slow) * paceStep; s.slow > math.Ln2 {
-				s.limit = max(s.limit*limitCut, 1)
-			} else if s.load(b.now)+1 >= s.limit { // the limit was reached
-				s.limit = min(s.limit+1/s.limit, limitMost)
+		s.latencies.add(b.now, serverHalfLife, x, !done)
+		if h := r.class.meanHint; h > 0 {
+			s.limit = cmp.Or(s.limit, initialLimit)
+			x := min(math.Log(o.Latency.Seconds()/(s.minLatency/2+r.cost*h)), maxSlowdown*math.Ln2)
+			b.fleetSlowdown += (x - b.fleetSlowdown) * fleetSlowdownStep
+			if s.slowdown += (x - s.slowdown) * slowdownStep; s.slowdown > math.Ln2 {
+				s.limit = max(s.limit*limitDecrease, 1)
+			} else if s.load(b.now)+1 >= s.limit { // the limit was in use
+				s.limit = min(s.limit+1/s.limit, maxLimit)
 			}
 		}
-		b.kind(s.Kind).add(b.now, kindLife, x, !done)
-		r.class.follow(o.Latency.Seconds()/(0.5+0.5*r.cost), done)
+		b.kindCurve(s.Kind).add(b.now, kindHalfLife, x, !done)
+		r.class.updateMedian(o.Latency.Seconds()/(0.5+0.5*r.cost), done)
 		if done {
 			if b.warmth(s) >= 1 {
-				b.served.add(b.now, r.cost)
+				b.servedWork.add(b.now, r.cost)
 			}
-			s.bad, s.used, s.badPart = 0, b.now, s.badPart*(1-badStep)
-			s.base = min(cmp.Or(s.base, o.Latency.Seconds()), o.Latency.Seconds())
+			s.failures, s.lastAnswer, s.failureShare = 0, b.now, s.failureShare*(1-failureStep)
+			s.minLatency = min(cmp.Or(s.minLatency, o.Latency.Seconds()), o.Latency.Seconds())
 		} else if o.Result == TimedOut && b.now >= r.aim {
-			b.blame(s, t)
+			b.recordFailure(s, t)
 		}
 	case Failed, Reset, QueueFull, ConnectFailed:
 		if o.Result != QueueFull {
-			b.room++ // it was no work for anyone
+			b.sendTokens++ // it caused no load
 		}
-		// An answer past any deadline, and this server's own doing: the kind is not blamed.
-		s.stats.add(b.now, halfLife, math.Inf(1), false)
-		b.blame(s, t)
+		// Counts as an answer past any deadline, of this server alone: its kind is not at fault.
+		s.latencies.add(b.now, serverHalfLife, math.Inf(1), false)
+		b.recordFailure(s, t)
 	}
 }
 
-// blame counts a bad answer; an outlier is set aside, longer each time. What was out then and goes bad as
-// well, a jam's worth at once, says nothing new.
-func (b *Balancer) blame(s *server, t *attempt) {
+// recordFailure counts a failure; an outlier is ejected, longer each time. Attempts sent before the last
+// ejection count no more: an overload fails many at once, which says nothing new.
+func (b *Balancer) recordFailure(s *server, t *attempt) {
 	if t.mayRun {
-		s.badPart += (1 - s.badPart) * badStep
+		s.failureShare += (1 - s.failureShare) * failureStep
 	}
-	if t.sent < s.judged {
+	if t.sentAt < s.ejectedAt {
 		return
 	}
-	if s.bad++; b.outlier(s) {
-		s.until, s.judged = b.now+outlierPause(s.bad), b.now
+	if s.failures++; b.isOutlier(s) {
+		s.ejectedUntil, s.ejectedAt = b.now+ejectionPause(s.failures), b.now
 	}
 }
 
-// follow moves the class's median latency. An attempt cut short of it tells nothing.
-func (c *class) follow(latency float64, done bool) {
-	if !done && latency < c.scale {
+// updateMedian moves the class's median latency. An attempt abandoned before the median tells nothing.
+func (c *class) updateMedian(latency float64, done bool) {
+	if !done && latency < c.median {
 		return
 	}
-	c.seen++
-	step := max(scaleStep, 0.5/c.seen)
-	c.scale *= math.Pow(1+step, math.Copysign(1, latency-c.scale))
-	c.scale = min(max(c.scale, c.Aim.Seconds()/200), c.Deadline.Seconds()*4)
+	c.samples++
+	step := max(medianStep, 0.5/c.samples)
+	c.median *= math.Pow(1+step, math.Copysign(1, latency-c.median))
+	c.median = min(max(c.median, c.Aim.Seconds()/200), c.Deadline.Seconds()*4)
 }
 
-// chance is F(t): how likely the server answers within t. Its work for this node stretches what it needs.
-func (b *Balancer) chance(r *request, s *server, t time.Duration) float64 {
+// answerChance is F(t), the chance of an answer within t. The server's load of this node stretches latencies.
+func (b *Balancer) answerChance(r *request, s *server, t time.Duration) float64 {
 	if t <= 0 {
 		return 0
 	}
-	x := t.Seconds() / (r.unit * (1 + 0.5*s.load(b.now)) * math.Exp(b.trust.slope()*b.queue(s)))
-	return 1 - s.stats.survival(b.now, halfLife, b.kind(s.Kind), x)
+	x := t.Seconds() / (r.usualTime * (1 + 0.5*s.load(b.now)) * math.Exp(b.reports.slope()*b.logQueue(s)))
+	return 1 - s.latencies.chanceAbove(b.now, serverHalfLife, b.kindCurve(s.Kind), x)
 }
 
-func (b *Balancer) kind(name string) *curve {
+func (b *Balancer) kindCurve(name string) *latencyCurve {
 	if b.kinds[name] == nil {
-		b.kinds[name] = &curve{}
+		b.kinds[name] = &latencyCurve{}
 	}
 	return b.kinds[name]
 }
--- a/logic/list.go
+++ b/logic/list.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-func (b *Balancer) list(l ServerList) {
-	b.ask.answered(b, l.Kind)
+func (b *Balancer) handleList(l ServerList) {
+	b.discovery.recordAnswer(b, l.Kind)
 	if l.Kind == ListFailed {
 		return
 	}
 	if l.Kind != ListChanges {
 		for _, s := range b.servers {
-			s.listed = false // order does not matter: every server gets the same
+			s.listed = false // any order: every server gets the same value
 		}
 	}
 	for _, e := range l.Servers {
-		b.entry(e)
+		b.updateServer(e)
 	}
 	maps.DeleteFunc(b.servers, func(_ ServerID, s *server) bool { return !s.listed })
-	b.index(l.Servers)
+	b.rebuildReady(l.Servers)
 }
 
-func (b *Balancer) entry(e Server) {
+func (b *Balancer) updateServer(e Server) {
 	s := b.servers[e.ID]
 	if s != nil && (e.State == Gone || s.StartedAt != e.StartedAt) { // a new process is a new server
 		s.listed, s.State = false, Gone
@@ -38,10 +38,10 @@
 		return
 	}
 	if s == nil {
-		// New: the budget starts at a random point so that nodes do not open together.
+		// A new server's cold budget starts at a random point, so that nodes don't start sending together.
 		h := fnv.New64a()
 		h.Write([]byte(e.ID))
-		s = &server{filled: b.now, tokens: -b.rng.Float64(), place: h.Sum64()}
+		s = &server{refilledAt: b.now, coldTokens: -b.rng.Float64(), hash: h.Sum64()}
 		b.servers[e.ID] = s
 	}
 	if !(e.Capacity > 0) {
@@ -50,101 +50,103 @@
 	s.Server, s.listed = e, true
 }
 
-// index lists the servers that take requests, the old in their old order, the new in that of the news.
-func (b *Balancer) index(news []Server) {
+// rebuildReady lists the servers that take requests: known ones in their order, then new ones as listed.
+func (b *Balancer) rebuildReady(listed []Server) {
 	old := b.ready
-	b.ready, b.stamp = make([]*server, 0, len(b.servers)), b.stamp+1
-	b.top, b.near = 0, b.near[:0]
+	b.ready, b.scanID = make([]*server, 0, len(b.servers)), b.scanID+1
+	b.maxCapacity, b.subset = 0, b.subset[:0]
 	for _, s := range old {
-		b.enlist(s)
+		b.addReady(s)
 	}
-	for _, e := range news {
-		b.enlist(b.servers[e.ID])
+	for _, e := range listed {
+		b.addReady(b.servers[e.ID])
 	}
 	b.ring = append(b.ring[:0], b.ready...)
 	slices.SortFunc(b.ring, func(s, o *server) int {
-		return cmp.Or(cmp.Compare(s.place, o.place), cmp.Compare(s.ID, o.ID))
+		return cmp.Or(cmp.Compare(s.hash, o.hash), cmp.Compare(s.ID, o.ID))
 	})
 }
 
-// subset returns the servers that this node sends to. In a large fleet they are a part of all: each gets more
-// of the node's requests, so it is known better and its connections stay in use. The servers stand on a ring
-// by hash, the nodes at even distances, so each server has about equally many nodes.
-func (b *Balancer) subset() []*server {
-	if b.now-b.nearAt < curveLife && len(b.near) > 0 {
-		return b.near
+// refreshSubset returns the servers that this node sends to, in a large fleet a subset: each gets more of the
+// node's requests, so its latency is known better and its connections stay in use. Servers form a ring by
+// hash on which nodes start at even distances, so that each server has about equally many nodes.
+func (b *Balancer) refreshSubset() []*server {
+	if b.now-b.subsetAt < curveTTL && len(b.subset) > 0 {
+		return b.subset
 	}
 	n, nodes := len(b.ring), max(b.cfg.Nodes, 1)
-	b.span.add(b.now, b.warmSum*(b.now-b.nearAt).Seconds())
-	b.served.age(b.now)
-	gap := float64(b.now - b.nearAt)
-	fade := math.Exp2(-gap / float64(peakLife))
-	b.peak = max(b.served.sum/max(b.span.sum, cmp.Or(b.warmSum, b.nearSum), 1e-9), b.peak*fade)
-	b.near, b.nearAt, b.nearSum, b.warmSum = b.near[:0], b.now, 0, 0
-	want := min(max(subsetLeast, (n*coverLeast+nodes-1)/nodes), n)
-	need, able, fit := 0.0, 0.0, 0.0 // needed yet: cold ones and those set aside count for what they can do
+	b.capacityTime.add(b.now, b.warmCapacity*(b.now-b.subsetAt).Seconds())
+	b.servedWork.decay(b.now)
+	gap := float64(b.now - b.subsetAt)
+	seconds := max(b.capacityTime.sum, cmp.Or(b.warmCapacity, b.subsetCapacity), 1e-9)
+	b.peakRate = max(b.servedWork.sum/seconds, b.peakRate*math.Exp2(-gap/float64(peakHalfLife)))
+	b.subset, b.subsetAt, b.subsetCapacity, b.warmCapacity = b.subset[:0], b.now, 0, 0
+	size := min(max(minSubset, (n*minNodesPerServer+nodes-1)/nodes), n)
+	need, total, healthy := 0.0, 0.0, 0.0 // need: missing yet; cold or ejected servers count in part
 	for _, s := range b.ring {
-		need += s.Capacity * float64(want) / float64(n)
-		able += s.Capacity * b.warmth(s)
+		need += s.Capacity * float64(size) / float64(n)
+		total += s.Capacity * b.warmth(s)
 	}
 	_, at := math.Modf(float64(b.cfg.Number) * math.Phi)
-	for i, from := 0, int(at*float64(n)); i < min(n, 2*want) && (need > 1e-9 || i < want); i++ {
+	for i, from := 0, int(at*float64(n)); i < min(n, 2*size) && (need > 1e-9 || i < size); i++ {
 		s := b.ring[(from+i)%n]
-		b.near, b.nearSum = append(b.near, s), b.nearSum+s.Capacity
+		b.subset, b.subsetCapacity = append(b.subset, s), b.subsetCapacity+s.Capacity
 		if b.warmth(s) >= 1 {
-			b.warmSum += s.Capacity
+			b.warmCapacity += s.Capacity
 		}
-		if !s.aside(b.now) {
-			fit += s.Capacity
+		if !s.ejected(b.now) {
+			healthy += s.Capacity
 			need -= s.Capacity * b.warmth(s)
 		}
 	}
-	b.full = max(able, able+(b.full-able)*math.Exp2(-gap/float64(fullLife)))
-	if b.left = able / b.full * fit / b.nearSum; b.asked.perSecond(b.now) > thinRate*float64(len(b.near)) ||
-		b.cfg.Slots && b.held*float64(len(b.near)) < halfFull*b.nearSum {
-		b.left = 1
+	b.fullCapacity = max(total, total+(b.fullCapacity-total)*math.Exp2(-gap/float64(capacityHalfLife)))
+	b.capacityLeft = total / b.fullCapacity * healthy / b.subsetCapacity
+	if b.demand.perSecond(b.now) > sparseRate*float64(len(b.subset)) ||
+		b.cfg.Slots && b.meanReport*float64(len(b.subset)) < lowUtilization*b.subsetCapacity {
+		b.capacityLeft = 1
 	}
-	return b.near
+	return b.subset
 }
 
-func (b *Balancer) enlist(s *server) {
-	if s == nil || s.mark == b.stamp || !s.serves() {
+func (b *Balancer) addReady(s *server) {
+	if s == nil || s.lastScan == b.scanID || !s.serves() {
 		return
 	}
-	s.mark = b.stamp
+	s.lastScan = b.scanID
 	b.ready = append(b.ready, s)
-	b.top = max(b.top, s.Capacity)
+	b.maxCapacity = max(b.maxCapacity, s.Capacity)
 }
 
-// asking is the state of this node's calls to discovery.
-type asking struct {
+type discoveryState struct {
 	subscribed, pending bool
-	since               time.Duration // of the call that is out
+	calledAt            time.Duration // of the pending call
 	failures            int
 }
 
-// firstAsk sets the time of the first call, spread by the number of nodes, which may all start together.
-func (b *Balancer) firstAsk() {
+// scheduleFirstCall spreads first calls by the number of nodes, as all may start together.
+func (b *Balancer) scheduleFirstCall() {
 	if b.cfg.MustSubscribe {
-		spread := min(askSpread*time.Duration(max(b.cfg.Nodes, 1)), 2*b.askLimit())
-		b.do(SetTimer{Token: tokenAsk, After: time.Duration(b.rng.Float64() * float64(spread))})
+		spread := min(askJitter*time.Duration(max(b.cfg.Nodes, 1)), 2*b.askLimit())
+		b.emit(SetTimer{Token: askToken, After: time.Duration(b.rng.Float64() * float64(spread))})
 	}
 }
 
 // askLimit is the longest pause between calls while there is no subscription.
-func (b *Balancer) askLimit() time.Duration { return min(askMost, cmp.Or(b.cfg.AskWithin/2, askMost)) }
+func (b *Balancer) askLimit() time.Duration {
+	return min(maxAskWait, cmp.Or(b.cfg.AskWithin/2, maxAskWait))
+}
 
-func (b *Balancer) askDue() {
-	if b.ask.subscribed || b.ask.pending && b.now-b.ask.since < askPatience {
+func (b *Balancer) callDiscovery() {
+	if b.discovery.subscribed || b.discovery.pending && b.now-b.discovery.calledAt < askTimeout {
 		return
 	}
-	b.ask.pending, b.ask.since = true, b.now
-	b.do(Subscribe{})
-	b.do(SetTimer{Token: tokenAsk, After: askPatience})
+	b.discovery.pending, b.discovery.calledAt = true, b.now
+	b.emit(Subscribe{})
+	b.emit(SetTimer{Token: askToken, After: askTimeout})
 }
 
-// answered takes note of a list as the answer to a call.
-func (a *asking) answered(b *Balancer, kind ListKind) {
+// recordAnswer takes a list as the answer to a call, and schedules the next call after a failure.
+func (a *discoveryState) recordAnswer(b *Balancer, kind ListKind) {
 	switch {
 	case !b.cfg.MustSubscribe || kind == ListCached || kind != ListFailed && !a.pending:
 		return
@@ -153,9 +155,9 @@
 		return
 	}
 	a.pending, a.subscribed, a.failures = false, false, a.failures+1
-	if a.failures&(a.failures-1) == 0 { // ever fewer lines of a trouble that goes on
-		b.do(Log{Text: fmt.Sprintf("discovery call failed %d times in a row", a.failures)})
+	if a.failures&(a.failures-1) == 0 { // ever fewer log lines while the failure lasts
+		b.emit(Log{Text: fmt.Sprintf("discovery call failed %d times in a row", a.failures)})
 	}
-	pause := float64(min(askFirst<<min(a.failures-1, 5), b.askLimit())) * (0.5 + 0.5*b.rng.Float64())
-	b.do(SetTimer{Token: tokenAsk, After: time.Duration(pause)})
+	pause := float64(min(minAskWait<<min(a.failures-1, 5), b.askLimit())) * (0.5 + 0.5*b.rng.Float64())
+	b.emit(SetTimer{Token: askToken, After: time.Duration(pause)})
 }
--- a/logic/slots_test.go
+++ b/logic/slots_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// refusedAfterLoss counts requests refused of 200 after half of the servers went, all of
-// them telling that they hold so many requests of their ten places.
-func refusedAfterLoss(t *testing.T, slots bool, held float64) int {
+// countRejectedAfterLoss counts rejections of 20 requests after half of the servers went, while all servers
+// report this many requests in flight in their ten slots.
+func countRejectedAfterLoss(t *testing.T, slots bool, held float64) int {
 	t.Helper()
 	b, err := New(Settings{
 		Classes:      []Class{{Name: "c", Aim: time.Second, Deadline: time.Second}},
@@ -25,9 +25,9 @@
 		}
 		return l
 	}
-	now, refused := time.Duration(0), 0
+	now, rejected := time.Duration(0), 0
 	one := func(n int) bool {
-		now += 300 * time.Millisecond // thin: what is left is not known to bear it
+		now += 300 * time.Millisecond // low traffic: the node can't know what the rest can take
 		id := RequestID(fmt.Sprint("r", n))
 		sent := false
 		for _, a := range b.Handle(now, Request{ID: id, Class: "c", ClientTimeout: time.Second}) {
@@ -46,15 +46,15 @@
 	b.Handle(now, list(4))
 	for n := range 20 {
 		if !one(1000 + n) {
-			refused++
+			rejected++
 		}
 	}
-	return refused
+	return rejected
 }
 
-// Capacity that went is no reason to refuse while what is left has places free, as it tells.
-func TestLostCapacityIsJudgedByFreePlaces(t *testing.T) {
-	assert.Positive(t, refusedAfterLoss(t, false, 1), "without the figures nobody knows")
-	assert.Zero(t, refusedAfterLoss(t, true, 1))
-	assert.Positive(t, refusedAfterLoss(t, true, 9), "nearly full")
+// Lost capacity is no reason to reject while the remaining servers report free slots.
+func TestLostCapacityIsToleratedWithFreeSlots(t *testing.T) {
+	assert.Positive(t, countRejectedAfterLoss(t, false, 1), "without reported slots")
+	assert.Zero(t, countRejectedAfterLoss(t, true, 1))
+	assert.Positive(t, countRejectedAfterLoss(t, true, 9), "nearly full")
 }
--- a/logic/state.go
+++ b/logic/state.go
@@ -10,90 +10,109 @@
 	"time"
 )
 
-// What a Balancer has learned can be taken on by another of the same node, so that a
-// process that replaces one does not begin anew. Nothing is decided here.
+// A Balancer exports what it has learned, so that a process that replaces another on the same node need not
+// start from nothing. No decisions are made in this file.
 
-// learned is the form of it. Times are on the clock of Handle.
+// learned is the saved state in JSON, by the names of the Go fields. Times are on the clock of Handle.
 type learned struct {
-	Peak, Full, Usual, Missed, Worth, Held, Cov, Sq, Common float64
-	Served, Span, Asked                                     learnedRate
-	Classes                                                 map[string]learnedClass
-	Kinds                                                   map[string]learnedCurve
-	Servers                                                 map[ServerID]learnedServer
+	Peak    float64   // Balancer.peakRate
+	Full    float64   // Balancer.fullCapacity
+	Usual   float64   // Balancer.onTimeShare
+	Missed  float64   // Balancer.missedShare
+	Worth   float64   // Balancer.meanWorth
+	Held    float64   // Balancer.meanReport
+	Cov     float64   // reportModel.covariance
+	Sq      float64   // reportModel.meanSquare
+	Common  float64   // Balancer.typicalFailures
+	Served  savedRate // Balancer.servedWork
+	Span    savedRate // Balancer.capacityTime
+	Asked   savedRate // Balancer.demand
+	Classes map[string]savedClass
+	Kinds   map[string]savedCurve
+	Servers map[ServerID]savedServer
 }
 
-type learnedRate struct {
+// savedRate is a saved rate.
+type savedRate struct {
 	Sum float64
-	At  time.Duration
+	At  time.Duration // updatedAt
 }
 
-type learnedClass struct {
-	Scale, Seen, Hint float64
-	Usual             time.Duration
-	Votes             int
-	Brief, Lost       float64 // of the clients' patience
+// savedClass is a saved classStats.
+type savedClass struct {
+	Scale float64       // median
+	Seen  float64       // samples
+	Hint  float64       // meanHint
+	Usual time.Duration // usualTimeout
+	Votes int           // usualVotes
+	Brief float64       // lateTryShare
+	Lost  float64       // unservedShare
 }
 
-type learnedCurve struct {
-	Done, Cut []float64
-	Aged      time.Duration
+// savedCurve is a saved latencyCurve.
+type savedCurve struct {
+	Done []float64     // answered
+	Cut  []float64     // censored
+	Aged time.Duration // agedAt
 }
 
-type learnedServer struct {
-	Born, Until, Judged time.Duration
-	Stats               learnedCurve
-	Bad                 int
-	BadPart             float64
+// savedServer holds the latencies and failures of a server process.
+type savedServer struct {
+	Born    time.Duration // StartedAt, tells one process of a server from the next
+	Until   time.Duration // ejectedUntil
+	Judged  time.Duration // ejectedAt
+	Stats   savedCurve    // latencies
+	Bad     int           // failures
+	BadPart float64       // failureShare
 }
 
-func (r *rate) form() learnedRate { return learnedRate{r.sum, r.at} }
+func (r *rate) export() savedRate { return savedRate{r.sum, r.updatedAt} }
 
-func (c *curve) form() learnedCurve { return learnedCurve{c.done[:], c.cut[:], c.aged} }
+func (c *latencyCurve) export() savedCurve { return savedCurve{c.answered[:], c.censored[:], c.agedAt} }
 
-// ExportLearned returns what was learned so far.
+// ExportLearned returns what was learned so far, for ImportLearned and ImportAfterRestart.
 func (b *Balancer) ExportLearned() ([]byte, error) {
 	l := learned{
-		Peak: b.peak, Full: b.full, Usual: b.usual, Missed: b.missed, Worth: b.worth, Held: b.held,
-		Cov: b.trust.cov, Sq: b.trust.sq, Common: b.common,
-		Served: b.served.form(), Span: b.span.form(), Asked: b.asked.form(),
-		Classes: map[string]learnedClass{}, Kinds: map[string]learnedCurve{}, Servers: map[ServerID]learnedServer{},
+		Peak: b.peakRate, Full: b.fullCapacity, Usual: b.onTimeShare, Missed: b.missedShare, Worth: b.meanWorth, Held: b.meanReport,
+		Cov: b.reports.covariance, Sq: b.reports.meanSquare, Common: b.typicalFailures,
+		Served: b.servedWork.export(), Span: b.capacityTime.export(), Asked: b.demand.export(),
+		Classes: map[string]savedClass{}, Kinds: map[string]savedCurve{}, Servers: map[ServerID]savedServer{},
 	}
 	for n, c := range b.classes {
-		l.Classes[n] = learnedClass{c.scale, c.seen, c.hint, c.usual, c.votes, c.brief, c.lost}
+		l.Classes[n] = savedClass{c.median, c.samples, c.meanHint, c.usualTimeout, c.usualVotes, c.lateTryShare, c.unservedShare}
 	}
 	for n, k := range b.kinds {
-		l.Kinds[n] = k.form()
+		l.Kinds[n] = k.export()
 	}
 	for id, s := range b.servers {
-		l.Servers[id] = learnedServer{s.StartedAt, s.until, s.judged, s.stats.form(), s.bad, s.badPart}
+		l.Servers[id] = savedServer{s.StartedAt, s.ejectedUntil, s.ejectedAt, s.latencies.export(), s.failures, s.failureShare}
 	}
 	return json.Marshal(l)
 }
 
-// ImportLearned takes on what Learned returned, for the classes and servers that are known here
-// too. It changes nothing where a figure can't be one.
+// ImportLearned takes over what ExportLearned returned, for the classes and servers that are known here too.
+// It changes nothing if a value is invalid.
 func (b *Balancer) ImportLearned(text []byte) error {
-	l, err := b.recall(text)
+	l, err := b.restore(text)
 	if err != nil {
 		return err
 	}
-	b.peak, b.full, b.usual, b.missed, b.worth, b.held = l.Peak, l.Full, l.Usual, l.Missed, l.Worth, l.Held
-	b.trust, b.common = trust{l.Cov, l.Sq}, l.Common
-	b.served, b.span, b.asked = rate{l.Served.Sum, l.Served.At}, rate{l.Span.Sum, l.Span.At}, rate{l.Asked.Sum, l.Asked.At}
-	b.birth = 0 // the rate asked is known
+	b.peakRate, b.fullCapacity, b.onTimeShare, b.missedShare, b.meanWorth, b.meanReport = l.Peak, l.Full, l.Usual, l.Missed, l.Worth, l.Held
+	b.reports, b.typicalFailures = reportModel{l.Cov, l.Sq}, l.Common
+	b.servedWork, b.capacityTime, b.demand = rate{l.Served.Sum, l.Served.At}, rate{l.Span.Sum, l.Span.At}, rate{l.Asked.Sum, l.Asked.At}
+	b.firstEventAt = 0 // the demand is known, not still rising
 	return nil
 }
 
-// ImportAfterRestart takes on what holds through a stop of the node: how long reqs take, by class and
-// kind of server, and the judgements on servers that are still the same processes. What it
-// had learned of the load speaks of a fleet that may have stopped as well: by it, a fleet
-// that starts cold would be taken for one that has lost its capacity.
+// ImportAfterRestart takes over what stays valid after the node was stopped: latencies by class and kind of
+// server, and the latencies and ejections of servers that are still the same processes. The learned load is left
+// out, as the fleet may have stopped too: a fleet that starts cold would look like one that lost its capacity.
 func (b *Balancer) ImportAfterRestart(text []byte) error {
-	_, err := b.recall(text)
+	_, err := b.restore(text)
 	return err
 }
 
-func (b *Balancer) recall(text []byte) (*learned, error) {
+func (b *Balancer) restore(text []byte) (*learned, error) {
 	l := &learned{}
 	if err := json.Unmarshal(text, l); err != nil {
 		return nil, err
@@ -103,53 +122,53 @@
 	}
 	for n, c := range l.Classes {
 		if k := b.classes[n]; k != nil {
-			k.scale, k.seen, k.hint, k.usual, k.votes = c.Scale, c.Seen, c.Hint, c.Usual, c.Votes
-			k.brief, k.lost = c.Brief, c.Lost
+			k.median, k.samples, k.meanHint, k.usualTimeout, k.usualVotes = c.Scale, c.Seen, c.Hint, c.Usual, c.Votes
+			k.lateTryShare, k.unservedShare = c.Brief, c.Lost
 		}
 	}
 	for n, k := range l.Kinds {
-		b.kind(n).take(k)
+		b.kindCurve(n).restore(k)
 	}
 	for id, o := range l.Servers {
-		if s := b.servers[id]; s != nil && s.StartedAt == o.Born { // another process of it is not known
-			s.until, s.judged, s.bad, s.badPart = o.Until, o.Judged, o.Bad, o.BadPart
-			s.stats.take(o.Stats)
+		if s := b.servers[id]; s != nil && s.StartedAt == o.Born { // nothing is known of a new process
+			s.ejectedUntil, s.ejectedAt, s.failures, s.failureShare = o.Until, o.Judged, o.Bad, o.BadPart
+			s.latencies.restore(o.Stats)
 		}
 	}
 	return l, nil
 }
 
-func (c *curve) take(l learnedCurve) {
-	copy(c.done[:], l.Done)
-	copy(c.cut[:], l.Cut)
-	c.aged, c.valid = l.Aged, false
+func (c *latencyCurve) restore(l savedCurve) {
+	copy(c.answered[:], l.Done)
+	copy(c.censored[:], l.Cut)
+	c.agedAt, c.valid = l.Aged, false
 }
 
-// check reports figures that nothing can have learned.
+// check returns an error for values that can't have been learned.
 func (l *learned) check() error {
-	figures := []float64{l.Peak, l.Full, l.Usual, l.Missed, l.Worth, l.Held, l.Sq, l.Common, l.Served.Sum, l.Span.Sum, l.Asked.Sum}
+	values := []float64{l.Peak, l.Full, l.Usual, l.Missed, l.Worth, l.Held, l.Sq, l.Common, l.Served.Sum, l.Span.Sum, l.Asked.Sum}
 	for n, c := range l.Classes {
 		if !(c.Scale > 0) {
-			return fmt.Errorf("learned: class %s: a median latency of %v", n, c.Scale)
+			return fmt.Errorf("learned state: class %s: median latency %v must be above 0", n, c.Scale)
 		}
 		if c.Brief > 1 || c.Lost > 1 {
-			return fmt.Errorf("learned: class %s: parts of %v and %v", n, c.Brief, c.Lost)
+			return fmt.Errorf("learned state: class %s: shares %v and %v must not exceed 1", n, c.Brief, c.Lost)
 		}
-		figures = append(figures, c.Seen, c.Hint, c.Brief, c.Lost)
+		values = append(values, c.Seen, c.Hint, c.Brief, c.Lost)
 	}
 	curves := slices.Collect(maps.Values(l.Kinds))
 	for _, s := range l.Servers {
 		curves = append(curves, s.Stats)
-		figures = append(figures, s.BadPart, float64(s.Bad))
+		values = append(values, s.BadPart, float64(s.Bad))
 	}
 	for _, c := range curves {
 		if len(c.Done) != bins+1 || len(c.Cut) != bins+1 {
-			return errors.New("learned: a histogram of another form")
+			return errors.New("learned state: a histogram has the wrong number of bins")
 		}
-		figures = append(append(figures, c.Done...), c.Cut...)
+		values = append(append(values, c.Done...), c.Cut...)
 	}
-	if !(l.Usual > 0) || l.Usual > 1 || l.Missed > 1 || slices.ContainsFunc(figures, func(v float64) bool { return !(v >= 0) || math.IsInf(v, 0) }) {
-		return errors.New("learned: a figure is out of range")
+	if !(l.Usual > 0) || l.Usual > 1 || l.Missed > 1 || slices.ContainsFunc(values, func(v float64) bool { return !(v >= 0) || math.IsInf(v, 0) }) {
+		return errors.New("learned state: a value is out of range")
 	}
 	return nil
 }
