--- a/internal/barograph/replica/api.go
+++ b/internal/barograph/replica/api.go
@@ -142,7 +142,7 @@
 	Entries   []Entry  // after the snapshot
 }
 
-// Status is a snapshot of a Replica's state for its caller.
+// Status is a copy of a Replica's state for its caller.
 type Status struct {
 	Group                  GroupID
 	Self, Leader           NodeID // Leader 0: unknown
--- a/internal/barograph/replica/model_test.go
+++ b/internal/barograph/replica/model_test.go
@@ -173,11 +173,11 @@
 
 // nextMembers returns the members with a learner promoted to voter if there is one, else with one voter removed.
 func (m *model) nextMembers(r *Replica) Members {
-	now := r.members().Clone()
-	if len(now.Learners) > 0 {
-		return Members{Voters: append(now.Voters, now.Learners[0]), Learners: now.Learners[1:]}
+	members := r.members().Clone()
+	if len(members.Learners) > 0 {
+		return Members{Voters: append(members.Voters, members.Learners[0]), Learners: members.Learners[1:]}
 	}
-	return Members{Voters: difference(now.Voters, []NodeID{now.Voters[len(now.Voters)-1]})}
+	return Members{Voters: difference(members.Voters, []NodeID{members.Voters[len(members.Voters)-1]})}
 }
 
 func sameMessage(a, b Message) bool {
--- a/internal/barograph/replica/simulation_faults_test.go
+++ b/internal/barograph/replica/simulation_faults_test.go
@@ -194,47 +194,47 @@
 
 // nextMembers returns the next membership change, and whether there is one.
 func (s *simulation) nextMembers(status replica.Status) (replica.Members, bool) {
-	now := status.Members.Clone()
+	members := status.Members.Clone()
 	if s.frequentFaults {
-		return now, false
+		return members, false
 	}
 	for _, other := range s.nodes {
-		if other.diskLost && now.Contains(other.id) {
-			return withoutMember(now, other.id), true
+		if other.diskLost && members.Contains(other.id) {
+			return withoutMember(members, other.id), true
 		}
 	}
 	for _, other := range s.nodes {
-		if !other.diskLost && !now.Contains(other.id) {
-			now.Learners = append(now.Learners, other.id)
-			return now, true
+		if !other.diskLost && !members.Contains(other.id) {
+			members.Learners = append(members.Learners, other.id)
+			return members, true
 		}
 	}
-	if len(now.Learners) > 0 && len(now.Voters) < 5 && (len(now.Voters) < 3 || s.Chance(0.2)) {
-		promoted := now.Learners[s.Random.IntN(len(now.Learners))]
-		now = withoutMember(now, promoted)
-		now.Voters = append(now.Voters, promoted)
-		return now, true
+	if len(members.Learners) > 0 && len(members.Voters) < 5 && (len(members.Voters) < 3 || s.Chance(0.2)) {
+		promoted := members.Learners[s.Random.IntN(len(members.Learners))]
+		members = withoutMember(members, promoted)
+		members.Voters = append(members.Voters, promoted)
+		return members, true
 	}
-	return s.randomMemberChange(now)
+	return s.randomMemberChange(members)
 }
 
 // randomMemberChange changes the members at random while faults are active.
-func (s *simulation) randomMemberChange(now replica.Members) (replica.Members, bool) {
+func (s *simulation) randomMemberChange(members replica.Members) (replica.Members, bool) {
 	if !s.faultsActive || !s.Chance(0.1) {
-		return now, false
+		return members, false
 	}
-	if len(now.Voters) < 4 {
+	if len(members.Voters) < 4 {
 		if len(s.nodes) < 6 && s.Chance(0.3) {
 			s.addNode(replica.PersistentState{})
 		}
-		return now, false
+		return members, false
 	}
-	demoted := now.Voters[s.Random.IntN(len(now.Voters))]
-	now = withoutMember(now, demoted)
+	demoted := members.Voters[s.Random.IntN(len(members.Voters))]
+	members = withoutMember(members, demoted)
 	if s.Chance(0.7) {
-		now.Learners = append(now.Learners, demoted)
+		members.Learners = append(members.Learners, demoted)
 	}
-	return now, true
+	return members, true
 }
 
 func withoutMember(members replica.Members, id replica.NodeID) replica.Members {
