--- a/internal/barograph/host/call.go
+++ b/internal/barograph/host/call.go
@@ -10,10 +10,10 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// Propose has the group carry out a command, and gives what the machine's Apply gave on this
-// node once a majority holds it durably. Failures: *replica.NotOwnerError and
-// replica.ErrHandover (the command is not in force and won't be), *UnknownOutcomeError (it may
-// be), ErrOverload, ErrNoGroup, ErrStopped.
+// Propose appends a command to the group's log. Once a majority holds it durably and this node
+// has applied it, Propose returns the result of the state machine's Apply on this node. Errors:
+// *replica.NotOwnerError and replica.ErrHandover (the command is not committed and never will
+// be), *UnknownOutcomeError (it may be), ErrOverloaded, ErrGroupNotFound and ErrStopped.
 func (h *Host) Propose(ctx context.Context, id replica.GroupID, command []byte) ([]byte, error) {
 	data := slices.Clone(command)
 	return h.propose(ctx, id, func(g *group) (uint64, uint64, error) {
@@ -21,8 +21,8 @@
 	})
 }
 
-// ChangeMembers has the group take other members, and gives nil once they are committed.
-// Failures are those of Propose and of replica's ChangeMembers.
+// ChangeMembers proposes a membership change and returns nil once it is committed. Its errors
+// are those of Propose and of replica.Replica.ChangeMembers.
 func (h *Host) ChangeMembers(ctx context.Context, id replica.GroupID, members replica.Members) error {
 	_, err := h.propose(ctx, id, func(g *group) (uint64, uint64, error) {
 		return g.replica.ChangeMembers(h.options.Now(), members)
@@ -30,7 +30,7 @@
 	return err
 }
 
-// propose appends an entry and waits for its outcome.
+// propose appends an entry to the log and waits for its outcome.
 func (h *Host) propose(
 	ctx context.Context, id replica.GroupID, add func(*group) (index, term uint64, err error),
 ) ([]byte, error) {
@@ -70,14 +70,15 @@
 		return nil, 0, nil, err
 	}
 	w := &waiter{term: term, done: make(chan outcome, 1)}
-	if old := g.waiters[index]; old != nil { // its entry was cut from the log
+	if old := g.waiters[index]; old != nil { // its entry was truncated from the log
 		old.complete(nil, &UnknownOutcomeError{Cause: &replica.NotOwnerError{Owner: g.replica.Owner()}})
 	}
 	g.waiters[index] = w
 	return g, index, w, nil
 }
 
-// abandonProposal gives up waiting, unless the outcome has come in the meantime.
+// abandonProposal stops waiting for a proposal. If its outcome has arrived in the meantime, it
+// returns that outcome.
 func (h *Host) abandonProposal(g *group, index uint64, w *waiter, cause error) ([]byte, error) {
 	h.mu.Lock()
 	if g.waiters[index] == w {
@@ -92,10 +93,10 @@
 	}
 }
 
-// Read looks at the machine when nothing that is in force can be missing: this node holds the
-// lease before and after, and all that was committed before is applied. What look found counts
-// only if Read gives nil. look must be short and mustn't call the host. Failures:
-// *replica.NotOwnerError, ErrNoLease, the context's, ErrNoGroup, ErrStopped.
+// Read calls look for a linearizable read of the state machine: this node holds the leader's
+// lease before and after the call, and has applied everything that was committed before. What
+// look found is valid only if Read returns nil. look must be short and must not call the host.
+// Errors: *replica.NotOwnerError, ErrNoLease, the context's error, ErrGroupNotFound, ErrStopped.
 func (h *Host) Read(ctx context.Context, id replica.GroupID, look func(StateMachine)) error {
 	g, commit, term, err := h.checkLease(id)
 	if err != nil {
@@ -112,7 +113,8 @@
 	return err
 }
 
-// checkLease checks the lease, and gives up to where the owner's log is committed, and its term.
+// checkLease verifies that this node leads the group under a lease. It returns the commit index
+// and the term.
 func (h *Host) checkLease(id replica.GroupID) (g *group, commit, term uint64, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -146,8 +148,8 @@
 	}
 }
 
-// ReadLocal looks at the machine as it is on this node, which may be behind. look must be short and
-// mustn't call the host.
+// ReadLocal calls look with this node's state machine, which may be stale. look must be short
+// and must not call the host.
 func (h *Host) ReadLocal(id replica.GroupID, look func(StateMachine)) error {
 	h.mu.Lock()
 	g, err := h.runningGroup(id)
@@ -165,8 +167,8 @@
 	look(g.machine)
 }
 
-// TransferLeadership begins to give the ownership to a voter; whether it came through shows in Status.
-// Failures are those of replica's TransferLeadership.
+// TransferLeadership starts to transfer the group's leadership to a voter. Status shows whether
+// the transfer succeeded. Its errors are those of the replica's method.
 func (h *Host) TransferLeadership(id replica.GroupID, to replica.NodeID) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -178,7 +180,7 @@
 	return g.replica.Handover(h.options.Now(), to)
 }
 
-// Campaign has this node ask for the ownership at once, for the first start of a group.
+// Campaign makes this node start an election at once. It is meant for the first start of a group.
 func (h *Host) Campaign(id replica.GroupID) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -191,7 +193,7 @@
 	return nil
 }
 
-// Status is a view of a group's replica.
+// Status returns the status of a group's replica.
 func (h *Host) Status(id replica.GroupID) (replica.Status, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -202,7 +204,7 @@
 	return g.replica.Status(h.options.Now()), nil
 }
 
-// Statuses are views of all groups that are run, ordered by group.
+// Statuses returns the status of every running group, ordered by group.
 func (h *Host) Statuses() []replica.Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -220,8 +222,9 @@
 	return statuses
 }
 
-// Applied is the index up to which this node has applied the group's log. changed is closed
-// when more is, or the owner or the term is another; at once where the group isn't run.
+// Applied returns the index up to which this node has applied the group's log. The channel
+// changed is closed when the index advances, or when the leader or the term changes. If the
+// group is not running, the channel is closed already.
 func (h *Host) Applied(id replica.GroupID) (index uint64, changed <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -235,9 +238,9 @@
 	return g.applied, g.changed
 }
 
-// Staleness is how old this node's state of a group may be, as Peek shows it: all that was committed
-// longer ago is applied here. Where that isn't proven, or the group isn't run, it is Unproven
-// or more.
+// Staleness returns an upper bound on how far the state that ReadLocal shows is behind: every
+// entry that was committed longer ago is applied on this node. Without a proven bound, or if the
+// group is not running, the result is UnknownStaleness or more.
 func (h *Host) Staleness(id replica.GroupID) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -249,17 +252,17 @@
 	return now - g.replica.CurrentAt(now, g.applied)
 }
 
-// UnknownStaleness is an Age that says nothing.
+// UnknownStaleness is the smallest result of Staleness that carries no information.
 const UnknownStaleness = 1000 * time.Hour
 
-// closedChannel is a channel with news for good.
+// closedChannel is a channel that is always closed.
 var closedChannel = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// checkRunning tells why a group isn't run, nil if it is.
+// checkRunning returns nil if the group is running, and the reason if it is not.
 func (h *Host) checkRunning(id replica.GroupID) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -267,7 +270,7 @@
 	return err
 }
 
-// runningGroup gives a group that is run. The host's mu is held.
+// runningGroup finds a group that is running. The host's mu is held.
 func (h *Host) runningGroup(id replica.GroupID) (*group, error) {
 	if h.stopped {
 		return nil, ErrStopped
--- a/internal/barograph/host/errors.go
+++ b/internal/barograph/host/errors.go
@@ -8,40 +8,41 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// Failures that errors.Is finds. Beside them calls give replica's own: *replica.NotOwnerError
-// from all that only an owner does, replica.ErrHandover from a proposal during a handover, and
-// those that replica names at ChangeMembers and Handover.
+// Errors that errors.Is finds. Calls also return errors of package replica: NotOwnerError from
+// every operation that needs the leader, ErrHandover from a proposal during a leadership
+// transfer, and the errors documented there for membership changes and leadership transfers.
 var (
-	// ErrGroupNotFound: the host doesn't run the group.
-	ErrGroupNotFound = errors.New("the host doesn't run this group")
-	// ErrGroupExists: the host runs the group already.
-	ErrGroupExists = errors.New("the host runs this group already")
+	// ErrGroupNotFound: the host does not run the group.
+	ErrGroupNotFound = errors.New("the host does not run this group")
+	// ErrGroupExists: the host already runs the group.
+	ErrGroupExists = errors.New("the host already runs this group")
 	// ErrStopped: the host's Run has ended.
 	ErrStopped = errors.New("the host has stopped")
-	// ErrOverloaded: too many proposals, or too many bytes of them, wait for their commit.
+	// ErrOverloaded: too many proposals, or too many bytes of proposals, wait to be committed.
 	ErrOverloaded = errors.New("too many proposals are pending")
-	// ErrNoLease: the owner isn't settled yet, or too few members have answered it of late.
-	ErrNoLease = errors.New("the owner holds no lease")
-	// ErrIncompleteOptions: Options lack something.
+	// ErrNoLease: the leader has not committed an entry of its term yet, or too few members
+	// have answered it recently.
+	ErrNoLease = errors.New("the leader holds no lease")
+	// ErrIncompleteOptions: a required field of Options is not set.
 	ErrIncompleteOptions = errors.New("the host's options are incomplete")
 )
 
-// UnknownOutcomeError tells that a proposal was taken, and that whether it comes into force was
-// not to be seen: it may still.
+// UnknownOutcomeError reports that a proposal was accepted but its outcome is unknown. It may
+// have been committed, and it may still be committed later.
 type UnknownOutcomeError struct {
-	Cause error // *replica.NotOwnerError, a context's error, ErrStopped, ErrNoGroup or a store's failure
+	Cause error // *replica.NotOwnerError, a context's error, ErrStopped, ErrGroupNotFound or a store error
 }
 
 // Error implements error.
 func (e *UnknownOutcomeError) Error() string {
-	return fmt.Sprintf("the proposal may or may not come into force: %v", e.Cause)
+	return fmt.Sprintf("the outcome of the proposal is unknown: %v", e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// RestoreError tells that a machine refused a state. Of a state that came from the group's
-// owner or the store, it ends Run: the node can't follow the group.
+// RestoreError reports that a state machine rejected an encoded state. If the state came from
+// the group's leader or the store, the error ends Run: the node cannot follow the group.
 type RestoreError struct {
 	Group replica.GroupID
 	Cause error
@@ -52,5 +53,5 @@
 	return fmt.Sprintf("group %s: restore the state: %v", e.Group, e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *RestoreError) Unwrap() error { return e.Cause }
--- a/internal/barograph/host/harness_test.go
+++ b/internal/barograph/host/harness_test.go
@@ -23,10 +23,10 @@
 	Silent:    time.Second,
 }
 
-// commandLog is a machine that keeps all commands.
+// commandLog is a state machine that stores all commands.
 type commandLog struct {
 	commands    [][]byte
-	beforeApply func(command []byte) // may be nil
+	beforeApply func(command []byte) // called before each Apply; may be nil
 }
 
 func (l *commandLog) Apply(command []byte) []byte {
@@ -41,7 +41,7 @@
 
 func (l *commandLog) Restore(state []byte) error {
 	if bytes.Equal(state, []byte("refused")) {
-		return fmt.Errorf("the state is refused")
+		return fmt.Errorf("the state is rejected")
 	}
 	l.commands = nil
 	if len(state) > 0 {
@@ -52,21 +52,21 @@
 
 func (l *commandLog) text() string { return string(bytes.Join(l.commands, []byte(" "))) }
 
-// cluster is hosts on a clock that tests move, joined by queues.
+// cluster is a set of hosts that are connected by queues and share a clock that tests advance.
 type cluster struct {
 	t                 testing.TB
 	now               time.Duration
 	nodes             map[replica.NodeID]*node
 	order             []replica.NodeID
 	seed              uint64
-	isolated          map[replica.NodeID]bool // no message from or to it
-	sendCalls         int                     // calls of Send
-	compactAfterBytes int                     // CompactAfter
-	// members are the first ones
+	isolated          map[replica.NodeID]bool // nodes that neither send nor receive messages
+	sendCalls         int                     // number of Send calls
+	compactAfterBytes int                     // Options.CompactAfterBytes
+	// members are the initial members of the groups
 	members replica.Members
 }
 
-// node is a process and its disk.
+// node is a process with a disk.
 type node struct {
 	*Host
 	cluster   *cluster
@@ -74,10 +74,10 @@
 	disk      *store.Memory
 	machines  map[replica.GroupID]*commandLog
 	inbox     []replica.Message
-	onReceive func([]replica.Message) // is told of what comes in; may be nil
+	onReceive func([]replica.Message) // called for received messages; may be nil
 }
 
-// Send implements Transport for the node that sends.
+// Send implements Transport for the sending node.
 func (n *node) Send(to replica.NodeID, messages []replica.Message) {
 	c := n.cluster
 	c.sendCalls++
@@ -93,7 +93,7 @@
 	return &cluster{t: t, now: time.Hour, nodes: map[replica.NodeID]*node{}, seed: seed, isolated: map[replica.NodeID]bool{}, compactAfterBytes: after}
 }
 
-// startNodes starts as many processes on empty disks, with these groups.
+// startCluster starts count processes on empty disks, each with the given groups.
 func startCluster(t testing.TB, seed uint64, after, count int, groups ...replica.GroupID) *cluster {
 	c := newCluster(t, seed, after)
 	for id := range replica.NodeID(count) {
@@ -108,7 +108,7 @@
 	return c
 }
 
-// start starts a process on a disk; groups that it holds go on.
+// start starts a process on a disk. The groups on the disk resume.
 func (c *cluster) start(id replica.NodeID, disk *store.Memory) *node {
 	n := &node{cluster: c, id: id, disk: disk, machines: map[replica.GroupID]*commandLog{}}
 	if c.nodes[id] == nil {
@@ -116,7 +116,7 @@
 	}
 	c.nodes[id] = n
 	c.seed++
-	made, err := New(Options{
+	host, err := New(Options{
 		Self: id, Timing: testTiming, Store: disk, Transport: n, Seed: c.seed, CompactAfterBytes: c.compactAfterBytes,
 		Now: func() time.Duration { return c.now },
 		OnUnknownGroup: func(group replica.GroupID) bool {
@@ -125,14 +125,14 @@
 		},
 	})
 	assert.NilError(c.t, err)
-	n.Host = made
-	for _, group := range made.StoredGroups() {
+	n.Host = host
+	for _, group := range host.StoredGroups() {
 		n.add(group, replica.Members{})
 	}
 	return n
 }
 
-// restart ends a process as a power loss does and starts it on what its disk has kept.
+// restart ends a process like a power loss and starts it again on the durable content of its disk.
 func (c *cluster) restart(id replica.NodeID) *node { return c.start(id, c.nodes[id].disk.Reopen()) }
 
 func (n *node) add(group replica.GroupID, members replica.Members) {
@@ -140,7 +140,7 @@
 	assert.NilError(n.cluster.t, n.Add(group, members, nil, n.machines[group]))
 }
 
-// deliverAndRun delivers what has come in and carries out rounds.
+// deliverAndRun delivers the received messages and runs rounds until there is no work.
 func (n *node) deliverAndRun() error {
 	inbox := n.inbox
 	n.inbox = nil
@@ -148,7 +148,7 @@
 	return n.runRounds(context.Background())
 }
 
-// runUntil moves the clock on by steps of a millisecond until done is true.
+// runUntil advances the clock in steps of a millisecond until done returns true.
 func (c *cluster) runUntil(what string, done func() bool) {
 	c.t.Helper()
 	for range 3000 {
@@ -160,14 +160,15 @@
 		}
 		c.now += time.Millisecond
 	}
-	c.t.Fatalf("did not come about: %s", what)
+	c.t.Fatalf("timed out waiting for: %s", what)
 }
 
-// awaitLeader waits for a settled owner among the nodes that aren't cut.
+// awaitLeader waits for a leader, among the nodes that are not isolated, that has committed an
+// entry of its term.
 func (c *cluster) awaitLeader(group replica.GroupID) *node {
 	c.t.Helper()
 	var leader *node
-	c.runUntil("owner", func() bool {
+	c.runUntil("a leader", func() bool {
 		leader = c.leader(group)
 		return leader != nil
 	})
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// proposeAsync proposes without waiting.
+// proposeAsync proposes a command without waiting for its outcome.
 func (n *node) proposeAsync(id replica.GroupID, command string) (*waiter, error) {
 	_, _, w, err := n.startProposal(id, func(g *group) (uint64, uint64, error) {
 		return g.replica.Propose(n.options.Now(), []byte(command))
@@ -191,7 +192,7 @@
 	return w, err
 }
 
-// took gives the outcome that a waiter has, nil for none yet.
+// receivedOutcome returns the outcome that a waiter has received, and nil if there is none yet.
 func receivedOutcome(w *waiter) *outcome {
 	select {
 	case o := <-w.done:
@@ -201,13 +202,13 @@
 	}
 }
 
-// propose proposes to a node and waits for the result.
+// propose proposes a command to a node and waits for the result.
 func (c *cluster) propose(n *node, command string) string {
 	c.t.Helper()
 	w, err := n.proposeAsync(testGroup, command)
 	assert.NilError(c.t, err)
 	var o *outcome
-	c.runUntil("answer", func() bool {
+	c.runUntil("the outcome of the proposal", func() bool {
 		o = receivedOutcome(w)
 		return o != nil
 	})
@@ -215,23 +216,23 @@
 	return string(o.result)
 }
 
-// changeMembers changes the members and waits until that is committed.
+// changeMembers changes the members and waits until the change is committed.
 func (c *cluster) changeMembers(n *node, members replica.Members) {
 	c.t.Helper()
 	_, _, w, err := n.startProposal(testGroup, func(g *group) (uint64, uint64, error) {
 		return g.replica.ChangeMembers(c.now, members)
 	})
 	assert.NilError(c.t, err)
-	c.runUntil("change", func() bool {
+	c.runUntil("the membership change", func() bool {
 		o := receivedOutcome(w)
 		return o != nil && o.err == nil
 	})
 }
 
-// awaitSameState waits until all machines hold what the node's does.
+// awaitSameState waits until all state machines have the state of the given node's.
 func (c *cluster) awaitSameState(n *node) {
 	c.t.Helper()
-	c.runUntil("machines alike", func() bool {
+	c.runUntil("the same state on all nodes", func() bool {
 		for _, id := range c.order {
 			if other := c.nodes[id].machines[testGroup]; other == nil || other.text() != n.machines[testGroup].text() {
 				return false
--- a/internal/barograph/host/heartbeat_test.go
+++ b/internal/barograph/host/heartbeat_test.go
@@ -11,9 +11,9 @@
 	"pipitmux/internal/barograph/store"
 )
 
-// A follower whose disk takes long for a write answers its owner's heartbeats meanwhile, up to a
-// bound, and doesn't confirm what it is writing.
-func TestHeartbeatsAreAnsweredDuringAWrite(t *testing.T) {
+// A follower with a slow write must keep answering the leader's heartbeats, or it is taken for
+// lost. It stops after slowWriteYieldAfter and never confirms entries that are not durable yet.
+func TestHeartbeatsAreAnsweredDuringSlowWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 8, 0, 3, testGroup)
 		leader := c.awaitLeader(testGroup)
@@ -43,17 +43,17 @@
 			for _, m := range messages {
 				answers++
 				assert.Equal(t, m.Kind, replica.AppendReply)
-				assert.Assert(t, m.Index <= heartbeat.Index, "it confirms what isn't durable: %d", m.Index)
+				assert.Assert(t, m.Index <= heartbeat.Index, "the follower confirms index %d, which is not durable", m.Index)
 			}
 		}
 		assert.NilError(t, follower.deliverAndRun())
 		assert.Assert(t, time.Since(began) >= lasts)
-		assert.Assert(t, answers >= 10, "%d answers", answers)
-		assert.Assert(t, answeredUntil < slowWriteYieldAfter+slowWriteHeartbeatInterval, "still answers after %v", answeredUntil)
+		assert.Assert(t, answers >= 10, "only %d answers during the write", answers)
+		assert.Assert(t, answeredUntil < slowWriteYieldAfter+slowWriteHeartbeatInterval, "the follower still answers %v after the write began", answeredUntil)
 	})
 }
 
-// entriesAmong finds the message that brings entries.
+// findAppendWithEntries returns the first append message that carries entries.
 func findAppendWithEntries(t *testing.T, messages []replica.Message) replica.Message {
 	t.Helper()
 	for _, m := range messages {
@@ -61,6 +61,6 @@
 			return m
 		}
 	}
-	t.Fatal("no entries are on the way")
+	t.Fatal("no append message with entries found")
 	return replica.Message{}
 }
--- a/internal/barograph/host/host.go
+++ b/internal/barograph/host/host.go
@@ -1,5 +1,6 @@
-// Package host runs the replicas of one process. It carries out what they want in rounds, for
-// all groups together: gather, write and sync once, then send, apply and answer.
+// Package host runs the replicated groups of one process. It works in rounds that cover all
+// groups together: it collects their pending work, writes and syncs it once, then sends the
+// messages, applies the committed entries and answers the callers.
 package host
 
 import (
@@ -18,87 +19,92 @@
 )
 
 const (
-	// DefaultCompactAfterBytes is the log that gathers before a snapshot, in bytes.
+	// DefaultCompactAfterBytes is how much log accumulates before a snapshot replaces it.
 	DefaultCompactAfterBytes = 1 << 20
-	// initialIndex is of the snapshot that a group begins with. It is not 0, so that a member which
-	// comes later, with nothing, can't pass for one that holds the first state.
+	// initialIndex is the index of the snapshot that a group starts with. It is not 0, so that a
+	// member that joins later with an empty log is not taken for one that holds the initial state.
 	initialIndex = 1
-	// MaxPendingProposals is the number of proposals of one group that may wait for their commit.
+	// MaxPendingProposals bounds the proposals of one group that wait to be committed.
 	MaxPendingProposals = 4096
 )
 
-// StateMachine is a group's state. All calls come one at a time; none may call the host.
+// StateMachine holds a group's replicated state. The host calls its methods one at a time. They
+// must not call the host.
 type StateMachine interface {
-	// Apply carries out a command and gives its result. It is deterministic: on each member the
-	// same commands come in the same order. The command may be kept but not changed.
+	// Apply executes a command and returns its result. It must be deterministic: every member
+	// applies the same commands in the same order. It may retain the command but not modify it.
 	Apply(command []byte) (result []byte)
-	// Snapshot encodes the state. The host keeps what it gives.
+	// Snapshot encodes the state. The host retains the returned slice.
 	Snapshot() []byte
-	// Restore takes an encoded state in place of what there was. It may keep it but not change it.
+	// Restore replaces the state by an encoded one. It may retain the slice but not modify it.
 	Restore(state []byte) error
 }
 
-// Transport carries messages to other nodes. Send must not block and may lose messages; it
-// keeps what it is given.
+// Transport sends messages to other nodes. Send must not block. It may lose messages. It retains
+// the slice.
 type Transport interface {
 	Send(to replica.NodeID, messages []replica.Message)
 }
 
-// Options are what a Host is made of.
+// Options configure a Host.
 type Options struct {
 	Self      replica.NodeID
 	Timing    replica.Timing
-	Store     store.Store // stays the caller's to close, once Run has ended
+	Store     store.Store // closed by the caller after Run has returned
 	Transport Transport
-	Now       func() time.Duration // a steady clock
-	Seed      uint64               // what is drawn follows from it, Self and the group
-	// CompactAfterBytes is the log in bytes that gathers before a snapshot takes its place, at least
-	// as much as the last snapshot's state; 0 for DefaultCompactAfter.
+	Now       func() time.Duration // a monotonic clock
+	Seed      uint64               // together with Self and the group it determines all random draws
+	// CompactAfterBytes is how much log accumulates before a snapshot replaces it. The size of
+	// the last snapshot's state is used if it is larger. 0 stands for DefaultCompactAfterBytes.
 	CompactAfterBytes int
-	// OnUnknownGroup is told of a group that a message came for and that the host doesn't run. If it
-	// gives true, having called Add, then the messages are taken. nil: they are dropped.
+	// OnUnknownGroup is called when a message arrives for a group that the host does not run. It
+	// may call Add and return true: then the messages are delivered. Otherwise, or if it is nil,
+	// they are dropped.
 	OnUnknownGroup func(replica.GroupID) bool
 }
 
-// Host runs the replicas of one process. Its calls may come from many goroutines; they take
-// short locks and don't wait for the disk, but for Remove and what waits for a commit.
+// Host runs the replicas of one process. Its methods are safe for concurrent use. They hold
+// locks briefly and do not wait for the disk, except for Remove and the methods that wait for a
+// commit.
 type Host struct {
 	options Options
-	wake    chan struct{} // holds one: there is something to do
+	wake    chan struct{} // buffered, one element: there is work
 	sleep   func(ctx context.Context, span time.Duration) bool
 
-	roundMu sync.Mutex // held for a whole round; taken before mu
+	roundMu sync.Mutex // held for a whole round; locked before mu
 
 	mu      sync.Mutex
 	groups  map[replica.GroupID]*group
-	dirty   []*group                           // may have something to do
-	loaded  map[replica.GroupID]replica.Stored // waits for Add
-	stored  map[replica.GroupID]bool           // is in the store
+	dirty   []*group                           // groups that may have work
+	loaded  map[replica.GroupID]replica.Stored // read from the store, not added yet
+	stored  map[replica.GroupID]bool           // groups that the store holds
 	stopped bool
 }
 
-// group is one group of the host. Its fields are under the host's mu but for the machine's.
+// group is a group that the host runs. The host's mu guards its fields, except for logBytes and
+// the state machine.
 type group struct {
 	id              replica.GroupID
 	replica         *replica.Replica
 	dirty           bool
-	nextTick        time.Duration // when the replica's Tick is due
+	nextTick        time.Duration // when the replica's next Tick is due
 	removed         bool
-	snapshot        replica.Snapshot   // the newest durable one
-	pendingSnapshot *replica.Snapshot  // is to be written in the next round
-	waiters         map[uint64]*waiter // by index
-	notifiedLeader  replica.NodeID     // as last told to who waits for news
-	notifiedTerm    uint64             // as last told
-	applied         uint64             // index
-	changed         chan struct{}      // closed when applied, owner or term changes; nil: nobody asked
+	snapshot        replica.Snapshot   // the newest durable snapshot
+	pendingSnapshot *replica.Snapshot  // to be written in the next round
+	waiters         map[uint64]*waiter // by log index
+	notifiedLeader  replica.NodeID     // the leader at the last notification
+	notifiedTerm    uint64             // the term at the last notification
+	applied         uint64             // index of the last applied entry
+	changed         chan struct{}      // closed when applied, leader or term changes; nil: nobody waits
 
-	logBytes int // applied since the newest snapshot; the round's own
+	logBytes int // applied since the newest snapshot; used by rounds only
 
-	machineMu sync.Mutex // taken after the host's mu, if both
+	machineMu sync.Mutex // locked after the host's mu if both are held
 	machine   StateMachine
 }
 
-// New makes a host and reads what the store holds. Groups go on when Add names their machine.
+// New creates a host and loads the groups from the store. A loaded group resumes when Add
+// supplies its state machine.
 func New(options Options) (*Host, error) {
 	if options.Self == 0 || options.Store == nil || options.Transport == nil || options.Now == nil {
 		return nil, ErrIncompleteOptions
@@ -124,11 +130,12 @@
 	return h, nil
 }
 
-// Add begins to run a group. One that the store holds goes on from there. Else it begins with
-// these members and state, alike on all of first.Voters, and is durable from the next round on.
-// Empty members: the group follows only, and waits for an owner to send its state; none must
-// be given then. The machine is given the state, unless it is empty: then it begins as it is.
-func (h *Host) Add(id replica.GroupID, first replica.Members, state []byte, machine StateMachine) error {
+// Add starts to run a group. A group that the store holds resumes from the stored state.
+// Otherwise it starts with the given members and state, which must be the same on all of
+// members.Voters, and it is durable from the next round on. With empty members, the replica only
+// follows and waits for a leader to send the state; then no state may be given. The state
+// machine is restored from the state, unless the state is empty.
+func (h *Host) Add(id replica.GroupID, members replica.Members, state []byte, machine StateMachine) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.stopped {
@@ -137,28 +144,28 @@
 	if h.groups[id] != nil {
 		return ErrGroupExists
 	}
-	stored, held := h.loaded[id]
-	if !held {
-		stored = initialState(first, state)
+	stored, found := h.loaded[id]
+	if !found {
+		stored = initialState(members, state)
 	}
 	if err := restore(id, machine, stored.Snapshot.State); err != nil {
 		return err
 	}
 	delete(h.loaded, id)
 	h.groups[id] = h.newGroup(id, stored, machine)
-	if !held && len(first.Voters) > 0 {
+	if !found && len(members.Voters) > 0 {
 		h.groups[id].pendingSnapshot = &stored.Snapshot
 	}
 	h.markDirty(h.groups[id])
 	return nil
 }
 
-// initialState is what a group begins with, nothing where there are no members.
-func initialState(first replica.Members, state []byte) replica.Stored {
-	if len(first.Voters) == 0 {
+// initialState returns the stored form of a new group. It is empty if there are no members.
+func initialState(members replica.Members, state []byte) replica.Stored {
+	if len(members.Voters) == 0 {
 		return replica.Stored{}
 	}
-	snapshot := replica.Snapshot{Index: initialIndex, Members: first.Clone(), State: slices.Clone(state)}
+	snapshot := replica.Snapshot{Index: initialIndex, Members: members.Clone(), State: slices.Clone(state)}
 	return replica.Stored{Snapshot: snapshot}
 }
 
@@ -172,12 +179,12 @@
 	return nil
 }
 
-// newGroup makes a group on what is kept of it.
+// newGroup creates a group from its stored state.
 func (h *Host) newGroup(id replica.GroupID, stored replica.Stored, machine StateMachine) *group {
-	lot := rand.New(rand.NewPCG(h.options.Seed^uint64(h.options.Self), xxhash.Sum64String(string(id))))
+	random := rand.New(rand.NewPCG(h.options.Seed^uint64(h.options.Self), xxhash.Sum64String(string(id))))
 	g := &group{
 		id:           id,
-		replica:      replica.New(id, h.options.Self, h.options.Timing, stored, lot, h.replicaStart(stored)),
+		replica:      replica.New(id, h.options.Self, h.options.Timing, stored, random, h.replicaStart(stored)),
 		snapshot:     stored.Snapshot,
 		applied:      stored.Snapshot.Index,
 		notifiedTerm: stored.Hard.Term,
@@ -188,8 +195,8 @@
 	return g
 }
 
-// replicaStart is the time at which a replica begins. A node that has taken part in no term has
-// promised no owner a lease, so it needn't let one run out before it campaigns.
+// replicaStart returns the time at which a replica starts. A node that has taken part in no term
+// has granted no leader a lease, so it may campaign without waiting for a lease to expire.
 func (h *Host) replicaStart(stored replica.Stored) time.Duration {
 	now := h.options.Now()
 	if stored.Hard == (replica.HardState{}) && len(stored.Entries) == 0 {
@@ -198,7 +205,7 @@
 	return now
 }
 
-// StoredGroups gives the groups that the store holds, in order.
+// StoredGroups returns the groups that the store holds, sorted.
 func (h *Host) StoredGroups() []replica.GroupID {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -210,8 +217,8 @@
 	return ids
 }
 
-// Remove stops to run a group and drops what the store holds of it. It waits for the round
-// under way, and the machine is called no more afterwards. A failure is the store's.
+// Remove stops running a group and deletes it from the store. It waits for the current round to
+// end. The state machine is not called afterwards. An error comes from the store.
 func (h *Host) Remove(id replica.GroupID) error {
 	h.roundMu.Lock()
 	defer h.roundMu.Unlock()
@@ -235,28 +242,30 @@
 	return nil
 }
 
-// Deliver takes messages of other nodes. Those for another incarnation of this node are dropped.
+// Deliver processes messages from other nodes. Messages for another incarnation of this node are
+// dropped.
 func (h *Host) Deliver(messages []replica.Message) {
 	unknown := h.deliverToReplicas(messages)
 	if len(unknown) == 0 || h.options.OnUnknownGroup == nil {
 		return
 	}
-	asked := map[replica.GroupID]bool{}
-	var taken []replica.Message
+	decided := map[replica.GroupID]bool{}
+	var accepted []replica.Message
 	for _, m := range unknown {
-		take, known := asked[m.Group]
-		if !known {
-			take = h.options.OnUnknownGroup(m.Group)
-			asked[m.Group] = take
+		accept, seen := decided[m.Group]
+		if !seen {
+			accept = h.options.OnUnknownGroup(m.Group)
+			decided[m.Group] = accept
 		}
-		if take {
-			taken = append(taken, m)
+		if accept {
+			accepted = append(accepted, m)
 		}
 	}
-	h.deliverToReplicas(taken)
+	h.deliverToReplicas(accepted)
 }
 
-// deliverToReplicas hands messages to their replicas, and gives those of groups that aren't run.
+// deliverToReplicas passes messages to their replicas. It returns the messages for groups that
+// are not running.
 func (h *Host) deliverToReplicas(messages []replica.Message) (unknown []replica.Message) {
 	if len(messages) == 0 {
 		return nil
@@ -282,7 +291,7 @@
 	return unknown
 }
 
-// markDirty has the next round look at a group. The host's mu is held.
+// markDirty makes the next round check a group for work. The host's mu is held.
 func (h *Host) markDirty(g *group) {
 	if !g.dirty {
 		g.dirty = true
--- a/internal/barograph/host/host_test.go
+++ b/internal/barograph/host/host_test.go
@@ -15,7 +15,8 @@
 	"pipitmux/internal/barograph/store"
 )
 
-func TestThreeHostsAgree(t *testing.T) {
+// All members must apply the same commands, and only the leader may accept proposals and reads.
+func TestThreeHostsApplySameCommands(t *testing.T) {
 	c := startCluster(t, 1, 0, 3, testGroup)
 	leader := c.awaitLeader(testGroup)
 	for i := range 20 {
@@ -31,13 +32,14 @@
 		_, err := n.Propose(t.Context(), testGroup, []byte("x"))
 		assert.Assert(t, errors.As(err, &notOwner))
 		assert.Equal(t, notOwner.Owner, leader.id)
-		err = n.Read(t.Context(), testGroup, func(StateMachine) { t.Error("looked") })
+		err = n.Read(t.Context(), testGroup, func(StateMachine) { t.Error("a read was served") })
 		assert.Assert(t, errors.As(err, &notOwner))
 	}
 }
 
-// TestAnswerComesAfterTheWrites looks at the disks whenever something is applied or written.
-func TestAnswerComesAfterTheWrites(t *testing.T) {
+// A proposal must not be applied or answered before a majority of the disks holds it. The test
+// checks the disks at every write and every Apply.
+func TestProposalIsAnsweredOnlyAfterMajorityIsDurable(t *testing.T) {
 	c := startCluster(t, 2, 0, 3, testGroup)
 	leader := c.awaitLeader(testGroup)
 	w, err := leader.proposeAsync(testGroup, "command")
@@ -56,7 +58,7 @@
 		}
 	}
 	var o *outcome
-	c.runUntil("answer", func() bool {
+	c.runUntil("the outcome of the proposal", func() bool {
 		o = receivedOutcome(w)
 		return o != nil
 	})
@@ -65,7 +67,7 @@
 	assert.Assert(t, writes >= 2)
 }
 
-// holders counts the disks that hold a command in their log.
+// disksHolding counts the disks whose log contains a command.
 func (c *cluster) disksHolding(command string) int {
 	count := 0
 	for _, n := range c.nodes {
@@ -80,7 +82,8 @@
 	return count
 }
 
-func TestRestartGoesOnWithMachineAndLog(t *testing.T) {
+// A restart must recover the state machine and the log, with and without a snapshot.
+func TestRestartRecoversStateMachineAndLog(t *testing.T) {
 	for name, after := range map[string]int{"log": 0, "snapshot and log": 300} {
 		t.Run(name, func(t *testing.T) {
 			c := startCluster(t, 3, after, 3, testGroup)
@@ -104,13 +107,15 @@
 	}
 }
 
-func TestEmptyFollowerTakesTheSnapshot(t *testing.T) {
+// A member that joins with an empty disk must catch up from a snapshot if the log no longer
+// reaches back to the beginning, and must keep it across a restart.
+func TestEmptyLearnerInstallsSnapshot(t *testing.T) {
 	c := startCluster(t, 4, 500, 1, testGroup)
 	leader := c.awaitLeader(testGroup)
 	for i := range 20 {
 		c.propose(leader, fmt.Sprint("before", i))
 	}
-	c.restart(1) // whose log begins at the snapshot then
+	c.restart(1) // after the restart its log begins at the snapshot
 	leader = c.awaitLeader(testGroup)
 	learner := c.start(2, store.NewMemory())
 	assert.Equal(t, len(learner.StoredGroups()), 0)
@@ -126,7 +131,9 @@
 	assert.Assert(t, strings.HasSuffix(learner.machines[testGroup].text(), "before19 after"))
 }
 
-func TestDeposedOwnerGivesUnknownOutcome(t *testing.T) {
+// An isolated leader may lose an entry that it accepted. Its caller must get an unknown outcome,
+// and the entry must not be applied.
+func TestDeposedLeaderReturnsUnknownOutcome(t *testing.T) {
 	c := startCluster(t, 5, 0, 3, testGroup)
 	old := c.awaitLeader(testGroup)
 	c.propose(old, "first")
@@ -138,7 +145,7 @@
 	c.propose(fresh, "second")
 	c.isolated[old.id] = false
 	var o *outcome
-	c.runUntil("answer", func() bool {
+	c.runUntil("the outcome of the proposal", func() bool {
 		o = receivedOutcome(w)
 		return o != nil
 	})
@@ -148,7 +155,8 @@
 	assert.Equal(t, old.machines[testGroup].text(), "first second")
 }
 
-func TestReadNeedsTheLease(t *testing.T) {
+// Read must fail if the lease expires before or during the read. ReadLocal needs no lease.
+func TestReadRequiresLease(t *testing.T) {
 	c := startCluster(t, 6, 0, 3, testGroup)
 	leader := c.awaitLeader(testGroup)
 	c.propose(leader, "first")
@@ -157,30 +165,32 @@
 	assert.NilError(t, leader.Read(t.Context(), testGroup, look))
 	assert.Equal(t, seen, "first")
 	err := leader.Read(t.Context(), testGroup, func(StateMachine) { c.now += testTiming.Lease + time.Millisecond })
-	assert.ErrorIs(t, err, ErrNoLease) // it ran out while looking
+	assert.ErrorIs(t, err, ErrNoLease) // the lease expired during the read
 	assert.ErrorIs(t, leader.Read(t.Context(), testGroup, look), ErrNoLease)
 	assert.NilError(t, leader.ReadLocal(testGroup, look))
 }
 
-func TestReadWaitsForWhatIsCommitted(t *testing.T) {
+// Read must not show a state that lacks entries which are committed but not applied yet.
+func TestReadWaitsForCommittedEntries(t *testing.T) {
 	c := startCluster(t, 7, 0, 1, testGroup)
 	leader := c.awaitLeader(testGroup)
 	w, err := leader.proposeAsync(testGroup, "first")
 	assert.NilError(t, err)
-	more, err := leader.round(t.Context()) // writes and so commits, but doesn't apply
+	more, err := leader.round(t.Context()) // writes and thereby commits, but does not apply
 	assert.NilError(t, err)
 	assert.Assert(t, more)
 	assert.Assert(t, receivedOutcome(w) == nil)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.ErrorIs(t, leader.Read(ctx, testGroup, func(StateMachine) { t.Error("looked") }), context.Canceled)
+	assert.ErrorIs(t, leader.Read(ctx, testGroup, func(StateMachine) { t.Error("a read was served") }), context.Canceled)
 	assert.NilError(t, leader.deliverAndRun())
 	seen := ""
 	assert.NilError(t, leader.Read(ctx, testGroup, func(m StateMachine) { seen = m.(*commandLog).text() }))
 	assert.Equal(t, seen, "first")
 }
 
-func TestStoreFailureEndsRunAndNothingIsAnswered(t *testing.T) {
+// After a store failure nothing may be applied or confirmed, and Run must return the error.
+func TestStoreFailureEndsRunWithoutResult(t *testing.T) {
 	c := startCluster(t, 8, 0, 1, testGroup)
 	leader := c.awaitLeader(testGroup)
 	w, err := leader.proposeAsync(testGroup, "command")
@@ -198,9 +208,9 @@
 	assert.ErrorIs(t, err, ErrStopped)
 }
 
-// A full disk ends nothing: nothing is sent or answered that isn't durable, and all goes on once
-// there is room.
-func TestFullDiskIsWaitedFor(t *testing.T) {
+// A full disk must not end the process. Nothing is applied or answered before it is durable, and
+// the work continues once there is free space.
+func TestFullDiskDelaysAnswersUntilSpaceIsFree(t *testing.T) {
 	c := startCluster(t, 8, 0, 3, testGroup)
 	leader := c.awaitLeader(testGroup)
 	w, err := leader.proposeAsync(testGroup, "command")
@@ -209,7 +219,7 @@
 	var pauses []time.Duration
 	leader.sleep = func(_ context.Context, span time.Duration) bool {
 		pauses = append(pauses, span)
-		assert.Assert(t, receivedOutcome(w) == nil, "answered before it is durable")
+		assert.Assert(t, receivedOutcome(w) == nil, "the proposal was answered before it was durable")
 		assert.Equal(t, leader.machines[testGroup].text(), "")
 		if len(pauses) == 10 {
 			leader.disk.FreeDisk()
@@ -219,11 +229,12 @@
 	assert.NilError(t, leader.deliverAndRun())
 	assert.Equal(t, len(pauses), 10)
 	assert.Assert(t, slices.IsSorted(pauses) && pauses[9] == maxFullDiskBackoff, "%v", pauses)
-	c.runUntil("answer", func() bool { return receivedOutcome(w) != nil })
+	c.runUntil("the outcome of the proposal", func() bool { return receivedOutcome(w) != nil })
 	assert.Equal(t, leader.machines[testGroup].text(), "command")
 }
 
-func TestFullDiskDoesntHoldAnEndUp(t *testing.T) {
+// Run must return when its context ends, also while it waits for space on a full disk.
+func TestFullDiskDoesNotDelayShutdown(t *testing.T) {
 	c := startCluster(t, 8, 0, 1, testGroup)
 	leader := c.awaitLeader(testGroup)
 	w, err := leader.proposeAsync(testGroup, "command")
@@ -235,7 +246,9 @@
 	assert.Assert(t, receivedOutcome(w).err != nil)
 }
 
-func TestContextOverGivesUnknownOutcome(t *testing.T) {
+// A proposal whose context ends may still be committed, so its outcome is unknown. With a context
+// that ended before, nothing is proposed.
+func TestCanceledProposalReturnsUnknownOutcome(t *testing.T) {
 	c := startCluster(t, 9, 0, 1, testGroup)
 	leader := c.awaitLeader(testGroup)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -249,12 +262,12 @@
 	assert.Assert(t, errors.As(err, &unknown))
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.NilError(t, leader.deliverAndRun())
-	assert.Equal(t, leader.machines[testGroup].text(), "command") // it did come into force
+	assert.Equal(t, leader.machines[testGroup].text(), "command") // it was committed
 	_, err = leader.Propose(ctx, testGroup, nil)
 	assert.Equal(t, err, context.Canceled) // nothing was proposed
 }
 
-func TestTooManyProposalsAreRefused(t *testing.T) {
+func TestTooManyPendingProposalsAreRejected(t *testing.T) {
 	c := startCluster(t, 10, 0, 1, testGroup)
 	leader := c.awaitLeader(testGroup)
 	for range MaxPendingProposals {
@@ -268,14 +281,14 @@
 	assert.NilError(t, err)
 }
 
-// TestCallsGoOnDuringAWrite proposes while the disk is busy: the proposals share the next write.
-func TestCallsGoOnDuringAWrite(t *testing.T) {
+// A write must not block calls. Proposals that arrive during a write share the next one.
+func TestProposalsDuringWriteShareNextWrite(t *testing.T) {
 	c := startCluster(t, 11, 0, 1, testGroup)
 	leader := c.awaitLeader(testGroup)
 	var entries []int
 	leader.disk.OnWrite(func(batch []store.Write) {
 		entries = append(entries, len(batch[0].Entries))
-		assert.Assert(t, leader.mu.TryLock(), "calls are shut out during a write")
+		assert.Assert(t, leader.mu.TryLock(), "the host is locked during a write")
 		leader.mu.Unlock()
 		if len(entries) > 1 {
 			return
@@ -292,7 +305,7 @@
 	assert.DeepEqual(t, entries, []int{1, 3})
 }
 
-// TestGroupsShareWritesAndMessages has five groups commit at once.
+// Groups that commit at the same time must share one write and one Send per node.
 func TestGroupsShareWritesAndMessages(t *testing.T) {
 	groups := []replica.GroupID{"a", "b", "c", "d", "e"}
 	c := startCluster(t, 12, 0, 3, groups...)
@@ -318,7 +331,9 @@
 	assert.Equal(t, statuses[4].Group, groups[4])
 }
 
-func TestAppliedTellsOfNews(t *testing.T) {
+// The channel of Applied must be closed when the leader changes or an entry is applied, and at
+// once for a group that is not running.
+func TestAppliedChannelClosesOnChange(t *testing.T) {
 	c := startCluster(t, 13, 0, 3, testGroup)
 	follower := c.nodes[3]
 	_, changed := follower.Applied(testGroup)
@@ -338,7 +353,8 @@
 	<-changed
 }
 
-func TestRemoveForgetsTheGroup(t *testing.T) {
+// Remove must fail pending proposals and delete the group from the store.
+func TestRemoveDeletesGroup(t *testing.T) {
 	c := startCluster(t, 14, 0, 1, testGroup)
 	leader := c.awaitLeader(testGroup)
 	w, err := leader.proposeAsync(testGroup, "command")
@@ -352,7 +368,7 @@
 	assert.Equal(t, len(c.restart(1).StoredGroups()), 0)
 }
 
-func TestAddRefusesAGroupTwiceAndABadState(t *testing.T) {
+func TestAddRejectsDuplicateGroupAndBadState(t *testing.T) {
 	c := startCluster(t, 15, 0, 1, testGroup)
 	n := c.nodes[1]
 	assert.ErrorIs(t, n.Add(testGroup, replica.Members{}, nil, &commandLog{}), ErrGroupExists)
@@ -362,7 +378,8 @@
 	assert.ErrorIs(t, n.ReadLocal("other", nil), ErrGroupNotFound)
 }
 
-func TestFirstStateIsKept(t *testing.T) {
+// The initial state must survive a restart although no log entry created it.
+func TestInitialStateSurvivesRestart(t *testing.T) {
 	c := startCluster(t, 16, 0, 1)
 	first := &commandLog{}
 	assert.NilError(t, c.nodes[1].Add(testGroup, replica.Members{Voters: []replica.NodeID{1}}, []byte("a\nb"), first))
@@ -381,7 +398,7 @@
 	assert.NilError(t, c.nodes[1].ReadLocal("unheard", func(StateMachine) {}))
 }
 
-func TestRunEndsWithItsContext(t *testing.T) {
+func TestRunEndsWithContext(t *testing.T) {
 	c := startCluster(t, 18, 0, 1, testGroup)
 	leader := c.awaitLeader(testGroup)
 	w, err := leader.proposeAsync(testGroup, "command")
@@ -393,19 +410,20 @@
 	assert.ErrorIs(t, leader.Campaign(testGroup), ErrStopped)
 }
 
-// TestFirstStateReachesAnEmptyFollower has no log to speak of, and a state that no entry made.
-func TestFirstStateReachesAnEmptyFollower(t *testing.T) {
+// The initial state must reach a member that joins with an empty disk, although no log entry
+// created it and the log is almost empty.
+func TestInitialStateReachesEmptyLearner(t *testing.T) {
 	c := startCluster(t, 21, 0, 1)
 	assert.NilError(t, c.nodes[1].Add(testGroup, replica.Members{Voters: []replica.NodeID{1}}, []byte("a\nb"), &commandLog{}))
 	leader := c.awaitLeader(testGroup)
 	learner := c.start(2, store.NewMemory())
 	c.changeMembers(leader, replica.Members{Voters: []replica.NodeID{1}, Learners: []replica.NodeID{2}})
-	c.runUntil("state", func() bool { return learner.machines[testGroup] != nil && learner.machines[testGroup].text() == "a b" })
+	c.runUntil("the initial state on the learner", func() bool { return learner.machines[testGroup] != nil && learner.machines[testGroup].text() == "a b" })
 }
 
-// TestIdleHostWaitsForTheNextTick has a follower that nobody speaks to wait for its election,
-// once it need no longer ask who else starts anew.
-func TestIdleHostWaitsForTheNextTick(t *testing.T) {
+// An idle host must sleep until its next Tick. A follower without contact first asks the other
+// voters whether they have restarted, too, and then waits for its election timeout.
+func TestIdleHostSleepsUntilNextTick(t *testing.T) {
 	c := startCluster(t, 19, 0, 2, testGroup)
 	c.awaitLeader(testGroup)
 	c.restart(1)
--- a/internal/barograph/host/idle_test.go
+++ b/internal/barograph/host/idle_test.go
@@ -15,7 +15,7 @@
 	"pipitmux/internal/barograph/store"
 )
 
-// counted is a transport that counts what goes over it.
+// countingTransport counts the sends and messages of a transport.
 type countingTransport struct {
 	*memoryTransport
 	sends, messages atomic.Int64
@@ -28,9 +28,9 @@
 	c.memoryTransport.Send(to, messages)
 }
 
-// BenchmarkIdle is three processes that keep so many groups together, in which nothing is
-// proposed: processor time, deliveries and messages of one process in a second, without the
-// calls that carry them. The heartbeat is the one in use. docs/CAPACITY.md.
+// BenchmarkIdle runs three processes that share a number of groups without any proposal. It
+// reports CPU time, deliveries and messages per process and second, without the cost of the RPCs
+// that carry them. The heartbeat interval is the one used in production. See docs/CAPACITY.md.
 func BenchmarkIdle(b *testing.B) {
 	for _, groups := range []int{6, 60, 600} {
 		b.Run(fmt.Sprintf("groups=%d", groups), func(b *testing.B) { benchmarkIdle(b, groups) })
@@ -50,14 +50,14 @@
 	for i := range idleVoters {
 		disk, err := store.Open(filepath.Join(b.TempDir(), fmt.Sprint(i)))
 		assert.NilError(b, err)
-		made, err := New(Options{Self: replica.NodeID(i + 1), Timing: timing, Store: disk, Transport: w, Seed: 1, Now: w.now})
+		host, err := New(Options{Self: replica.NodeID(i + 1), Timing: timing, Store: disk, Transport: w, Seed: 1, Now: w.now})
 		assert.NilError(b, err)
-		p := &process{Host: made, transport: w.memoryTransport, disk: disk, cancel: end, runResult: make(chan error, 1)}
+		p := &process{Host: host, transport: w.memoryTransport, disk: disk, cancel: end, runResult: make(chan error, 1)}
 		for g := range groups {
-			assert.NilError(b, made.Add(replica.GroupID(fmt.Sprintf("group-%d", g)), members, nil, newCommandLog()))
+			assert.NilError(b, host.Add(replica.GroupID(fmt.Sprintf("group-%d", g)), members, nil, newCommandLog()))
 		}
 		w.connect(ctx, replica.NodeID(i+1), p)
-		go func() { p.runResult <- made.Run(ctx) }()
+		go func() { p.runResult <- host.Run(ctx) }()
 		processes = append(processes, p)
 	}
 	for g := range groups {
@@ -75,14 +75,14 @@
 	stopProcesses(b, processes)
 }
 
-// awaitSettled waits for an owner in each group, whoever that is.
+// awaitLeaders waits until each group has a leader that has committed an entry of its term.
 func awaitLeaders(b *testing.B, processes []*process, groups int) {
 	const patience = 40 * time.Second
 	end := time.Now().Add(patience)
 	for g := range groups {
 		for !hasSettledLeader(processes, replica.GroupID(fmt.Sprintf("group-%d", g))) {
 			if time.Now().After(end) {
-				b.Fatal("a group has no owner")
+				b.Fatalf("group-%d has no leader after %v", g, patience)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -98,7 +98,7 @@
 	return false
 }
 
-// processorTime is what this process has used of the processors.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
--- a/internal/barograph/host/power_loss_test.go
+++ b/internal/barograph/host/power_loss_test.go
@@ -12,14 +12,14 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// powerSteps is how many milliseconds a run goes on for.
+// powerLossSteps is the length of a run in milliseconds.
 const powerLossSteps = 1500
 
-// powerRun has hosts propose while their power is lost again and again, at any step.
+// powerLossRun makes hosts propose commands while they lose power at random steps.
 type powerLossRun struct {
 	*cluster
 	random   *rand.Rand
-	unsynced bool // the disks answer before they have kept anything
+	unsynced bool // the disks acknowledge changes before they are durable
 	proposed int
 	waiters  map[string]*waiter
 	answered []string
@@ -41,7 +41,8 @@
 	return p
 }
 
-// runToAgreement goes on for a while and then lets the hosts agree. It gives the machine that they agree on.
+// runToAgreement runs the hosts for a while and then waits until they agree. It returns the state
+// that they agree on.
 func (p *powerLossRun) runToAgreement() string {
 	for range powerLossSteps {
 		p.now += time.Millisecond
@@ -56,7 +57,7 @@
 	return leader.machines[testGroup].text()
 }
 
-// step moves one host, proposes by chance, and by chance takes power away.
+// step runs one host, and at random proposes a command or injects a fault.
 func (p *powerLossRun) step() {
 	n := p.nodes[p.order[p.random.IntN(len(p.order))]]
 	if leader := p.leader(testGroup); leader != nil && p.random.IntN(3) == 0 {
@@ -70,7 +71,7 @@
 	case 0:
 		p.losePower(n.id)
 	case 1:
-		n.disk.TearNextChange(p.random) // the next write fails and may be kept
+		n.disk.TearNextChange(p.random) // the next write fails and may be stored
 	case 2:
 		n.disk.FailNextChange()
 	case 3:
@@ -82,7 +83,7 @@
 	p.collectOutcomes()
 }
 
-// halfRound loses power between a round's write and what follows it.
+// losePowerAfterWrite loses power between a round's write and its remaining steps.
 func (p *powerLossRun) losePowerAfterWrite(n *node) {
 	n.Deliver(n.inbox)
 	n.inbox = nil
@@ -91,11 +92,10 @@
 	p.losePower(n.id)
 }
 
-// losePower takes a host's power away and gives it back at once. Of both kinds of disk only the
-// lying one has anything to losePower.
+// losePower ends a host by a power loss and restarts it at once. Only unsynced disks lose changes.
 func (p *powerLossRun) losePower(id replica.NodeID) {
 	p.collectOutcomes()
-	if n := p.restart(id); n.machines[testGroup] == nil { // it hadn't written the group's begin yet
+	if n := p.restart(id); n.machines[testGroup] == nil { // the group's initial state was not written yet
 		n.add(testGroup, p.members)
 	}
 	if p.unsynced {
@@ -103,7 +103,7 @@
 	}
 }
 
-// collectOutcomes notes what was answered.
+// collectOutcomes records the commands that were answered.
 func (p *powerLossRun) collectOutcomes() {
 	for command, w := range p.waiters {
 		o := receivedOutcome(w)
@@ -117,7 +117,7 @@
 	}
 }
 
-// missingCommands gives the answered commands that aren't there exactly once.
+// missingCommands returns the answered commands that the state does not contain exactly once.
 func (p *powerLossRun) missingCommands(text string) []string {
 	var missing []string
 	for _, command := range p.answered {
@@ -128,19 +128,20 @@
 	return missing
 }
 
-func TestPowerLossKeepsAllThatWasAnswered(t *testing.T) {
+// Every command that was answered must survive power losses at any point of a round.
+func TestPowerLossLosesNoAnsweredCommand(t *testing.T) {
 	answered := 0
 	for seed := range uint64(60) {
 		p := newPowerLossRun(t, seed, false)
 		text := p.runToAgreement()
-		assert.Equal(t, len(p.missingCommands(text)), 0, "seed %d lost %v of %s", seed, p.missingCommands(text), text)
+		assert.Equal(t, len(p.missingCommands(text)), 0, "seed %d: answered commands %v are missing or repeated in %s", seed, p.missingCommands(text), text)
 		answered += len(p.answered)
 	}
 	assert.Assert(t, answered > 500, "only %d commands were answered", answered)
 }
 
-// TestPowerLossIsNoticed has disks lie about their syncs: then the run above must find losses.
-func TestPowerLossIsNoticed(t *testing.T) {
+// The run above must detect disks that ignore sync requests; otherwise it proves nothing.
+func TestPowerLossRunDetectsUnsyncedDisks(t *testing.T) {
 	lost := 0
 	for seed := range uint64(20) {
 		p := newPowerLossRun(t, seed, true)
--- a/internal/barograph/host/process_test.go
+++ b/internal/barograph/host/process_test.go
@@ -16,7 +16,7 @@
 	"pipitmux/internal/barograph/store"
 )
 
-// process is a host that runs on a real clock and a real disk.
+// process is a host with a real clock and a real disk.
 type process struct {
 	*Host
 	transport *memoryTransport
@@ -25,10 +25,11 @@
 	runResult chan error
 }
 
-// memoryTransport joins processes; each has a goroutine that takes what is sent to it. It has their clock too.
+// memoryTransport connects processes through queues in memory and provides their clock. A goroutine
+// per process delivers what is sent to it.
 type memoryTransport struct {
 	start        time.Time
-	clockAdvance atomic.Int64 // the clock is ahead by this, in ns
+	clockAdvance atomic.Int64 // nanoseconds by which the clock is advanced
 	mu           sync.Mutex
 	queues       map[replica.NodeID]chan []replica.Message
 }
@@ -37,7 +38,7 @@
 	return time.Since(w.start) + time.Duration(w.clockAdvance.Load())
 }
 
-// Send implements Transport; messages are lost where the queue is full or nobody takes them.
+// Send implements Transport. Messages are lost if the queue is full or the receiver has none.
 func (w *memoryTransport) Send(to replica.NodeID, messages []replica.Message) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -47,7 +48,7 @@
 	}
 }
 
-// connect has a process take what is sent to it until ctx ends.
+// connect adds a process and delivers the messages sent to it until ctx ends.
 func (w *memoryTransport) connect(ctx context.Context, id replica.NodeID, p *process) {
 	queue := make(chan []replica.Message, 1024)
 	w.mu.Lock()
@@ -65,7 +66,8 @@
 	}()
 }
 
-// realTiming outlasts a busy disk: an owner whose write is under way sends nothing.
+// processTiming has timeouts that are longer than any write on a busy disk, because a leader may
+// send nothing during a long write.
 var processTiming = replica.Timing{
 	Heartbeat: 50 * time.Millisecond,
 	Election:  10 * time.Second,
@@ -74,7 +76,7 @@
 	Silent:    30 * time.Second,
 }
 
-// startProcesses starts processes on the disks, and gives them in the order of their ids.
+// startProcesses starts a process on each disk and returns them in the order of their ids.
 func startProcesses(t testing.TB, disks []store.Store, machine func() StateMachine) []*process {
 	w := &memoryTransport{start: time.Now(), queues: map[replica.NodeID]chan []replica.Message{}}
 	members := replica.Members{}
@@ -83,15 +85,15 @@
 	}
 	var processes []*process
 	for i, disk := range disks {
-		made, err := New(Options{
+		host, err := New(Options{
 			Self: replica.NodeID(i + 1), Timing: processTiming, Store: disk, Transport: w, Seed: 1, Now: w.now,
 		})
 		assert.NilError(t, err)
 		ctx, end := context.WithCancel(context.Background())
-		p := &process{Host: made, transport: w, disk: disk, cancel: end, runResult: make(chan error, 1)}
-		assert.NilError(t, made.Add(testGroup, members, nil, machine()))
+		p := &process{Host: host, transport: w, disk: disk, cancel: end, runResult: make(chan error, 1)}
+		assert.NilError(t, host.Add(testGroup, members, nil, machine()))
 		w.connect(ctx, replica.NodeID(i+1), p)
-		go func() { p.runResult <- made.Run(ctx) }()
+		go func() { p.runResult <- host.Run(ctx) }()
 		processes = append(processes, p)
 	}
 	return processes
@@ -107,7 +109,7 @@
 
 func newCommandLog() StateMachine { return &commandLog{} }
 
-// settledOwner waits for a process to be a settled owner.
+// awaitSettledLeader waits for a leader that has committed an entry of its term.
 func awaitSettledLeader(t testing.TB, processes []*process) *process {
 	assert.NilError(t, processes[0].Campaign(testGroup))
 	for {
@@ -123,20 +125,21 @@
 	}
 }
 
-func openDisks(t testing.TB, folder string, count int) []store.Store {
+func openDisks(t testing.TB, directory string, count int) []store.Store {
 	var disks []store.Store
 	for i := range count {
-		disk, err := store.Open(filepath.Join(folder, fmt.Sprint(i)))
+		disk, err := store.Open(filepath.Join(directory, fmt.Sprint(i)))
 		assert.NilError(t, err)
 		disks = append(disks, disk)
 	}
 	return disks
 }
 
-func TestProcessesOnSQLiteGoOnAfterARestart(t *testing.T) {
-	folder := t.TempDir()
+// Processes on SQLite must recover all commands after a restart and accept new ones.
+func TestProcessesOnSQLiteRecoverAfterRestart(t *testing.T) {
+	directory := t.TempDir()
 	const proposers, each = 8, 20
-	processes := startProcesses(t, openDisks(t, folder, 3), newCommandLog)
+	processes := startProcesses(t, openDisks(t, directory, 3), newCommandLog)
 	leader := awaitSettledLeader(t, processes)
 	var group sync.WaitGroup
 	for i := range proposers {
@@ -152,9 +155,9 @@
 	assert.Equal(t, len(want), proposers*each)
 	stopProcesses(t, processes)
 
-	processes = startProcesses(t, openDisks(t, folder, 3), newCommandLog)
+	processes = startProcesses(t, openDisks(t, directory, 3), newCommandLog)
 	defer stopProcesses(t, processes)
-	processes[0].transport.clockAdvance.Store(int64(processTiming.Election)) // the old owner's lease has run out
+	processes[0].transport.clockAdvance.Store(int64(processTiming.Election)) // the old leader's lease has expired
 	leader = awaitSettledLeader(t, processes)
 	assert.DeepEqual(t, readCommands(t, leader), want)
 	result, err := leader.Propose(t.Context(), testGroup, []byte("more"))
@@ -162,7 +165,7 @@
 	assert.Equal(t, string(result), fmt.Sprint(proposers*each+1))
 }
 
-// commandsOf reads what a machine holds, with the lease.
+// readCommands reads the commands of a process's state machine under the leader's lease.
 func readCommands(t testing.TB, p *process) []string {
 	var commands []string
 	err := p.Read(context.Background(), testGroup, func(m StateMachine) {
@@ -175,7 +178,8 @@
 	return commands
 }
 
-// latest is a machine whose state stays small.
+// lastCommandMachine is a state machine that stores only the last command, so its state stays
+// small.
 type lastCommandMachine struct{ commandLog }
 
 func (l *lastCommandMachine) Apply(command []byte) []byte {
@@ -183,8 +187,9 @@
 	return nil
 }
 
-// BenchmarkPropose tells commits a second and their latency on SQLite, by voters and by how
-// many propose at once. "sync" is one write of one entry alone, what group commit is held against.
+// BenchmarkPropose measures commits per second and their latency on SQLite, by the number of
+// voters and of concurrent proposers. "sync" writes one entry at a time to one store: the baseline
+// for group commit.
 func BenchmarkPropose(b *testing.B) {
 	b.Run("sync", benchmarkStoreWrite)
 	for _, voters := range []int{1, 3} {
--- a/internal/barograph/host/round.go
+++ b/internal/barograph/host/round.go
@@ -12,26 +12,26 @@
 	"pipitmux/internal/station/journal"
 )
 
-// minWait bounds how often Run looks at groups that ask for it again and again.
+// minWait bounds how often Run checks groups that keep asking for a Tick.
 const minWait = time.Millisecond
 
-// job is what one round does for one group.
+// job is the work of one round for one group.
 type job struct {
 	group       *group
 	ready       replica.Ready
-	compaction  *replica.Snapshot // is made durable along with it
+	compaction  *replica.Snapshot // a snapshot taken on this node; written together with ready
 	completions []completion
 }
 
-// completion is a waiter with what it will be told.
+// completion is a waiter and the outcome that it will receive.
 type completion struct {
 	waiter  *waiter
 	outcome outcome
 }
 
-// Run runs the groups until ctx ends, which gives nil, or the store or a machine's Restore
-// fails. Then the process must end: the failure is the store's (errors.Is store.ErrFailed) or
-// a *RestoreError. It may be called once.
+// Run runs the groups until ctx ends and then returns nil. It returns an error if the store or a
+// state machine's Restore fails: a store error (errors.Is store.ErrFailed) or a *RestoreError.
+// The process must exit then. Run may be called once.
 func (h *Host) Run(ctx context.Context) error {
 	timer := time.NewTimer(minWait)
 	defer timer.Stop()
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// runRounds carries out rounds until there is nothing to do or ctx ends.
+// runRounds runs rounds until there is no work or ctx ends.
 func (h *Host) runRounds(ctx context.Context) error {
 	for ctx.Err() == nil {
 		more, err := h.round(ctx)
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// untilNextTick is the time until the next Tick is due.
+// untilNextTick returns the time until the next Tick is due.
 func (h *Host) untilNextTick() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -74,8 +74,9 @@
 	return max(wait, minWait)
 }
 
-// round carries out what the replicas want now: it gathers, writes and syncs, then sends and
-// applies, then answers. It tells whether there was anything.
+// round performs the pending work of all replicas: it collects the work, writes and syncs it,
+// sends messages, applies entries and answers callers, in this order. It reports whether there
+// was any work.
 func (h *Host) round(ctx context.Context) (more bool, err error) {
 	h.roundMu.Lock()
 	defer h.roundMu.Unlock()
@@ -97,7 +98,7 @@
 	return true, nil
 }
 
-// collectJobs ticks what is due and takes what the replicas want.
+// collectJobs ticks the replicas that are due and collects the pending work.
 func (h *Host) collectJobs() []*job {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -124,12 +125,13 @@
 	return jobs
 }
 
-// takeJob takes what a group wants done, nil for nothing. The host's mu is held.
+// takeJob takes the pending work of a group. It returns nil if there is none. The host's mu is
+// held.
 func (g *group) takeJob() *job {
 	j := &job{group: g, ready: g.replica.Ready(), compaction: g.pendingSnapshot}
 	g.pendingSnapshot = nil
 	if j.ready.Snapshot != nil {
-		j.compaction = nil // older than the one that came in
+		j.compaction = nil // older than the received snapshot
 	}
 	g.failDeposed()
 	g.noticeLeaderChange()
@@ -139,7 +141,7 @@
 	return j
 }
 
-// storeWrite tells what the job makes durable, false for nothing.
+// storeWrite returns what the job makes durable, and false if there is nothing to write.
 func (j *job) storeWrite() (store.Write, bool) {
 	w := store.Write{Group: j.group.id, Hard: j.ready.Hard, Snapshot: j.ready.Snapshot, Entries: j.ready.Entries}
 	if j.compaction != nil {
@@ -148,17 +150,18 @@
 	return w, w.Hard != nil || w.Snapshot != nil || len(w.Entries) > 0
 }
 
-// The pauses between tries to write to a full disk, and how often the log tells of it.
+// Backoff between attempts to write to a full disk, and the minimum interval between log
+// messages about it.
 const (
 	minFullDiskBackoff  = 20 * time.Millisecond
 	maxFullDiskBackoff  = time.Second
 	fullDiskLogInterval = 30 * time.Second
 )
 
-// persist writes what the jobs want. On a full disk it tries the same again until there is room:
-// what isn't durable is neither sent nor answered, so this node votes for nothing, is missed as
-// an owner by the others, and serves what it has meanwhile. It fails with the store's failure,
-// or the context's.
+// persist makes the jobs' writes durable. On a full disk it retries the same write until there is
+// room. Meanwhile nothing that is not durable is sent or answered: this node does not vote, the
+// other members elect another leader if it was the leader, and reads are served from the state it
+// has. It returns the store's error, or the last store error if ctx ends.
 func (h *Host) persist(ctx context.Context, jobs []*job) error {
 	pause := minFullDiskBackoff
 	for {
@@ -167,7 +170,7 @@
 			return err
 		}
 		if skipped, ok := journal.Every("full disk", fullDiskLogInterval); ok {
-			klog.ErrorS(err, "The disk is full: what is new waits for room", "alike", skipped)
+			klog.ErrorS(err, "The disk is full; new writes wait for free space", "alike", skipped)
 		}
 		if !h.sleep(ctx, pause) {
 			return err
@@ -176,16 +179,18 @@
 	}
 }
 
-// While a write lasts longer than slowWriteAfter, heartbeats go out and are answered every slowWriteHeartbeatInterval, so
-// that a slow disk isn't taken for a lost node. After slowWriteYieldAfter they stop: others are to own
-// what this node can't carry on.
+// While a write takes longer than slowWriteAfter, heartbeats are sent and answered every
+// slowWriteHeartbeatInterval, so that a slow disk is not mistaken for a lost node. After
+// slowWriteYieldAfter they stop, so that other nodes take over the groups that this node cannot
+// serve.
 const (
 	slowWriteAfter             = 50 * time.Millisecond
 	slowWriteHeartbeatInterval = 25 * time.Millisecond
 	slowWriteYieldAfter        = 1500 * time.Millisecond
 )
 
-// writeWithHeartbeats writes what the jobs want, and keeps in touch with the other members meanwhile.
+// writeWithHeartbeats performs the jobs' writes. If they are slow, it exchanges heartbeats with
+// the other members meanwhile.
 func (h *Host) writeWithHeartbeats(jobs []*job) error {
 	done := make(chan error, 1)
 	go func() { done <- h.write(jobs) }()
@@ -205,7 +210,7 @@
 	}
 }
 
-// sendHeartbeats sends what may be sent while a write is under way. What else there is to do waits for the
+// sendHeartbeats sends the messages that may be sent during a write. All other work waits for the
 // next round.
 func (h *Host) sendHeartbeats() {
 	byNode := newBatches()
@@ -226,7 +231,7 @@
 func (h *Host) write(jobs []*job) error {
 	var batch []store.Write
 	for _, j := range jobs {
-		if w, some := j.storeWrite(); some {
+		if w, ok := j.storeWrite(); ok {
 			batch = append(batch, w)
 		}
 	}
@@ -239,14 +244,14 @@
 	return nil
 }
 
-// markPersisted tells the replicas that their writes are durable.
+// markPersisted informs the replicas that their writes are durable.
 func (h *Host) markPersisted(jobs []*job) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.options.Now()
 	for _, j := range jobs {
 		g := j.group
-		if _, some := j.storeWrite(); some {
+		if _, ok := j.storeWrite(); ok {
 			h.stored[g.id] = true
 		}
 		if j.ready.Snapshot != nil {
@@ -262,8 +267,8 @@
 	}
 }
 
-// apply hands all machines what came into force. If one fails, then who waits for what was
-// applied already is told that the outcome isn't known: the node ends.
+// apply applies the committed work of all jobs. If a state machine fails, all waiters of the round
+// receive UnknownOutcomeError, because the process must exit.
 func apply(jobs []*job) error {
 	for _, j := range jobs {
 		err := j.apply()
@@ -278,7 +283,7 @@
 	return nil
 }
 
-// apply hands the machine what came into force.
+// apply restores a received snapshot and applies the committed entries to the state machine.
 func (j *job) apply() error {
 	g := j.group
 	if j.ready.Snapshot == nil && len(j.ready.Committed) == 0 {
@@ -305,12 +310,12 @@
 	return nil
 }
 
-// finishJobs notes what was applied, and answers.
+// finishJobs records the applied indexes and completes the waiters.
 func (h *Host) finishJobs(jobs []*job) {
 	h.mu.Lock()
 	for _, j := range jobs {
-		if place, some := j.lastApplied(); some {
-			j.group.applied = place.Index
+		if position, ok := j.lastApplied(); ok {
+			j.group.applied = position.Index
 			j.group.notifyChanged()
 		}
 		h.markDirty(j.group)
@@ -321,28 +326,30 @@
 	}
 }
 
-// compactGrownLogs makes snapshots of the groups whose log has grown enough. The next round writes them.
+// compactGrownLogs takes snapshots of the groups whose log has grown enough. The next round writes
+// them.
 func (h *Host) compactGrownLogs(jobs []*job) {
 	for _, j := range jobs {
-		place, some := j.lastApplied()
-		if g := j.group; some && g.logBytes >= max(h.options.CompactAfterBytes, len(g.snapshot.State)) {
-			h.takeSnapshot(g, place)
+		position, ok := j.lastApplied()
+		if g := j.group; ok && g.logBytes >= max(h.options.CompactAfterBytes, len(g.snapshot.State)) {
+			h.takeSnapshot(g, position)
 		}
 	}
 }
 
-func (h *Host) takeSnapshot(g *group, place replica.Snapshot) {
-	g.view(func(m StateMachine) { place.State = m.Snapshot() })
+func (h *Host) takeSnapshot(g *group, position replica.Snapshot) {
+	g.view(func(m StateMachine) { position.State = m.Snapshot() })
 	g.logBytes = 0
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	place.Members = g.replica.MembersAt(place.Index)
-	g.pendingSnapshot = &place
+	position.Members = g.replica.MembersAt(position.Index)
+	g.pendingSnapshot = &position
 	h.markDirty(g)
 }
 
-// lastApplied gives index and term of the last entry that the job applied, false for none.
-func (j *job) lastApplied() (place replica.Snapshot, some bool) {
+// lastApplied returns the index and term of the last entry that the job applied, and false if it
+// applied none.
+func (j *job) lastApplied() (position replica.Snapshot, ok bool) {
 	if n := len(j.ready.Committed); n > 0 {
 		last := j.ready.Committed[n-1]
 		return replica.Snapshot{Index: last.Index, Term: last.Term}, true
@@ -350,7 +357,7 @@
 	if j.ready.Snapshot != nil {
 		return replica.Snapshot{Index: j.ready.Snapshot.Index, Term: j.ready.Snapshot.Term}, true
 	}
-	return place, false
+	return position, false
 }
 
 func (j *job) completeWaiters() {
@@ -361,7 +368,7 @@
 	}
 }
 
-// failWaiters tells all the same failure.
+// failWaiters completes all of the job's waiters with the same error.
 func (j *job) failWaiters(err error) {
 	for _, a := range j.completions {
 		if a.waiter != nil {
@@ -370,7 +377,7 @@
 	}
 }
 
-// send sends messages of all groups, in one Send for each node.
+// send sends messages of all groups, with one Send call per node.
 func (h *Host) send(jobs []*job, which func(*job) []replica.Message) {
 	byNode := newBatches()
 	for _, j := range jobs {
@@ -379,7 +386,7 @@
 	byNode.send(h.options.Transport)
 }
 
-// batches are messages by their receivers, who stand in the order of their first ones.
+// batches groups messages by receiver, in the order of the first message to each.
 type batches struct {
 	order  []replica.NodeID
 	byNode map[replica.NodeID][]replica.Message
@@ -402,18 +409,18 @@
 	}
 }
 
-// noticeLeaderChange tells who waits for news that the owner or the term is another.
+// noticeLeaderChange notifies the waiting callers if the leader or the term has changed.
 func (g *group) noticeLeaderChange() {
-	owner, term := g.replica.Owner(), g.replica.Term()
-	if owner == g.notifiedLeader && term == g.notifiedTerm {
+	leader, term := g.replica.Owner(), g.replica.Term()
+	if leader == g.notifiedLeader && term == g.notifiedTerm {
 		return
 	}
-	g.notifiedLeader, g.notifiedTerm = owner, term
-	klog.V(2).InfoS("Ownership of a group changed", "group", g.id, "owner", owner, "term", term)
+	g.notifiedLeader, g.notifiedTerm = leader, term
+	klog.V(2).InfoS("Leadership of a group changed", "group", g.id, "owner", leader, "term", term)
 	g.notifyChanged()
 }
 
-// notifyChanged wakes who waits for news. The host's mu is held.
+// notifyChanged wakes the callers that wait for a change. The host's mu is held.
 func (g *group) notifyChanged() {
 	if g.changed != nil {
 		close(g.changed)
@@ -421,7 +428,7 @@
 	}
 }
 
-// stop refuses calls from now on and tells all who wait.
+// stop makes all later calls fail and completes all waiters.
 func (h *Host) stop(cause error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/barograph/host/waiter.go
+++ b/internal/barograph/host/waiter.go
@@ -2,13 +2,13 @@
 
 import "pipitmux/internal/barograph/replica"
 
-// waiter waits for the entry that a proposal became.
+// waiter waits for the log entry of a proposal to be committed and applied.
 type waiter struct {
 	term uint64
-	done chan outcome // holds one
+	done chan outcome // buffered, one element
 }
 
-// outcome is what a waiter is told.
+// outcome is the result of a proposal that is sent to its waiter.
 type outcome struct {
 	result []byte
 	err    error
@@ -16,7 +16,8 @@
 
 func (w *waiter) complete(result []byte, err error) { w.done <- outcome{result, err} }
 
-// takeWaiters takes who waits for what the job applies. The host's mu is held.
+// takeWaiters moves the waiters for the job's committed entries from the group to the job.
+// The host's mu is held.
 func (j *job) takeWaiters() {
 	g := j.group
 	if len(g.waiters) == 0 {
@@ -33,21 +34,21 @@
 		}
 		delete(g.waiters, e.Index)
 		j.completions[i].waiter = w
-		if w.term != e.Term { // another took its place: it will never be in force
+		if w.term != e.Term { // another entry was committed at this index: the proposal never will be
 			j.completions[i].outcome.err = &replica.NotOwnerError{Owner: g.replica.Owner()}
 		}
 	}
 }
 
-// failDeposed tells those who wait for what isn't known to be committed that this node is no
-// longer the owner that took it. The host's mu is held.
+// failDeposed fails the waiters of entries that are not known to be committed and that this
+// node accepted as a leader of an earlier term. The host's mu is held.
 func (g *group) failDeposed() {
 	if len(g.waiters) == 0 {
 		return
 	}
-	owns, term, commit := g.replica.Owns(), g.replica.Term(), g.replica.Commit()
+	leads, term, commit := g.replica.Owns(), g.replica.Term(), g.replica.Commit()
 	for index, w := range g.waiters {
-		if index <= commit || owns && w.term == term {
+		if index <= commit || leads && w.term == term {
 			continue
 		}
 		delete(g.waiters, index)
@@ -55,17 +56,18 @@
 	}
 }
 
-// failThrough tells those whom a snapshot has overtaken that their outcome can't be seen.
+// failThrough fails the waiters up to an index that a snapshot now covers. The snapshot does
+// not show the outcome of single entries.
 func (g *group) failThrough(index uint64) {
-	for at, w := range g.waiters {
-		if at <= index {
-			delete(g.waiters, at)
+	for waiting, w := range g.waiters {
+		if waiting <= index {
+			delete(g.waiters, waiting)
 			w.complete(nil, &UnknownOutcomeError{Cause: &replica.NotOwnerError{Owner: g.replica.Owner()}})
 		}
 	}
 }
 
-// failAll tells all who wait. The host's mu is held.
+// failAll fails all waiters. The host's mu is held.
 func (g *group) failAll(err error) {
 	for index, w := range g.waiters {
 		delete(g.waiters, index)
