--- a/internal/barograph/simulated/clock.go
+++ b/internal/barograph/simulated/clock.go
@@ -1,5 +1,5 @@
-// Package simulated is what simulations of the control plane have in common: events on a virtual
-// clock, drawn from one seed, and the first thing that went wrong. It is for tests only.
+// Package simulated provides the virtual clock of the control plane's simulations: an event queue,
+// random draws from one seed, and the first failure. It is for tests only.
 package simulated
 
 import (
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// Clock runs events in the order of their times. What a run does follows from its seed alone.
+// Clock runs events in the order of their times. A run is determined by its seed.
 type Clock struct {
 	Seed    uint64
 	Random  *rand.Rand
 	Now     time.Duration
-	Failure error // the first thing that went wrong
+	Failure error // the first failure
 
-	// MaxEvents is how many events there may be: a simulation with more never comes to rest.
+	// MaxEvents bounds the number of events. A simulation that exceeds it does not terminate.
 	MaxEvents int
-	// Describe tells of the simulation's state, for failures; nil: nothing.
+	// Describe returns the simulation's state for failure messages. It may be nil.
 	Describe func() string
 
 	events int
@@ -26,25 +26,26 @@
 	queue  eventQueue
 }
 
-// NewClock returns a Clock at time 0. Stream tells simulations of one seed apart.
+// NewClock returns a Clock at time 0. Different kinds of simulations use different streams, so that
+// the same seed gives them different draws.
 func NewClock(seed, stream uint64, most int) *Clock {
 	return &Clock{Seed: seed, Random: rand.New(rand.NewPCG(seed, stream)), MaxEvents: most}
 }
 
-// Fail notes the first thing that went wrong.
+// Fail records a failure. Only the first one is kept.
 func (c *Clock) Fail(format string, arguments ...any) {
 	if c.Failure == nil {
 		c.Failure = fmt.Errorf("seed %d at %v: %s", c.Seed, c.Now, fmt.Sprintf(format, arguments...))
 	}
 }
 
-// After runs something later.
+// After schedules run after a delay.
 func (c *Clock) After(delay time.Duration, run func()) {
 	c.order++
 	heap.Push(&c.queue, event{c.Now + delay, c.order, run})
 }
 
-// Every runs something again and again, at intervals by lot.
+// Every calls run repeatedly at random intervals.
 func (c *Clock) Every(shortest, longest time.Duration, run func()) {
 	c.After(c.Between(shortest, longest), func() {
 		run()
@@ -52,22 +53,23 @@
 	})
 }
 
-// Between draws a time.
+// Between draws a duration between shortest and longest, both included.
 func (c *Clock) Between(shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(c.Random.Int64N(int64(longest-shortest)+1))
 }
 
-// Chance is true with a probability.
+// Chance returns true with the given probability.
 func (c *Clock) Chance(probability float64) bool { return c.Random.Float64() < probability }
 
-// Run handles events until a time, a failure, or until done says so: it returns what done said.
+// Run runs events until the given time, until a failure, or until done returns true. It reports
+// whether done returned true without a failure.
 func (c *Clock) Run(until time.Duration, done func() bool) bool {
 	for len(c.queue) > 0 && c.queue[0].at <= until && c.Failure == nil {
 		next := heap.Pop(&c.queue).(event)
 		c.Now = next.at
 		next.run()
 		if c.events++; c.events > c.MaxEvents {
-			c.Fail("does not come to rest: %s", c.describe())
+			c.Fail("more than %d events: %s", c.MaxEvents, c.describe())
 		}
 		if done() {
 			return c.Failure == nil
--- a/internal/barograph/simulated/clock_test.go
+++ b/internal/barograph/simulated/clock_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestEventsRunInTheOrderOfTheirTimes(t *testing.T) {
+// Events must run in the order of their times, and in the order of scheduling at equal times.
+func TestEventsRunInTimeOrder(t *testing.T) {
 	c := NewClock(1, 2, 100)
 	var ran []string
 	note := func(name string) func() { return func() { ran = append(ran, name) } }
@@ -23,7 +24,8 @@
 	assert.Equal(t, c.Now, 2*time.Second)
 }
 
-func TestOneSeedGivesOneRun(t *testing.T) {
+// The same seed must give the same run, and another seed a different one.
+func TestRunIsDeterminedBySeed(t *testing.T) {
 	play := func(seed uint64) (times []time.Duration) {
 		c := NewClock(seed, 2, 1000)
 		c.Every(time.Millisecond, time.Second, func() { times = append(times, c.Now) })
@@ -34,12 +36,13 @@
 	assert.Assert(t, !slices.Equal(play(3), play(4)))
 }
 
-func TestRunEndsWithTheFirstFailure(t *testing.T) {
+// A run must end at the first failure, and later failures must not replace it.
+func TestRunEndsWithFirstFailure(t *testing.T) {
 	c := NewClock(7, 2, 5)
 	c.Describe = func() string { return "all over" }
 	c.Every(time.Second, time.Second, func() {})
 	assert.Assert(t, !c.Run(time.Hour, func() bool { return false }))
-	assert.Error(t, c.Failure, "seed 7 at 6s: does not come to rest: all over")
+	assert.Error(t, c.Failure, "seed 7 at 6s: more than 5 events: all over")
 	c.Fail("later")
-	assert.Error(t, c.Failure, "seed 7 at 6s: does not come to rest: all over")
+	assert.Error(t, c.Failure, "seed 7 at 6s: more than 5 events: all over")
 }
--- a/internal/barograph/store/contract_test.go
+++ b/internal/barograph/store/contract_test.go
@@ -11,10 +11,10 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// disk is a place on which stores are opened one after another.
+// testDisk is a disk on which stores are opened one after another.
 type testDisk interface {
 	open(t *testing.T) Store
-	// reopen ends the process that has the store and opens what it left.
+	// reopen ends the process that has the store open and opens the store again.
 	reopen(t *testing.T, old Store) Store
 }
 
@@ -37,7 +37,7 @@
 	return d.open(t)
 }
 
-// contract runs a test against each kind of store.
+// runContract runs a test on each implementation of Store.
 func runContract(t *testing.T, test func(*testing.T, testDisk)) {
 	t.Run("memory", func(t *testing.T) { test(t, memoryDisk{}) })
 	t.Run("sqlite", func(t *testing.T) { test(t, sqliteDisk{directory: t.TempDir()}) })
@@ -51,13 +51,14 @@
 	return e
 }
 
-func TestIdentityIsKept(t *testing.T) {
+// An identity must survive a reopening, also one that does not fit a signed number.
+func TestIdentitySurvivesReopen(t *testing.T) {
 	runContract(t, func(t *testing.T, d testDisk) {
 		s := d.open(t)
 		_, found, err := s.Identity()
 		assert.NilError(t, err)
 		assert.Assert(t, !found)
-		const id = replica.NodeID(1<<63 + 5) // beyond a signed number
+		const id = replica.NodeID(1<<63 + 5) // larger than the largest int64
 		assert.NilError(t, s.SetIdentity(7))
 		assert.NilError(t, s.SetIdentity(id))
 		s = d.reopen(t, s)
@@ -68,7 +69,7 @@
 	})
 }
 
-func TestWriteKeepsEveryField(t *testing.T) {
+func TestWriteStoresEveryField(t *testing.T) {
 	runContract(t, func(t *testing.T, d testDisk) {
 		s := d.open(t)
 		first := replica.Snapshot{Members: replica.Members{Voters: []replica.NodeID{1, 1 << 63}, Learners: []replica.NodeID{3}}, State: []byte("begin")}
@@ -89,7 +90,8 @@
 	})
 }
 
-func TestEntriesTakeThePlaceOfThoseAtTheirIndex(t *testing.T) {
+// Entries must replace all stored entries at and after their first index.
+func TestEntriesReplaceLogTail(t *testing.T) {
 	runContract(t, func(t *testing.T, d testDisk) {
 		s := d.open(t)
 		assert.NilError(t, s.Write([]Write{{Group: "a", Entries: []replica.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}}}))
@@ -101,7 +103,8 @@
 	})
 }
 
-func TestSnapshotReplacesOrCompacts(t *testing.T) {
+// A snapshot must delete the log up to CompactTo, or the whole log if CompactTo is 0.
+func TestSnapshotCompactsOrReplacesLog(t *testing.T) {
 	runContract(t, func(t *testing.T, d testDisk) {
 		s := d.open(t)
 		log := []replica.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c"), entry(4, 1, "d")}
@@ -122,7 +125,8 @@
 	})
 }
 
-func TestDropForgetsOneGroup(t *testing.T) {
+// Drop must delete one group only, and the group may start again afterwards.
+func TestDropDeletesOneGroup(t *testing.T) {
 	runContract(t, func(t *testing.T, d testDisk) {
 		s := d.open(t)
 		log := []replica.Entry{entry(1, 1, "a")}
@@ -133,11 +137,12 @@
 		stored, err := s.Load()
 		assert.NilError(t, err)
 		assert.DeepEqual(t, stored, map[replica.GroupID]replica.Stored{"b": {Entries: log}})
-		assert.NilError(t, s.Write([]Write{{Group: "a", Entries: log}})) // begins anew
+		assert.NilError(t, s.Write([]Write{{Group: "a", Entries: log}})) // the group starts again with an empty log
 	})
 }
 
-func TestGapFailsAndKeepsNothing(t *testing.T) {
+// A batch with a gap in a log must store nothing, and the store must fail from then on.
+func TestGapFailsAndStoresNothing(t *testing.T) {
 	runContract(t, func(t *testing.T, d testDisk) {
 		s := d.open(t)
 		err := s.Write([]Write{
@@ -157,7 +162,7 @@
 	})
 }
 
-func TestClosedStoreSaysSo(t *testing.T) {
+func TestClosedStoreReturnsErrClosed(t *testing.T) {
 	runContract(t, func(t *testing.T, d testDisk) {
 		s := d.open(t)
 		assert.NilError(t, s.Close())
@@ -170,7 +175,8 @@
 	})
 }
 
-func TestStoreDoesNotKeepWhatIsGiven(t *testing.T) {
+// The store must not share memory with its arguments or results.
+func TestStoreDoesNotRetainArguments(t *testing.T) {
 	runContract(t, func(t *testing.T, d testDisk) {
 		s := d.open(t)
 		data := []byte("data")
@@ -186,12 +192,12 @@
 	})
 }
 
-// TestBothStoresAgree plays the same drawn writes on both and compares what they hold.
-func TestBothStoresAgree(t *testing.T) {
+// Memory and SQLite must hold the same state after the same random writes and reopenings.
+func TestMemoryAndSQLiteAgree(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	memory, sqlite := testDisk(memoryDisk{}), testDisk(sqliteDisk{directory: t.TempDir()})
 	a, b := memory.open(t), sqlite.open(t)
-	ends := map[replica.GroupID][2]uint64{} // snapshot and last index
+	ends := map[replica.GroupID][2]uint64{} // index of the snapshot and of the last entry
 	for step := range 300 {
 		if step%50 == 49 {
 			a, b = memory.reopen(t, a), sqlite.reopen(t, b)
--- a/internal/barograph/store/load.go
+++ b/internal/barograph/store/load.go
@@ -12,17 +12,17 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// setVersionSQL writes schemaVersion.
+// setVersionSQL writes schemaVersion into the file.
 var setVersionSQL = fmt.Sprintf("PRAGMA user_version = %d;", schemaVersion)
 
-// VersionError tells of a database file that another version of the program wrote.
+// VersionError reports a database file that another version of the program wrote.
 type VersionError struct {
 	Found int64
 }
 
 // Error implements error.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("the store is of version %d, this program reads %d", e.Found, schemaVersion)
+	return fmt.Sprintf("the store has schema version %d, this program reads version %d", e.Found, schemaVersion)
 }
 
 // Load implements Store.
@@ -35,7 +35,7 @@
 	return s.load()
 }
 
-// load reads all groups, and notes those that aren't noted.
+// load reads all groups, and adds a record for each group that has none yet.
 func (s *SQLite) load() (map[replica.GroupID]replica.Stored, error) {
 	byID := map[int64]*replica.Stored{}
 	names := map[int64]replica.GroupID{}
@@ -99,7 +99,8 @@
 	}
 }
 
-// query gives each row of a question to take. The values are the row's own.
+// query passes each row of a query's result to handleRow. The values are valid only during the
+// call.
 func (s *SQLite) query(statement string, handleRow func([]driver.Value) error) error {
 	rows, err := s.connection.Query(statement, nil)
 	if err != nil {
@@ -120,7 +121,7 @@
 	}
 }
 
-// logEndOf tells how far a stored log reaches.
+// logEndOf returns the end of a stored log.
 func logEndOf(stored replica.Stored) logEnd {
 	end := logEnd{last: stored.Snapshot.Index}
 	if n := len(stored.Entries); n > 0 {
@@ -129,12 +130,12 @@
 	return end
 }
 
-// escapePath makes a path fit for a file: location.
+// escapePath escapes a path for use in a file: URI.
 func escapePath(path string) string {
 	return (&url.URL{Path: path}).EscapedPath()
 }
 
-// blob keeps empty data as no data: both read back as nil.
+// blob stores empty data as NULL. Both empty and nil data are read back as nil.
 func blob(data []byte) driver.Value {
 	if len(data) == 0 {
 		return nil
--- a/internal/barograph/store/memory.go
+++ b/internal/barograph/store/memory.go
@@ -11,25 +11,25 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// errInjected is the cause of a failure that a test asked for.
-var errInjected = errors.New("a failure that was asked for")
+// errInjected is the cause of an injected failure.
+var errInjected = errors.New("injected failure")
 
-// Memory is a Store without a disk, with its contract and with switches for what a disk may do.
-// What it holds survives Crash and Close: Reopen gives a new store on the same content.
+// Memory is a Store in memory with methods that inject disk faults. Its content survives Close:
+// Reopen returns a new store with the same content.
 type Memory struct {
 	mu            sync.Mutex
 	disk          *diskContent
-	failure       error
-	nextFailure   error                // the next change fails with it
-	full          bool                 // changes fail as on a full disk
-	losesUnsynced bool                 // Write answers nil and keeps nothing until Sync
-	unsynced      []func(*diskContent) // what loses holds back
-	tearRandom    *rand.Rand           // the next change fails, and is kept by lot
-	afterWrite    func(batch []Write)  // is told of each Write after it is durable
-	beforeWrite   func(batch []Write)  // is told of each Write before it begins
+	failure       error                // returned by all later changes
+	nextFailure   error                // returned by the next change
+	full          bool                 // changes fail as if the disk were full
+	losesUnsynced bool                 // changes return nil but are not durable until Sync
+	unsynced      []func(*diskContent) // changes since the last Sync if losesUnsynced is set
+	tearRandom    *rand.Rand           // if set, it decides whether the change that fails with nextFailure is stored
+	afterWrite    func(batch []Write)  // called for each Write after it is durable
+	beforeWrite   func(batch []Write)  // called for each Write before it starts
 }
 
-// diskContent is what a disk holds.
+// diskContent is the content of the simulated disk.
 type diskContent struct {
 	identity    replica.NodeID
 	identitySet bool
@@ -38,13 +38,13 @@
 
 var _ Store = (*Memory)(nil)
 
-// NewMemory makes an empty store.
+// NewMemory returns an empty store.
 func NewMemory() *Memory {
 	return &Memory{disk: &diskContent{groups: map[replica.GroupID]replica.Stored{}}}
 }
 
-// Reopen gives a store on what this one has kept, as a restart of the process does,
-// and fails this one for good. Switches are off in the new one.
+// Reopen returns a store with the durable content of this one, as after a restart of the process.
+// It closes this store. No fault is injected into the new one.
 func (m *Memory) Reopen() *Memory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -52,13 +52,13 @@
 	return &Memory{disk: m.disk.clone()}
 }
 
-// FailNextChange lets the next change fail and keep nothing.
+// FailNextChange makes the next change fail without storing anything.
 func (m *Memory) FailNextChange() { m.setNextFailure(&FailedError{Cause: errInjected}) }
 
-// FillDisk lets changes fail as on a full disk, and keep nothing, until Empty.
+// FillDisk makes changes fail as on a full disk, without storing anything, until FreeDisk.
 func (m *Memory) FillDisk() { m.setFull(true) }
 
-// FreeDisk ends what Fill began.
+// FreeDisk ends the effect of FillDisk.
 func (m *Memory) FreeDisk() { m.setFull(false) }
 
 func (m *Memory) setFull(full bool) {
@@ -67,23 +67,24 @@
 	m.full = full
 }
 
-// TearNextChange lets the next change fail, and whether it is kept is drawn: what a power loss during
-// a commit leaves.
+// TearNextChange makes the next change fail. A random draw decides whether it is stored, as after
+// a power loss during a commit.
 func (m *Memory) TearNextChange(random *rand.Rand) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.nextFailure, m.tearRandom = &FailedError{Cause: errInjected}, random
 }
 
-// LoseUnsyncedChanges lets changes be answered before they are kept, as a disk that lies about its syncs does:
-// a Reopen loses those since the last Sync. A caller can't notice; tests use it to prove that they would.
+// LoseUnsyncedChanges makes changes return before they are durable, like a disk that ignores sync
+// requests: Reopen loses the changes since the last Sync. The caller cannot notice it. Tests use it
+// to prove that they detect such a loss.
 func (m *Memory) LoseUnsyncedChanges() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.losesUnsynced = true
 }
 
-// Sync keeps what Lose has held back.
+// Sync makes the changes durable that LoseUnsyncedChanges holds back.
 func (m *Memory) Sync() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -93,8 +94,8 @@
 	m.unsynced = nil
 }
 
-// OnWrite has the two functions told of each Write, before it begins and after it is durable.
-// Either may be nil; before may block, as a slow disk does, and runs outside of the store's lock.
+// OnWrite sets functions that are called for each Write before it starts and after it is durable.
+// Either may be nil. Both run without the store's lock. before may block, like a slow disk.
 func (m *Memory) OnWrite(before, after func(batch []Write)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -191,7 +192,7 @@
 	})
 }
 
-// change carries out a change as the switches say.
+// change executes a change, subject to the injected faults.
 func (m *Memory) change(apply func(*diskContent)) error {
 	if m.failure != nil {
 		return m.failure
@@ -214,7 +215,7 @@
 	return nil
 }
 
-// visibleContent is the content as the process sees it: the kept one and what isn't saved yet.
+// visibleContent returns the content as the process sees it: durable and unsynced changes.
 func (m *Memory) visibleContent() *diskContent {
 	if len(m.unsynced) == 0 {
 		return m.disk
@@ -260,7 +261,7 @@
 	c.groups[w.Group] = stored
 }
 
-// entriesAfterSnapshot gives the entries that stay beside the write's snapshot.
+// entriesAfterSnapshot returns the entries that stay in the log after the write's snapshot.
 func entriesAfterSnapshot(entries []replica.Entry, w *Write) []replica.Entry {
 	if w.CompactTo == 0 {
 		return nil
@@ -318,7 +319,7 @@
 	return kept
 }
 
-// copyBytes copies data, empty as nil: see blob.
+// copyBytes copies data and returns nil for empty data, as blob does.
 func copyBytes(data []byte) []byte {
 	if len(data) == 0 {
 		return nil
--- a/internal/barograph/store/memory_test.go
+++ b/internal/barograph/store/memory_test.go
@@ -20,7 +20,7 @@
 	return len(stored["a"].Entries)
 }
 
-func TestMemoryFailsForGood(t *testing.T) {
+func TestMemoryFailsPermanentlyAfterFailure(t *testing.T) {
 	m := NewMemory()
 	assert.NilError(t, m.Write(oneEntry(1)))
 	m.FailNextChange()
@@ -31,7 +31,8 @@
 	assert.Equal(t, countEntries(t, m.Reopen()), 1)
 }
 
-func TestMemoryIsFullUntilItIsEmptied(t *testing.T) {
+// While the disk is full, every change must fail and store nothing. Later changes must succeed.
+func TestMemoryIsFullUntilSpaceIsFreed(t *testing.T) {
 	m := NewMemory()
 	assert.NilError(t, m.Write(oneEntry(1)))
 	m.FillDisk()
@@ -47,7 +48,7 @@
 	assert.Equal(t, countEntries(t, m.Reopen()), 2)
 }
 
-func TestMemoryLosesWhatWasNotSynced(t *testing.T) {
+func TestMemoryLosesUnsyncedChanges(t *testing.T) {
 	m := NewMemory()
 	m.LoseUnsyncedChanges()
 	assert.NilError(t, m.Write(oneEntry(1)))
@@ -57,7 +58,8 @@
 	assert.Equal(t, countEntries(t, m.Reopen()), 1)
 }
 
-func TestMemoryTearsEitherWay(t *testing.T) {
+// A torn change must sometimes be stored and sometimes not.
+func TestTornChangeMayBeStoredOrLost(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	found := map[int]bool{}
 	for range 30 {
@@ -69,7 +71,7 @@
 	assert.DeepEqual(t, found, map[int]bool{0: true, 1: true})
 }
 
-func TestMemoryTellsOfWritesBeforeAndAfter(t *testing.T) {
+func TestOnWriteRunsBeforeAndAfterWrite(t *testing.T) {
 	m := NewMemory()
 	var steps []int
 	m.OnWrite(func([]Write) { steps = append(steps, countEntries(t, m)) }, func([]Write) { steps = append(steps, countEntries(t, m)) })
--- a/internal/barograph/store/schema.go
+++ b/internal/barograph/store/schema.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// fileName is the database's name in its folder.
+// fileName is the name of the database file in the store's directory.
 const fileName = "barograph.db"
 
-// schemaVersion is kept in the file's user_version; another one is refused.
+// schemaVersion is stored in the file's user_version. A file with another version is rejected.
 const schemaVersion = 1
 
-// The sizes that bound the file set. The write-ahead log is moved into the database every
-// checkpointPages pages, and cut to logBytes when it begins anew; it never holds more than
-// that and one Write. Freed pages of the database are used again. A small load (groups of some
-// megabytes together) so stays below 40 MB: database, plus 4 MB of log, plus the largest Write.
+// Sizes that bound the files. The write-ahead log is checkpointed into the database every
+// checkpointPages pages and truncated to logBytes when it restarts, so it never holds more than
+// that and one Write. SQLite reuses freed pages of the database. With groups of a few megabytes in
+// total, the files stay below 40 MB: the database, 4 MB of log and the largest Write.
 const (
 	pageBytes       = 4096
 	checkpointPages = 1000
@@ -19,9 +19,9 @@
 	cacheKiB        = 2048
 )
 
-// pragmas are made on each opening, in this order: the lock must be exclusive before the
-// write-ahead log is entered, so that its index stays in this process's memory and no
-// shared-memory file is needed; FULL syncs the log in every commit.
+// pragmas returns the settings that are applied on every open, in this order. The locking mode
+// must be exclusive before the database enters WAL mode: then the WAL index stays in this
+// process's memory and no shared-memory file is needed. FULL syncs the log in every commit.
 func pragmas(maxPages int) []string {
 	list := []string{
 		fmt.Sprintf("PRAGMA page_size = %d", pageBytes),
@@ -39,10 +39,11 @@
 	return list
 }
 
-// schema makes the tables. Unsigned numbers are kept as the signed ones of the same bits.
-// Snapshots stand apart from groups, so that a new term doesn't write a state again.
-// Entries stand in the order of their writing, all groups' together: a commit for many groups
-// fills few pages. Cutting and compacting a log reads the whole table for that; both are rare.
+// schema creates the tables. Unsigned numbers are stored as signed ones with the same bits.
+// Snapshots have a table of their own, so that a new term does not rewrite a group's state.
+// Entries of all groups are stored in the order in which they were written, so that a commit for
+// many groups fills few pages. The cost is that truncating or compacting a log scans the whole
+// table; both are rare.
 const schema = `
 CREATE TABLE IF NOT EXISTS meta (
 	key   TEXT PRIMARY KEY,
@@ -71,12 +72,12 @@
 );
 `
 
-// The statements that are kept prepared.
+// Statements that are kept prepared.
 const (
 	sqlBegin    = "BEGIN IMMEDIATE"
 	sqlCommit   = "COMMIT"
 	sqlRollback = "ROLLBACK"
-	// sqlCheckpoint moves the write-ahead log into the database and lets it begin anew.
+	// sqlCheckpoint moves the write-ahead log into the database and restarts it.
 	sqlCheckpoint = "PRAGMA wal_checkpoint(RESTART)"
 	sqlGroup      = "INSERT INTO groups (id, name) VALUES (?, ?)"
 	sqlHard       = "UPDATE groups SET term = ?, vote = ? WHERE id = ?"
@@ -90,7 +91,7 @@
 	sqlDropLog    = "DELETE FROM entries WHERE id = ?"
 )
 
-// The statements that read.
+// Statements that read.
 const (
 	sqlReadIdentity  = "SELECT value FROM meta WHERE key = 'identity'"
 	sqlReadVersion   = "PRAGMA user_version"
--- a/internal/barograph/store/sqlite.go
+++ b/internal/barograph/store/sqlite.go
@@ -14,24 +14,25 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// directoryMode is of the folders that Open makes: the state is the process's own.
+// directoryMode is the mode of the directories that Open creates. The state is private to the
+// process's user.
 const directoryMode = 0o700
 
-// SQLite is a Store in one database file. It holds the file's lock as long as it is open.
+// SQLite is a Store in one database file. It holds the file's lock while it is open.
 type SQLite struct {
 	mu         sync.Mutex
 	connection *sqlite3.SQLiteConn
-	statements map[string]*sqlite3.SQLiteStmt // the prepared ones, by their text
-	arguments  []driver.NamedValue            // run's own, used again
+	statements map[string]*sqlite3.SQLiteStmt // prepared statements by their text
+	arguments  []driver.NamedValue            // buffer that run reuses
 	groups     map[replica.GroupID]*group
 	nextID     int64
-	nextSeq    int64    // of the next entry, over all groups
-	undo       []func() // what the change under way did to the fields above
-	failure    error    // *FailedError or ErrClosed: no further change
+	nextSeq    int64    // sequence number of the next entry, over all groups
+	undo       []func() // reverts what the current change did to the fields above
+	failure    error    // *FailedError or ErrClosed: no further change is possible
 	closed     bool
 }
 
-// group is what is known of a stored group without reading.
+// group is the in-memory record of a stored group.
 type group struct {
 	id  int64
 	end logEnd
@@ -39,11 +40,11 @@
 
 var _ Store = (*SQLite)(nil)
 
-// Open opens the store in the folder, and makes both where they don't exist.
-// ErrInUse: another process has it open.
+// Open opens the store in a directory and creates both if they do not exist. It fails with
+// ErrInUse if another process has the store open.
 func Open(directory string) (*SQLite, error) { return openLimited(directory, 0) }
 
-// openLimited is Open with a bound on the database's pages, 0 for none.
+// openLimited is Open with a bound on the number of database pages; 0 means no bound.
 func openLimited(directory string, maxPages int) (*SQLite, error) {
 	if err := makeDirectory(directory); err != nil {
 		return nil, err
@@ -65,7 +66,7 @@
 	return s, nil
 }
 
-// connect opens the database file by its path alone, whatever characters it has.
+// connect opens the database file. The path may contain any characters.
 func connect(path string) (*sqlite3.SQLiteConn, error) {
 	location := "file:" + escapePath(path) + "?_busy_timeout=0"
 	opened, err := (&sqlite3.SQLiteDriver{}).Open(location)
@@ -75,7 +76,7 @@
 	return opened.(*sqlite3.SQLiteConn), nil
 }
 
-// initialize makes the settings and tables, syncs the folder and reads what is there of each group.
+// initialize applies the pragmas, creates the tables, syncs the directory and loads the groups.
 func (s *SQLite) initialize(directory string, maxPages int) error {
 	for _, statement := range pragmas(maxPages) {
 		if _, err := s.connection.Exec(statement, nil); err != nil {
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// createTables makes the tables of a new file and refuses a file of another version.
+// createTables creates the tables of a new file and rejects a file with another schema version.
 func (s *SQLite) createTables() error {
 	var version int64
 	err := s.query(sqlReadVersion, func(row []driver.Value) error {
@@ -112,10 +113,10 @@
 		return &VersionError{Found: version}
 	}
 	if version == schemaVersion {
-		return nil // nothing needs to be written: a full disk can be read
+		return nil // write nothing, so that the store opens on a full disk
 	}
 	_, err = s.connection.Exec("BEGIN IMMEDIATE;"+schema+setVersionSQL+"COMMIT;", nil)
-	return wrap(classifyOpenError(err), "make the tables")
+	return wrap(classifyOpenError(err), "create the tables")
 }
 
 // Identity implements Store.
@@ -188,8 +189,9 @@
 	return wrap(errors.Join(failures...), "close the store")
 }
 
-// commit carries out the change in one durable transaction. A full disk undoes it. Any other
-// failure is for good: what the groups' spans say may then differ from the file.
+// commit executes the change in one durable transaction. If the disk is full, the change is
+// undone. Any other failure is permanent, because the in-memory records may then differ from the
+// file.
 func (s *SQLite) commit(change func() error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,19 +220,19 @@
 		err = wrap(s.run(sqlCommit), "commit")
 	}
 	if err != nil {
-		_ = s.run(sqlRollback) // SQLite may have rolled back already; nothing more is written either way
+		_ = s.run(sqlRollback) // SQLite may have rolled back already; nothing more is written in either case
 	}
 	return err
 }
 
-// undoChange undoes what a change that was rolled back did to the store's own fields. What the
-// write-ahead log holds is moved into the database, so that its room can be used again.
+// undoChange reverts the in-memory fields after a rollback. It also moves the write-ahead log into
+// the database, so that the log's space can be reused.
 func (s *SQLite) undoChange() {
 	for i := len(s.undo) - 1; i >= 0; i-- {
 		s.undo[i]()
 	}
 	s.undo = s.undo[:0]
-	_, _ = s.connection.Exec(sqlCheckpoint, nil) // it is only a help
+	_, _ = s.connection.Exec(sqlCheckpoint, nil) // best effort
 }
 
 func (s *SQLite) write(w *Write) error {
@@ -271,7 +273,8 @@
 	return s.run(sqlCompact, id, int64(min(w.CompactTo, w.Snapshot.Index)))
 }
 
-// writeEntries appends the entries, after cutting the log where it reached up to their first.
+// writeEntries appends the entries. It first truncates the log if it reaches the first entry's
+// index.
 func (s *SQLite) writeEntries(id int64, last uint64, entries []replica.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -293,7 +296,7 @@
 	return nil
 }
 
-// group gives the record of a group, made where it is new.
+// group returns the record of a group and creates it for a new group.
 func (s *SQLite) group(name replica.GroupID) (*group, error) {
 	if record, ok := s.groups[name]; ok {
 		return record, nil
@@ -311,7 +314,7 @@
 	return record, nil
 }
 
-// run carries out a statement, prepared when it is first used.
+// run executes a statement, which is prepared on its first use.
 func (s *SQLite) run(text string, values ...driver.Value) error {
 	statement, ok := s.statements[text]
 	if !ok {
@@ -327,18 +330,18 @@
 		s.arguments = append(s.arguments, driver.NamedValue{Ordinal: i + 1, Value: value})
 	}
 	_, err := statement.ExecContext(context.Background(), s.arguments)
-	clear(s.arguments) // keeps no state alive
+	clear(s.arguments) // do not keep a state reachable
 	return err
 }
 
-// isFull tells whether SQLite met a full disk, in a way that left no doubt: what it could not
-// write it has rolled back. A sync that fails for want of room isn't meant.
+// isFull reports whether SQLite returned SQLITE_FULL. In this case the outcome is certain: SQLite
+// has rolled back what it could not write. A sync that fails for lack of space is not included.
 func isFull(err error) bool {
 	var failure sqlite3.Error
 	return errors.As(err, &failure) && failure.Code == sqlite3.ErrFull
 }
 
-// classifyOpenError marks a failure of opening by what it tells.
+// classifyOpenError adds ErrInUse or ErrFull to an error of opening the store.
 func classifyOpenError(err error) error {
 	var failure sqlite3.Error
 	switch {
@@ -354,7 +357,7 @@
 
 func makeDirectory(directory string) error {
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
-		return wrap(err, "make the store's folder")
+		return wrap(err, "create the store's directory")
 	}
 	return syncDirectory(filepath.Dir(directory))
 }
@@ -362,7 +365,7 @@
 func syncDirectory(directory string) error {
 	opened, err := os.Open(directory)
 	if err != nil {
-		return wrap(err, "open the folder to sync it")
+		return wrap(err, "open the directory to sync it")
 	}
-	return wrap(errors.Join(opened.Sync(), opened.Close()), "sync the folder")
+	return wrap(errors.Join(opened.Sync(), opened.Close()), "sync the directory")
 }
--- a/internal/barograph/store/sqlite_test.go
+++ b/internal/barograph/store/sqlite_test.go
@@ -13,7 +13,8 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// copyFiles gives a folder with what stands in the store's files now: what a power loss leaves.
+// copyFiles copies the store's files as they are now, as after a power loss, and returns the
+// directory of the copy.
 func copyFiles(t *testing.T, directory string) string {
 	t.Helper()
 	target := t.TempDir()
@@ -27,7 +28,8 @@
 	return target
 }
 
-func TestWriteIsInTheFilesWhenItReturns(t *testing.T) {
+// When Write returns, its changes must be in the files.
+func TestWriteIsInFilesWhenItReturns(t *testing.T) {
 	directory := t.TempDir()
 	s := sqliteDisk{directory: directory}.open(t)
 	for i := uint64(1); i <= 20; i++ {
@@ -39,7 +41,8 @@
 	}
 }
 
-func TestSettingsAreInForce(t *testing.T) {
+// SQLite must have accepted the pragmas on which durability and file size depend.
+func TestPragmasAreEffective(t *testing.T) {
 	opened, err := Open(t.TempDir())
 	assert.NilError(t, err)
 	defer opened.Close()
@@ -55,7 +58,9 @@
 	}
 }
 
-func TestNoSharedMemoryFileIsMade(t *testing.T) {
+// The store must consist of the database and its write-ahead log, also in a directory whose path
+// has characters that are special in URIs.
+func TestNoSharedMemoryFileIsCreated(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "with space?", "and#more")
 	s := sqliteDisk{directory: directory}.open(t)
 	assert.NilError(t, s.SetIdentity(1))
@@ -68,14 +73,14 @@
 	assert.DeepEqual(t, found, []string{fileName, fileName + "-wal"})
 }
 
-func TestSecondOpeningIsRefused(t *testing.T) {
+func TestSecondOpenFails(t *testing.T) {
 	directory := t.TempDir()
 	_ = sqliteDisk{directory: directory}.open(t)
 	_, err := Open(directory)
 	assert.ErrorIs(t, err, ErrInUse)
 }
 
-func TestOtherVersionIsRefused(t *testing.T) {
+func TestOtherSchemaVersionIsRejected(t *testing.T) {
 	directory := t.TempDir()
 	opened, err := Open(directory)
 	assert.NilError(t, err)
@@ -88,9 +93,9 @@
 	assert.Equal(t, version.Found, int64(9))
 }
 
-// A full disk loses nothing that was written, shows nothing of what wasn't, and the same write
-// comes through once there is room.
-func TestFullDiskKeepsWhatWasWrittenAndTakesTheRestLater(t *testing.T) {
+// On a full disk, stored writes must remain, a failed write must not be visible, and the same write
+// must succeed once there is free space.
+func TestFullDiskKeepsStoredWritesAndAllowsRetry(t *testing.T) {
 	directory := t.TempDir()
 	opened, err := openLimited(directory, 40)
 	assert.NilError(t, err)
@@ -115,7 +120,7 @@
 	stored, err := opened.Load()
 	assert.NilError(t, err)
 	assert.Equal(t, uint64(len(stored["a"].Entries)), kept)
-	assert.Equal(t, uint64(len(stored)), kept+1, "no group of a write that was not kept")
+	assert.Equal(t, uint64(len(stored)), kept+1, "a group of a failed write is visible")
 	_, err = opened.connection.Exec("PRAGMA max_page_count = 400", nil)
 	assert.NilError(t, err)
 	assert.NilError(t, opened.Write(last))
@@ -126,8 +131,8 @@
 	assert.Equal(t, uint64(len(stored)), kept+2)
 }
 
-// A process can start on a full disk: what is there is read, and nothing needs to be written.
-func TestFullDiskCanBeOpened(t *testing.T) {
+// A process must be able to start on a full disk: opening an existing store writes nothing.
+func TestStoreOpensOnFullDisk(t *testing.T) {
 	directory := t.TempDir()
 	first := sqliteDisk{directory: directory}.open(t)
 	assert.NilError(t, first.SetIdentity(7))
@@ -140,7 +145,7 @@
 	assert.NilError(t, opened.Close())
 }
 
-// TestFilesStayBounded writes 80 MB through a log that is compacted at 1 MiB.
+// The files must stay small although 80 MB are written. The log is compacted every 1 MiB.
 func TestFilesStayBounded(t *testing.T) {
 	directory := t.TempDir()
 	s := sqliteDisk{directory: directory}.open(t)
@@ -174,7 +179,7 @@
 	return total
 }
 
-// BenchmarkWrite is one commit of as many entries of 200 bytes, each to its own group.
+// BenchmarkWrite measures one commit of a number of entries of 200 bytes, each in its own group.
 func BenchmarkWrite(b *testing.B) {
 	for _, count := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("entries=%d", count), func(b *testing.B) { benchmarkWrite(b, count) })
--- a/internal/barograph/store/store.go
+++ b/internal/barograph/store/store.go
@@ -1,8 +1,8 @@
-// Package store keeps what a process must not forget of the groups it takes part in:
-// its own identity and, for each group, the hard state, a snapshot and the log after it.
+// Package store holds the durable state of a process's replicated groups: the node's identity
+// and, for each group, the hard state, a snapshot and the log after the snapshot.
 //
-// SQLite keeps it in one database file. Memory has the same contract and loses, tears,
-// fails or fills on demand, for tests.
+// SQLite stores it in one database file. Memory implements the same contract for tests and
+// injects faults on demand: failed, torn and unsynced changes, and a full disk.
 package store
 
 import (
@@ -13,88 +13,92 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// Store keeps groups durably. Its contract:
+// Store holds the state of groups durably. Its contract:
 //
-//   - A Write or SetIdentity that returned nil is durable: a Load after any crash shows it.
-//   - A Write is carried out whole or not at all; after a crash during one, either is found.
-//   - A change that found the disk full fails with a *FullError (errors.Is ErrFull). The store
-//     shows it not at all, and the same change may be tried again. Until it comes through, a
-//     crash may find it kept: no other change is to take its place.
-//   - Once a call that changes the store has failed otherwise, every later call that changes it
-//     fails too: its error is a *FailedError (errors.Is ErrFailed), the process must end, and
-//     the next one finds out what was kept.
-//   - What is given in is not kept, and what Load gives belongs to the caller.
+//   - A Write or SetIdentity that returned nil is durable: Load shows it after any crash.
+//   - A Write is atomic. After a crash during a Write, Load shows all of it or nothing of it.
+//   - A change that fails because the disk is full returns a *FullError (errors.Is ErrFull). Load
+//     shows nothing of it, and the caller may retry the same change. Until the retry succeeds,
+//     the change may reappear after a crash, so the caller must not make another change instead.
+//   - After any other failure of a change, every later change fails too. The error is a
+//     *FailedError (errors.Is ErrFailed) and the process must exit. The next process reads what
+//     was stored.
+//   - The store does not retain its arguments, and the caller owns what Load returns.
 //
-// A Store may be used by many goroutines; its calls are carried out one after another.
+// A Store is safe for concurrent use. It executes calls one after another.
 type Store interface {
-	// Identity is the node's id, false where none was set.
+	// Identity returns the node's id, and false if none was set.
 	Identity() (replica.NodeID, bool, error)
-	// SetIdentity keeps the node's id.
+	// SetIdentity stores the node's id durably.
 	SetIdentity(replica.NodeID) error
-	// Load reads all groups. Entries are consecutive, the first one at most one after the snapshot.
+	// Load reads all groups. The entries of a group are consecutive. The index of the first entry
+	// is at most one after the snapshot's.
 	Load() (map[replica.GroupID]replica.Stored, error)
-	// Write makes the batch durable in one commit, in order.
+	// Write makes the batch durable in one commit. The changes apply in order.
 	Write(batch []Write) error
-	// Drop forgets a group durably; one that isn't held is no error.
+	// Drop deletes a group durably. It is no error if the store does not hold the group.
 	Drop(replica.GroupID) error
-	// Close gives the store up. Every later call fails with ErrClosed.
+	// Close closes the store. Every later call fails with ErrClosed.
 	Close() error
 }
 
-// Write is a change of one group, carried out in the order of its fields.
+// Write is a change of one group. Its fields apply in order.
 type Write struct {
 	Group replica.GroupID
-	Hard  *replica.HardState // nil: as before
-	// Snapshot takes the place of the one before. Where CompactTo is 0 it takes the place of
-	// the whole log; else entries up to CompactTo go, which is at most Snapshot.Index, and later ones stay.
+	Hard  *replica.HardState // nil: unchanged
+	// Snapshot replaces the previous snapshot. If CompactTo is 0, the whole log is deleted.
+	// Otherwise entries up to CompactTo are deleted and later ones stay. CompactTo is at most
+	// Snapshot.Index.
 	Snapshot  *replica.Snapshot
-	CompactTo uint64 // meant together with Snapshot only
-	// Entries take the place of whatever stands at and after the first one's index. They are
-	// consecutive, and the first one is at most one after the end of the log.
+	CompactTo uint64 // used only together with Snapshot
+	// Entries replace everything at and after the index of the first one. They are consecutive,
+	// and the first index is at most one after the end of the log.
 	Entries []replica.Entry
 }
 
-// The failures of a store.
+// Errors of a store, for use with errors.Is.
 var (
-	ErrFailed = errors.New("the store has failed for good")
+	ErrFailed = errors.New("the store has failed permanently")
 	ErrFull   = errors.New("the store's disk is full")
 	ErrClosed = errors.New("the store is closed")
 	ErrInUse  = errors.New("the store is in use by another process")
-	// ErrGap tells of a Write whose entries don't follow on the log: the caller is at fault.
+	// ErrGap: the entries of a Write do not follow the end of the log. This is a caller's bug.
 	ErrGap = errors.New("the entries leave a gap in the log")
 )
 
-// FullError is a change that found the disk full. errors.Is finds ErrFull in it.
+// FullError reports a change that failed because the disk is full. It matches ErrFull.
 type FullError struct{ Cause error }
 
 // Error implements error.
 func (e *FullError) Error() string { return fmt.Sprintf("%v: %v", ErrFull, e.Cause) }
 
-// Is tells whether the target is the failure that this one stands for.
+// Is reports whether target is ErrFull.
 func (e *FullError) Is(target error) bool { return target == ErrFull }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *FullError) Unwrap() error { return e.Cause }
 
-// FailedError is a failure after which the store takes no further change. errors.Is finds
-// ErrFailed in it.
+// FailedError reports a failure after which the store accepts no further change. It matches
+// ErrFailed.
 type FailedError struct{ Cause error }
 
 // Error implements error.
 func (e *FailedError) Error() string { return fmt.Sprintf("%v: %v", ErrFailed, e.Cause) }
 
-// Is tells whether the target is the failure that this one stands for.
+// Is reports whether target is ErrFailed.
 func (e *FailedError) Is(target error) bool { return target == ErrFailed }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *FailedError) Unwrap() error { return e.Cause }
 
-// logEnd is what is known of a group's log: its last index, or the snapshot's where it is empty.
+// logEnd is the end of a group's log: the index of the last entry, or of the snapshot if the log
+// is empty.
 type logEnd struct {
 	last uint64
 }
 
-// advance tells whether the write's entries follow on the span, and moves the span on.
+// advance moves the log's end by a write. It returns ErrGap if the write's entries do not follow
+// the log.
 func (s *logEnd) advance(w *Write) error {
 	if w.Snapshot != nil && (w.CompactTo == 0 || w.Snapshot.Index > s.last) {
 		s.last = w.Snapshot.Index
@@ -108,14 +112,14 @@
 	}
 	for i := range w.Entries {
 		if w.Entries[i].Index != first+uint64(i) {
-			return errors.Wrapf(ErrGap, "group %s: entry %d where %d is due", w.Group, w.Entries[i].Index, first+uint64(i))
+			return errors.Wrapf(ErrGap, "group %s: found entry %d instead of %d", w.Group, w.Entries[i].Index, first+uint64(i))
 		}
 	}
 	s.last = first + uint64(len(w.Entries)) - 1
 	return nil
 }
 
-// wrap adds a message to a failure; errors.Wrap would make one of nil.
+// wrap adds a message to an error and returns nil for nil. errors.Wrap would return an error.
 func wrap(err error, message string) error {
 	if err == nil {
 		return nil
