--- a/internal/barograph/simulation/configuration_test.go
+++ b/internal/barograph/simulation/configuration_test.go
@@ -19,32 +19,32 @@
 const (
 	changeTimeout          = 3 * time.Second
 	operatorTimeout        = changeTimeout + 500*time.Millisecond
-	maxChanges             = 45 // in one history, so that it can be judged
+	maxChanges             = 45 // per history, so that the linearizability check ends in time
 	linearizabilityTimeout = 20 * time.Second
 	submitTimeout          = 2 * time.Second
 	maxAttempts            = 5
 	operatorCount          = 4
 )
 
-// configurationSubject plays the configuration's group, and operators that race each other.
+// configurationWorkload runs the configuration's group with operators that change it concurrently.
 type configurationWorkload struct {
 	world              *world
 	changes            []*operation
 	reads              []*operation
-	changeByBase       map[uint64]*operation // which change took the place of a revision
-	bodyByRevision     map[uint64]string     // by revision that was in force
-	resultByIndex      map[uint64]string     // by index
+	changeByBase       map[uint64]*operation // the change that replaced a revision
+	bodyByRevision     map[uint64]string     // configuration by applied revision
+	resultByIndex      map[uint64]string     // result by log index
 	logicalTime        int64
-	newestSeen         uint64 // the newest revision that an operator saw
+	newestSeen         uint64 // the newest revision that any operator saw
 	lastAcknowledgedAt time.Duration
 
 	followers          []*follower
-	activations        []activation  // in their order
-	changeLimit        int           // in one history
-	conflictingChanges bool          // each number is given to two changes
-	blackoutStart      time.Duration // from then on nobody who knows of changes is there
-	startMayWait       bool          // processes that start may have to wait for a majority
-	checkIncrementally bool          // the history is judged as it comes: it is too long to be judged whole
+	activations        []activation  // applied changes in their order
+	changeLimit        int           // maximum number of changes
+	conflictingChanges bool          // different changes carry the same revision
+	blackoutStart      time.Duration // from then on no running node has the newest changes
+	startMayWait       bool          // a starting process may have to wait for a majority
+	checkIncrementally bool          // check each event, because the history is too long for the check at the end
 }
 
 func newConfigurationWorkload(w *world) *configurationWorkload {
@@ -56,26 +56,27 @@
 	return s
 }
 
-// order is an operator's change, or what an operator was shown.
+// operation is an operator's change or read of the configuration. Fields whose names end in Time
+// are logical times; 0 means never.
 type operation struct {
 	number           int
 	base             uint64
-	newRevision      uint64 // the change's revision
-	baseBody         string // the body that it is thought to take the place of
+	newRevision      uint64 // the revision that the change creates
+	baseBody         string // the operator's idea of the configuration at base
 	body             string
 	digest           revisions.Digest
 	attempts         int
 	inFlight         bool
-	callTime         int64 // of the first sending, or of the sending that was refused
-	acknowledgedTime int64 // when it was first acknowledged
-	acknowledgedAt   time.Duration
+	callTime         int64         // of the first attempt, or of the attempt that was rejected
+	acknowledgedTime int64         // of the first acknowledgement
+	acknowledgedAt   time.Duration // in simulation time
 	rejectedTime     int64
-	appliedTime      int64 // when a node first applied it with success
-	isRead           bool  // it is a read
+	appliedTime      int64 // when a node first applied it successfully
+	isRead           bool  // a read, not a change
 	revision         uint64
 }
 
-// operator calls one node at a time, and waits for the answer.
+// operator sends one request at a time and waits for its answer.
 type operator struct {
 	address endpoint
 	busy    bool
@@ -117,7 +118,7 @@
 	return m.stateMachine.(*revisions.Machine).Directory()
 }
 
-// tend does what a core node's loops do: it registers, and sees to the members.
+// maintain does what a core node does periodically: it registers itself and repairs the members.
 func (s *configurationWorkload) maintain(n *simulatedNode) {
 	d := s.directory(n)
 	if self := n.directoryEntry(); !slices.Contains(d.Nodes, self) {
@@ -132,7 +133,7 @@
 	m.repairMembers(d, true)
 }
 
-// withFirst adds the first members that have not registered yet.
+// withUnregisteredVoters adds the voters that have not registered yet.
 func (s *configurationWorkload) withUnregisteredVoters(m *member, cores []protocol.Node) []protocol.Node {
 	nodes := slices.Clone(cores)
 	for _, id := range m.replica.Status(m.node.clock()).Members.Voters {
@@ -156,12 +157,12 @@
 	return text
 }
 
-// applied holds that all nodes get the same results, and that no base is left twice.
+// onApplied verifies that all nodes get the same results and that no base is replaced twice.
 func (s *configurationWorkload) onApplied(m *member, index uint64, command, result []byte) {
 	key := string(result)
 	if known, ok := s.resultByIndex[index]; ok {
 		if known != key {
-			s.world.Fail("node %d gets another result of entry %d than others", m.node.id, index)
+			s.world.Fail("node %d gets a different result for entry %d than the others", m.node.id, index)
 		}
 		return
 	}
@@ -180,21 +181,21 @@
 func (s *configurationWorkload) recordApplied(o *operation) {
 	o.appliedTime = s.nextLogicalTime()
 	if other := s.changeByBase[o.base]; other != nil {
-		s.world.Fail("orders %d and %d both took the place of revision %d", other.number, o.number, o.base)
+		s.world.Fail("changes %d and %d both replaced revision %d", other.number, o.number, o.base)
 	}
 	s.changeByBase[o.base] = o
 	s.bodyByRevision[o.newRevision] = o.body
 	if s.checkIncrementally && len(s.activations) > 0 && s.activations[len(s.activations)-1].revision != o.base {
-		s.world.Fail("order %d on %d came into force after %d", o.number, o.base, s.activations[len(s.activations)-1].revision)
+		s.world.Fail("change %d on revision %d was applied after revision %d", o.number, o.base, s.activations[len(s.activations)-1].revision)
 	}
 	s.activations = append(s.activations, activation{s.world.Now, o.newRevision})
 	if o.rejectedTime != 0 {
-		s.world.Fail("order %d of revision %d on %d was refused, and came into force", o.number, o.newRevision, o.base)
+		s.world.Fail("change %d to revision %d on %d was rejected, but it was applied", o.number, o.newRevision, o.base)
 	}
 }
 
-// command makes an order's change as a node does: by what it has. A flawed node makes it by what
-// the order's base is thought to be, though it isn't in force yet.
+// changeCommand builds the command of a change as a node does, based on the node's own state. With
+// an injected bug, the node uses the operator's idea of a base that is not applied yet.
 func (s *configurationWorkload) changeCommand(n *simulatedNode, o *operation) []byte {
 	m := revisions.New(nil)
 	if at := n.member(protocol.ConfigurationGroup); at != nil {
@@ -206,12 +207,12 @@
 		c.Patch, err = patch.Make([]byte(o.baseBody), []byte(o.body))
 	}
 	if err != nil {
-		s.world.Fail("order %d: %v", o.number, err)
+		s.world.Fail("change %d: %v", o.number, err)
 	}
 	return s.encode(&revisions.Command{Change: c})
 }
 
-// operate has an operator do something.
+// runOperator makes an operator read the configuration or send a new or repeated change.
 func (s *configurationWorkload) runOperator(at *operator) {
 	w := s.world
 	if at.busy {
@@ -232,8 +233,8 @@
 	}
 }
 
-// newOrder draws a change: on the newest revision that was seen most of the time, on an older
-// one, on one that isn't in force yet, or one that rises not at all.
+// drawChange draws a change. Most of the time its base is the newest revision that was seen. It may
+// also be an older one or one that is not applied yet, or the change may not raise the revision.
 func (s *configurationWorkload) drawChange() *operation {
 	w := s.world
 	number := len(s.changes) + 1
@@ -260,7 +261,7 @@
 	return o
 }
 
-// send sends a change to a node, which has it carried out.
+// sendChange sends a change to a node, which has it executed.
 func (s *configurationWorkload) sendChange(at *operator, n *simulatedNode, o *operation) {
 	o.attempts++
 	o.inFlight = true
@@ -282,13 +283,13 @@
 	})
 }
 
-// orderReply is what a node answers to an operator's change.
+// changeReply is a node's answer to an operator's change.
 type changeReply struct {
 	result revisions.Result
 	known  bool
 }
 
-// replace is what a core node does with a change: see coordinator.Replace.
+// handleChange handles a change on a core node, like coordinator.Replace.
 func (s *configurationWorkload) handleChange(n *simulatedNode, o *operation, answer func(changeReply)) {
 	if s.knowsRevision(n, o.base) || s.world.bugs.uncommittedBase {
 		s.propose(n, o, answer)
@@ -306,7 +307,7 @@
 	})
 }
 
-// reached tells whether a node knows that a revision is or was in force.
+// knowsRevision reports whether a node knows that a revision is or was applied.
 func (s *configurationWorkload) knowsRevision(n *simulatedNode, revision uint64) bool {
 	m := n.member(protocol.ConfigurationGroup)
 	if m == nil {
@@ -333,17 +334,17 @@
 	})
 }
 
-// answered notes what an operator was told.
+// recordReply records and verifies the answer to an operator's change.
 func (s *configurationWorkload) recordReply(o *operation, result revisions.Result, began int64) {
 	w := s.world
 	switch result {
 	case revisions.Taken:
 		w.tally.acknowledged++
 		if o.appliedTime == 0 {
-			w.Fail("order %d is acknowledged, and no node has it in force", o.number)
+			w.Fail("change %d was acknowledged, but no node has applied it", o.number)
 		}
 		if o.rejectedTime != 0 {
-			w.Fail("order %d is acknowledged, and was refused before", o.number)
+			w.Fail("change %d was acknowledged, but it was rejected before", o.number)
 		}
 		if o.acknowledgedTime == 0 {
 			o.acknowledgedTime, o.acknowledgedAt = s.nextLogicalTime(), w.Now
@@ -353,15 +354,15 @@
 	case revisions.Conflict, revisions.Stale:
 		w.tally.rejected++
 		if o.appliedTime != 0 {
-			w.Fail("order %d of revision %d on %d is in force, and was refused", o.number, o.newRevision, o.base)
+			w.Fail("change %d to revision %d on %d was rejected, but it is applied", o.number, o.newRevision, o.base)
 		}
 		o.rejectedTime, o.callTime = s.nextLogicalTime(), began
 	default:
-		w.Fail("order %d has the result %d", o.number, result)
+		w.Fail("change %d has the unexpected result %d", o.number, result)
 	}
 }
 
-// show has a node show the newest configuration.
+// readConfiguration makes an operator read the newest configuration from a node.
 func (s *configurationWorkload) readConfiguration(at *operator, n *simulatedNode) {
 	o := &operation{isRead: true, callTime: s.nextLogicalTime()}
 	asked := s.world.Now
@@ -384,19 +385,20 @@
 			return
 		}
 		if r.revision != 0 && !strings.HasPrefix(r.body, fmt.Sprintf(`{"configRevision":%d,`, r.revision)) {
-			s.world.Fail("revision %d is shown as %s", r.revision, r.body)
+			s.world.Fail("a read of revision %d returned %s", r.revision, r.body)
 		}
 		s.world.tally.reads++
 		o.revision, o.acknowledgedTime = r.revision, s.nextLogicalTime()
 		s.newestSeen = max(s.newestSeen, r.revision)
 		if newest := s.revisionAt(asked); s.checkIncrementally && r.revision < newest {
-			s.world.Fail("revision %d is shown, and %d was in force when it was asked for", r.revision, newest)
+			s.world.Fail("a read returned revision %d, but %d was applied before it began", r.revision, newest)
 		}
 		s.reads = append(s.reads, o)
 	})
 }
 
-// recovered tells whether the group is kept well and an order was acknowledged.
+// recovered reports whether the group is healthy, all nodes are registered and a change was
+// acknowledged after the faults.
 func (s *configurationWorkload) recovered() bool {
 	voters := min(coordinator.VotersWanted(s.world.toleratedDiskLosses), len(s.world.nodes))
 	for _, n := range s.world.nodes {
@@ -407,7 +409,7 @@
 	return s.lastAcknowledgedAt > s.world.faultsEndAt && s.world.isHealthy(protocol.ConfigurationGroup, voters, nil)
 }
 
-// configurationModel is what the history must fit: one register with compare-and-set.
+// configurationModel is the sequential model of the configuration: a register with compare-and-set.
 var configurationModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) {
@@ -425,8 +427,8 @@
 	},
 }
 
-// check judges the history. A change whose outcome no operator knows was carried out before
-// any node had it in force, or not at all.
+// check verifies that the history is linearizable. A change without a known outcome ends when a
+// node first applied it; if no node did, it is left out.
 func (s *configurationWorkload) check() {
 	if s.checkIncrementally {
 		return
@@ -445,6 +447,6 @@
 	case porcupine.Illegal:
 		s.world.Fail("the history of the configuration is not linearizable")
 	case porcupine.Unknown:
-		s.world.Fail("the history of %d orders could not be judged in time", len(history))
+		s.world.Fail("the linearizability check of %d operations timed out", len(history))
 	}
 }
--- a/internal/barograph/simulation/edge_test.go
+++ b/internal/barograph/simulation/edge_test.go
@@ -10,7 +10,7 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// What an edge's client of the storage nodes keeps to: see turnclient and gateway.
+// Timeouts of an edge's client of the storage nodes: see packages turnclient and gateway.
 const (
 	attemptTimeout = 450 * time.Millisecond
 	retryPause     = 20 * time.Millisecond
@@ -19,40 +19,40 @@
 	reportTimeout  = 6 * time.Second
 )
 
-// edge is an edge node. Its process may die and start again; it keeps nothing.
+// edge is an edge node. Its process may crash and start again; it has no durable state.
 type edge struct {
 	workload    *turnsWorkload
 	address     endpoint
 	incarnation int
 	leaders     map[int]replica.NodeID
 	cache       map[string]string
-	openTurns   int // turns under way
+	openTurns   int // turns in progress
 }
 
 func newEdge(s *turnsWorkload, address endpoint) *edge {
 	return &edge{workload: s, address: address, leaders: map[int]replica.NodeID{}, cache: map[string]string{}}
 }
 
-// try is one try of a turn, at one edge.
+// turnAttempt is one attempt of a turn at one edge.
 type turnAttempt struct {
 	edge           *edge
-	incarnation    int // of the edge
+	incarnation    int // of the edge's process
 	id             string
-	token          uint64 // drawn by the edge
+	token          uint64 // drawn by the edge; identifies the attempt to the storage nodes
 	program        *program
 	previous       string
 	startedAt      time.Duration
-	history        string // what was said before
+	history        string // the conversation before this turn
 	imported       string
-	granted        bool   // the edge was told so
-	tokensStreamed uint64 // tokens that the client got
-	endConfirmed   bool   // the edge was told that it ended
+	granted        bool   // the edge received the grant
+	tokensStreamed uint64 // tokens that the client received
+	endConfirmed   bool   // the edge received the confirmation of the end
 	output         string
-	endSentAt      time.Duration // when its whole answer's end was first sent to the partition
+	endSentAt      time.Duration // when the end of its complete answer was first sent to the partition
 	closing        bool
 }
 
-// trouble kills the edge's process now and then.
+// maybeCrash crashes the edge's process at random.
 func (e *edge) maybeCrash() {
 	w := e.workload.world
 	if !w.faultsEnabled || w.Chance(0.5) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// freeAll is a flaw: it frees what an edge that died had reserved.
+// releaseReservations is an injected bug: it releases the reservations of an edge that crashed.
 func (s *turnsWorkload) releaseReservations(e *edge) {
 	for _, t := range s.attempts {
 		if t.edge == e && t.incarnation != e.incarnation && !t.endConfirmed {
@@ -79,7 +79,7 @@
 	}
 }
 
-// next begins a turn of some program.
+// startTurn starts a turn of a random program.
 func (e *edge) startTurn() {
 	s, w := e.workload, e.workload.world
 	if s.probes != nil || e.openTurns >= 3 || !w.faultsEnabled && w.Chance(0.8) {
@@ -98,14 +98,15 @@
 	t.admit()
 }
 
-// repeat makes the try one that its agent sent elsewhere before, and had no answer to.
+// repeatAttempt turns the attempt into a repetition of one that was sent to another edge before and
+// had no complete answer.
 func (t *turnAttempt) repeatAttempt(o *turnAttempt) {
 	if t.edge.workload.completedByID[o.id] == nil {
 		t.id, t.program, t.previous = o.id, o.program, o.previous
 	}
 }
 
-// drawPrevious draws a turn to go on from, of the program itself most of the time.
+// drawPrevious draws a turn to continue from, most of the time one of the same program.
 func (s *turnsWorkload) drawPrevious(p *program) string {
 	if len(s.completed) == 0 || s.world.Chance(0.2) {
 		return ""
@@ -124,7 +125,7 @@
 	return drawn.id
 }
 
-// alive tells whether the process that carries the try still runs.
+// alive reports whether the process that runs the attempt still exists.
 func (t *turnAttempt) alive() bool { return t.edge.incarnation == t.incarnation }
 
 func (t *turnAttempt) close() {
@@ -134,7 +135,7 @@
 	}
 }
 
-// admitReply is what a storage node answers.
+// admitReply is a storage node's answer to an admission.
 type admitReply struct {
 	outcome protocol.TurnOutcome
 	leader  replica.NodeID
@@ -167,7 +168,7 @@
 	})
 }
 
-// ask has the turn's tokens reserved.
+// requestAdmission asks the partition's leader to reserve the turn's tokens.
 func (t *turnAttempt) requestAdmission(deadline time.Duration, done func(admitReply, bool)) {
 	s := t.edge.workload
 	admission := t.admission()
@@ -182,7 +183,7 @@
 	})
 }
 
-// admit is what a storage node does when it is asked to reserve a turn's tokens.
+// admit handles a reservation of a turn's tokens on a storage node.
 func (s *turnsWorkload) admit(n *simulatedNode, partition int, a *turns.Admission, known bool, answer func(admitReply)) {
 	text := func() (string, bool) {
 		history, found := n.member(protocol.TurnGroup(partition)).stateMachine.(*turns.Machine).History(a.Previous)
@@ -204,8 +205,8 @@
 	})
 }
 
-// attempt calls the owner of a program's partition, whoever that turns out to be, until it
-// answers or the deadline comes, as turnclient does.
+// callPartitionLeader calls the leader of a program's partition until it answers or the deadline
+// passes, as package turnclient does. It discovers the leader as it goes.
 func callPartitionLeader[Reply any](e *edge, alive func() bool, p *program, deadline time.Duration,
 	handle func(*simulatedNode, int, func(Reply)), read func(Reply) (protocol.TurnOutcome, replica.NodeID), done func(Reply, bool)) {
 	w := e.workload.world
@@ -250,7 +251,8 @@
 	again(0)
 }
 
-// target is the owner of the program's partition as last seen, or one of its members in turn.
+// target returns the last known leader of the program's partition, or its members one after
+// another.
 func (e *edge) target(p *program, turn int) (int, *simulatedNode) {
 	s := e.workload
 	d := s.registry.views[e.address]
@@ -276,14 +278,14 @@
 	return nil
 }
 
-// findReply is what a storage node answers when it is asked for a turn.
+// findReply is a storage node's answer to a search for a turn.
 type findReply struct {
 	found   bool
 	history string
 	without []int
 }
 
-// find looks for the turn before in all partitions.
+// find searches for the previous turn in all partitions.
 func (t *turnAttempt) find(deadline time.Duration, without map[int]bool) {
 	s, w := t.edge.workload, t.edge.workload.world
 	if !t.alive() {
@@ -306,7 +308,7 @@
 	}
 }
 
-// found goes on once all nodes have answered or haven't.
+// handleFindReplies continues once all nodes have answered or timed out.
 func (t *turnAttempt) handleFindReplies(deadline time.Duration, without map[int]bool, replies []findReply) {
 	for _, r := range replies {
 		if r.found {
@@ -336,8 +338,8 @@
 	t.edge.workload.world.After(retryPause, func() { t.find(deadline, without) })
 }
 
-// find is what a storage node does when it is asked for a turn: it looks in the partitions
-// that it surely owns.
+// find handles a search for a turn on a storage node. The node searches the partitions that it
+// leads under a lease.
 func (s *turnsWorkload) find(n *simulatedNode, id string, answer func(findReply)) {
 	reply := &findReply{}
 	members := append([]*member(nil), n.members...)
--- a/internal/barograph/simulation/faults_test.go
+++ b/internal/barograph/simulation/faults_test.go
@@ -7,10 +7,10 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// wipeRest is the least time between two losses of a disk.
+// minDiskLossInterval is the minimum time between two losses of a disk.
 const minDiskLossInterval = 300 * time.Millisecond
 
-// fault makes something go wrong, or all go well again for a while.
+// fault injects a random fault, or heals the network.
 func (w *world) fault() {
 	if !w.faultsEnabled {
 		return
@@ -22,7 +22,7 @@
 	faults[w.Random.IntN(len(faults))]()
 }
 
-// anyone draws a running node, an owner of some group often.
+// randomNode draws a running node, with a bias for leaders.
 func (w *world) randomNode() *simulatedNode {
 	var leaders []*simulatedNode
 	for _, n := range w.running() {
@@ -53,7 +53,7 @@
 	w.network.cutBoth(a, b)
 }
 
-// faultCutClient cuts a client off from some nodes.
+// faultCutClient cuts the links between a client and some nodes.
 func (w *world) faultCutClient() {
 	client := firstClient + endpoint(w.Random.IntN(4))
 	for _, n := range w.nodes {
@@ -63,8 +63,8 @@
 	}
 }
 
-// faultIsolate cuts one node off from the others: it hears nothing, or isn't heard, or both.
-// Clients may still reach it.
+// faultIsolate cuts a node's links to the other nodes in one or both directions. Clients can still
+// reach it.
 func (w *world) faultIsolate() {
 	selected := w.randomNode()
 	if selected == nil {
@@ -102,7 +102,7 @@
 	w.maxDelay = []time.Duration{normalMaxDelay, degradedMaxDelay}[w.Random.IntN(2)]
 }
 
-// faultFreeze stops a process, past its lease most of the time.
+// faultFreeze freezes a process, most of the time for longer than its lease.
 func (w *world) faultFreeze() {
 	if n := w.randomNode(); n != nil {
 		n.freeze(w.Between(50*time.Millisecond, 4*w.timing().Election))
@@ -116,7 +116,7 @@
 	}
 }
 
-// startSoon starts a machine's process again.
+// restartLater starts a node's process again after a random delay.
 func (w *world) restartLater(n *simulatedNode) {
 	incarnation := n.incarnation
 	w.After(w.Between(10*time.Millisecond, 2*time.Second), func() {
@@ -126,7 +126,7 @@
 	})
 }
 
-// faultPower takes the power of all machines.
+// faultPowerLoss ends the processes of all nodes at once.
 func (w *world) faultPowerLoss() {
 	if w.Chance(0.7) {
 		return
@@ -137,8 +137,9 @@
 	}
 }
 
-// faultWipe takes a machine's disk, unless another loss isn't made up for yet. Others may be dark
-// or frozen then, and all may lose power at the same moment.
+// faultDiskLoss makes a node lose its disk, unless the groups have not recovered from an earlier
+// loss yet. Other nodes may be down or frozen at this time, and all may lose power at the same
+// moment.
 func (w *world) faultDiskLoss() {
 	n := w.randomNode()
 	if n == nil || !w.allGroupsIntact() || w.Now-w.lastDiskLoss < minDiskLossInterval {
@@ -156,8 +157,9 @@
 	}
 }
 
-// whole tells whether each group has a settled owner, no change of members under way, and as
-// many voters as it should, all of them with the disks that they had when they became voters.
+// allGroupsIntact reports whether each group has a leader under lease, no pending membership change
+// and the wanted number of voters, all of them with the disks that they had when they became
+// voters.
 func (w *world) allGroupsIntact() bool {
 	groups := map[replica.GroupID]bool{}
 	for _, n := range w.nodes {
@@ -173,7 +175,7 @@
 	return len(groups) > 0
 }
 
-// wholeAt tells whether a node owns a group that is whole.
+// leadsIntactGroup reports whether a node is the leader of a group that is intact.
 func (w *world) leadsIntactGroup(n *simulatedNode, group replica.GroupID) bool {
 	m := n.member(group)
 	if !n.up || m == nil || !m.replica.Leased(n.clock()) {
--- a/internal/barograph/simulation/follower_test.go
+++ b/internal/barograph/simulation/follower_test.go
@@ -13,36 +13,37 @@
 )
 
 const (
-	// configApply is how soon after its acknowledgement a configuration must be in force at
-	// every process that reaches the core nodes.
+	// maxConfigDelay bounds the time from a configuration's acknowledgement until every process
+	// that reaches the core nodes uses it.
 	maxConfigDelay = coordinator.DefaultConfigApply
-	// lookAgain is how often a core node looks whether a question that waits is due, and drift
-	// is what clocks that run apart by a percent may be off over a question.
+	// watchPollInterval is how often a core node checks whether a pending watch request is due.
+	// maxClockDrift is how far clocks with a drift of one percent may differ over a request.
 	watchPollInterval = 10 * time.Millisecond
 	maxClockDrift     = 40 * time.Millisecond
-	// believeAfter is when a flawed process believes a single core node after its start.
+	// believeOneDelay is how long after its start a process with the bug trustOneNode trusts a
+	// single core node.
 	believeOneDelay = 5 * time.Second
-	// firstFollower is the endpoint of the first process that follows the core nodes.
+	// firstFollower is the address of the first process that follows the core nodes.
 	firstFollower = firstClient + 100
 )
 
-// epoch turns the simulation's time into what follow.Sources reads.
+// startTime is the wall clock time at which a simulation starts. Package follow needs one.
 var startTime = time.Unix(1_700_000_000, 0)
 
-// question is what a follower asks: see protocol.WatchArgs.
+// watchRequest is a follower's request: see protocol.WatchArgs.
 type watchRequest struct {
 	revision           uint64
 	confirmed, patient bool
 }
 
-// told is what a core node answers: see protocol.WatchReply.
+// watchReply is a core node's answer: see protocol.WatchReply.
 type watchReply struct {
 	revision           uint64
 	confirmed, vouched bool
 	age, held          time.Duration
 }
 
-// watch is what a core node does with a question: see coordinator's Watch.
+// watch handles a watch request on a core node, like package coordinator's Watch.
 func (s *configurationWorkload) watch(n *simulatedNode, q watchRequest, answer func(watchReply)) {
 	if q.confirmed {
 		n.awaitReadIndex(protocol.ConfigurationGroup, follow.Wait/2, func(ok bool) {
@@ -67,7 +68,7 @@
 	look()
 }
 
-// look is what a core node has, and whether it vouches for it.
+// currentReply returns a core node's state and whether the node confirms that it is current.
 func (s *configurationWorkload) currentReply(n *simulatedNode) watchReply {
 	m := n.member(protocol.ConfigurationGroup)
 	if m == nil {
@@ -82,8 +83,8 @@
 	return r
 }
 
-// follower is a process that follows the core nodes, as follow.Follower does. It may die and
-// start again; it keeps nothing.
+// follower is a process that follows the core nodes, like follow.Follower. It may crash and start
+// again; it has no durable state.
 type follower struct {
 	workload    *configurationWorkload
 	address     endpoint
@@ -94,7 +95,7 @@
 	revision    uint64
 }
 
-// follow starts a process that asks as many core nodes side by side as may be lost, and one more.
+// addFollower starts a process that asks core nodes concurrently: one more than may be lost.
 func (s *configurationWorkload) addFollower(address endpoint) *follower {
 	f := &follower{workload: s, address: address}
 	f.start()
@@ -114,7 +115,7 @@
 	}
 }
 
-// candidates are the core nodes in the order of this process.
+// candidates returns the core nodes in the order in which this process prefers them.
 func (f *follower) candidates() []string {
 	var names []string
 	for _, n := range f.workload.world.nodes {
@@ -123,7 +124,7 @@
 	return hashing.Rank(fmt.Sprint("follower-", f.address), names, hashing.Sum64)
 }
 
-// ask asks one node after another, as long as the process lives.
+// askNode asks one node after another until the process ends.
 func (f *follower) askNode(incarnation int) {
 	w := f.workload.world
 	again := func(pause time.Duration) {
@@ -156,7 +157,7 @@
 	})
 }
 
-// take goes by an answer and tells whether it was of use.
+// handleReply processes an answer and reports whether it was useful.
 func (f *follower) handleReply(name string, sent time.Time, r watchReply, ok bool) bool {
 	s := f.workload
 	if !ok {
@@ -167,7 +168,7 @@
 	if !f.confirmed && believes {
 		f.confirmed = true
 		if newest := s.revisionAt(f.started); r.revision < newest {
-			s.world.Fail("process %d begins with revision %d, and %d was in force when it started", f.address, r.revision, newest)
+			s.world.Fail("process %d starts with revision %d, but %d was applied before its start", f.address, r.revision, newest)
 		}
 	}
 	if f.confirmed {
@@ -182,23 +183,23 @@
 	return f.confirmed
 }
 
-// checkAge holds that a process knows all that was in force as long ago as it takes its own
-// knowledge to be old.
+// checkAge verifies a follower's staleness bound: it must know every revision that was applied
+// before.
 func (f *follower) checkAge() {
 	w := f.workload.world
 	at := w.Now - f.sources.Age(f.now()) - maxClockDrift
 	if newest := f.workload.revisionAt(at); f.confirmed && f.revision < newest {
-		w.Fail("process %d has revision %d and takes it for as recent as %v, when %d was in force", f.address, f.revision, at, newest)
+		w.Fail("process %d has revision %d and considers it current as of %v, but %d was applied by then", f.address, f.revision, at, newest)
 	}
 }
 
-// inForce is a revision and when a node first had it in force.
+// activation is a revision and the time at which a node first applied it.
 type activation struct {
 	at       time.Duration
 	revision uint64
 }
 
-// forcedBy is the newest revision that was in force at a time.
+// revisionAt returns the newest revision that was applied at a time.
 func (s *configurationWorkload) revisionAt(at time.Duration) uint64 {
 	for i := len(s.activations) - 1; i >= 0; i-- {
 		if s.activations[i].at <= at {
@@ -208,23 +209,23 @@
 	return 0
 }
 
-// checkApplied holds that every process goes by what was acknowledged as long ago as a
-// configuration may take. It is for worlds in which nothing but the core nodes' own links fails.
+// checkApplied verifies that every process uses each configuration at most maxConfigDelay after its
+// acknowledgement. It applies to worlds in which only links between core nodes fail.
 func (s *configurationWorkload) checkApplied() {
 	w := s.world
-	// Where those who know of a change go dark before it is out, nobody can tell of it.
+	// If the nodes that know a change go down before they pass it on, no process can learn of it.
 	due := s.acknowledgedBy(min(w.Now, s.blackoutStart) - maxConfigDelay)
 	for _, f := range s.followers {
 		if w.Now-f.started < 2*maxConfigDelay || s.startMayWait && !f.confirmed {
 			continue
 		}
 		if f.revision < due {
-			w.Fail("process %d goes by revision %d, and %d was acknowledged %v ago", f.address, f.revision, due, maxConfigDelay)
+			w.Fail("process %d uses revision %d, but %d was acknowledged %v ago", f.address, f.revision, due, maxConfigDelay)
 		}
 	}
 }
 
-// acknowledgedBy is the newest revision that an operator was told to be taken by a time.
+// acknowledgedBy returns the newest revision that was acknowledged to an operator by a time.
 func (s *configurationWorkload) acknowledgedBy(at time.Duration) uint64 {
 	newest := uint64(0)
 	for _, o := range s.changes {
--- a/internal/barograph/simulation/lister_test.go
+++ b/internal/barograph/simulation/lister_test.go
@@ -16,36 +16,37 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// listEvery is how often a node looks whether it is to list.
+// listInterval is how often a node checks whether it has to list the platform's servers.
 const listInterval = 500 * time.Millisecond
 
-// errNoPlatform tells that a node can't reach the platform.
-var errPlatformUnreachable = errors.New("the platform can't be reached")
+// errPlatformUnreachable: the node cannot reach the platform.
+var errPlatformUnreachable = errors.New("the platform cannot be reached")
 
-// dutiesSubject plays the lister's duty, a partition of the services, and the platform.
+// listerWorkload runs the lister's singleton task, one partition of the services, and the platform.
 type listerWorkload struct {
 	world              *world
 	registry           *registry
 	services           []string
-	serverCounts       map[string]int // the platform's: how many servers a service has
+	serverCounts       map[string]int // number of servers by service, as the platform has it
 	cutOffFromPlatform map[endpoint]bool
-	permanentlyCutOff  bool // for good, after the faults
-	serversSettled     bool // it changes no more
+	permanentlyCutOff  bool // after the faults, two of three nodes lose the platform permanently
+	serversSettled     bool // the platform's servers do not change any more
 	listers            map[endpoint]*fakeDuty
-	newestEpoch        uint64 // the newest that was acted in
+	newestEpoch        uint64 // the newest epoch in which a node listed
 	activeNode         endpoint
 	resultByIndex      map[uint64]string
-	newestPublished    uint64 // epoch of the newest publication that took effect, as its sender had it
+	newestPublished    uint64 // the sender's epoch of the newest publication that took effect
 }
 
-// dutyMachine is the state of a duty: there is none, the group's owner holds it.
+// emptyStateMachine is the state machine of a singleton task. The group's leader runs the task, so
+// there is no state.
 type emptyStateMachine struct{}
 
 func (emptyStateMachine) Apply([]byte) []byte  { return nil }
 func (emptyStateMachine) Snapshot() []byte     { return nil }
 func (emptyStateMachine) Restore([]byte) error { return nil }
 
-// playedPartition is the partition of the services that is played.
+// testedPartition is the partition of the services that the simulation runs.
 const testedPartition = 0
 
 func simulateLister(seed uint64, injected bugs) *world {
@@ -68,7 +69,7 @@
 	return w
 }
 
-// found starts the nodes, with both groups on each.
+// startNodes starts the nodes with both groups on each.
 func (s *listerWorkload) startNodes(count int) {
 	w := s.world
 	var members replica.Members
@@ -85,7 +86,8 @@
 	}
 }
 
-// change has the platform start or stop servers, at last when one node reaches it only.
+// changeServers changes the number of a service's servers. The last change happens when only one
+// node can reach the platform.
 func (s *listerWorkload) changeServers() {
 	if s.world.faultsEnabled || s.permanentlyCutOff && !s.serversSettled {
 		s.serversSettled = s.permanentlyCutOff
@@ -93,8 +95,8 @@
 	}
 }
 
-// severPlatform cuts nodes off from the platform, or lets all reach it. After the faults one
-// of three nodes reaches it still: the duty must come to that one.
+// cutPlatform cuts a node off from the platform, or reconnects all. After the faults, only one of
+// three nodes can reach the platform, and the task must be transferred to it.
 func (s *listerWorkload) cutPlatform() {
 	w := s.world
 	if !w.faultsEnabled && len(w.nodes) == 3 {
@@ -131,7 +133,7 @@
 	}
 }
 
-// list has a node's lister look at its duty once. What it is stays in its process.
+// listOnce runs a node's lister once. The lister's state is lost when the process ends.
 func (s *listerWorkload) listOnce(n *simulatedNode) {
 	d := s.listers[n.address]
 	if d == nil || d.incarnation != n.incarnation {
@@ -142,7 +144,7 @@
 	d.lister.Once(context.Background())
 }
 
-// simulatedDuty is a node's standing, and its way to the platform.
+// fakeDuty connects a node's lister with the simulated groups and platform.
 type fakeDuty struct {
 	workload    *listerWorkload
 	node        *simulatedNode
@@ -151,15 +153,15 @@
 	lister      *lister.Lister
 }
 
-// List implements lister.Platform. To list is to act.
+// List implements lister.Platform. It verifies that one node lists in each epoch.
 func (d *fakeDuty) List(context.Context) (map[string][]protocol.Server, error) {
 	s, w := d.workload, d.workload.world
 	w.tally.listings++
 	if d.epoch < s.newestEpoch {
-		w.Fail("node %d acts in epoch %d after another did in %d", d.node.id, d.epoch, s.newestEpoch)
+		w.Fail("node %d lists in epoch %d after another node did in %d", d.node.id, d.epoch, s.newestEpoch)
 	}
 	if d.epoch == s.newestEpoch && d.node.address != s.activeNode {
-		w.Fail("nodes at %d and %d both act in epoch %d", s.activeNode, d.node.address, d.epoch)
+		w.Fail("nodes at %d and %d both list in epoch %d", s.activeNode, d.node.address, d.epoch)
 	}
 	s.newestEpoch, s.activeNode = d.epoch, d.node.address
 	if s.cutOffFromPlatform[d.node.address] {
@@ -188,8 +190,9 @@
 	return d.epoch, m.holdsLease()
 }
 
-// Lists implements lister.Duty. Where they come from tells who sent them: only how many there
-// are is the platform's word, so both sides are given the same sender.
+// Lists implements lister.Duty. The simulation stores the sender's epoch in the zone of the
+// servers. Only their number is the platform's data, so both sides of the lister's comparison get
+// the same zone.
 func (d *fakeDuty) Lists(partition int) []protocol.ServerList {
 	m := d.node.member(protocol.ServiceGroup(partition))
 	if m == nil {
@@ -222,8 +225,8 @@
 	return nil
 }
 
-// encode is a publication as its partition's owner takes it. With a flaw, that gives it the
-// epoch that the partition is in.
+// encode encodes a publication as its partition's leader receives it. With an injected bug, it gets
+// the partition's epoch.
 func (s *listerWorkload) encode(m *member, p servers.Publication) []byte {
 	if s.world.bugs.epochFromPartition {
 		p.Epoch, p.Sequence = 1, m.replica.Status(m.node.clock()).Last+1
@@ -249,7 +252,7 @@
 	}
 }
 
-// heirs are the other voters, from the one after this node on and round.
+// successors returns the other voters in a cycle that starts after this node.
 func (d *fakeDuty) successors(voters []replica.NodeID) []replica.NodeID {
 	at := slices.Index(voters, d.node.id)
 	if d.workload.world.bugs.fixedSuccessor {
@@ -258,14 +261,15 @@
 	return slices.Concat(voters[at+1:], voters[:at])
 }
 
-// applied holds that no publication of an earlier epoch takes effect after one of a later.
+// onApplied verifies that no publication of an earlier epoch takes effect after one of a later
+// epoch.
 func (s *listerWorkload) onApplied(m *member, index uint64, command, result []byte) {
 	if m.group == protocol.ListerDuty {
 		return
 	}
 	if known, ok := s.resultByIndex[index]; ok {
 		if known != string(result) {
-			s.world.Fail("node %d gets another result of entry %d than others", m.node.id, index)
+			s.world.Fail("node %d gets a different result for entry %d than the others", m.node.id, index)
 		}
 		return
 	}
@@ -281,7 +285,7 @@
 	s.newestPublished = max(s.newestPublished, epoch)
 }
 
-// senderOf reads which epoch a publication was sent in from the servers that it names.
+// senderEpoch reads the sender's epoch of a publication from the zones of its servers.
 func (s *listerWorkload) senderEpoch(m *member, command []byte) uint64 {
 	newest := uint64(0)
 	lists, _ := m.stateMachine.(*servers.Machine).Lists()
@@ -293,7 +297,7 @@
 		for _, server := range l.Servers {
 			epoch, err := strconv.ParseUint(server.Zone, 10, 64)
 			if err != nil {
-				s.world.Fail("zone %q", server.Zone)
+				s.world.Fail("unexpected zone %q", server.Zone)
 			}
 			newest = max(newest, epoch)
 		}
@@ -301,7 +305,7 @@
 	return newest
 }
 
-// recovered tells whether both groups are kept well, and all nodes know what the platform says.
+// recovered reports whether both groups are healthy and all nodes have the platform's servers.
 func (s *listerWorkload) recovered() bool {
 	voters := min(3, len(s.world.nodes))
 	for _, group := range []replica.GroupID{protocol.ListerDuty, protocol.ServiceGroup(testedPartition)} {
@@ -321,7 +325,7 @@
 	return true
 }
 
-// current tells whether a node knows what the platform says.
+// isCurrent reports whether a node has the platform's servers.
 func (s *listerWorkload) isCurrent(m *member) bool {
 	lists, _ := m.stateMachine.(*servers.Machine).Lists()
 	if len(lists) != len(s.services) {
--- a/internal/barograph/simulation/member_test.go
+++ b/internal/barograph/simulation/member_test.go
@@ -12,58 +12,58 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// outcomeKind says what is known of a proposal.
+// outcomeKind is the kind of a proposal's outcome.
 type outcomeKind uint8
 
 const (
-	succeeded      outcomeKind = iota // its result is
-	notLeader                         // nothing was done, another node owns the group
-	outcomeUnknown                    // it may be carried out
-	unavailable                       // nothing was done
+	succeeded      outcomeKind = iota // committed and applied; the result is known
+	notLeader                         // not proposed; another node leads the group
+	outcomeUnknown                    // may be committed now or later
+	unavailable                       // not proposed
 )
 
-// outcome is how a proposal ended.
+// outcome is the outcome of a proposal.
 type outcome struct {
 	kind   outcomeKind
 	result []byte
 	leader replica.NodeID
-	index  uint64 // up to which the owner has applied
+	index  uint64 // index up to which the leader has applied the log
 }
 
-// waiter waits for the entry that a proposal became.
+// waiter waits for the log entry of a proposal.
 type waiter struct {
 	term uint64
 	done func(outcome)
 }
 
-// reading waits until all that was committed is applied.
+// pendingRead waits until everything that was committed at its start is applied.
 type pendingRead struct {
 	term, commit uint64
 	look         func(stateMachine)
 	done         func(bool)
 }
 
-// member is a node's part of a group, as the host runs it.
+// member is a node's replica of a group. It does what package host does.
 type member struct {
 	node                 *simulatedNode
 	group                replica.GroupID
 	replica              *replica.Replica
 	stateMachine         stateMachine
-	stored               *replica.Stored // durable
+	stored               *replica.Stored // the content of the disk
 	applied              uint64
 	appliedTerm          uint64
-	appliedSinceSnapshot int // entries applied since the newest snapshot
+	appliedSinceSnapshot int // number of entries
 	waiters              map[uint64]*waiter
 	pendingReads         []*pendingRead
 	pendingWrite         *replica.Ready
 	nextTick             time.Duration
 	planner              repair.Planner
-	leasedAtTick         bool // at the newest tick, for flaws only
+	leasedAtTick         bool // whether the lease was held at the last tick; for injected bugs only
 	lastLedTerm          uint64
-	announcingUntil      time.Duration // a change of members is being announced
+	announcingUntil      time.Duration // until then a membership change is being announced
 }
 
-// settle carries out what the replica wants, and plans its next Tick.
+// processReady performs the replica's pending work and schedules its next Tick.
 func (m *member) processReady() {
 	m.failDeposed()
 	m.countLedTerm()
@@ -83,7 +83,7 @@
 	m.scheduleTick()
 }
 
-// notice counts terms that this node owns.
+// countLedTerm counts the terms in which this node is the leader.
 func (m *member) countLedTerm() {
 	if m.replica.Owns() && m.lastLedTerm != m.replica.Term() {
 		m.lastLedTerm = m.replica.Term()
@@ -113,7 +113,7 @@
 	})
 }
 
-// finish goes on once the writes of a Ready are durable.
+// completeReady continues once the writes of a Ready are durable.
 func (m *member) completeReady(ready replica.Ready) {
 	m.replica.Persisted(m.node.clock(), ready)
 	for _, message := range ready.Messages {
@@ -128,7 +128,7 @@
 	m.compact()
 }
 
-// store makes the writes of a Ready durable.
+// persist makes the writes of a Ready durable.
 func (m *member) persist(ready replica.Ready) {
 	if ready.Hard != nil {
 		m.stored.Hard = *ready.Hard
@@ -167,7 +167,7 @@
 	w := m.waiters[entry.Index]
 	switch {
 	case w == nil:
-	case w.term != entry.Term: // another took its place: it will never be in force
+	case w.term != entry.Term: // another entry was committed at this index: the proposal never will be
 		m.completeWaiter(entry.Index, outcome{kind: notLeader, leader: m.replica.Owner()})
 	default:
 		m.completeWaiter(entry.Index, outcome{kind: succeeded, result: result})
@@ -180,7 +180,7 @@
 	w.done(o)
 }
 
-// compact makes a snapshot when enough was applied since the last.
+// compact takes a snapshot when enough entries were applied since the last one.
 func (m *member) compact() {
 	if m.appliedSinceSnapshot < m.node.world.compactAfter {
 		return
@@ -196,7 +196,7 @@
 	m.replica.Compact(snapshot)
 }
 
-// planTick sees to a Tick when the replica wants one.
+// scheduleTick schedules the replica's next Tick.
 func (m *member) scheduleTick() {
 	w := m.node.world
 	due := max(m.node.simulationTime(m.replica.Next()), w.Now)
@@ -213,8 +213,8 @@
 	})
 }
 
-// failDeposed tells those who wait for what isn't known to be committed that this node is no
-// longer the owner that took it.
+// failDeposed fails the waiters of entries that are not known to be committed and that this node
+// accepted as a leader of an earlier term.
 func (m *member) failDeposed() {
 	if len(m.waiters) == 0 {
 		return
@@ -227,7 +227,7 @@
 	}
 }
 
-// propose has the group carry out a command. done runs once, unless the process ends before.
+// propose proposes a command to the group. done runs once, unless the process ends before.
 func (m *member) propose(command []byte, within time.Duration, done func(outcome)) {
 	index, term, err := m.replica.Propose(m.node.clock(), command)
 	var other *replica.NotOwnerError
@@ -240,7 +240,7 @@
 		return
 	}
 	if m.waiters[index] != nil {
-		m.completeWaiter(index, outcome{kind: outcomeUnknown}) // its entry was cut from the log
+		m.completeWaiter(index, outcome{kind: outcomeUnknown}) // its entry was truncated from the log
 	}
 	w := &waiter{term: term, done: done}
 	m.waiters[index] = w
@@ -251,8 +251,8 @@
 	})
 }
 
-// read looks at the machine when nothing that is in force can be missing, as the host does:
-// under a lease before and after. done says whether what was seen counts.
+// read performs a linearizable read of the state machine, as package host does: the node holds the
+// leader's lease before and after. done reports whether what look saw is valid.
 func (m *member) read(look func(stateMachine), done func(bool)) {
 	if !m.holdsLease() {
 		done(false)
--- a/internal/barograph/simulation/network_test.go
+++ b/internal/barograph/simulation/network_test.go
@@ -6,22 +6,22 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// endpoint is where something is reached: a machine by its place, or a client.
+// endpoint is the address of a node or a client.
 type endpoint int
 
-// firstClient is the endpoint of the first client; no world has as many machines.
+// firstClient is the address of the first client. No world has that many nodes.
 const firstClient endpoint = 1000
 
 type link struct{ from, to endpoint }
 
-// network carries messages, unless it loses, doubles or holds them up.
+// network delivers messages, and may lose, duplicate or delay them.
 type network struct {
 	world           *world
 	cutLinks        map[link]bool
-	linkLossRate    map[link]float64 // share that is lost on one way
+	linkLossRate    map[link]float64 // loss rate of single links
 	lossRate        float64
 	duplicationRate float64
-	slowRate        float64 // share of messages held up for long, so that others overtake them
+	slowRate        float64 // rate of long delays, so that messages overtake each other
 }
 
 func (n *network) clear() {
@@ -30,7 +30,7 @@
 	clear(n.linkLossRate)
 }
 
-// post takes something on its way: it runs on arrival.
+// send sends a message. arrive runs on its arrival.
 func (n *network) send(from, to endpoint, arrive func()) {
 	if n.cutLinks[link{from, to}] || n.world.Chance(n.lossRate) || len(n.linkLossRate) > 0 && n.world.Chance(n.linkLossRate[link{from, to}]) {
 		return
@@ -46,7 +46,7 @@
 	})
 }
 
-// deliver carries a message between members of a group.
+// deliver sends a message between members of a group.
 func (n *network) deliver(from endpoint, m replica.Message) {
 	to := n.world.nodeByID(m.To)
 	if to == nil {
@@ -64,9 +64,9 @@
 	n.cutLinks[link{b, a}] = true
 }
 
-// call calls a machine from a client or another machine. handle runs there, and may answer
-// later, or never. done runs once: false if no answer came in time. What was called may then
-// still be carried out: a frozen process finds it when it goes on.
+// call sends a request from a client or node to a node. handle runs there and may answer later or
+// never. done runs once, with false if no answer came in time. The request may still be executed
+// then: a frozen process handles it when it resumes.
 func call[Reply any](w *world, from endpoint, to *simulatedNode, within time.Duration, handle func(answer func(Reply)), done func(Reply, bool)) {
 	open := true
 	end := func(reply Reply, ok bool) {
--- a/internal/barograph/simulation/node_test.go
+++ b/internal/barograph/simulation/node_test.go
@@ -9,40 +9,41 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// machineNode is a machine with a disk, a clock and a process.
+// simulatedNode is a machine with a disk, a clock and a process.
 type simulatedNode struct {
 	world   *world
 	address endpoint
-	id      replica.NodeID // of the disk
+	id      replica.NodeID // changes when the disk is lost
 	disk    map[replica.GroupID]*replica.Stored
 
 	up          bool
-	incarnation int // counts starts: what an earlier process began has no effect
+	incarnation int // number of starts; pending work of an earlier process has no effect
 	clockOffset time.Duration
 	clockRate   float64
-	members     []*member // in the order of their opening
+	members     []*member // in the order in which they were opened
 	frozen      bool
 	deferred    []func()
 }
 
-// self is the node as the directory has it.
+// directoryEntry returns the node's entry in the directory.
 func (n *simulatedNode) directoryEntry() protocol.Node {
 	return protocol.Node{ID: n.id, Name: n.name(), Class: n.world.class, Address: n.name()}
 }
 
 func (n *simulatedNode) name() string { return fmt.Sprintf("machine-%d", n.address) }
 
-// clock is the node's own: it starts anywhere and drifts by a percent at most.
+// clock returns the time of the node's clock. It starts at a random value and drifts by at most 1
+// %.
 func (n *simulatedNode) clock() time.Duration {
 	return n.clockOffset + time.Duration(float64(n.world.Now)*n.clockRate)
 }
 
-// fromClock is the simulation's time when the node's clock shows at.
+// simulationTime returns the simulation's time at which the node's clock shows at.
 func (n *simulatedNode) simulationTime(at time.Duration) time.Duration {
 	return time.Duration(float64(at-n.clockOffset)/n.clockRate) + 1
 }
 
-// start begins a process on what the disk holds.
+// start starts a process on the content of the disk.
 func (n *simulatedNode) start() {
 	w := n.world
 	n.incarnation++
@@ -55,7 +56,7 @@
 	}
 }
 
-// open runs a group on what is kept of it.
+// openGroup runs a group from its stored state.
 func (n *simulatedNode) openGroup(group replica.GroupID, stored *replica.Stored) *member {
 	w := n.world
 	m := &member{node: n, group: group, stored: stored, waiters: map[uint64]*waiter{}}
@@ -72,8 +73,8 @@
 	return m
 }
 
-// startOf is the time at which a replica begins, as the host has it: one that has promised
-// nothing may campaign at once.
+// replicaStart returns the time at which a replica starts, as in package host: a replica that has
+// granted no lease may campaign at once.
 func (m *member) replicaStart() time.Duration {
 	if m.stored.Hard == (replica.HardState{}) && len(m.stored.Entries) == 0 {
 		return m.node.clock() - m.node.world.timing().Election
@@ -81,17 +82,17 @@
 	return m.node.clock()
 }
 
-// groupsOn are the groups on a node's disk, in order.
+// groupsOn returns the groups on a node's disk, sorted.
 func (w *world) groupsOn(n *simulatedNode) []replica.GroupID {
 	return sortedKeys(n.disk)
 }
 
-// begin puts a group's first members and state on the disk, before the process starts.
+// bootstrap writes a group's initial members and state to the disk before the process starts.
 func (n *simulatedNode) bootstrap(group replica.GroupID, members replica.Members) {
 	n.disk[group] = &replica.Stored{Snapshot: replica.Snapshot{Index: 1, Members: members}}
 }
 
-// member finds the node's member of a group, nil if it runs none.
+// member returns the node's member of a group, nil if it runs none.
 func (n *simulatedNode) member(group replica.GroupID) *member {
 	for _, m := range n.members {
 		if m.group == group {
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// take takes a message of another member in. A group that isn't known yet is followed.
+// receive handles a message from another member. It opens a group that the node does not run yet.
 func (n *simulatedNode) receive(message replica.Message) {
 	if message.To != n.id {
 		return
@@ -116,7 +117,7 @@
 	m.processReady()
 }
 
-// crash ends the process. A write under way gets lost, or was durable already.
+// crash ends the process. A write in progress is lost or durable, at random.
 func (n *simulatedNode) crash() {
 	if !n.up {
 		return
@@ -131,7 +132,7 @@
 	n.up, n.members = false, nil
 }
 
-// wipe takes the disk, and the id with it.
+// loseDisk ends the process and loses the disk and the node id on it.
 func (n *simulatedNode) loseDisk() {
 	n.crash()
 	n.world.tally.diskLosses++
@@ -143,7 +144,7 @@
 	n.id = n.world.lastID
 }
 
-// act runs something in the process, or later if it is frozen.
+// execute runs something in the process. In a frozen process it runs after the thaw.
 func (n *simulatedNode) execute(run func()) {
 	if !n.up {
 		return
@@ -158,7 +159,7 @@
 	}
 }
 
-// later runs something in the process after a delay, if it is the same process then.
+// executeAfter runs something in the process after a delay, unless the process has ended by then.
 func (n *simulatedNode) executeAfter(delay time.Duration, run func()) {
 	incarnation := n.incarnation
 	n.world.After(delay, func() {
@@ -168,7 +169,7 @@
 	})
 }
 
-// freeze stops the process for a while: its clock goes on.
+// freeze stops the process for a while. Its clock keeps running.
 func (n *simulatedNode) freeze(span time.Duration) {
 	if n.frozen || !n.up {
 		return
@@ -183,7 +184,8 @@
 	})
 }
 
-// thaw goes on with what was held, in an order by lot: threads wake in any.
+// thaw resumes the process and runs the deferred work, half of the time in a random order, because
+// threads wake in any order.
 func (n *simulatedNode) thaw() {
 	if !n.frozen {
 		return
--- a/internal/barograph/simulation/registry_test.go
+++ b/internal/barograph/simulation/registry_test.go
@@ -12,8 +12,8 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// registry is the directory where the configuration's group is not played itself: commands
-// take a while to get there, and each node learns of news at times of its own.
+// registry stands for the directory in simulations that do not run the configuration's group.
+// Commands reach it with a delay, and each node sees updates at its own times.
 type registry struct {
 	world        *world
 	stateMachine *revisions.Machine
@@ -45,7 +45,7 @@
 	return result
 }
 
-// submit brings a command to the registry, unless it gets lost. The answer may get lost too.
+// submit sends a command to the registry. The command or its answer may be lost.
 func (r *registry) submit(c *revisions.Command, answer func(revisions.Result)) {
 	w := r.world
 	if w.Chance(0.2) {
@@ -61,13 +61,13 @@
 
 func ignoreResult(revisions.Result) {}
 
-// follow lets an endpoint learn of news again and again.
+// subscribe updates an endpoint's view of the directory repeatedly.
 func (r *registry) subscribe(at endpoint) {
 	r.views[at] = r.stateMachine.Directory()
 	r.world.Every(20*time.Millisecond, 300*time.Millisecond, func() { r.views[at] = r.stateMachine.Directory() })
 }
 
-// stand has a node stand in the directory.
+// registerNode registers a node that its view of the directory does not list.
 func (r *registry) registerNode(n *simulatedNode) {
 	if !slices.Contains(r.views[n.address].Nodes, n.directoryEntry()) {
 		self := n.directoryEntry()
@@ -75,7 +75,7 @@
 	}
 }
 
-// plan is what production's planner wants a group's members to be next.
+// planMembers returns the next members of a group as planned by the production code.
 func (m *member) planMembers(status replica.Status, d protocol.Directory, everyone bool) (replica.Members, bool) {
 	n := m.node
 	nodes := coordinator.OfClass(d, n.world.class)
@@ -95,7 +95,7 @@
 	return m.planner.Plan(view)
 }
 
-// alive are those of the nodes that answer this one.
+// respondingNodes returns those of the nodes that respond to this one.
 func (n *simulatedNode) respondingNodes(nodes []protocol.Node) []protocol.Node {
 	w := n.world
 	return slices.DeleteFunc(slices.Clone(nodes), func(o protocol.Node) bool {
@@ -108,7 +108,7 @@
 	})
 }
 
-// repair has the owner of a group see to its members.
+// repairMembers makes the leader of a group propose a membership change if one is due.
 func (m *member) repairMembers(d protocol.Directory, everyone bool) {
 	status := m.replica.Status(m.node.clock())
 	if !status.Settled {
@@ -125,8 +125,8 @@
 	}
 }
 
-// keptWell tells whether a group has an owner under lease, and as many voters as it should,
-// all of them there and in step.
+// isHealthy reports whether a group has a leader under lease and the wanted number of voters, all
+// of them running and caught up.
 func (w *world) isHealthy(group replica.GroupID, voters int, retiring []string) bool {
 	for _, n := range w.running() {
 		m := n.member(group)
@@ -155,6 +155,6 @@
 		return false
 	}
 	m := n.member(group)
-	// Members of groups of turns learn late what is committed.
+	// Members of turn groups learn the commit index late.
 	return m != nil && m.applied <= commit && m.replica.Status(n.clock()).Last >= commit
 }
--- a/internal/barograph/simulation/scenarios_test.go
+++ b/internal/barograph/simulation/scenarios_test.go
@@ -13,17 +13,16 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// The named scenarios bring about what operators meet on their worst days, one at a time, and
-// in thousands of ways each.
+// The named scenarios reproduce severe faults one at a time, each with many seeds.
 
 const (
-	troubleStart    = 5 * time.Second  // when a scenario's trouble begins
-	troubleDuration = 20 * time.Second // and how long it lasts
-	scenarioTail    = 6 * time.Second  // goes on after it
-	followerCount   = 6
+	scenarioFaultStart    = 5 * time.Second  // when a scenario's fault begins
+	scenarioFaultDuration = 20 * time.Second // how long it lasts
+	scenarioTail          = 6 * time.Second  // how long the scenario continues after it
+	followerCount         = 6
 )
 
-// scenario makes a world of core nodes, operators and followers without random faults.
+// scenario returns a world of core nodes and operators without random faults.
 func scenario(seed uint64, nodes, losses int, pause time.Duration, injected bugs) (*world, *configurationWorkload) {
 	w := newWorld(seed, protocol.Core, injected)
 	w.toleratedDiskLosses = losses
@@ -52,14 +51,14 @@
 	return w, s
 }
 
-// finish runs a scenario to its end, and judges it.
+// runToEnd runs a scenario to its end and verifies it.
 func (s *configurationWorkload) runToEnd(end time.Duration) *world {
 	w := s.world
 	w.Run(end, func() bool { return false })
 	w.heal()
 	w.faultsEndAt = w.Now
 	if !w.Run(w.Now+recoveryTimeout, s.recovered) && w.Failure == nil && !w.bugs.violatesSafety() {
-		w.Fail("all is not well again %v after the troubles: %s", recoveryTimeout, w.describe())
+		w.Fail("no recovery within %v after the faults: %s", recoveryTimeout, w.describe())
 	}
 	if w.Failure == nil {
 		s.check()
@@ -67,25 +66,26 @@
 	return w
 }
 
-// playCutOff cuts some core nodes off from the others for 20 s, the owner among them often, while
-// operators and followers reach all: the first of the operators' points.
+// simulateCutOff cuts some core nodes, often with the leader, off from the others for 20 s.
+// Operators and followers can still reach all of them.
 func simulateCutOff(seed uint64, injected bugs) *world {
 	losses := 1 + int(seed%3)
 	w, s := scenario(seed, 2*losses+1+int(seed/3%3), losses, 800*time.Millisecond, injected)
 	for i := range followerCount {
 		s.addFollower(firstFollower + endpoint(i))
 	}
-	w.After(troubleStart, func() { _ = s.cutOff(losses) })
-	w.After(troubleStart+troubleDuration, w.network.clear)
+	w.After(scenarioFaultStart, func() { _ = s.cutOff(losses) })
+	w.After(scenarioFaultStart+scenarioFaultDuration, w.network.clear)
 	w.After(3*time.Second, func() { w.Every(50*time.Millisecond, 50*time.Millisecond, s.checkApplied) })
-	w.After(troubleStart+3*time.Second, func() {
+	w.After(scenarioFaultStart+3*time.Second, func() {
 		w.Every(time.Second, 4*time.Second, func() { s.followers[w.Random.IntN(followerCount)].start() })
 	})
-	return s.runToEnd(troubleStart + troubleDuration + scenarioTail)
+	return s.runToEnd(scenarioFaultStart + scenarioFaultDuration + scenarioTail)
 }
 
-// playLeftBehind cuts some core nodes off while changes are made. Then one of the others loses its
-// disk, the rest go dark, and the cut heals: nobody but those that were left behind is there.
+// simulateLeftBehind cuts some core nodes off while changes are made. Then one of the others loses
+// its disk, the rest go down, and the cut heals. Only nodes without the newest changes are running
+// then.
 func simulateLeftBehind(seed uint64, injected bugs) *world {
 	losses := 1 + int(seed%2)
 	w, s := scenario(seed, 2*losses+1+int(seed/2%3), losses, 800*time.Millisecond, injected)
@@ -94,8 +94,8 @@
 		s.addFollower(firstFollower + endpoint(i))
 	}
 	var behind []*simulatedNode
-	w.After(troubleStart, func() { behind = s.cutOff(losses) })
-	w.After(troubleStart+4*time.Second, func() {
+	w.After(scenarioFaultStart, func() { behind = s.cutOff(losses) })
+	w.After(scenarioFaultStart+4*time.Second, func() {
 		w.network.clear()
 		s.blackoutStart = w.Now
 		for i, n := range w.nodes {
@@ -113,11 +113,11 @@
 		}
 	})
 	w.After(3*time.Second, func() { w.Every(50*time.Millisecond, 50*time.Millisecond, s.checkApplied) })
-	return s.runToEnd(troubleStart + 20*time.Second)
+	return s.runToEnd(scenarioFaultStart + 20*time.Second)
 }
 
-// cutOff parts as many core nodes from the others as may be lost: the owner and others, or others
-// only, one way or both.
+// cutOff cuts up to the given number of core nodes off from the others, with or without the leader,
+// in one or both directions.
 func (s *configurationWorkload) cutOff(losses int) (cut []*simulatedNode) {
 	w := s.world
 	selected := slices.Clone(w.nodes)
@@ -143,7 +143,7 @@
 	return cut
 }
 
-// owns is 1 where a node owns the configuration's group.
+// leadsConfiguration returns 1 if a node is the leader of the configuration's group, otherwise 0.
 func (n *simulatedNode) leadsConfiguration() int {
 	if m := n.member(protocol.ConfigurationGroup); m != nil && m.replica.Owns() {
 		return 1
@@ -151,8 +151,8 @@
 	return 0
 }
 
-// playLostAcks loses most answers to operators for a while, with two changes under each number
-// and every order sent again and again: the second point.
+// simulateLostAcks loses most answers to operators for a while. Two different changes carry the
+// same revision, and operators send every change repeatedly.
 func simulateLostAcks(seed uint64, injected bugs) *world {
 	w, s := scenario(seed, 3+int(seed%2), 1, 200*time.Millisecond, injected)
 	s.conflictingChanges, s.changeLimit = true, 60
@@ -170,8 +170,8 @@
 	return s.runToEnd(8 * time.Second)
 }
 
-// playSecondLoss takes a second disk right after a group has been made whole, and all other
-// machines' power at the same moment: the third point.
+// simulateSecondLoss makes nodes lose their disks right after a group has recovered from the
+// previous loss, often while all other nodes lose power at the same moment.
 func simulateSecondLoss(seed uint64, injected bugs) *world {
 	losses := 1 + int(seed%2)
 	w, s := scenario(seed, 2*losses+1+int(seed/2%2), losses, 300*time.Millisecond, injected)
@@ -188,8 +188,9 @@
 	return s.runToEnd(14 * time.Second)
 }
 
-// madeWhole tells whether the group's owner has as many voters as it should, all there with
-// their disks, and no change of them under way: from then on as many may be lost again.
+// fullyReplicated reports whether the group has a leader under lease, the wanted number of voters,
+// all of them with their disks, and no pending membership change. From then on, the tolerated
+// number of disks may be lost again.
 func (s *configurationWorkload) fullyReplicated() bool {
 	w := s.world
 	for _, n := range w.running() {
@@ -206,7 +207,7 @@
 	return false
 }
 
-// lose takes the disks of as many machines as may be lost, and often the power of all others.
+// loseDisks makes the given number of nodes lose their disks, and often all others lose power.
 func (s *configurationWorkload) loseDisks(losses int) {
 	w := s.world
 	nodes := slices.Clone(w.nodes)
@@ -215,7 +216,7 @@
 		slices.SortStableFunc(nodes, func(a, b *simulatedNode) int { return b.leadsConfiguration() - a.leadsConfiguration() })
 	}
 	if copies := s.countFullCopies(); copies <= losses {
-		w.Fail("what is in force stands on %d disks, and %d may be lost", copies, losses)
+		w.Fail("the newest applied entry is on %d disks, but %d may be lost", copies, losses)
 	}
 	for _, n := range nodes[:losses] {
 		n.loseDisk()
@@ -229,7 +230,7 @@
 	}
 }
 
-// copies counts the disks that hold all that any node has applied.
+// countFullCopies counts the disks that hold everything that any node has applied.
 func (s *configurationWorkload) countFullCopies() int {
 	newest := uint64(0)
 	for index := range s.resultByIndex {
@@ -245,8 +246,8 @@
 	return count
 }
 
-// playLongHistory makes hundreds of changes with snapshots and a short log, while members are
-// away for 20 s each and come back with their disk, or without: the fourth point.
+// simulateLongHistory makes hundreds of changes with frequent snapshots and a short log. Meanwhile
+// members are away for 20 s each and return with or without their disk.
 func simulateLongHistory(seed uint64, injected bugs) *world {
 	w, s := scenario(seed, 3+int(seed%3), 1, 40*time.Millisecond, injected)
 	s.changeLimit, s.checkIncrementally = 1500, true
@@ -256,7 +257,7 @@
 	}
 	away(3*time.Second, func(n *simulatedNode) {
 		n.crash()
-		w.After(troubleDuration, n.start)
+		w.After(scenarioFaultDuration, n.start)
 	})
 	away(27*time.Second, func(n *simulatedNode) {
 		for _, o := range w.nodes {
@@ -264,7 +265,7 @@
 				w.network.cutBoth(n.address, o.address)
 			}
 		}
-		w.After(troubleDuration, w.network.clear)
+		w.After(scenarioFaultDuration, w.network.clear)
 	})
 	away(50*time.Second, func(n *simulatedNode) {
 		n.loseDisk()
@@ -272,7 +273,7 @@
 	})
 	s.runToEnd(60 * time.Second)
 	if w.Failure == nil && !w.bugs.violatesSafety() && s.acknowledgedCount() < 150 {
-		w.Fail("only %d changes were taken", s.acknowledgedCount())
+		w.Fail("only %d changes were acknowledged", s.acknowledgedCount())
 	}
 	return w
 }
@@ -287,7 +288,7 @@
 	return count
 }
 
-// TestWorstDays plays the scenarios.
+// The control plane must stay correct and recover in each of the scenarios.
 func TestFaultScenarios(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -309,7 +310,7 @@
 	}
 }
 
-// TestWorstDaysFindFlaws tests the scenarios: each defect must show.
+// The scenarios must detect each injected bug; otherwise they prove nothing.
 func TestFaultScenariosDetectInjectedBugs(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -330,7 +331,7 @@
 	}
 }
 
-// digestOf is how a node tells changes apart.
+// digestOf returns the digest by which a node identifies a change.
 func (s *configurationWorkload) digestOf(o *operation) revisions.Digest {
 	if s.world.bugs.compareRevisionOnly {
 		return revisions.DigestOf(o.base, []byte{byte(o.newRevision)})
--- a/internal/barograph/simulation/simulation_test.go
+++ b/internal/barograph/simulation/simulation_test.go
@@ -14,11 +14,11 @@
 	"k8s.io/klog/v2"
 )
 
-// player plays one world from a seed.
+// simulateFunc runs one simulation with a seed.
 type simulateFunc func(seed uint64, injected bugs) *world
 
-// playSeeds plays worlds on all processors until one fails, and returns how many were played,
-// what happened in them, and that failure.
+// simulateSeeds runs simulations on all CPUs until one fails. It returns the number of simulations,
+// the sum of their statistics, and the failure.
 func simulateSeeds(seeds uint64, simulate simulateFunc, injected bugs) (simulations uint64, tally counts, failure error) {
 	defer debug.SetGCPercent(debug.SetGCPercent(800))
 	var next, ran atomic.Uint64
@@ -46,7 +46,8 @@
 	return ran.Load(), tally, nil
 }
 
-// seedsFor is how many seeds a test plays: SIMULATION_SEEDS says so for a long search.
+// seedCount returns the number of seeds for a test. The environment variable SIMULATION_SEEDS
+// overrides it, for a long search.
 func seedCount(test *testing.T, usual uint64) uint64 {
 	if many, err := strconv.ParseUint(os.Getenv("SIMULATION_SEEDS"), 10, 64); err == nil {
 		return many
@@ -62,6 +63,7 @@
 	m.Run()
 }
 
+// Turns must keep their history and budget, and partitions must recover, under random faults.
 func TestTurnsSurviveFaults(t *testing.T) {
 	seeds := seedCount(t, 1000)
 	simulations, c, failure := simulateSeeds(seeds, simulateTurns, bugs{})
@@ -70,35 +72,38 @@
 	assert.Assert(t, c.completedTurns > 20*seeds && c.imports > 5*seeds && c.overBudget > 5*seeds, "turns: %+v", c)
 	assert.Assert(t, c.missing > seeds/10 && c.forgotten > seeds/10 && c.edgeCrashes > seeds, "ends: %+v", c)
 	assert.Assert(t, c.retirements > seeds/10, "retirements: %+v", c)
-	c.checkTroubles(t, seeds)
+	c.checkFaults(t, seeds)
 }
 
+// Changes and reads of the configuration must stay linearizable under random faults.
 func TestConfigurationStaysLinearizableUnderFaults(t *testing.T) {
 	seeds := seedCount(t, 2000)
 	simulations, c, failure := simulateSeeds(seeds, simulateConfiguration, bugs{})
 	assert.NilError(t, failure)
 	t.Logf("%d seeds: %+v", simulations, c)
 	assert.Assert(t, c.acknowledged > 8*seeds && c.rejected > 2*seeds && c.unknownOutcomes > seeds && c.reads > 5*seeds, "orders: %+v", c)
-	c.checkTroubles(t, seeds)
+	c.checkFaults(t, seeds)
 }
 
+// At most one node may list in each epoch under random faults, and no publication of an earlier
+// epoch may take effect after one of a later epoch.
 func TestOneListerActsPerEpochUnderFaults(t *testing.T) {
 	seeds := seedCount(t, 2000)
 	simulations, c, failure := simulateSeeds(seeds, simulateLister, bugs{})
 	assert.NilError(t, failure)
 	t.Logf("%d seeds: %+v", simulations, c)
 	assert.Assert(t, c.listings > 4*seeds && c.publications > 3*seeds && c.outdated > seeds/10, "duties: %+v", c)
-	c.checkTroubles(t, seeds)
+	c.checkFaults(t, seeds)
 }
 
-// checkTroubles holds that the simulations did what they are for.
-func (c *counts) checkTroubles(test *testing.T, seeds uint64) {
+// checkFaults verifies that the simulations contained enough faults.
+func (c *counts) checkFaults(test *testing.T, seeds uint64) {
 	test.Helper()
 	assert.Assert(test, c.leaderTerms > 2*seeds && c.membershipChanges > 2*seeds && c.diskLosses > seeds/4, "members: %+v", c)
 	assert.Assert(test, c.crashes > 2*seeds && c.freezes > seeds && c.installedSnapshots > seeds/2 && c.leadershipTransfers > seeds/4, "troubles: %+v", c)
 }
 
-// TestFlaws tests the tests: each defect must show.
+// The simulations must detect each injected bug; otherwise they prove nothing.
 func TestSimulationsDetectInjectedBugs(t *testing.T) {
 	const most = 20000
 	for _, test := range []struct {
--- a/internal/barograph/simulation/submit_test.go
+++ b/internal/barograph/simulation/submit_test.go
@@ -6,16 +6,16 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// verdict is what became of a command that a node had carried out by a group's owner.
+// submitResult is the result of a command that a node forwarded to a group's leader.
 type submitResult uint8
 
 const (
-	submitDone        submitResult = iota // its result is known
-	submitNotExecuted                     // nothing was carried out
-	submitUnknown                         // it may have been, or may still be
+	submitDone        submitResult = iota // executed; the result is known
+	submitNotExecuted                     // certainly not executed
+	submitUnknown                         // may have been executed, or may be later
 )
 
-// submission is a command on its way to a group's owner: see node.Submit.
+// submission is a command that is being forwarded to a group's leader: see node.Submit.
 type submission struct {
 	node        *simulatedNode
 	incarnation int
@@ -27,7 +27,7 @@
 	onEnd       func(outcome, submitResult)
 }
 
-// submit has a command carried out by the group's owner, wherever that is.
+// submit forwards a command to the group's leader.
 func (n *simulatedNode) submit(group replica.GroupID, command []byte, within time.Duration, onEnd func(outcome, submitResult)) {
 	n.forwardToLeader(group, within, func(at *simulatedNode, answer func(outcome)) {
 		m := at.member(group)
@@ -39,7 +39,8 @@
 	}, onEnd)
 }
 
-// confirm waits until this node has applied all that the group had committed when it was called.
+// awaitReadIndex obtains a read index from the leader and waits until this node has applied it,
+// that is, everything that the group had committed at the time of the call.
 func (n *simulatedNode) awaitReadIndex(group replica.GroupID, within time.Duration, onEnd func(bool)) {
 	var index uint64
 	deadline := n.world.Now + within
@@ -78,14 +79,14 @@
 	})
 }
 
-// seek tries the owner of a group, as far as it is known, then the other nodes that may know
-// it, until the call is carried out or time is up.
+// forwardToLeader sends a request to the known leader of a group, and then to other nodes that may
+// know the leader, until the request is executed or the time is over.
 func (n *simulatedNode) forwardToLeader(group replica.GroupID, within time.Duration, request func(*simulatedNode, func(outcome)), onEnd func(outcome, submitResult)) {
 	s := &submission{node: n, incarnation: n.incarnation, group: group, deadline: n.world.Now + within, request: request, onEnd: onEnd}
 	s.send(s.knownLeader())
 }
 
-// owner is the group's owner as far as this node knows, 0: not at all.
+// knownLeader returns the group's leader as this node knows it, 0 if it does not.
 func (s *submission) knownLeader() replica.NodeID {
 	if m := s.node.member(s.group); m != nil {
 		return m.replica.Owner()
@@ -104,7 +105,7 @@
 		if !ok {
 			o = outcome{kind: outcomeUnknown}
 		}
-		// What comes back finds the process as it is then: frozen, or another one.
+		// By the time of the reply, the process may be frozen or may have ended.
 		if s.node.incarnation == s.incarnation {
 			s.node.execute(func() { s.handleReply(id, o) })
 		}
@@ -134,7 +135,7 @@
 	}
 }
 
-// another picks one of the nodes that may know the group's owner, in turn.
+// nextNode returns the nodes that may know the group's leader, one after another.
 func (s *submission) nextNode() *simulatedNode {
 	w := s.node.world
 	s.nextIndex++
--- a/internal/barograph/simulation/turn_attempt_test.go
+++ b/internal/barograph/simulation/turn_attempt_test.go
@@ -10,22 +10,23 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// missing tells the client that there is no turn to go on from.
+// reportMissing tells the client that the previous turn does not exist. It verifies that this is
+// allowed.
 func (t *turnAttempt) reportMissing() {
 	s := t.edge.workload
 	s.world.tally.missing++
 	if before := s.completedByID[t.previous]; before != nil && !s.mayBeForgotten(before, s.world.Now) {
-		s.world.Fail("%s: turn %s of %s, answered whole at %v, is reported missing", t.id, before.id, before.program.name, before.at)
+		s.world.Fail("%s: turn %s of %s, completed at %v, is reported missing", t.id, before.id, before.program.name, before.at)
 	}
 	t.close()
 }
 
-// mayBeForgotten tells whether a program rested for as long as it is kept, at a time.
+// mayBeForgotten reports whether at a time a program may have been idle for its retention.
 func (s *turnsWorkload) mayBeForgotten(k *completedTurn, at time.Duration) bool {
 	return k.expiries != k.program.expiries || at-k.program.lastActivity > k.program.retention
 }
 
-// touch notes that something of the program was carried out, at a time between these two.
+// recordActivity records that a command of the program was executed between these two times.
 func (p *program) recordActivity(earliest, latest time.Duration) {
 	if latest-p.lastActivity > p.retention {
 		p.expiries++
@@ -33,12 +34,12 @@
 	p.lastActivity = max(p.lastActivity, earliest)
 }
 
-// begin streams the turn's answer to the client.
+// startStreaming starts to stream the turn's answer to the client.
 func (t *turnAttempt) startStreaming(history string) {
 	s, w := t.edge.workload, t.edge.workload.world
 	t.granted, t.history = true, history
 	if before := s.completedByID[t.previous]; t.previous != "" && history != before.text {
-		w.Fail("%s: turn %s comes back as %q and was %q", t.id, t.previous, history, before.text)
+		w.Fail("%s: the history at turn %s is %q instead of %q", t.id, t.previous, history, before.text)
 	}
 	tokens := w.Random.Uint64N(t.program.maxTokens + 1)
 	if w.Chance(0.4) {
@@ -48,7 +49,7 @@
 	t.stream(tokens, broken)
 }
 
-// stream hands out tokens one by one.
+// stream sends tokens to the client one by one.
 func (t *turnAttempt) stream(left uint64, broken bool) {
 	w := t.edge.workload.world
 	w.After(w.Between(time.Millisecond, 25*time.Millisecond), func() {
@@ -63,7 +64,7 @@
 		t.program.tokensStreamed++
 		t.output += fmt.Sprintf("%s/%d\n", t.id, t.tokensStreamed)
 		if t.program.retention == longRetention && t.program.tokensStreamed > t.program.budget {
-			w.Fail("%s: %d tokens of %s are handed out, its budget is %d", t.id, t.program.tokensStreamed, t.program.name, t.program.budget)
+			w.Fail("%s: %d tokens of %s were streamed, but its budget is %d", t.id, t.program.tokensStreamed, t.program.name, t.program.budget)
 		}
 		if broken && w.Chance(0.2) {
 			left = 1
@@ -96,7 +97,7 @@
 	})
 }
 
-// whole notes that the client was told that the turn is whole.
+// recordCompleted records that the client was told that the turn is complete.
 func (t *turnAttempt) recordCompleted(text string) {
 	s := t.edge.workload
 	t.program.recordActivity(t.endSentAt, s.world.Now)
@@ -108,7 +109,7 @@
 	}
 }
 
-// settle tells the partition what was handed out.
+// reportTokens reports the number of streamed tokens to the partition.
 func (t *turnAttempt) reportTokens() {
 	ending := &turns.Ending{Program: t.program.name, Attempt: t.id, Tokens: t.tokensStreamed, Keep: t.program.retention, Token: t.tokenAtEnd()}
 	t.edge.finish(t, ending, reportTimeout, func(o protocol.TurnOutcome, ok bool) {
@@ -117,8 +118,8 @@
 	})
 }
 
-// tokenAtEnd is the token that an ending carries. With a flaw it is that of whichever edge has
-// the try.
+// tokenAtEnd returns the token for the end of the attempt. With an injected bug it is the token of
+// whichever edge holds the attempt.
 func (t *turnAttempt) tokenAtEnd() uint64 {
 	if t.edge.workload.world.bugs.endWithoutToken {
 		for _, o := range t.edge.workload.attempts {
@@ -130,7 +131,7 @@
 	return t.token
 }
 
-// finish ends a try at its partition.
+// finish ends an attempt at its partition.
 func (e *edge) finish(t *turnAttempt, ending *turns.Ending, within time.Duration, done func(protocol.TurnOutcome, bool)) {
 	s := e.workload
 	alive := func() bool { return t.alive() || e != t.edge }
@@ -151,7 +152,7 @@
 	})
 }
 
-// probes ask, when all is calm again, for what must be granted and what must not.
+// probes are requests at the end of a run that must be granted or refused.
 type probes struct {
 	workload *turnsWorkload
 	pending  int
@@ -172,7 +173,8 @@
 	return p
 }
 
-// bounds are the least and the most that a program's books may count.
+// bounds returns the minimum and maximum number of tokens that the partition may have counted for a
+// program.
 func (s *turnsWorkload) bounds(p *program) (least, most uint64) {
 	for _, t := range s.attempts {
 		switch {
@@ -181,7 +183,7 @@
 			least += t.tokensStreamed
 			most += t.tokensStreamed
 		case t.granted && !t.alive():
-			least += min(t.tokensStreamed, p.maxTokens) // its end may have been counted, its answer lost
+			least += min(t.tokensStreamed, p.maxTokens) // its end may have been counted and the answer lost
 			most += p.maxTokens
 		default:
 			most += p.maxTokens
@@ -190,7 +192,8 @@
 	return least, most
 }
 
-// probeBudget asks for one token more than may be left, and then for what surely is.
+// probeBudget requests one token more than may be left, which must be refused, and then as many as
+// must be left, which must be granted.
 func (p *probes) probeBudget(program *program) {
 	least, most := p.workload.bounds(program)
 	if least <= program.budget {
@@ -211,12 +214,12 @@
 	t.requestAdmission(s.world.Now+admitTimeout*4, func(r admitReply, ok bool) {
 		p.pending--
 		if !ok || r.outcome != want {
-			s.world.Fail("%s of %s: outcome %d (%v), not %d", t.id, program.name, r.outcome, ok, want)
+			s.world.Fail("%s of %s: outcome %d (answered: %v) instead of %d", t.id, program.name, r.outcome, ok, want)
 		}
 	})
 }
 
-// probeTurn asks to go on from a turn that was answered whole.
+// probeTurn verifies that the leader still has the history of a completed turn.
 func (p *probes) probeTurn(completed *completedTurn) {
 	s := p.workload
 	if s.mayBeForgotten(completed, s.world.Now+time.Second) {
@@ -229,7 +232,7 @@
 			}
 			history, found := m.stateMachine.(*turns.Machine).History(completed.id)
 			if m.applied == m.replica.Commit() && (!found || string(history) != completed.text) {
-				s.world.Fail("turn %s of %s is kept as %q (%v) and was %q", completed.id, completed.program.name, history, found, completed.text)
+				s.world.Fail("the stored history at turn %s of %s is %q (found: %v) instead of %q", completed.id, completed.program.name, history, found, completed.text)
 			}
 		}
 	}
--- a/internal/barograph/simulation/turns_test.go
+++ b/internal/barograph/simulation/turns_test.go
@@ -15,13 +15,15 @@
 
 const (
 	simulatedPartitions = 3
-	// longKeep is for programs that outlive the simulation, shortKeep for some that don't.
-	longRetention, shortRetention = time.Hour, 1200 * time.Millisecond
-	// keepLonger is what an owner adds before it has a program forgotten.
+	// longRetention exceeds the length of a simulation, so programs with it are never deleted.
+	longRetention = time.Hour
+	// shortRetention passes during a simulation, so programs with it may be deleted.
+	shortRetention = 1200 * time.Millisecond
+	// extraRetention is what a leader adds to a program's retention before it deletes the program.
 	extraRetention = 100 * time.Millisecond
 )
 
-// turnsSubject plays the partitions of the turns, and edges that carry turns of programs.
+// turnsWorkload runs the partitions of the turns, and edges that run turns of programs.
 type turnsWorkload struct {
 	world         *world
 	registry      *registry
@@ -29,30 +31,30 @@
 	programs      []*program
 	attemptCount  int
 	attempts      []*turnAttempt
-	completed     []*completedTurn // that clients were told are whole, in order
+	completed     []*completedTurn // turns that clients were told are complete, in order
 	completedByID map[string]*completedTurn
 	retired       string
 	probes        *probes
 }
 
-// program is an agent program, as the simulation knows it.
+// program is an agent program.
 type program struct {
 	name           string
 	budget         uint64
-	maxTokens      uint64 // that one of its turns puts out
+	maxTokens      uint64 // maximum number of tokens of one turn
 	retention      time.Duration
-	tokensStreamed uint64        // tokens that clients got
-	lastActivity   time.Duration // when the end of its last whole turn was sent to its partition
-	expiries       int           // how often it may have rested for as long as it is kept
+	tokensStreamed uint64        // tokens that clients received
+	lastActivity   time.Duration // when the end of its last complete turn was sent to its partition
+	expiries       int           // how often it may have been idle for its retention
 }
 
-// keptTurn is a turn that a client was told is whole.
+// completedTurn is a turn that a client was told is complete.
 type completedTurn struct {
 	id       string
 	program  *program
-	text     string // all that was said up to its end
+	text     string // the conversation up to its end
 	at       time.Duration
-	expiries int // of the program until then
+	expiries int // of the program at that time
 }
 
 func simulateTurns(seed uint64, injected bugs) *world {
@@ -95,7 +97,7 @@
 	return p
 }
 
-// assign gives the partitions their first members, as the coordinator does.
+// assign assigns the initial members to the partitions, as the coordinator does.
 func (s *turnsWorkload) assign() {
 	assignment := &revisions.Assignment{}
 	for partition := range simulatedPartitions {
@@ -113,7 +115,7 @@
 	s.registry.apply(&revisions.Command{Assign: assignment})
 }
 
-// retire has a storage node emptied, where enough others are there.
+// retire starts to move all partitions off a storage node, if there are enough others.
 func (s *turnsWorkload) retire() {
 	w := s.world
 	if len(w.nodes) < 5 || w.Chance(0.4) {
@@ -136,7 +138,7 @@
 	return s.registry.views[n.address]
 }
 
-// tend does what a storage node's loops do.
+// maintain does what a storage node does periodically.
 func (s *turnsWorkload) maintain(n *simulatedNode) {
 	s.registry.registerNode(n)
 	d := s.directory(n)
@@ -160,7 +162,7 @@
 	s.checkEmptied()
 }
 
-// announce has the directory tell who is about to become a voter, and then makes it one.
+// announce adds a future voter to the directory before it proposes the membership change.
 func (s *turnsWorkload) announce(m *member, status replica.Status, d protocol.Directory, next replica.Members) {
 	if len(next.Voters) <= len(status.Members.Voters) || s.world.bugs.unannouncedVoter {
 		m.changeMembers(next)
@@ -213,7 +215,7 @@
 	s.registry.submit(&revisions.Command{Moved: moved}, ignoreResult)
 }
 
-// checkEmptied holds that a node that is told to be empty is a member of no committed group.
+// checkEmptied verifies that a node that the directory reports as empty is a voter of no group.
 func (s *turnsWorkload) checkEmptied() {
 	emptied, retiring := s.registry.stateMachine.Emptied(s.retired)
 	if s.retired == "" || !emptied || !retiring {
@@ -227,14 +229,14 @@
 			}
 			for _, id := range status.Members.Voters {
 				if o := s.world.nodeByID(id); o != nil && o.name() == s.retired {
-					s.world.Fail("%s is told to be empty, and is a voter of %s: %+v", s.retired, m.group, status)
+					s.world.Fail("%s is reported empty, but it is a voter of %s: %+v", s.retired, m.group, status)
 				}
 			}
 		}
 	}
 }
 
-// forget has programs forgotten that are kept no longer. The command may be late.
+// forget proposes to delete programs whose retention has passed. The command may be delayed.
 func (s *turnsWorkload) forget(m *member) {
 	resting := m.stateMachine.(*turns.Machine).Resting(extraRetention, 64)
 	if len(resting) == 0 {
@@ -252,7 +254,7 @@
 	})
 }
 
-// propose hands a command to a node's member of a partition, as the keeper's calls do.
+// propose proposes a command to a node's member of a partition, as package keeper does.
 func (s *turnsWorkload) propose(n *simulatedNode, partition int, c *turns.Command, done func(protocol.TurnOutcome, replica.NodeID)) {
 	m := n.member(protocol.TurnGroup(partition))
 	if m == nil {
@@ -288,7 +290,8 @@
 	}[result]
 }
 
-// recovered tells whether all partitions are kept well, nobody waits, and the books are right.
+// recovered reports whether all partitions are healthy, no turn is in progress, and all probes have
+// been answered.
 func (s *turnsWorkload) recovered() bool {
 	d := s.registry.stateMachine.Directory()
 	for partition := range simulatedPartitions {
--- a/internal/barograph/simulation/world_test.go
+++ b/internal/barograph/simulation/world_test.go
@@ -1,6 +1,6 @@
-// Package simulation plays whole subjects of the control plane on a virtual clock:
-// replicas with their state machines on nodes whose disks, clocks and networks fail, and
-// the clients that call them. What a run does follows from its seed alone.
+// Package simulation tests the control plane's replicated groups on a virtual clock: replicas with
+// their state machines run on nodes whose disks, clocks and networks fail, and clients call them. A
+// run is determined by its seed.
 package simulation
 
 import (
@@ -14,79 +14,80 @@
 )
 
 const (
-	faultDuration    = 8 * time.Second       // faults come and go for this long
-	recoveryTimeout  = 25 * time.Second      // and all must be well again within this
-	normalMaxDelay   = 4 * time.Millisecond  // the most that a message takes, usually
-	degradedMaxDelay = 60 * time.Millisecond // and on a bad network
-	maxEvents        = 3_000_000             // a simulation with more never comes to rest
+	faultDuration    = 8 * time.Second       // how long faults are injected
+	recoveryTimeout  = 25 * time.Second      // bound on the recovery after the last fault
+	normalMaxDelay   = 4 * time.Millisecond  // maximum delay of a message on a good network
+	degradedMaxDelay = 60 * time.Millisecond // and on a degraded network
+	maxEvents        = 3_000_000             // a simulation with more does not terminate
 )
 
-// flaws are defects that tests of the tests give the nodes or their clients.
+// bugs are injected into the nodes or their clients to prove that the simulations detect them.
 type bugs struct {
-	findWithoutLease     bool // a member says that it lacks a turn though it may lag behind
-	endBeforeCommit      bool // the end of a turn is answered before its commit
-	admitBeforeCommit    bool // a reservation is answered before its commit
-	releaseOnEdgeCrash   bool // an edge's death frees what it had reserved
-	staleLease           bool // the lease of the newest tick counts, also after a freeze
-	reusedNodeID         bool // a wiped node comes back under its old id
-	listWithoutLease     bool // the owner of a duty acts on it without a lease
-	uncommittedBase      bool // a change on a base that isn't in force yet gets into the log
-	endWithoutToken      bool // any edge ends a try, whichever has it
-	fixedSuccessor       bool // a duty is handed to the first of the other voters
-	unannouncedVoter     bool // a node becomes a voter before the directory knows
-	epochFromPartition   bool // publications take the epoch that their partition is in
-	vouchWithoutLeader   bool // a core node says that there is nothing new without contact to an owner
-	trustOneNode         bool // a process believes a single core node a while after its start
-	compareRevisionOnly  bool // changes are told apart by their numbers alone
-	rejectRepeatedChange bool // an order that was taken, and followed by another, is refused when it comes again
+	findWithoutLease     bool // a member without the lease reports a turn missing, although it may lag behind
+	endBeforeCommit      bool // the end of a turn is confirmed before its commit
+	admitBeforeCommit    bool // a reservation is confirmed before its commit
+	releaseOnEdgeCrash   bool // the crash of an edge releases its reservations
+	staleLease           bool // the lease is checked only at ticks, so it counts even after a freeze
+	reusedNodeID         bool // a node that lost its disk keeps its node id
+	listWithoutLease     bool // the leader of a singleton task acts without a lease
+	uncommittedBase      bool // a change on a base that is not committed yet is proposed
+	endWithoutToken      bool // any edge can end an attempt, also one that another edge runs
+	fixedSuccessor       bool // a singleton task is always transferred to the first of the other voters
+	unannouncedVoter     bool // a node becomes a voter before the directory lists it
+	epochFromPartition   bool // publications carry the epoch of the partition, not of the lister
+	vouchWithoutLeader   bool // a core node confirms its state as current without contact to the leader
+	trustOneNode         bool // a process trusts a single core node a while after its start
+	compareRevisionOnly  bool // changes are identified by their revision alone
+	rejectRepeatedChange bool // a change that was accepted and superseded is rejected when it is sent again
 }
 
-// unsafe tells whether a flaw is to show in what happens, not in what never does.
+// violatesSafety reports whether the bugs show in a wrong result. The others show in a run that
+// does not recover.
 func (f bugs) violatesSafety() bool { return f != bugs{} && !f.fixedSuccessor }
 
-// machine is a state machine as the host runs it.
+// stateMachine is a replicated state machine, as in package host.
 type stateMachine interface {
 	Apply(command []byte) []byte
 	Snapshot() []byte
 	Restore(state []byte) error
 }
 
-// subject is what a world plays beside its nodes: the groups, and who calls them.
+// workload is what a world runs on its nodes: groups and their clients.
 type workload interface {
-	// machine makes a group's empty state machine.
+	// newStateMachine returns a group's empty state machine.
 	newStateMachine(n *simulatedNode, group replica.GroupID) stateMachine
-	// applied is told of each command that a node applies, with its result.
+	// onApplied is called for each command that a node applies, with its result.
 	onApplied(m *member, index uint64, command, result []byte)
-	// directory is the directory as far as a node knows.
+	// directory returns the directory as a node sees it.
 	directory(n *simulatedNode) protocol.Directory
-	// tend is called now and then on each running node.
+	// maintain is called periodically on each running node.
 	maintain(n *simulatedNode)
-	// recovered tells whether all is well after the faults.
+	// recovered reports whether the workload has recovered from the faults.
 	recovered() bool
-	// check judges what happened.
+	// check verifies the run's history.
 	check()
 }
 
-// world is one simulation.
+// world is one simulation: nodes, a network, faults and a workload.
 type world struct {
 	*simulated.Clock
 	bugs                bugs
 	workload            workload
 	class               protocol.Class
 	network             network
-	nodes               []*simulatedNode // by place
-	lastID              replica.NodeID   // the newest that was given
+	nodes               []*simulatedNode // by address
+	lastID              replica.NodeID   // the last node id that was assigned
 	toleratedDiskLosses int
 	faultsEnabled       bool
 	faultsEndAt         time.Duration
-	lastDiskLoss        time.Duration // when a disk was lost last
+	lastDiskLoss        time.Duration // when a disk was last lost
 	tally               counts
-	// drawn once:
-	compactAfter int
-	maxDelay     time.Duration
+	compactAfter        int           // entries between two snapshots
+	maxDelay            time.Duration // maximum delay of a message
 }
 
-// counts are of what happened: what never happens is not tested either.
+// counts are statistics of a run. Tests check them, because an event that never happens is not
+// tested.
 type counts struct {
 	leaderTerms         uint64 // terms in which a group had a leader
 	membershipChanges   uint64 // proposed membership changes
@@ -122,7 +123,7 @@
 	return w
 }
 
-// play runs the world: faults for a while, then until all is well again.
+// runWithFaults runs the world with faults for a while, and then without until it recovers.
 func (w *world) runWithFaults() {
 	w.Every(50*time.Millisecond, 700*time.Millisecond, w.fault)
 	for _, n := range w.nodes {
@@ -140,14 +141,14 @@
 		return w.workload.recovered()
 	}
 	if !w.Run(w.faultsEndAt+recoveryTimeout, recovered) && w.Failure == nil && !w.bugs.violatesSafety() {
-		w.Fail("all is not well again %v after the faults: %s", recoveryTimeout, w.describe())
+		w.Fail("no recovery within %v after the faults: %s", recoveryTimeout, w.describe())
 	}
 	if w.Failure == nil {
 		w.workload.check()
 	}
 }
 
-// heal ends all faults.
+// heal ends all faults and starts the nodes that are down.
 func (w *world) heal() {
 	w.faultsEnabled = false
 	w.maxDelay = normalMaxDelay
@@ -160,7 +161,7 @@
 	}
 }
 
-// describe tells of all nodes, for failures.
+// describe returns the state of all nodes for failure messages.
 func (w *world) describe() string {
 	var text string
 	for _, n := range w.nodes {
@@ -172,7 +173,7 @@
 	return text
 }
 
-// running are the nodes with a process, frozen or not.
+// running returns the nodes with a process, frozen or not.
 func (w *world) running() []*simulatedNode {
 	var running []*simulatedNode
 	for _, n := range w.nodes {
@@ -183,7 +184,7 @@
 	return running
 }
 
-// withID finds the node that has an id now.
+// nodeByID returns the node that has an id now.
 func (w *world) nodeByID(id replica.NodeID) *simulatedNode {
 	for _, n := range w.nodes {
 		if n.id == id {
@@ -193,7 +194,7 @@
 	return nil
 }
 
-// addNode adds a machine with an empty disk; start begins its process.
+// addNode adds a node with an empty disk. Its process is not started.
 func (w *world) addNode() *simulatedNode {
 	w.lastID++
 	n := &simulatedNode{world: w, address: endpoint(len(w.nodes)), id: w.lastID, disk: map[replica.GroupID]*replica.Stored{}}
@@ -201,7 +202,7 @@
 	return n
 }
 
-// timing is what the groups of this world's nodes keep in production too.
+// timing returns the timing that groups on these nodes have in production.
 func (w *world) timing() replica.Timing { return node.Timing(w.class) }
 
 func (c *counts) add(o counts) {
