--- a/internal/barograph/host/harness_test.go
+++ b/internal/barograph/host/harness_test.go
@@ -89,13 +89,13 @@
 	}
 }
 
-func newCluster(t testing.TB, seed uint64, after int) *cluster {
-	return &cluster{t: t, now: time.Hour, nodes: map[replica.NodeID]*node{}, seed: seed, isolated: map[replica.NodeID]bool{}, compactAfterBytes: after}
+func newCluster(t testing.TB, seed uint64, compactAfter int) *cluster {
+	return &cluster{t: t, now: time.Hour, nodes: map[replica.NodeID]*node{}, seed: seed, isolated: map[replica.NodeID]bool{}, compactAfterBytes: compactAfter}
 }
 
 // startCluster starts count processes on empty disks, each with the given groups.
-func startCluster(t testing.TB, seed uint64, after, count int, groups ...replica.GroupID) *cluster {
-	c := newCluster(t, seed, after)
+func startCluster(t testing.TB, seed uint64, compactAfter, count int, groups ...replica.GroupID) *cluster {
+	c := newCluster(t, seed, compactAfter)
 	for id := range replica.NodeID(count) {
 		c.members.Voters = append(c.members.Voters, id+1)
 		c.start(id+1, store.NewMemory())
--- a/internal/barograph/host/host_test.go
+++ b/internal/barograph/host/host_test.go
@@ -84,9 +84,9 @@
 
 // A restart must recover the state machine and the log, with and without a snapshot.
 func TestRestartRecoversStateMachineAndLog(t *testing.T) {
-	for name, after := range map[string]int{"log": 0, "snapshot and log": 300} {
+	for name, compactAfter := range map[string]int{"log": 0, "snapshot and log": 300} {
 		t.Run(name, func(t *testing.T) {
-			c := startCluster(t, 3, after, 3, testGroup)
+			c := startCluster(t, 3, compactAfter, 3, testGroup)
 			leader := c.awaitLeader(testGroup)
 			for i := range 20 {
 				c.propose(leader, fmt.Sprint("c", i))
@@ -101,8 +101,8 @@
 			c.awaitSameState(leader)
 			stored, err := leader.disk.Load()
 			assert.NilError(t, err)
-			assert.Equal(t, stored[testGroup].Snapshot.Index > initialIndex, after > 0)
-			assert.Assert(t, after == 0 || len(stored[testGroup].Entries) < 20)
+			assert.Equal(t, stored[testGroup].Snapshot.Index > initialIndex, compactAfter > 0)
+			assert.Assert(t, compactAfter == 0 || len(stored[testGroup].Entries) < 20)
 		})
 	}
 }
--- a/internal/barograph/host/power_loss_test.go
+++ b/internal/barograph/host/power_loss_test.go
@@ -27,9 +27,9 @@
 
 func newPowerLossRun(t testing.TB, seed uint64, unsynced bool) *powerLossRun {
 	random := rand.New(rand.NewPCG(seed, 77))
-	after := []int{0, 200, 1000}[random.IntN(3)]
+	compactAfter := []int{0, 200, 1000}[random.IntN(3)]
 	p := &powerLossRun{
-		cluster: startCluster(t, seed, after, 1+2*random.IntN(2), testGroup),
+		cluster: startCluster(t, seed, compactAfter, 1+2*random.IntN(2), testGroup),
 		random:  random, unsynced: unsynced, waiters: map[string]*waiter{},
 	}
 	if unsynced {
--- a/internal/barograph/simulation/faults_test.go
+++ b/internal/barograph/simulation/faults_test.go
@@ -44,8 +44,8 @@
 func (w *world) faultHeal() { w.network.clear() }
 
 func (w *world) faultCutLink() {
-	drawn := w.Random.Perm(len(w.nodes))
-	a, b := endpoint(drawn[0]), endpoint(drawn[1])
+	order := w.Random.Perm(len(w.nodes))
+	a, b := endpoint(order[0]), endpoint(order[1])
 	if w.Chance(0.5) {
 		w.network.cutLinks[link{a, b}] = true
 		return
--- a/internal/barograph/simulation/follower_test.go
+++ b/internal/barograph/simulation/follower_test.go
@@ -20,9 +20,9 @@
 	// maxClockDrift is how far clocks with a drift of one percent may differ over a request.
 	watchPollInterval = 10 * time.Millisecond
 	maxClockDrift     = 40 * time.Millisecond
-	// believeOneDelay is how long after its start a process with the bug trustOneNode trusts a
+	// trustOneNodeDelay is how long after its start a process with the bug trustOneNode trusts a
 	// single core node.
-	believeOneDelay = 5 * time.Second
+	trustOneNodeDelay = 5 * time.Second
 	// firstFollower is the address of the first process that follows the core nodes.
 	firstFollower = firstClient + 100
 )
@@ -44,8 +44,8 @@
 }
 
 // watch handles a watch request on a core node, like package coordinator's Watch.
-func (s *configurationWorkload) watch(n *simulatedNode, q watchRequest, answer func(watchReply)) {
-	if q.confirmed {
+func (s *configurationWorkload) watch(n *simulatedNode, request watchRequest, answer func(watchReply)) {
+	if request.confirmed {
 		n.awaitReadIndex(protocol.ConfigurationGroup, follow.Wait/2, func(ok bool) {
 			r := s.currentReply(n)
 			r.confirmed = ok
@@ -53,13 +53,13 @@
 		})
 		return
 	}
-	came := n.clock()
+	arrived := n.clock()
 	var look func()
 	look = func() {
-		held := n.clock() - came
+		held := n.clock() - arrived
 		r := s.currentReply(n)
 		r.held = held
-		if r.revision > q.revision || r.vouched == q.patient || r.held >= follow.Wait {
+		if r.revision > request.revision || r.vouched == request.patient || r.held >= follow.Wait {
 			answer(r)
 			return
 		}
@@ -140,10 +140,10 @@
 		again(follow.RetryPause)
 		return
 	}
-	q := watchRequest{revision: f.revision, confirmed: !f.confirmed, patient: patient}
+	request := watchRequest{revision: f.revision, confirmed: !f.confirmed, patient: patient}
 	sent := f.now()
 	call(w, f.address, w.nodes[at], follow.Wait+follow.AnswerWithin, func(answer func(watchReply)) {
-		f.workload.watch(w.nodes[at], q, answer)
+		f.workload.watch(w.nodes[at], request, answer)
 	}, func(r watchReply, ok bool) {
 		if f.incarnation != incarnation {
 			return
@@ -164,8 +164,8 @@
 		f.sources.Failed(f.now(), name)
 		return false
 	}
-	believes := r.confirmed || s.world.bugs.trustOneNode && s.world.Now-f.started > believeOneDelay
-	if !f.confirmed && believes {
+	trusts := r.confirmed || s.world.bugs.trustOneNode && s.world.Now-f.started > trustOneNodeDelay
+	if !f.confirmed && trusts {
 		f.confirmed = true
 		if newest := s.revisionAt(f.started); r.revision < newest {
 			s.world.Fail("process %d starts with revision %d, but %d was applied before its start", f.address, r.revision, newest)
@@ -183,8 +183,8 @@
 	return f.confirmed
 }
 
-// checkAge verifies a follower's staleness bound: it must know every revision that was applied
-// before.
+// checkAge verifies a follower's bound on the age of its state: it must have every revision that was
+// applied longer ago.
 func (f *follower) checkAge() {
 	w := f.workload.world
 	at := w.Now - f.sources.Age(f.now()) - maxClockDrift
--- a/internal/barograph/simulation/scenarios_test.go
+++ b/internal/barograph/simulation/scenarios_test.go
@@ -317,11 +317,11 @@
 		simulate simulateFunc
 		bugs     bugs
 	}{
-		{"core nodes say that there is nothing new without contact to an owner", simulateCutOff, bugs{vouchWithoutLeader: true}},
-		{"a process believes one core node after a while", simulateLeftBehind, bugs{trustOneNode: true}},
-		{"changes are told apart by their numbers", simulateLostAcks, bugs{compareRevisionOnly: true}},
-		{"an order that was taken is refused when it comes again", simulateLostAcks, bugs{rejectRepeatedChange: true}},
-		{"a wiped node votes under its old id", simulateSecondLoss, bugs{reusedNodeID: true}},
+		{"a core node confirms its state as current without contact to the leader", simulateCutOff, bugs{vouchWithoutLeader: true}},
+		{"a process trusts a single core node after a while", simulateLeftBehind, bugs{trustOneNode: true}},
+		{"changes are identified by their revision alone", simulateLostAcks, bugs{compareRevisionOnly: true}},
+		{"an accepted change is rejected when it is sent again", simulateLostAcks, bugs{rejectRepeatedChange: true}},
+		{"a node that lost its disk votes under its old id", simulateSecondLoss, bugs{reusedNodeID: true}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			simulations, _, failure := simulateSeeds(5000, test.simulate, test.bugs)
--- a/internal/barograph/simulation/simulation_test.go
+++ b/internal/barograph/simulation/simulation_test.go
@@ -48,14 +48,14 @@
 
 // seedCount returns the number of seeds for a test. The environment variable SIMULATION_SEEDS
 // overrides it, for a long search.
-func seedCount(test *testing.T, usual uint64) uint64 {
-	if many, err := strconv.ParseUint(os.Getenv("SIMULATION_SEEDS"), 10, 64); err == nil {
-		return many
+func seedCount(test *testing.T, seeds uint64) uint64 {
+	if override, err := strconv.ParseUint(os.Getenv("SIMULATION_SEEDS"), 10, 64); err == nil {
+		return override
 	}
 	if testing.Short() {
-		return usual / 10
+		return seeds / 10
 	}
-	return usual
+	return seeds
 }
 
 func TestMain(m *testing.M) {
@@ -70,7 +70,7 @@
 	assert.NilError(t, failure)
 	t.Logf("%d seeds: %+v", simulations, c)
 	assert.Assert(t, c.completedTurns > 20*seeds && c.imports > 5*seeds && c.overBudget > 5*seeds, "turns: %+v", c)
-	assert.Assert(t, c.missing > seeds/10 && c.forgotten > seeds/10 && c.edgeCrashes > seeds, "ends: %+v", c)
+	assert.Assert(t, c.missing > seeds/10 && c.forgotten > seeds/10 && c.edgeCrashes > seeds, "ends of turns: %+v", c)
 	assert.Assert(t, c.retirements > seeds/10, "retirements: %+v", c)
 	c.checkFaults(t, seeds)
 }
@@ -81,7 +81,7 @@
 	simulations, c, failure := simulateSeeds(seeds, simulateConfiguration, bugs{})
 	assert.NilError(t, failure)
 	t.Logf("%d seeds: %+v", simulations, c)
-	assert.Assert(t, c.acknowledged > 8*seeds && c.rejected > 2*seeds && c.unknownOutcomes > seeds && c.reads > 5*seeds, "orders: %+v", c)
+	assert.Assert(t, c.acknowledged > 8*seeds && c.rejected > 2*seeds && c.unknownOutcomes > seeds && c.reads > 5*seeds, "operations: %+v", c)
 	c.checkFaults(t, seeds)
 }
 
@@ -92,7 +92,7 @@
 	simulations, c, failure := simulateSeeds(seeds, simulateLister, bugs{})
 	assert.NilError(t, failure)
 	t.Logf("%d seeds: %+v", simulations, c)
-	assert.Assert(t, c.listings > 4*seeds && c.publications > 3*seeds && c.outdated > seeds/10, "duties: %+v", c)
+	assert.Assert(t, c.listings > 4*seeds && c.publications > 3*seeds && c.outdated > seeds/10, "listings: %+v", c)
 	c.checkFaults(t, seeds)
 }
 
@@ -100,37 +100,37 @@
 func (c *counts) checkFaults(test *testing.T, seeds uint64) {
 	test.Helper()
 	assert.Assert(test, c.leaderTerms > 2*seeds && c.membershipChanges > 2*seeds && c.diskLosses > seeds/4, "members: %+v", c)
-	assert.Assert(test, c.crashes > 2*seeds && c.freezes > seeds && c.installedSnapshots > seeds/2 && c.leadershipTransfers > seeds/4, "troubles: %+v", c)
+	assert.Assert(test, c.crashes > 2*seeds && c.freezes > seeds && c.installedSnapshots > seeds/2 && c.leadershipTransfers > seeds/4, "faults: %+v", c)
 }
 
 // The simulations must detect each injected bug; otherwise they prove nothing.
 func TestSimulationsDetectInjectedBugs(t *testing.T) {
-	const most = 20000
+	const maxSeeds = 20000
 	for _, test := range []struct {
 		name     string
 		simulate simulateFunc
 		bugs     bugs
 	}{
-		{"a lagging member says that it has no such turn", simulateTurns, bugs{findWithoutLease: true}},
-		{"the end of a turn is answered before its commit", simulateTurns, bugs{endBeforeCommit: true}},
-		{"a reservation is answered before its commit", simulateTurns, bugs{admitBeforeCommit: true}},
-		{"what an edge had reserved is freed when it dies", simulateTurns, bugs{releaseOnEdgeCrash: true}},
-		{"a configuration is shown under a lease from before a freeze", simulateConfiguration, bugs{staleLease: true}},
-		{"a duty is held under a lease from before a freeze", simulateLister, bugs{staleLease: true}},
-		{"any edge ends a try", simulateTurns, bugs{endWithoutToken: true}},
-		{"a node becomes a voter before the directory knows", simulateTurns, bugs{unannouncedVoter: true}},
-		{"a wiped core node votes under its old id", simulateConfiguration, bugs{reusedNodeID: true}},
-		{"a wiped storage node votes under its old id", simulateTurns, bugs{reusedNodeID: true}},
-		{"the owner of a duty acts without a lease", simulateLister, bugs{listWithoutLease: true}},
-		{"a change on a base that isn't in force yet gets into the log", simulateConfiguration, bugs{uncommittedBase: true}},
-		{"a duty is handed to the first of the others", simulateLister, bugs{fixedSuccessor: true}},
-		{"publications take the epoch of their partition", simulateLister, bugs{epochFromPartition: true}},
+		{"a lagging member reports a turn missing", simulateTurns, bugs{findWithoutLease: true}},
+		{"the end of a turn is confirmed before its commit", simulateTurns, bugs{endBeforeCommit: true}},
+		{"a reservation is confirmed before its commit", simulateTurns, bugs{admitBeforeCommit: true}},
+		{"the reservations of an edge are released when it crashes", simulateTurns, bugs{releaseOnEdgeCrash: true}},
+		{"a configuration is read under a lease from before a freeze", simulateConfiguration, bugs{staleLease: true}},
+		{"a singleton task runs under a lease from before a freeze", simulateLister, bugs{staleLease: true}},
+		{"any edge can end an attempt", simulateTurns, bugs{endWithoutToken: true}},
+		{"a node becomes a voter before the directory lists it", simulateTurns, bugs{unannouncedVoter: true}},
+		{"a core node that lost its disk votes under its old id", simulateConfiguration, bugs{reusedNodeID: true}},
+		{"a storage node that lost its disk votes under its old id", simulateTurns, bugs{reusedNodeID: true}},
+		{"the leader of a singleton task acts without a lease", simulateLister, bugs{listWithoutLease: true}},
+		{"a change on a base that is not committed yet is proposed", simulateConfiguration, bugs{uncommittedBase: true}},
+		{"a singleton task is always transferred to the first of the others", simulateLister, bugs{fixedSuccessor: true}},
+		{"publications carry the epoch of their partition", simulateLister, bugs{epochFromPartition: true}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if testing.Short() && test.bugs.uncommittedBase {
 				t.Skip("takes thousands of seeds")
 			}
-			simulations, _, failure := simulateSeeds(most, test.simulate, test.bugs)
+			simulations, _, failure := simulateSeeds(maxSeeds, test.simulate, test.bugs)
 			assert.Assert(t, failure != nil, "no seed of %d fails", simulations)
 			t.Logf("after %d seeds: %v", simulations, failure)
 		})
