--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,5 +1,5 @@
-// Package backend is what a node speaks with backends: the names of their header, and what
-// an answer of theirs means. internal/upstream carries it.
+// Package backend implements the protocol between a node and its backends: the names of the
+// headers, and the meaning of responses. internal/upstream does the transport.
 package backend
 
 import (
@@ -16,14 +16,14 @@
 	"pipitmux/logic"
 )
 
-// Codec is the protocol of the backends.
+// Codec encodes requests for backends and classifies their responses.
 type Codec struct {
-	ReportFields []string // of a load report, as the settings name them
+	ReportFields []string // of a load report, by their names in the settings
 }
 
 var _ upstream.Codec = Codec{}
 
-// Head is upstream.Codec. Of the call's header nothing is handed on.
+// Head writes the head of a request. The call's own headers are not passed on.
 func (Codec) Head(dst *bytes.Buffer, c *message.Call, _ core.Instance, left time.Duration) {
 	fmt.Fprintf(dst, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\nX-Time-Left: %du\r\n",
 		c.Method, c.Target, c.Host, c.ID, max(left.Microseconds(), 1))
@@ -37,10 +37,10 @@
 	dst.WriteString("\r\n")
 }
 
-// Judge is upstream.Codec: 200 is served, what a backend marks as unprocessed never ran, and
-// all else failed.
+// Judge classifies a response: 200 is served, one that the backend marks as unprocessed
+// never ran, and all others failed.
 func (c Codec) Judge(_ *message.Call, res *http.Response) upstream.Verdict {
-	v := upstream.Verdict{Result: logic.Failed, Report: c.report(res.Header.Get("X-Backend-Load"))}
+	v := upstream.Verdict{Result: logic.Failed, Report: c.parseReport(res.Header.Get("X-Backend-Load"))}
 	switch res.StatusCode {
 	case http.StatusOK:
 		v.Result = logic.OK
@@ -52,37 +52,38 @@
 	return v
 }
 
-// maxLoad is above any figure of a load report that means something.
-const maxLoad = 1e9
+// maxLoadValue is above any plausible value of a load report.
+const maxLoadValue = 1e9
 
-// loadNames holds the names that a report's header has for what the settings
-// call otherwise.
-var loadNames = map[string]string{
+// headerNames maps the fields in the settings to their names in a report's header, where
+// these differ.
+var headerNames = map[string]string{
 	logic.ReportHeld: "inflight", "pending": "queue", "cpu_share": "util",
 	"svc_ms": "latency_ms", "served_ps": "qps", "failed_ps": "eps",
 }
 
-// report puts the values of a load report in the order of the settings' fields.
-func (c Codec) report(text string) []float64 {
+// parseReport returns the values of a load report in the order of ReportFields, nil where
+// one is missing.
+func (c Codec) parseReport(text string) []float64 {
 	if text == "" || len(c.ReportFields) == 0 {
 		return nil
 	}
 	values := map[string]float64{}
 	for part := range strings.SplitSeq(text, ",") {
-		name, v, _ := strings.Cut(part, "=")
-		if n, err := strconv.ParseFloat(strings.TrimSpace(v), 64); err == nil && n >= 0 && n <= maxLoad {
-			values[strings.TrimSpace(name)] = n
+		name, text, _ := strings.Cut(part, "=")
+		if value, err := strconv.ParseFloat(strings.TrimSpace(text), 64); err == nil && value >= 0 && value <= maxLoadValue {
+			values[strings.TrimSpace(name)] = value
 		}
 	}
-	out := make([]float64, len(c.ReportFields))
-	for i, f := range c.ReportFields {
-		v, ok := values[f]
+	report := make([]float64, len(c.ReportFields))
+	for i, field := range c.ReportFields {
+		value, ok := values[field]
 		if !ok {
-			if v, ok = values[loadNames[f]]; !ok {
-				return nil // a value that did not come is not a 0
+			if value, ok = values[headerNames[field]]; !ok {
+				return nil // a missing value must not count as 0
 			}
 		}
-		out[i] = v
+		report[i] = value
 	}
-	return out
+	return report
 }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -14,8 +14,8 @@
 	"pipitmux/logic"
 )
 
-// A value that did not come must not reach the module as an empty queue.
-func TestLoadReport(t *testing.T) {
+// A missing or invalid value must not reach the module as an empty queue.
+func TestIncompleteLoadReportIsDropped(t *testing.T) {
 	for _, tt := range []struct {
 		text   string
 		fields []string
@@ -33,12 +33,12 @@
 		{"", []string{"pending"}, nil},
 		{"queue=2", nil, nil},
 	} {
-		c := Codec{ReportFields: tt.fields}
-		assert.Equal(t, tt.want, c.report(tt.text), "%q as %v", tt.text, tt.fields)
+		codec := Codec{ReportFields: tt.fields}
+		assert.Equal(t, tt.want, codec.parseReport(tt.text), "%q as %v", tt.text, tt.fields)
 	}
 }
 
-// The head of a request, to the byte.
+// The head of a request must be exactly as specified.
 func TestHead(t *testing.T) {
 	const start = "POST /api/x HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: i\r\n"
 	for _, tt := range []struct {
@@ -62,7 +62,8 @@
 	assert.NotContains(t, out.String(), "Content-Length")
 }
 
-// Only what a backend marks as unprocessed never ran, and nothing is handed on but a 200.
+// Only a response that the backend marks as unprocessed may count as never run, and only a 200
+// as served.
 func TestJudge(t *testing.T) {
 	for _, tt := range []struct {
 		status      int
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where a node's environment and its
-// configuration file are read, checked and given defaults.
+// Package config reads and checks a node's environment and its configuration
+// files, and sets the defaults. No other package does.
 package config
 
 import (
@@ -24,33 +24,40 @@
 	"pipitmux/logic"
 )
 
-// Config is what a node is told at its start.
+// Config is the configuration of a node.
 type Config struct {
-	Name, Listen, Discovery string
-	Console                 string   // the operators' address, empty: none
-	PeerListen              string   // where datagrams of other nodes arrive, empty: nowhere
-	Peers                   []string // of all nodes in the order of their numbers, as this one reaches them
-	Seed                    uint64
-	Cores                   float64
-	MemoryMB, Sockets       int
-	KnownBackends           discovery.List
-	Settings                logic.Settings
-	ConnectTimeout          time.Duration
-	RetryAfter              time.Duration // of a refusal, 0 where clients heed none
-	Options                 Options
+	Name      string
+	Listen    string
+	Discovery string
+	// Console is the address for operators, empty: none.
+	Console string
+	// PeerListen is where datagrams of other nodes arrive, empty: nowhere.
+	PeerListen string
+	// Peers are the addresses of all nodes in the order of their numbers, as this one reaches them.
+	Peers          []string
+	Seed           uint64
+	Cores          float64
+	MemoryMB       int
+	Sockets        int
+	KnownBackends  discovery.List
+	Settings       logic.Settings
+	ConnectTimeout time.Duration
+	// RetryAfter is sent with rejections, 0 where clients ignore it.
+	RetryAfter time.Duration
+	Options    Options
 }
 
-// Defaults of what may be left out.
+// Defaults of optional keys.
 const (
 	defaultCores          = 1.0
 	defaultMemoryMB       = 192
 	defaultSockets        = 1024
-	leastSockets          = 128
+	minSockets            = 128
 	defaultConnectTimeout = time.Second
 	defaultConnIdle       = 5 * time.Second
 )
 
-// file is the form of the configuration file.
+// file is the layout of the configuration file.
 type file struct {
 	Name       string          `json:"name"`
 	Listen     string          `json:"listen"`
@@ -58,40 +65,41 @@
 	Console    string          `json:"console"`
 	Seed       string          `json:"seed"`
 	PeerListen string          `json:"peer_listen"`
-	Peers      json.RawMessage `json:"peers"` // read only where the node talks to others
+	Peers      json.RawMessage `json:"peers"` // read only where the node sends to others
 	Limits     struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known    discovery.List  `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	KnownBackends discovery.List  `json:"known"`
+	Settings      json.RawMessage `json:"settings"`
 }
 
-// source is the text of a configuration, with the variables that go before it.
+// source is a configuration file and the variables that override it.
 type source struct {
 	path string
 	file file
-	env  map[string]string // the variable behind a key, where one is set
+	env  map[string]string // the variable that overrides a key, where one is set
 }
 
-// Load reads the file that PROXY_CONFIG names. The variables PROXY_NAME,
-// PROXY_LISTEN and PROXY_DISCOVERY go before what the file says.
-// The file of our own that own names, if any, is read beside it.
-func Load(getenv func(string) string, own string) (*Config, error) {
-	return load(getenv, getenv("PROXY_DISCOVERY"), own)
+// Load reads the file that PROXY_CONFIG names. The variables PROXY_NAME, PROXY_LISTEN,
+// PROXY_DISCOVERY and PROXY_CONSOLE override it. The options file is read too, if given.
+func Load(getenv func(string) string, optionsFile string) (*Config, error) {
+	return load(getenv, getenv("PROXY_DISCOVERY"), optionsFile)
 }
 
-// Reload reads the file again. The variables are as old as the start, so the
-// registry is the one that the file names.
-func Reload(getenv func(string) string, own string) (*Config, error) { return load(getenv, "", own) }
+// Reload reads the files again. The variables date from the start of the process, so the
+// registry's address comes from the file.
+func Reload(getenv func(string) string, optionsFile string) (*Config, error) {
+	return load(getenv, "", optionsFile)
+}
 
-func load(getenv func(string) string, discovery, own string) (*Config, error) {
-	ours, _, err := ReadOptions(own)
+func load(getenv func(string) string, discovery, optionsFile string) (*Config, error) {
+	options, _, err := ReadOptions(optionsFile)
 	if err != nil {
 		return nil, err
 	}
-	src, err := read(getenv, discovery)
+	src, err := readSource(getenv, discovery)
 	if err != nil {
 		return nil, err
 	}
@@ -99,12 +107,12 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Options = ours
-	c.ConnectTimeout = cmp.Or(ours.Backend.ConnectTimeout, c.ConnectTimeout)
-	return c, c.peers(src.file.PeerListen, src.file.Peers)
+	c.Options = options
+	c.ConnectTimeout = cmp.Or(options.Backend.ConnectTimeout, c.ConnectTimeout)
+	return c, c.readPeers(src.file.PeerListen, src.file.Peers)
 }
 
-func read(getenv func(string) string, discovery string) (*source, error) {
+func readSource(getenv func(string) string, discovery string) (*source, error) {
 	src := &source{path: getenv("PROXY_CONFIG"), env: map[string]string{}}
 	if src.path == "" {
 		return nil, errors.New("PROXY_CONFIG: not set")
@@ -115,57 +123,59 @@
 	}
 	f := &src.file
 	if err := json.Unmarshal(text, f); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) {
-			return nil, fmt.Errorf("%s: %s cannot be used", wrong.Field, wrong.Value)
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) {
+			return nil, fmt.Errorf("%s: a JSON %s is not allowed here", typeError.Field, typeError.Value)
 		}
 		return nil, fmt.Errorf("PROXY_CONFIG: %w", err)
 	}
 	for _, v := range []struct {
-		key, name, value string
-		into             *string
+		key      string
+		variable string
+		value    string
+		target   *string
 	}{{"name", "PROXY_NAME", getenv("PROXY_NAME"), &f.Name}, {"listen", "PROXY_LISTEN", getenv("PROXY_LISTEN"), &f.Listen},
 		{"discovery", "PROXY_DISCOVERY", discovery, &f.Discovery}, {"console", "PROXY_CONSOLE", getenv("PROXY_CONSOLE"), &f.Console}} {
 		if v.value != "" {
-			*v.into, src.env[v.key] = v.value, v.name
+			*v.target, src.env[v.key] = v.value, v.variable
 		}
 	}
 	return src, nil
 }
 
-// Show lists every effective value and where it came from: the platform's, where
-// PROXY_CONFIG is set, and then our own. It fails as Load does.
-func Show(getenv func(string) string, own string) ([]Value, error) {
-	ours, file, err := ReadOptions(own)
+// Show lists every effective value and where it came from: those of PROXY_CONFIG, where
+// it is set, and then the options. It fails as Load does.
+func Show(getenv func(string) string, optionsFile string) ([]Value, error) {
+	options, file, err := ReadOptions(optionsFile)
 	if err != nil {
 		return nil, err
 	}
-	var out []Value
+	var values []Value
 	if getenv("PROXY_CONFIG") != "" {
-		src, err := read(getenv, getenv("PROXY_DISCOVERY"))
+		src, err := readSource(getenv, getenv("PROXY_DISCOVERY"))
 		if err != nil {
 			return nil, err
 		}
 		if _, err := src.file.check(); err != nil {
 			return nil, err
 		}
-		if out, err = src.values(); err != nil {
+		if values, err = src.values(); err != nil {
 			return nil, err
 		}
 	}
-	return append(out, ownValues(ours, file)...), nil
+	return append(values, optionValues(options, file)...), nil
 }
 
-// values lists the platform's values by their keys.
+// values lists the values of the configuration file, sorted by key.
 func (src *source) values() ([]Value, error) {
 	f := &src.file
-	var out []Value
+	var values []Value
 	put := func(key string, v any, set bool) {
-		from := "default"
+		origin := "default"
 		if set {
-			from = cmp.Or(src.env[key], src.path)
+			origin = cmp.Or(src.env[key], src.path)
 		}
-		out = append(out, Value{key, v, from})
+		values = append(values, Value{key, v, origin})
 	}
 	put("name", f.Name, f.Name != "")
 	put("listen", f.Listen, f.Listen != "")
@@ -175,36 +185,39 @@
 	put("limits.cores", cmp.Or(f.Limits.Cores, defaultCores), f.Limits.Cores != 0)
 	put("limits.memory_mb", cmp.Or(f.Limits.MemoryMB, defaultMemoryMB), f.Limits.MemoryMB != 0)
 	put("limits.sockets", cmp.Or(f.Limits.Sockets, defaultSockets), f.Limits.Sockets != 0)
-	put("known", fmt.Sprintf("%d backends, rev %d", len(f.Known.Targets), f.Known.Revision), len(f.Known.Targets) > 0)
-	facts, err := FlattenSettings(f.Settings)
+	put("known", fmt.Sprintf("%d backends, rev %d", len(f.KnownBackends.Targets), f.KnownBackends.Revision), len(f.KnownBackends.Targets) > 0)
+	settings, err := FlattenSettings(f.Settings)
 	if err != nil {
 		return nil, err
 	}
-	for part := range strings.SplitSeq(facts, " ") {
+	for part := range strings.SplitSeq(settings, " ") {
 		if k, v, ok := strings.Cut(part, "="); ok {
 			put("settings."+k, v, true)
 		}
 	}
-	slices.SortFunc(out, func(a, b Value) int { return cmp.Compare(a.Key, b.Key) })
-	return out, nil
+	slices.SortFunc(values, func(a, b Value) int { return cmp.Compare(a.Key, b.Key) })
+	return values, nil
 }
 
 func (f *file) check() (*Config, error) {
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Console: f.Console, KnownBackends: f.Known,
+	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Console: f.Console, KnownBackends: f.KnownBackends,
 		Cores:    cmp.Or(f.Limits.Cores, defaultCores),
 		MemoryMB: cmp.Or(f.Limits.MemoryMB, defaultMemoryMB),
 		Sockets:  cmp.Or(f.Limits.Sockets, defaultSockets),
 	}
-	for _, a := range []struct{ key, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"console", c.Console}} {
+	for _, a := range []struct {
+		key  string
+		addr string
+	}{{"listen", c.Listen}, {"discovery", c.Discovery}, {"console", c.Console}} {
 		if a.addr == "" && a.key == "console" {
 			continue
 		}
 		if _, _, err := net.SplitHostPort(a.addr); err != nil {
-			return nil, fmt.Errorf("%s: %q is not host:port", a.key, a.addr)
+			return nil, fmt.Errorf("%s: %q is not of the form host:port", a.key, a.addr)
 		}
 	}
 	if c.Console == c.Listen {
-		return nil, fmt.Errorf("console: %q is the address of listen", c.Console)
+		return nil, fmt.Errorf("console: %q is also the address of listen", c.Console)
 	}
 	var err error
 	switch {
@@ -217,20 +230,20 @@
 	}
 	switch {
 	case c.Cores < 0:
-		return nil, fmt.Errorf("limits.cores: %v is below 0", c.Cores)
+		return nil, fmt.Errorf("limits.cores: %v is negative", c.Cores)
 	case c.MemoryMB < 0:
-		return nil, fmt.Errorf("limits.memory_mb: %d is below 0", c.MemoryMB)
-	case c.Sockets < leastSockets:
-		return nil, fmt.Errorf("limits.sockets: %d is below the %d that a node needs", c.Sockets, leastSockets)
+		return nil, fmt.Errorf("limits.memory_mb: %d is negative", c.MemoryMB)
+	case c.Sockets < minSockets:
+		return nil, fmt.Errorf("limits.sockets: %d is below the minimum of %d", c.Sockets, minSockets)
 	}
 	if _, err := c.KnownBackends.Backends(); err != nil {
 		return nil, fmt.Errorf("known.%w", err)
 	}
-	return c, c.settings(f.Settings)
+	return c, c.readSettings(f.Settings)
 }
 
-// peers reads what a node that talks to others needs.
-func (c *Config) peers(listen string, raw json.RawMessage) error {
+// readPeers reads the addresses of a node that sends to others.
+func (c *Config) readPeers(listen string, raw json.RawMessage) error {
 	if c.Options.Peers.BytesPerS == 0 {
 		return nil
 	}
@@ -240,43 +253,43 @@
 	if err := json.Unmarshal(raw, &c.Peers); err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
-	for i, a := range c.Peers {
-		if _, err := netip.ParseAddrPort(a); err != nil {
-			return fmt.Errorf("peers.%d: %q is not an address and port", i, a)
+	for i, addr := range c.Peers {
+		if _, err := netip.ParseAddrPort(addr); err != nil {
+			return fmt.Errorf("peers.%d: %q is not an address and port", i, addr)
 		}
-		if was := slices.Index(c.Peers, a); was < i {
-			return fmt.Errorf("peers.%d: %s is peers.%d as well", i, a, was)
+		if first := slices.Index(c.Peers, addr); first < i {
+			return fmt.Errorf("peers.%d: %s is also peers.%d", i, addr, first)
 		}
 	}
 	if n := c.Settings.Number; n < 0 || n >= len(c.Peers) {
-		return fmt.Errorf("peers: there are %d, and this node is number %d", len(c.Peers), n)
+		return fmt.Errorf("peers: %d are listed, but this node is number %d", len(c.Peers), n)
 	}
 	c.PeerListen = listen
 	return nil
 }
 
-// settings hands the settings to the decoder that the simulator's adapter uses.
-func (c *Config) settings(raw json.RawMessage) error {
+// readSettings decodes the settings with the decoder of the simulator's adapter.
+func (c *Config) readSettings(raw json.RawMessage) error {
 	if len(raw) == 0 {
 		return errors.New("settings: missing")
 	}
-	facts, err := FlattenSettings(raw)
+	settings, err := FlattenSettings(raw)
 	if err != nil {
 		return err
 	}
-	if c.Settings, err = wire.Settings(facts); err != nil {
+	if c.Settings, err = wire.Settings(settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	c.Settings.ConnIdle = cmp.Or(c.Settings.ConnIdle, defaultConnIdle)
 	c.RetryAfter = c.Settings.MaxRetryAfter
-	// The one setting that only a real node needs.
+	// The only setting that wire.Settings does not read: only a real node needs it.
 	const key = "limits.connect-timeout-us"
 	c.ConnectTimeout = defaultConnectTimeout
-	for part := range strings.SplitSeq(facts, " ") {
+	for part := range strings.SplitSeq(settings, " ") {
 		if k, v, _ := strings.Cut(part, "="); k == key {
 			us, err := strconv.ParseInt(v, 10, 64)
 			if err != nil || us < 0 || us > int64(time.Hour/time.Microsecond) {
-				return fmt.Errorf("settings.%s: %q cannot be used", key, v)
+				return fmt.Errorf("settings.%s: %q is not a time of 0 to 1 h in microseconds", key, v)
 			}
 			c.ConnectTimeout = cmp.Or(time.Duration(us)*time.Microsecond, defaultConnectTimeout)
 		}
@@ -287,11 +300,11 @@
 	return nil
 }
 
-// FlattenSettings flattens nested settings to the pairs path=value of the simulator's
+// FlattenSettings flattens nested settings to the path=value pairs of the simulator's
 // first message, which internal/wire reads.
 func FlattenSettings(raw json.RawMessage) (string, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
-	d.UseNumber() // figures stay the digits that came
+	d.UseNumber() // keeps the digits as they were written
 	var tree map[string]any
 	if err := d.Decode(&tree); err != nil {
 		return "", fmt.Errorf("settings: %w", err)
@@ -299,13 +312,13 @@
 	if _, err := d.Token(); err != io.EOF {
 		return "", errors.New("settings: more than one object")
 	}
-	var out []string
-	flatten(&out, "", tree)
-	return strings.Join(out, " "), nil
+	var pairs []string
+	flatten(&pairs, "", tree)
+	return strings.Join(pairs, " "), nil
 }
 
-func flatten(out *[]string, path string, v any) {
-	put := func(text string) { *out = append(*out, strings.TrimSuffix(path, ".")+"="+text) }
+func flatten(pairs *[]string, path string, v any) {
+	put := func(text string) { *pairs = append(*pairs, strings.TrimSuffix(path, ".")+"="+text) }
 	switch v := v.(type) {
 	case map[string]any:
 		keys := make([]string, 0, len(v))
@@ -314,33 +327,34 @@
 		}
 		sort.Strings(keys)
 		for _, k := range keys {
-			flatten(out, path+k+".", v[k])
+			flatten(pairs, path+k+".", v[k])
 		}
 	case []any:
 		if len(v) > 0 {
 			if _, objects := v[0].(map[string]any); objects {
-				*out = append(*out, fmt.Sprintf("%scount=%d", path, len(v)))
+				*pairs = append(*pairs, fmt.Sprintf("%scount=%d", path, len(v)))
 				for i, item := range v {
-					flatten(out, fmt.Sprintf("%s%d.", path, i), item)
+					flatten(pairs, fmt.Sprintf("%s%d.", path, i), item)
 				}
 				return
 			}
 		}
 		items := make([]string, len(v))
 		for i, item := range v {
-			items[i] = plain(item)
+			items[i] = formatScalar(item)
 		}
 		put(strings.Join(items, ","))
 	default:
-		put(plain(v))
+		put(formatScalar(v))
 	}
 }
 
-var plainText = strings.NewReplacer(" ", "_", ",", "_", "\t", "_", "\n", "_")
+// separators replaces the characters that separate pairs and items.
+var separators = strings.NewReplacer(" ", "_", ",", "_", "\t", "_", "\n", "_")
 
-func plain(v any) string {
+func formatScalar(v any) string {
 	if v == nil {
 		return "-"
 	}
-	return plainText.Replace(fmt.Sprint(v))
+	return separators.Replace(fmt.Sprint(v))
 }
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,4 +1,4 @@
-// Package counters counts what a node takes in, sends and answers.
+// Package counters counts the events of a node by name.
 package counters
 
 import (
@@ -8,27 +8,27 @@
 	"sync"
 )
 
-// Set holds named counts. It is safe for concurrent use.
+// Set holds named counters. It is safe for concurrent use.
 type Set struct {
-	mu sync.Mutex
-	n  map[string]uint64
+	mu     sync.Mutex
+	counts map[string]uint64
 }
 
-// New returns a Set without counts.
-func New() *Set { return &Set{n: map[string]uint64{}} }
+// New returns an empty Set.
+func New() *Set { return &Set{counts: map[string]uint64{}} }
 
-// Add raises the count of name by one.
+// Add increments the counter of a name.
 func (s *Set) Add(name string) {
 	s.mu.Lock()
-	s.n[name]++
+	s.counts[name]++
 	s.mu.Unlock()
 }
 
-// Print writes one line a count, in the order of their names.
+// Print writes one line per counter, sorted by name.
 func (s *Set) Print(w io.Writer) {
 	s.mu.Lock()
-	lines := make([]string, 0, len(s.n))
-	for name, n := range s.n {
+	lines := make([]string, 0, len(s.counts))
+	for name, n := range s.counts {
 		lines = append(lines, fmt.Sprintf("counter %s %d\n", name, n))
 	}
 	s.mu.Unlock()
--- a/internal/session/answer.go
+++ b/internal/session/answer.go
@@ -10,26 +10,26 @@
 	"pipitmux/internal/message"
 )
 
-// ends are the figures that answers count for.
-var ends = [...]figures.Kind{core.Served: figures.Served, core.Rejected: figures.Refused,
+// answerFigures maps the kinds of answers to the figures that they count for.
+var answerFigures = [...]figures.Kind{core.Served: figures.Served, core.Rejected: figures.Refused,
 	core.Failed: figures.Failed, core.Duplicate: figures.Failed}
 
-// turnAway refuses of the front's own accord: nothing has run.
-func (f *Frontend) turnAway(w http.ResponseWriter, class, why string) {
-	f.count.Add(why)
-	f.refuse(w, f.opt.RetryAfter)
+// rejectUnsubmitted rejects a request that the frontend has not submitted: nothing has run.
+func (f *Frontend) rejectUnsubmitted(w http.ResponseWriter, class, counter string) {
+	f.count.Add(counter)
+	f.writeRejection(w, f.opt.RetryAfter)
 	f.opt.Figures.Ended(class, figures.Refused)
 }
 
-// answer gives a request its final answer, and counts it.
-func (f *Frontend) answer(w http.ResponseWriter, class string, a core.Answer) {
-	end := ends[a.Kind]
+// writeAnswer sends a request's final answer, and counts it.
+func (f *Frontend) writeAnswer(w http.ResponseWriter, class string, a core.Answer) {
+	figure := answerFigures[a.Kind]
 	switch a.Kind {
 	case core.Served:
 		reply := a.Reply.(*message.Reply)
 		defer reply.Close()
 		if reply.ContentType == "" {
-			w.Header()["Content-Type"] = nil // nothing is guessed about a backend's bytes
+			w.Header()["Content-Type"] = nil // net/http must not guess a type from a backend's bytes
 		} else {
 			w.Header().Set("Content-Type", reply.ContentType)
 		}
@@ -40,37 +40,37 @@
 			w.Write(reply.Body)
 			break
 		}
-		f.pass(w, class, reply)
+		f.relay(w, class, reply)
 	case core.Rejected:
-		f.refuse(w, a.RetryAfter)
+		f.writeRejection(w, a.RetryAfter)
 	case core.Duplicate:
 		http.Error(w, "the id is in use", http.StatusConflict)
 	default:
 		http.Error(w, "no backend answered", http.StatusBadGateway)
 	}
-	f.opt.Figures.Ended(class, end)
+	f.opt.Figures.Ended(class, figure)
 }
 
-// pass passes a long answer on as it comes. Once any of it is out nothing else can be
-// answered: where it breaks, the session ends short of it, so that the client sees it.
-func (f *Frontend) pass(w http.ResponseWriter, class string, reply *message.Reply) {
-	toClient, fromBackend := f.Pass(w, reply.Body, reply.Rest)
+// relay passes a long response on as it arrives. Once part of it is sent no other answer is
+// possible: if it breaks off, the session ends early, so that the client notices.
+func (f *Frontend) relay(w http.ResponseWriter, class string, reply *message.Reply) {
+	clientErr, backendErr := f.Pass(w, reply.Body, reply.Rest)
 	switch {
-	case fromBackend != nil:
+	case backendErr != nil:
 		f.count.Add("answer.broken")
 		f.opt.Figures.Ended(class, figures.Failed)
-	case toClient != nil:
+	case clientErr != nil:
 		f.count.Add("client.gone")
 	default:
 		return
 	}
-	panic(http.ErrAbortHandler) // net/http's way to end a session short of its answer
+	panic(http.ErrAbortHandler) // has net/http end the session before the response is complete
 }
 
-// refuse answers with a refusal: trying again is harmless.
-func (f *Frontend) refuse(w http.ResponseWriter, after time.Duration) {
-	if after > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
+// writeRejection sends a rejection, after which the client can safely retry.
+func (f *Frontend) writeRejection(w http.ResponseWriter, retryAfter time.Duration) {
+	if retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 	}
 	http.Error(w, "refused", http.StatusServiceUnavailable)
 }
--- a/internal/session/request.go
+++ b/internal/session/request.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// maxID is the longest id, in bytes.
-	maxID = 256
-	// perByte is how long a client may take for each byte of a body, beyond BodyWithin:
-	// somewhat longer than the 64 kB a second that are owed patience.
-	perByte = time.Second / 48000
+	// maxIDBytes is the longest id or key.
+	maxIDBytes = 256
+	// bodyTimePerByte is how long a client may take for each byte of a body, in addition to
+	// BodyTimeout. Clients that send 64 kB/s or more must be waited for; 48 kB/s leaves a margin.
+	bodyTimePerByte = time.Second / 48000
 )
 
-// read takes a request and takes out what the decisions need. All else stays the bytes that
-// came. A body up to what is held is read whole; a longer one goes on as it comes.
-func (f *Frontend) read(w http.ResponseWriter, r *http.Request, conn *ingress.Conn, c *client) (*core.Request, *ingress.Body, error) {
+// readRequest reads a request and parses what the decisions need. All else is passed on as it
+// arrived. A body up to message.Held is read to its end; a longer one is streamed.
+func (f *Frontend) readRequest(w http.ResponseWriter, r *http.Request, conn *ingress.Conn, p *pendingAnswer) (*core.Request, *ingress.Body, error) {
 	for _, h := range [...]string{"X-Correlation-Id", "X-Service-Class", "X-Time-Left", "Idempotency-Key", "X-Repeat", "X-Account"} {
 		if len(r.Header[h]) > 1 {
-			return nil, nil, errors.New(h + ": given more than once") // which one would be meant?
+			return nil, nil, errors.New(h + ": given more than once") // ambiguous
 		}
 	}
 	id, name, key := r.Header.Get("X-Correlation-Id"), r.Header.Get("X-Service-Class"), r.Header.Get("Idempotency-Key")
-	if id == "" || !word(id) {
+	if id == "" || !isToken(id) {
 		return nil, nil, errors.New("X-Correlation-Id: missing, too long or not plain text")
 	}
-	if !word(key) {
+	if !isToken(key) {
 		return nil, nil, errors.New("Idempotency-Key: too long or not plain text")
 	}
 	class, ok := f.classes[name]
@@ -47,18 +47,18 @@
 	}
 	if r.Method != method {
 		w.Header().Set("Allow", method)
-		return nil, nil, &malformed{http.StatusMethodNotAllowed, "the class takes " + method}
+		return nil, nil, &clientError{http.StatusMethodNotAllowed, "the class takes " + method}
 	}
 	if class.Effect == logic.Keyed && key == "" {
 		return nil, nil, errors.New("Idempotency-Key: missing")
 	}
-	wait, err := timeLeft(r.Header.Get("X-Time-Left"))
+	timeout, err := parseTimeLeft(r.Header.Get("X-Time-Left"))
 	if err != nil {
 		return nil, nil, err
 	}
-	request := &core.Request{ID: id, Class: name, Retry: r.Header.Get("X-Repeat") == "1", Timeout: wait,
-		Tenant: r.Header.Get("X-Account"), WorkHint: hint(r.Header.Get("X-Weight-Hint"))}
-	in := ingress.NewBody(w, r, ingress.BodyLimits{Within: f.opt.BodyTimeout, PerByte: perByte,
+	request := &core.Request{ID: id, Class: name, Retry: r.Header.Get("X-Repeat") == "1", Timeout: timeout,
+		Tenant: r.Header.Get("X-Account"), WorkHint: parseWorkHint(r.Header.Get("X-Weight-Hint"))}
+	in := ingress.NewBody(w, r, ingress.BodyLimits{Within: f.opt.BodyTimeout, PerByte: bodyTimePerByte,
 		Held: message.Held, Longest: message.Longest, Budget: f.opt.Budget})
 	body, long, err := in.First(r.ContentLength)
 	if err != nil {
@@ -68,14 +68,14 @@
 		case errors.Is(err, ingress.ErrNoRoom):
 			return request, in, err
 		case errors.As(err, &large):
-			return nil, nil, &malformed{http.StatusRequestEntityTooLarge, "the body is over 32 MiB"}
+			return nil, nil, &clientError{http.StatusRequestEntityTooLarge, "the body is over 32 MiB"}
 		}
 		return nil, nil, fmt.Errorf("body: %w", err)
 	}
 	request.Arrived = time.Now() // a request's time starts at its last byte
 	target := r.RequestURI
 	if !strings.HasPrefix(target, "/") {
-		target = r.URL.RequestURI() // the absolute form, which backends are not sent
+		target = r.URL.RequestURI() // without the absolute form, which backends are not sent
 	}
 	call := &message.Call{
 		Method: r.Method, Target: target, Host: r.Host, ID: id, Key: key,
@@ -88,27 +88,27 @@
 		http.NewResponseController(w).EnableFullDuplex()
 		request.BodyPending, call.Length = true, r.ContentLength
 		call.Rest = message.NewStream(in, func() {
-			c.take(f.opt.Figures)
-			f.owner.BodyComplete(id, c)
+			p.countOpen(f.opt.Figures)
+			f.loop.BodyComplete(id, p)
 		})
 	}
 	request.Call = call
 	return request, in, nil
 }
 
-// word tells whether a value may go on raw, in a head and in a log line.
-func word(s string) bool {
+// isToken reports whether a value can be written unescaped into a header and a log line.
+func isToken(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
 			return false
 		}
 	}
-	return len(s) <= maxID
+	return len(s) <= maxIDBytes
 }
 
-// timeLeft reads a number and its unit, m for milliseconds or u for
-// microseconds. It is 0 where the client says nothing.
-func timeLeft(text string) (time.Duration, error) {
+// parseTimeLeft parses a number and its unit, m for milliseconds or u for
+// microseconds. It returns 0 where the client gives none.
+func parseTimeLeft(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
 	}
@@ -120,9 +120,9 @@
 	return time.Duration(n) * unit, nil
 }
 
-// hint reads a guess at a request's work, in microseconds. What is no time above 0 counts as
-// not told: nobody is turned away for a guess.
-func hint(text string) time.Duration {
+// parseWorkHint parses an estimate of a request's work, in microseconds. An invalid value
+// counts as not given: no request is rejected because of a hint.
+func parseWorkHint(text string) time.Duration {
 	us, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(us > 0 && us <= float64(time.Hour/time.Microsecond)) {
 		return 0
