--- a/cmd/oakseam/console_test.go
+++ b/cmd/oakseam/console_test.go
@@ -17,16 +17,16 @@
 	"pipitmux/internal/cli"
 )
 
-// operate starts a node with a console, which knows the backends.
-func operate(t *testing.T, addrs ...string) *node {
-	c := knowing(t, newRegistry(t), addrs...)
+// startWithConsole starts a node with a console, whose list has backends at the given addresses.
+func startWithConsole(t *testing.T, addrs ...string) *node {
+	c := configWith(t, newRegistry(t), addrs...)
 	c["console"] = freeAddr(t)
 	return start(t, c)
 }
 
-// call makes a call at the console and returns the answer.
-// It is empty where nobody listens there.
-func (n *node) call(text string) string {
+// consoleCall sends a command to the console and returns the reply, empty where nobody
+// listens there.
+func (n *node) consoleCall(text string) string {
 	c, err := net.Dial("tcp", n.console)
 	if err != nil {
 		return ""
@@ -39,9 +39,9 @@
 	return string(got)
 }
 
-// figure reads one figure.
+// figure returns the value of one figure.
 func (n *node) figure(name string) string {
-	for l := range strings.Lines(n.call("show-stat\n")) {
+	for l := range strings.Lines(n.consoleCall("show-stat\n")) {
 		if v, ok := strings.CutPrefix(l, "svc."+name+"="); ok {
 			return strings.TrimSpace(v)
 		}
@@ -49,25 +49,28 @@
 	return ""
 }
 
-func (n *node) shows(name, want string) {
+// waitFigure waits until a figure has a value.
+func (n *node) waitFigure(name, want string) {
 	n.t.Helper()
-	n.until(name+" is "+want, func() bool { return n.figure(name) == want })
+	n.waitUntil(name+" is "+want, func() bool { return n.figure(name) == want })
 }
 
-func TestConsoleCalls(t *testing.T) {
-	n := operate(t, newBackend(t, ok).Addr)
-	for range 40 { // who says nothing, or half a call, holds up nobody
+// Console commands must be answered whatever their spacing, and silent or partial connections
+// must block nobody.
+func TestConsoleCommands(t *testing.T) {
+	n := startWithConsole(t, newBackend(t, ok).Addr)
+	for range 40 { // partial commands, which must block nobody
 		c, err := net.Dial("tcp", n.console)
 		require.NoError(t, err)
 		defer c.Close()
 		io.WriteString(c, "rea")
 	}
-	n.until("ready", func() bool { return n.call("ready\n") == "OK ready\n" })
-	for call, want := range map[string]string{
+	n.waitUntil("ready", func() bool { return n.consoleCall("ready\n") == "OK ready\n" })
+	for consoleCall, want := range map[string]string{
 		"ready\r\n": "OK", "  ready \n": "OK", "ready\nready\n": "OK", "bogus\n": "ERR unknown call", "\n": "ERR",
 		strings.Repeat("x", 4000) + "\n": "ERR the call is too long", "resume\n": "OK",
 	} {
-		assert.Regexp(t, "^"+want, n.call(call), "%.20q", call)
+		assert.Regexp(t, "^"+want, n.consoleCall(consoleCall), "%.20q", consoleCall)
 	}
 	c, err := net.Dial("tcp", n.console)
 	require.NoError(t, err)
@@ -76,13 +79,14 @@
 	c.(*net.TCPConn).CloseWrite()
 	got, err := io.ReadAll(c)
 	require.NoError(t, err)
-	assert.Equal(t, "OK ready\n", string(got), "the end of sending ends a call")
-	stat := n.call("show-stat\n")
+	assert.Equal(t, "OK ready\n", string(got), "the end of input ends a command")
+	stat := n.consoleCall("show-stat\n")
 	assert.True(t, strings.HasPrefix(stat, "OK\n") && strings.HasSuffix(stat, "\nEND\n"), stat)
-	assert.Contains(t, stat, "svc.faulted.brief=0\n", "each class from the start")
+	assert.Contains(t, stat, "svc.faulted.brief=0\n", "each class is listed from the start")
 }
 
-func TestConsoleAddress(t *testing.T) {
+// A console address that is malformed, taken or that of the clients must be rejected at the start.
+func TestBadConsoleAddress(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer taken.Close()
@@ -96,8 +100,8 @@
 	}
 }
 
-// TestFigures compares the figures with what the stand-ins counted.
-func TestFigures(t *testing.T) {
+// The figures must agree with what the fake backends counted.
+func TestFiguresMatchBackends(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(c *net.TCPConn, r request) bool {
 		switch r.URL.RawQuery {
@@ -108,43 +112,43 @@
 		}
 		return ok(c, r)
 	})
-	n := operate(t, b.Addr)
-	n.shows("registry_entries", "1")
+	n := startWithConsole(t, b.Addr)
+	n.waitFigure("registry_entries", "1")
 	for range 5 {
 		assert.Equal(t, 200, n.ask("topup").status)
 	}
-	assert.Equal(t, 502, n.try("POST", "/api?fail", "", headers("topup")).status)
-	waits := make(chan *answer, 1)
-	held := headers("lookup")
-	go func() { waits <- n.try("GET", "/api?wait", "", held) }()
-	n.shows("open_requests", "1")
-	n.shows("relayed", "7")
-	assert.Equal(t, 409, n.try("GET", "/api", "", held).status, "a duplicate")
+	assert.Equal(t, 502, n.send("POST", "/api?fail", "", headers("topup")).status)
+	pending := make(chan *answer, 1)
+	pendingHeaders := headers("lookup")
+	go func() { pending <- n.send("GET", "/api?wait", "", pendingHeaders) }()
+	n.waitFigure("open_requests", "1")
+	n.waitFigure("relayed", "7")
+	assert.Equal(t, 409, n.send("GET", "/api", "", pendingHeaders).status, "a duplicate is rejected")
 	gone, err := net.Dial("tcp", n.addr)
 	require.NoError(t, err)
 	fmt.Fprintf(gone, "GET /api?wait HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: gone\r\nX-Service-Class: lookup\r\n\r\n")
-	n.shows("open_requests", "2")
+	n.waitFigure("open_requests", "2")
 	gone.Close()
-	n.shows("open_requests", "1")
+	n.waitFigure("open_requests", "1")
 	close(release)
-	assert.Equal(t, 200, receive(t, waits, "the held answer").status)
-	n.shows("open_requests", "0")
+	assert.Equal(t, 200, receive(t, pending, "the pending answer").status)
+	n.waitFigure("open_requests", "0")
 	for name, want := range map[string]string{"fulfilled.topup": "5", "faulted.topup": "1", "throttled.topup": "0",
 		"fulfilled.lookup": "1", "faulted.lookup": "1", "fulfilled.brief": "0", "out_of_rotation": "0"} {
 		assert.Equal(t, want, n.figure(name), name)
 	}
-	assert.EqualValues(t, len(b.Seen), 8, "one of them for the client that left")
-	n.shows("relayed", "8")
+	assert.EqualValues(t, len(b.Seen), 8, "one of them for the client that has left")
+	n.waitFigure("relayed", "8")
 
-	empty := operate(t)
+	empty := startWithConsole(t)
 	assert.Equal(t, 503, empty.ask("topup").status)
 	assert.Equal(t, "1", empty.figure("throttled.topup"))
-	assert.Contains(t, empty.call("ready\n"), "ERR not ready")
+	assert.Contains(t, empty.consoleCall("ready\n"), "ERR not ready")
 }
 
-// TestDrain: /ready says no, answers end their sessions, idle ones end, a long request
-// stays, and resume takes all back. SIGTERM ends a node that drains.
-func TestDrain(t *testing.T) {
+// While a node drains, /ready must fail, answers and idleness must end sessions, and a long
+// request must be kept. Resume must undo the drain, and SIGTERM must end a draining node.
+func TestDrainAndResume(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(c *net.TCPConn, r request) bool {
 		if r.URL.RawQuery == "wait" {
@@ -152,37 +156,37 @@
 		}
 		return ok(c, r)
 	})
-	n := operate(t, b.Addr)
+	n := startWithConsole(t, b.Addr)
 	idle, err := net.Dial("tcp", n.addr)
 	require.NoError(t, err)
 	defer idle.Close()
-	waits := make(chan *answer, 1)
-	go func() { waits <- n.try("POST", "/api?wait", "", headers("topup")) }()
+	pending := make(chan *answer, 1)
+	go func() { pending <- n.send("POST", "/api?wait", "", headers("topup")) }()
 	receive(t, b.Seen, "the request before the drain")
 
-	assert.Equal(t, "OK draining\n", n.call("drain\n"))
-	assert.Equal(t, 503, n.try("GET", "/ready", "", nil).status, "no at once")
-	assert.Contains(t, n.call("ready\n"), "ERR not ready: draining")
-	late, err := net.Dial("tcp", n.addr) // dealt out before the front heard
+	assert.Equal(t, "OK draining\n", n.consoleCall("drain\n"))
+	assert.Equal(t, 503, n.send("GET", "/ready", "", nil).status, "/ready fails at once")
+	assert.Contains(t, n.consoleCall("ready\n"), "ERR not ready: draining")
+	late, err := net.Dial("tcp", n.addr) // assigned to this node before the load balancer in front saw the drain
 	require.NoError(t, err)
 	defer late.Close()
-	io.WriteString(late, strings.Replace(hidden, "hidden", "late", 1))
+	io.WriteString(late, strings.Replace(postRequest, "hidden", "late", 1))
 	res, err := http.ReadResponse(bufio.NewReader(late), nil)
 	require.NoError(t, err)
 	assert.Equal(t, 200, res.StatusCode)
 	assert.True(t, res.Close)
-	assert.Equal(t, "OK draining\n", n.call("drain\n"), "twice is as once")
+	assert.Equal(t, "OK draining\n", n.consoleCall("drain\n"), "a second drain changes nothing")
 	idle.SetReadDeadline(time.Now().Add(patience))
 	_, err = idle.Read(make([]byte, 1))
-	assert.ErrorIs(t, err, io.EOF, "an idle session ends cleanly")
+	assert.ErrorIs(t, err, io.EOF, "an idle session must end cleanly")
 
-	assert.Equal(t, "OK serving\n", n.call("resume\n"))
-	assert.Equal(t, 200, n.try("GET", "/ready", "", nil).status)
+	assert.Equal(t, "OK serving\n", n.consoleCall("resume\n"))
+	assert.Equal(t, 200, n.send("GET", "/ready", "", nil).status)
 	close(release)
-	assert.Equal(t, 200, receive(t, waits, "the answer of the long request").status)
+	assert.Equal(t, 200, receive(t, pending, "the answer of the long request").status)
 	assert.Equal(t, 200, n.ask("topup").status)
 
-	assert.Equal(t, "OK draining\n", n.call("drain\n"))
+	assert.Equal(t, "OK draining\n", n.consoleCall("drain\n"))
 	require.NoError(t, n.cmd.Process.Signal(syscall.SIGTERM))
-	assert.NoError(t, receive(t, n.end, "the exit"), "exit code 0")
+	assert.NoError(t, receive(t, n.exit, "the exit"), "exit code 0")
 }
--- a/cmd/oakseam/harness_test.go
+++ b/cmd/oakseam/harness_test.go
@@ -24,12 +24,12 @@
 	"pipitmux/internal/standin"
 )
 
-// patience bounds every wait for a condition; no verdict hangs on a shorter one.
+// patience is the timeout of every wait for a condition. No test depends on a shorter one.
 const patience = 20 * time.Second
 
 var program string
 
-// TestMain builds the real program. OAKSEAM_TEST_BUILD holds further flags for that.
+// TestMain builds the real program. OAKSEAM_TEST_BUILD holds further build flags.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "oakseam-test")
 	if err != nil {
@@ -47,11 +47,12 @@
 
 type object = map[string]any
 
-func class(name, effect string, aim time.Duration) object {
-	return object{"name": name, "effect": effect, "slo-us": aim.Microseconds(), "deadline-us": 2 * aim.Microseconds(),
+func class(name, effect string, targetLatency time.Duration) object {
+	return object{"name": name, "effect": effect, "slo-us": targetLatency.Microseconds(), "deadline-us": 2 * targetLatency.Microseconds(),
 		"worth": 8.0, "group": "all", "window-us": 60000000, "late-worth": 0.0, "stream": false}
 }
 
+// settings returns the settings of a node in PROXY_CONFIG.
 func settings() object {
 	return object{
 		"classes": []any{class("topup", "unsafe", 5*time.Second), class("reading", "keyed", 5*time.Second),
@@ -83,21 +84,21 @@
 	return string(text) + "\n"
 }
 
-// indented is a list over many lines.
+// indented returns a list as indented JSON over many lines.
 func indented(t *testing.T, o object) string {
 	text, err := json.MarshalIndent(o, "", "  ")
 	require.NoError(t, err)
 	return string(text) + "\n"
 }
 
-// node is the real program, running.
+// node is a running process of the real program.
 type node struct {
 	t       *testing.T
 	addr    string
 	console string
 	cmd     *exec.Cmd
 	log     output
-	end     chan error
+	exit    chan error
 }
 
 type output struct {
@@ -117,12 +118,12 @@
 	return o.text.String()
 }
 
-// freeAddr returns an address that nobody listens at, and that stays the test's.
+// freeAddr returns an address that nobody listens at, reserved until the test ends.
 func freeAddr(t *testing.T) string {
-	held, err := standin.Hold("127.0.0.1")
+	reserved, err := standin.Hold("127.0.0.1")
 	require.NoError(t, err)
-	t.Cleanup(held.Close)
-	return held.Addr
+	t.Cleanup(reserved.Close)
+	return reserved.Addr
 }
 
 func configure(t *testing.T, addr, registry string, known, settings object) object {
@@ -134,7 +135,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(line(t, config)), 0o600))
 	cmd := exec.Command(program)
-	tmp, ok := config["tmp"].(string) // what the node's processes share
+	tmp, ok := config["tmp"].(string) // shared by the processes of a node
 	if !ok {
 		tmp = t.TempDir()
 	}
@@ -142,15 +143,15 @@
 	return cmd
 }
 
-// reload replaces the configuration file and tells the node.
+// reload replaces the configuration file and signals the node.
 func (n *node) reload(text string) {
 	path := strings.TrimPrefix(n.cmd.Env[len(n.cmd.Env)-2], "PROXY_CONFIG=")
 	require.NoError(n.t, os.WriteFile(path, []byte(text), 0o600))
 	require.NoError(n.t, n.cmd.Process.Signal(syscall.SIGHUP))
 }
 
-// raw sends bytes on a client session of its own and returns all that comes back
-// until the node ends it.
+// raw sends bytes on a new client session and returns everything received until the node
+// ends it.
 func (n *node) raw(text string) string {
 	c, err := net.Dial("tcp", n.addr)
 	require.NoError(n.t, err)
@@ -159,7 +160,7 @@
 	go io.WriteString(c, text)
 	var got strings.Builder
 	_, err = io.Copy(&got, c)
-	require.False(n.t, errors.Is(err, os.ErrDeadlineExceeded), "the node ends the session: %q", got.String())
+	require.False(n.t, errors.Is(err, os.ErrDeadlineExceeded), "the node did not end the session: %q", got.String())
 	return got.String()
 }
 
@@ -167,33 +168,33 @@
 func start(t *testing.T, config object) *node { return startWith(t, config) }
 
 func startWith(t *testing.T, config object, args ...string) *node {
-	n := &node{t: t, addr: config["listen"].(string), cmd: command(t, config), end: make(chan error, 1)}
+	n := &node{t: t, addr: config["listen"].(string), cmd: command(t, config), exit: make(chan error, 1)}
 	n.console, _ = config["console"].(string)
 	n.cmd.Args = append(n.cmd.Args, args...)
 	n.cmd.Stdout, n.cmd.Stderr = &n.log, &n.log
 	require.NoError(t, n.cmd.Start())
-	go func() { n.end <- n.cmd.Wait() }()
+	go func() { n.exit <- n.cmd.Wait() }()
 	t.Cleanup(func() {
 		n.cmd.Process.Kill()
 		if t.Failed() {
 			text := n.log.String()
-			t.Logf("the program said, at the end:\n%s", text[max(len(text)-4000, 0):])
+			t.Logf("last output of the program:\n%s", text[max(len(text)-4000, 0):])
 		}
 		require.NotContains(t, n.log.String(), "panic", "the program must not panic")
 		require.NotContains(t, n.log.String(), "DATA RACE")
 	})
-	n.until("it listens", func() bool { return n.try("GET", "/", "", nil) != nil })
+	n.waitUntil("it listens", func() bool { return n.send("GET", "/", "", nil) != nil })
 	return n
 }
 
-// serve starts a node that knows backends of the given addresses.
+// serve starts a node whose list has backends at the given addresses.
 func serve(t *testing.T, addrs ...string) (*node, *standin.ScriptedRegistry) {
 	d := newRegistry(t)
-	return start(t, knowing(t, d, addrs...)), d
+	return start(t, configWith(t, d, addrs...)), d
 }
 
-// knowing configures a node that knows backends of the given addresses.
-func knowing(t *testing.T, d *standin.ScriptedRegistry, addrs ...string) object {
+// configWith returns the configuration of a node whose list has backends at the given addresses.
+func configWith(t *testing.T, d *standin.ScriptedRegistry, addrs ...string) object {
 	var targets []object
 	for i, a := range addrs {
 		targets = append(targets, target(fmt.Sprint("s-", i), a, "in_service", 0))
@@ -201,22 +202,24 @@
 	return configure(t, freeAddr(t), d.Addr, list(7, true, targets...), settings())
 }
 
-func (n *node) until(what string, ok func() bool) {
+// waitUntil waits until a condition holds.
+func (n *node) waitUntil(what string, ok func() bool) {
 	n.t.Helper()
 	require.Eventually(n.t, ok, patience, 5*time.Millisecond, what)
 }
 
-// answer is a whole answer of the node.
+// answer is a complete response of the node.
 type answer struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// client opens a client session for each request, so that no request of a test waits for another's.
+// client opens a new client session for each request, so that requests don't wait for each other.
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
 
-func (n *node) try(method, path, body string, header map[string]string) *answer {
+// send sends a request. It returns nil where there is no complete response.
+func (n *node) send(method, path, body string, header map[string]string) *answer {
 	request, err := http.NewRequest(method, "http://"+n.addr+path, strings.NewReader(body))
 	require.NoError(n.t, err)
 	for k, v := range header {
@@ -236,6 +239,7 @@
 
 var ids atomic.Int64
 
+// headers returns the headers of a request of a class, with an ID of its own.
 func headers(class string) map[string]string {
 	h := map[string]string{"X-Correlation-Id": fmt.Sprint("id-", ids.Add(1)), "X-Service-Class": class, "X-Time-Left": "9000m"}
 	if class == "reading" {
@@ -244,19 +248,19 @@
 	return h
 }
 
-// ask sends a request of a class and wants an answer.
+// ask sends a request of a class, which must get an answer.
 func (n *node) ask(class string) *answer {
 	n.t.Helper()
 	method := "POST"
 	if class == "lookup" {
 		method = "GET"
 	}
-	a := n.try(method, "/api", "", headers(class))
-	require.NotNil(n.t, a, "every request gets an answer")
+	a := n.send(method, "/api", "", headers(class))
+	require.NotNil(n.t, a, "a request got no answer")
 	return a
 }
 
-// counter reads a count by SIGUSR1, the latest print of it.
+// counter reads a counter from the latest output after SIGUSR1.
 func (n *node) counter(name string) string {
 	require.NoError(n.t, n.cmd.Process.Signal(syscall.SIGUSR1))
 	found := regexp.MustCompile(`(?m)^counter `+regexp.QuoteMeta(name)+` (\d+)$`).FindAllStringSubmatch(n.log.String(), -1)
@@ -266,12 +270,13 @@
 	return found[len(found)-1][1]
 }
 
-func (n *node) counts(name, want string) {
+// waitCounter waits until a counter has a value.
+func (n *node) waitCounter(name, want string) {
 	n.t.Helper()
-	n.until(name+" is "+want, func() bool { return n.counter(name) == want })
+	n.waitUntil(name+" is "+want, func() bool { return n.counter(name) == want })
 }
 
-// The stand-ins, by the names that the tests use.
+// Short names for the fake backends of package standin.
 type request = standin.Request
 
 var (
@@ -281,7 +286,7 @@
 	broken = standin.Broken
 )
 
-// newBackend runs a backend until the test ends.
+// newBackend runs a fake backend until the test ends.
 func newBackend(t *testing.T, script standin.Script) *standin.Backend {
 	b, err := standin.NewBackend(script)
 	require.NoError(t, err)
@@ -297,13 +302,13 @@
 	return d
 }
 
-// receive waits for what a peer tells.
+// receive waits for a value from a channel.
 func receive[T any](t *testing.T, c <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(patience):
-		require.Fail(t, "waited in vain for "+what)
+		require.Fail(t, "timed out waiting for "+what)
 	}
 	return v
 }
--- a/cmd/oakseam/main.go
+++ b/cmd/oakseam/main.go
@@ -1,6 +1,6 @@
-// Command oakseam is one node: it takes requests from clients, has the decision
-// module decide, and carries the decisions out on sockets. Without arguments it
-// is the node that PROXY_CONFIG describes.
+// Command oakseam runs one node of the load balancer: it accepts requests from clients, has
+// the decision module decide, and executes the decisions on sockets. Without arguments it
+// runs the node that PROXY_CONFIG describes.
 package main
 
 import (
@@ -17,39 +17,39 @@
 )
 
 func main() {
-	// Before all else: a signal that comes early must not end the node.
+	// First of all: an early signal must not end the node.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
-	os.Exit(cli.Run(root(signals), os.Args[1:]))
+	os.Exit(cli.Run(rootCommand(signals), os.Args[1:]))
 }
 
-func root(signals <-chan os.Signal) *cobra.Command {
-	serve := func(own string) error {
-		c, err := config.Load(os.Getenv, own)
+func rootCommand(signals <-chan os.Signal) *cobra.Command {
+	runNode := func(optionsFile string) error {
+		c, err := config.Load(os.Getenv, optionsFile)
 		if err != nil {
 			return cli.Wrong(fmt.Errorf("config: %w", err))
 		}
-		return run(c, own, signals)
+		return run(c, optionsFile, signals)
 	}
-	r := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "oakseam",
-		Short: "Balance requests over backends as one node",
-		Long: "oakseam is one node: it takes requests over HTTP/1.1, has its decision module choose backend, time-out,\n" +
-			"retry or refusal, and gives each request one final answer. Without a command it is the node that\n" +
-			"PROXY_CONFIG describes. Exit codes: 0 ended as told, 1 failed, 2 misuse or a configuration at fault.",
+		Short: "Run one node that balances requests over backends",
+		Long: "oakseam runs one node: it accepts requests over HTTP/1.1, has its decision module choose backend, timeout,\n" +
+			"retry or rejection, and gives each request one final answer. Without a command it runs the node that\n" +
+			"PROXY_CONFIG describes. Exit codes: 0 ended on request, 1 failed, 2 wrong usage or faulty configuration.",
 		Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return serve("") },
+		RunE: func(*cobra.Command, []string) error { return runNode("") },
 	}
-	var own string
+	var optionsFile string
 	node := &cobra.Command{
 		Use:   "node",
-		Short: "Run a node with a configuration file of our own beside PROXY_CONFIG",
+		Short: "Run a node with an options file in addition to PROXY_CONFIG",
 		Args:  cobra.NoArgs,
-		RunE:  func(*cobra.Command, []string) error { return serve(own) },
+		RunE:  func(*cobra.Command, []string) error { return runNode(optionsFile) },
 	}
-	node.Flags().StringVar(&own, "config", "", "our own configuration (YAML)")
-	r.AddCommand(node, configCommand())
-	return r
+	node.Flags().StringVar(&optionsFile, "config", "", "options file (YAML)")
+	command.AddCommand(node, configCommand())
+	return command
 }
 
 func configCommand() *cobra.Command {
@@ -59,17 +59,17 @@
 		Args:  cobra.NoArgs,
 		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	var own string
-	c.PersistentFlags().StringVar(&own, "config", "", "our own configuration (YAML)")
+	var optionsFile string
+	c.PersistentFlags().StringVar(&optionsFile, "config", "", "options file (YAML)")
 	check := &cobra.Command{
 		Use:   "check",
-		Short: "Check our own file, and what PROXY_CONFIG names where it is set",
+		Short: "Check the options file, and the file in PROXY_CONFIG if set",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if os.Getenv("PROXY_CONFIG") == "" && own == "" {
+			if os.Getenv("PROXY_CONFIG") == "" && optionsFile == "" {
 				return cli.Wrong(fmt.Errorf("nothing to check: neither --config nor PROXY_CONFIG is set"))
 			}
-			if _, err := config.Show(os.Getenv, own); err != nil {
+			if _, err := config.Show(os.Getenv, optionsFile); err != nil {
 				return cli.Wrong(err)
 			}
 			fmt.Fprintln(c.OutOrStdout(), "sound")
@@ -82,7 +82,7 @@
 		Short: "Print every effective value and where it came from",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			values, err := config.Show(os.Getenv, own)
+			values, err := config.Show(os.Getenv, optionsFile)
 			if err != nil {
 				return cli.Wrong(err)
 			}
@@ -98,7 +98,7 @@
 	show.Flags().BoolVar(&asJSON, "json", false, "print one JSON array")
 	schema := &cobra.Command{
 		Use:   "schema",
-		Short: "Print the JSON Schema of our own file",
+		Short: "Print the JSON Schema of the options file",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			text, err := config.Schema()
--- a/cmd/oakseam/node.go
+++ b/cmd/oakseam/node.go
@@ -28,24 +28,25 @@
 )
 
 const (
-	// For standard streams, the listener, the registry, the poller, the configuration file,
-	// and client sessions over their limit while others are shed.
-	spareSockets = 64
-	// SIGKILL comes no sooner after SIGTERM than the longest deadline, of which no more than
-	// killCounts counts, and killAfter. endSlack is kept of that for the exit.
-	killCounts = 3 * time.Second
-	killAfter  = 700 * time.Millisecond
-	endSlack   = 20 * time.Millisecond
+	// reservedSockets are for the standard streams, the listener, the registry, the poller, the
+	// configuration file, and client sessions over their limit while others are shed.
+	reservedSockets = 64
+	// SIGKILL follows SIGTERM no sooner than after the longest deadline, capped at
+	// maxKillDeadline, plus killGrace.
+	maxKillDeadline = 3 * time.Second
+	killGrace       = 700 * time.Millisecond
+	// exitMargin is the part of that time that is kept for the exit.
+	exitMargin = 20 * time.Millisecond
 )
 
-// run is the node, from its configuration to its end.
-func run(c *config.Config, own string, signals <-chan os.Signal) error {
+// run runs the node until it ends.
+func run(c *config.Config, optionsFile string, signals <-chan os.Signal) error {
 	runtime.GOMAXPROCS(max(int(math.Ceil(c.Cores)), 1))
 	log := logging.New(os.Stderr, c.Options.Log.Level, c.Options.Log.Format)
 
 	count := counters.New()
 	defer count.Print(os.Stderr)
-	owner, err := core.NewEventLoop(c.Settings, c.Seed, count, log)
+	loop, err := core.NewEventLoop(c.Settings, c.Seed, count, log)
 	if err != nil {
 		return err
 	}
@@ -53,47 +54,47 @@
 	for _, cl := range c.Settings.Classes {
 		classes = append(classes, cl.Name)
 	}
-	fig := figures.New(classes)
-	place, err := settle(c, log)
+	figureSet := figures.New(classes)
+	handoff, err := newTakeover(c, log)
 	if err != nil {
 		return err
 	}
-	defer place.close()
-	disk := stateFile(c.Options.State.Dir, c.Listen)
-	if disk != "" && place.before == nil { // else the predecessor handed over what is fresher
-		place.recall(disk, time.Now())
+	defer handoff.close()
+	file := stateFileName(c.Options.State.Dir, c.Listen)
+	if file != "" && handoff.predecessor == nil { // a predecessor has handed over newer state
+		handoff.restore(file, time.Now())
 	}
 	budget := message.NewBudget(0)
 	pool := upstream.New(backend.Codec{ReportFields: c.Settings.ReportFields}, upstream.Options{
 		ConnectTimeout: c.ConnectTimeout,
 		IdleFor:        time.Duration(float64(c.Settings.ConnIdle) * c.Options.Backend.IdleShare),
-		Bare:           true, Relayed: fig.Relayed, Budget: budget,
+		Bare:           true, Relayed: figureSet.Relayed, Budget: budget,
 	}, count, log)
-	front := session.New(session.Options{
+	frontend := session.New(session.Options{
 		Classes: c.Settings.Classes, RetryAfter: c.RetryAfter,
 		HeadTimeout: c.Options.Session.HeadWithin, BodyTimeout: c.Options.Session.BodyWithin, IdleTimeout: c.Options.Session.IdleFor,
-		Figures: fig, Budget: budget,
-	}, place.listener, owner, count)
-	lot := shares{c, pool, front, budget, log}
-	lot.set(place.before != nil)
-	registry := discovery.New(c.Discovery, place.known, owner.UpdateBackends, log)
+		Figures: figureSet, Budget: budget,
+	}, handoff.listener, loop, count)
+	shares := resourceShares{c, pool, frontend, budget, log}
+	shares.apply(handoff.predecessor != nil)
+	registry := discovery.New(c.Discovery, handoff.known, loop.UpdateBackends, log)
 
-	known, err := place.known.Backends()
+	known, err := handoff.known.Backends()
 	if err != nil {
 		return err
 	}
-	owner.UpdateBackends(logic.ListCached, known)
-	if len(place.learned) > 0 {
-		owner.ImportModuleState(place.learned, place.before != nil)
+	loop.UpdateBackends(logic.ListCached, known)
+	if len(handoff.moduleState) > 0 {
+		loop.ImportModuleState(handoff.moduleState, handoff.predecessor != nil)
 	}
 	quit := make(chan struct{})
 	defer close(quit)
-	if place.console != nil {
-		owner.ObserveBackendCounts(func(listed, avoided int) { fig.Know(figures.Registry{Listed: listed, Avoided: avoided}) })
-		go console.New(place.console, operated{front, fig}, log).Serve()
+	if handoff.console != nil {
+		loop.ObserveBackendCounts(func(listed, avoided int) { figureSet.Know(figures.Registry{Listed: listed, Avoided: avoided}) })
+		go console.New(handoff.console, operatorView{frontend, figureSet}, log).Serve()
 	}
-	go owner.Run(pool, registry)
-	defer owner.Stop()
+	go loop.Run(pool, registry)
+	defer loop.Stop()
 	go pool.Reap(quit)
 	if !c.Settings.MustSubscribe {
 		go registry.KeepWatching(context.Background())
@@ -101,16 +102,16 @@
 	if rate := c.Options.Peers.BytesPerS; rate > 0 {
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
-		talk := peers.New(peers.Options{Addrs: c.Peers, Number: c.Settings.Number, Budget: rate, Rng: rand.New(rand.NewPCG(c.Seed, 1))}, log)
-		go talk.Run(ctx, func() (gossip.Transport, error) { return gossip.ListenUDP(c.PeerListen) })
+		gossiper := peers.New(peers.Options{Addrs: c.Peers, Number: c.Settings.Number, Budget: rate, Rng: rand.New(rand.NewPCG(c.Seed, 1))}, log)
+		go gossiper.Run(ctx, func() (gossip.Transport, error) { return gossip.ListenUDP(c.PeerListen) })
 	}
 	served := make(chan error, 1)
-	go func() { served <- front.Serve() }()
-	log.Info("serves", "name", c.Name, "listen", c.Listen)
-	tell := func() (handed, error) { return state(owner, registry) }
-	place.offer(tell, lot)
-	keep := &keeper{name: disk, state: tell, log: log}
-	stop := keep.start()
+	go func() { served <- frontend.Serve() }()
+	log.Info("serving", "name", c.Name, "listen", c.Listen)
+	capture := func() (handoverState, error) { return captureState(loop, registry) }
+	handoff.offerSuccessor(capture, shares)
+	saver := &stateSaver{name: file, capture: capture, log: log}
+	stop := saver.start()
 	for {
 		select {
 		case err := <-served:
@@ -120,9 +121,9 @@
 			case syscall.SIGUSR1:
 				count.Print(os.Stderr)
 			case syscall.SIGHUP:
-				reload(registry, own, log)
+				reload(registry, optionsFile, log)
 			default:
-				err := end(c, front, log)
+				err := shutDown(c, frontend, log)
 				stop()
 				return err
 			}
@@ -130,35 +131,35 @@
 	}
 }
 
-// operated is the node as its operators see it.
-type operated struct {
+// operatorView is the node as seen through the console.
+type operatorView struct {
 	*session.Frontend
 	figures *figures.Set
 }
 
-// Figures writes a line a figure.
-func (o operated) Figures(w io.Writer) { o.figures.Print(w) }
+// Figures writes one line per figure.
+func (o operatorView) Figures(w io.Writer) { o.figures.Print(w) }
 
-// reload reads the configuration again and takes on the registry that it names.
-// One that can't be used changes nothing.
-func reload(registry *discovery.Client, own string, log *slog.Logger) {
-	c, err := config.Reload(os.Getenv, own)
+// reload reads the configuration again and moves to the registry that it names.
+// An invalid one changes nothing.
+func reload(registry *discovery.Client, optionsFile string, log *slog.Logger) {
+	c, err := config.Reload(os.Getenv, optionsFile)
 	if err != nil {
-		log.Error("reload: the configuration stays as it was", logging.Cause, err)
+		log.Error("reload: configuration unchanged", logging.Cause, err)
 		return
 	}
 	log.Info("reload", "discovery", c.Discovery)
 	registry.SetAddress(c.Discovery)
 }
 
-// end answers all that was taken, before the process may be killed.
-func end(c *config.Config, front *session.Frontend, log *slog.Logger) error {
+// shutDown answers all accepted requests before the process may be killed.
+func shutDown(c *config.Config, frontend *session.Frontend, log *slog.Logger) error {
 	longest := time.Duration(0)
 	for _, cl := range c.Settings.Classes {
 		longest = max(longest, cl.Deadline)
 	}
-	if err := front.End(min(longest, killCounts) + killAfter - endSlack); err != nil {
-		log.Warn("ended with client sessions still open", logging.Cause, err)
+	if err := frontend.End(min(longest, maxKillDeadline) + killGrace - exitMargin); err != nil {
+		log.Warn("shut down with client sessions still open", logging.Cause, err)
 	}
 	return nil
 }
--- a/cmd/oakseam/statefile.go
+++ b/cmd/oakseam/statefile.go
@@ -13,35 +13,36 @@
 )
 
 const (
-	// saveEvery is how old the state on disk may get, beside what a write takes.
-	saveEvery = 2 * time.Second
-	// trustFor is how old what a module learned may be at a start. Backends that have been
-	// gone for longer start cold and are not who they were.
-	trustFor = time.Minute
+	// saveInterval is how old the state on disk may get, plus the duration of a write.
+	saveInterval = 2 * time.Second
+	// maxModuleStateAge is how old a module's learned state may be at a start. Backends that
+	// were gone for longer start cold, and what was learned no longer holds for them.
+	maxModuleStateAge = time.Minute
 )
 
-// saved is what a node keeps on disk: what it would hand a successor, and when.
-type saved struct {
-	handed
+// savedState is what a node keeps on disk: the state for a successor, and its time.
+type savedState struct {
+	handoverState
 	At time.Time `json:"at"`
 }
 
-// stateFile is where the node that listens at an address keeps its state; empty: nowhere.
-func stateFile(dir, listen string) string {
+// stateFileName returns the state file of the node that listens at an address, empty where
+// no state is kept.
+func stateFileName(dir, listen string) string {
 	if dir == "" {
 		return ""
 	}
 	return filepath.Join(dir, durable.NameOf(listen)+".state")
 }
 
-// recall takes on what the file of a name holds, each part as far as it can be trusted.
-// What can't be read leaves the place as it is.
-func (p *place) recall(name string, now time.Time) {
+// restore adopts the contents of a state file, each part only where it is still valid. A file
+// that cannot be read changes nothing.
+func (t *takeover) restore(name string, now time.Time) {
 	text, err := durable.Read(name)
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
-	s := saved{}
+	s := savedState{}
 	if err == nil {
 		err = json.Unmarshal(text, &s)
 	}
@@ -49,40 +50,40 @@
 		_, err = s.List.Backends()
 	}
 	if err != nil {
-		p.log.Warn("state: the node starts clean", "file", name, logging.Cause, err)
+		t.log.Warn("state: file not usable, starting without state", "file", name, logging.Cause, err)
 		return
 	}
-	// The higher version is the later list, whoever kept it.
-	newer := s.List.Revision > p.known.Revision && len(s.List.Targets) > 0
+	// The higher revision is the later list, whichever file it comes from.
+	newer := s.List.Revision > t.known.Revision && len(s.List.Targets) > 0
 	if newer {
-		p.known = s.List
+		t.known = s.List
 	}
 	age := now.Sub(s.At)
-	fresh := age >= 0 && age <= trustFor
+	fresh := age >= 0 && age <= maxModuleStateAge
 	if fresh {
-		p.learned = s.Learned
+		t.moduleState = s.ModuleState
 	}
-	p.log.Info("state: recalled", "file", name, "age", age.Round(time.Millisecond), "list", newer, "learned", fresh)
+	t.log.Info("state: restored", "file", name, "age", age.Round(time.Millisecond), "list", newer, "learned", fresh)
 }
 
-// keeper writes the node's state to its file now and then.
-type keeper struct {
-	name   string
-	state  func() (handed, error)
-	log    *slog.Logger
-	failed bool
+// stateSaver writes the node's state to its file periodically.
+type stateSaver struct {
+	name    string
+	capture func() (handoverState, error)
+	log     *slog.Logger
+	failed  bool // the last write
 }
 
-// start has the state saved until stop is called, which saves it once more. Where there is
-// no file, neither does anything.
-func (k *keeper) start() (stop func()) {
-	if k.name == "" {
+// start saves the state periodically until stop is called, which saves it once more. Without
+// a file, neither does anything.
+func (s *stateSaver) start() (stop func()) {
+	if s.name == "" {
 		return func() {}
 	}
 	quit, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
-		k.run(quit)
+		s.run(quit)
 	}()
 	return func() {
 		close(quit)
@@ -90,40 +91,40 @@
 	}
 }
 
-func (k *keeper) run(quit <-chan struct{}) {
-	tick := time.NewTicker(saveEvery)
+func (s *stateSaver) run(quit <-chan struct{}) {
+	tick := time.NewTicker(saveInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-quit:
-			k.save(time.Now())
+			s.save(time.Now())
 			return
 		case <-tick.C:
-			k.save(time.Now())
+			s.save(time.Now())
 		}
 	}
 }
 
-// save writes the state. A failure is told once, and once when it has passed.
-func (k *keeper) save(now time.Time) {
-	err := k.write(now)
+// save writes the state. It logs the first of a series of failures, and the end of the series.
+func (s *stateSaver) save(now time.Time) {
+	err := s.write(now)
 	switch {
-	case err != nil && !k.failed:
-		k.log.Warn("state: not saved; the last one stands", "file", k.name, logging.Cause, err)
-	case err == nil && k.failed:
-		k.log.Info("state: saved again", "file", k.name)
+	case err != nil && !s.failed:
+		s.log.Warn("state: not saved, the file keeps the previous state", "file", s.name, logging.Cause, err)
+	case err == nil && s.failed:
+		s.log.Info("state: saved again", "file", s.name)
 	}
-	k.failed = err != nil
+	s.failed = err != nil
 }
 
-func (k *keeper) write(now time.Time) error {
-	h, err := k.state()
+func (s *stateSaver) write(now time.Time) error {
+	state, err := s.capture()
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(saved{h, now})
+	text, err := json.Marshal(savedState{state, now})
 	if err != nil {
 		return err
 	}
-	return durable.Write(k.name, text)
+	return durable.Write(s.name, text)
 }
--- a/cmd/oakseam/streaming_test.go
+++ b/cmd/oakseam/streaming_test.go
@@ -20,17 +20,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// long returns so many bytes that are no pattern.
-func long(n int) []byte {
+// randomBytes returns n bytes without a pattern.
+func randomBytes(n int) []byte {
 	b := make([]byte, n)
 	rand.NewChaCha8([32]byte{1}).Read(b)
 	return b
 }
 
-// TestLongBodiesPassThrough compares what clients and backends get with what was sent,
-// in each form of framing, up to the longest.
-func TestLongBodiesPassThrough(t *testing.T) {
-	body := long(32 << 20)
+// Long bodies must reach clients and backends unchanged, in each form of framing and up to the
+// maximum length.
+func TestLongBodiesArriveUnchanged(t *testing.T) {
+	body := randomBytes(32 << 20)
 	b := newBackend(t, func(c *net.TCPConn, r request) bool {
 		n, _ := strconv.Atoi(r.URL.Query().Get("n"))
 		switch answer := body[:n]; r.URL.Query().Get("as") {
@@ -50,39 +50,39 @@
 	})
 	n, _ := serve(t, b.Addr)
 	for _, size := range []int{1000, 64 << 10, 64<<10 + 1, 1 << 20, 32 << 20} {
-		for _, as := range []string{"length", "close", "chunked"} {
-			what := fmt.Sprint(size, " by ", as)
-			var out io.Reader = bytes.NewReader(body[:size])
-			if as == "chunked" {
-				out = io.MultiReader(out) // its length is not known to the client
+		for _, framing := range []string{"length", "close", "chunked"} {
+			description := fmt.Sprint(size, " by ", framing)
+			var requestBody io.Reader = bytes.NewReader(body[:size])
+			if framing == "chunked" {
+				requestBody = io.MultiReader(requestBody) // hides the length from the HTTP client
 			}
-			r, err := http.NewRequest("POST", fmt.Sprintf("http://%s/api?n=%d&as=%s", n.addr, size, as), out)
+			r, err := http.NewRequest("POST", fmt.Sprintf("http://%s/api?n=%d&as=%s", n.addr, size, framing), requestBody)
 			require.NoError(t, err)
 			for k, v := range headers("topup") {
 				r.Header.Set(k, v)
 			}
-			if as == "close" {
+			if framing == "close" {
 				r.Header.Set("Expect", "100-continue")
 			}
 			res, err := client.Do(r)
-			require.NoError(t, err, what)
-			assert.Equal(t, 200, res.StatusCode, what)
+			require.NoError(t, err, description)
+			assert.Equal(t, 200, res.StatusCode, description)
 			got := sha256.New()
 			_, err = io.Copy(got, res.Body)
-			assert.NoError(t, err, what)
+			assert.NoError(t, err, description)
 			res.Body.Close()
 			want := sha256.Sum256(body[:size])
-			assert.Equal(t, want[:], got.Sum(nil), "the answer, %s", what)
+			assert.Equal(t, want[:], got.Sum(nil), "the response, %s", description)
 			seen := receive(t, b.Seen, "the request")
-			assert.Equal(t, want, sha256.Sum256([]byte(seen.Body)), "the request, %s", what)
+			assert.Equal(t, want, sha256.Sum256([]byte(seen.Body)), "the request, %s", description)
 		}
 	}
 }
 
-// TestWhatCameIsPassedOn: of an answer that trickles the client has what came; a break
-// is seen as one, and nothing is sent again.
-func TestWhatCameIsPassedOn(t *testing.T) {
-	for as, head := range map[string]string{"length": "Content-Length: 100000\r\n", "chunked": "Transfer-Encoding: chunked\r\n"} {
+// The client must get the start of a slow response at once. If the response breaks off, the
+// client must notice, and the request must not be sent again.
+func TestBrokenResponseIsNotRetried(t *testing.T) {
+	for framing, head := range map[string]string{"length": "Content-Length: 100000\r\n", "chunked": "Transfer-Encoding: chunked\r\n"} {
 		release := make(chan struct{})
 		b := newBackend(t, func(c *net.TCPConn, r request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head+"\r\n5\r\nfirst\r\n")
@@ -95,44 +95,44 @@
 		require.NoError(t, err)
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(patience))
-		io.WriteString(c, "GET"+strings.Replace(hidden, "topup", "lookup", 1)[len("POST"):])
+		io.WriteString(c, "GET"+strings.Replace(postRequest, "topup", "lookup", 1)[len("POST"):])
 		res, err := http.ReadResponse(bufio.NewReader(c), nil)
-		require.NoError(t, err, as)
+		require.NoError(t, err, framing)
 		first := make([]byte, 5)
 		_, err = io.ReadFull(res.Body, first)
-		require.NoError(t, err, as)
+		require.NoError(t, err, framing)
 		close(release)
 		_, err = io.Copy(io.Discard, res.Body)
-		assert.Error(t, err, "%s: an answer cut short is seen as one", as)
-		n.counts("answer.broken", "1")
-		assert.Len(t, b.Seen, 1, as)
+		assert.Error(t, err, "%s: the client must see that the response was cut short", framing)
+		n.waitCounter("answer.broken", "1")
+		assert.Len(t, b.Seen, 1, framing)
 	}
 }
 
-// TestRequestsThatBreak: a long request that its client does not bring whole reaches no backend
-// whole, blames none, and its session ends; an answer before its end is passed on.
-func TestRequestsThatBreak(t *testing.T) {
+// A long request that its client does not complete must reach no backend completely, must not be
+// blamed on a backend, and must end its session.
+func TestIncompleteRequestBlamesNoBackend(t *testing.T) {
 	b := newBackend(t, ok)
 	n, _ := serve(t, b.Addr)
-	half := strings.Replace(hidden, ": 0", ": 200000", 1) + strings.Repeat("x", 100000)
-	assert.NotContains(t, n.raw(half), " 200 ", "it stalls")
+	half := strings.Replace(postRequest, ": 0", ": 200000", 1) + strings.Repeat("x", 100000)
+	assert.NotContains(t, n.raw(half), " 200 ", "a stalled request must not be served")
 	c, err := net.Dial("tcp", n.addr)
 	require.NoError(t, err)
 	io.WriteString(c, half)
 	c.Close()
-	n.until("both attempts are over", func() bool { return n.counter("outcome.canceled") == "2" })
+	n.waitUntil("both attempts are over", func() bool { return n.counter("outcome.canceled") == "2" })
 	for range 2 {
-		assert.Less(t, len(receive(t, b.Seen, "what came of the request").Body), 200000)
+		assert.Less(t, len(receive(t, b.Seen, "the part of the request that arrived").Body), 200000)
 	}
 	assert.Equal(t, "0", n.counter("outcome.connect-failed"))
 	assert.Equal(t, 200, n.ask("topup").status)
 
-	// A client that ends its sending has left: it gets no answer that nobody gave.
+	// A client that closes its sending side counts as gone: it must not get an empty 200.
 	quiet, _ := serve(t, newBackend(t, silent).Addr)
 	c, err = net.Dial("tcp", quiet.addr)
 	require.NoError(t, err)
 	defer c.Close()
-	io.WriteString(c, hidden)
+	io.WriteString(c, postRequest)
 	c.(*net.TCPConn).CloseWrite()
 	c.SetDeadline(time.Now().Add(patience))
 	text, _ := io.ReadAll(c)
@@ -140,8 +140,8 @@
 
 }
 
-// TestEarlyAnswers: an answer before the request's end is passed on, and ends its session.
-func TestEarlyAnswers(t *testing.T) {
+// A response before the end of the request must be passed on and end the session.
+func TestResponseBeforeRequestEnd(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -157,15 +157,15 @@
 	}()
 	early, _ := serve(t, l.Addr().String())
 	for i := range 10 {
-		got := early.raw(strings.Replace(hidden, "hidden\r\nX-Service-Class: topup\r\nContent-Length: 0", fmt.Sprintf("e%d\r\nX-Service-Class: topup\r\nContent-Length: 200000", i), 1) + strings.Repeat("x", 100000))
+		got := early.raw(strings.Replace(postRequest, "hidden\r\nX-Service-Class: topup\r\nContent-Length: 0", fmt.Sprintf("e%d\r\nX-Service-Class: topup\r\nContent-Length: 200000", i), 1) + strings.Repeat("x", 100000))
 		assert.Regexp(t, "^HTTP/1.1 200 (?s).*Connection: close.*early$", got)
 	}
 }
 
-// TestMemoryHoldsUnderSlowReaders: many of the longest answers at once, to clients that
-// read slowly or not at all, stay within a small memory.
-func TestMemoryHoldsUnderSlowReaders(t *testing.T) {
-	body := string(long(32 << 20))
+// Many responses of the maximum length to clients that read slowly or not at all must not exceed
+// a small memory limit.
+func TestSlowReadersUseLittleMemory(t *testing.T) {
+	body := string(randomBytes(32 << 20))
 	b := newBackend(t, func(c *net.TCPConn, r request) bool { return say(c, 200, "", body) })
 	config := configure(t, freeAddr(t), newRegistry(t).Addr, list(7, true, target("s-0", b.Addr, "in_service", 0)), settings())
 	config["limits"] = object{"cores": 1.0, "memory_mb": 32, "sockets": 256}
@@ -182,7 +182,7 @@
 			}
 			defer c.Close()
 			c.SetDeadline(time.Now().Add(patience))
-			io.WriteString(c, strings.Replace(hidden, "hidden", fmt.Sprint("m", i), 1))
+			io.WriteString(c, strings.Replace(postRequest, "hidden", fmt.Sprint("m", i), 1))
 			res, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if !assert.NoError(t, err) || res.StatusCode != 200 {
 				return
@@ -204,7 +204,7 @@
 			kb, err := strconv.Atoi(strings.Fields(v)[0])
 			require.NoError(t, err)
 			t.Log("peak RSS in kB: ", kb)
-			if os.Getenv("OAKSEAM_TEST_BUILD") == "" { // the race detector takes several times as much
+			if os.Getenv("OAKSEAM_TEST_BUILD") == "" { // the race detector needs several times as much
 				assert.Less(t, kb, 32<<10)
 			}
 		}
--- a/cmd/oakseam/takeover.go
+++ b/cmd/oakseam/takeover.go
@@ -22,198 +22,204 @@
 )
 
 const (
-	// waitAgain is the pause of a process that can't wait for a successor yet.
-	waitAgain = 500 * time.Millisecond
-	// claimWithin is how long a process that listens is asked for its place before the new
-	// one listens beside it, and claimAgain the pause between. The yes is due after 6 s.
-	claimWithin = 2 * time.Second
-	claimAgain  = 20 * time.Millisecond
+	// successorRetryDelay is the pause of a process that can't wait for a successor yet.
+	successorRetryDelay = 500 * time.Millisecond
+	// claimTimeout is how long a new process asks the listening one to hand over before it
+	// listens in parallel. A new process must be ready after 6 s.
+	claimTimeout = 2 * time.Second
+	// claimRetryDelay is the pause between such requests.
+	claimRetryDelay = 20 * time.Millisecond
 )
 
-// place is where a node listens, and its processes before and after this one.
-type place struct {
-	c        *config.Config
-	log      *slog.Logger
-	console  net.Listener // nil: none
-	listener *net.TCPListener
-	known    discovery.List
-	learned  []byte          // by the predecessor's module
-	before   *handover.Taken // nil: nobody handed this process its place
-	quit     chan struct{}
+// takeover holds the listeners and the initial state of a process. Both may come from the
+// process that ran the node before, its predecessor, and go to a successor.
+type takeover struct {
+	config      *config.Config
+	log         *slog.Logger
+	console     net.Listener // nil: none
+	listener    *net.TCPListener
+	known       discovery.List
+	moduleState []byte          // what the predecessor's module learned
+	predecessor *handover.Taken // nil: none handed over to this process
+	quit        chan struct{}
 }
 
-// settle opens the node's addresses, or takes them over from the process that serves
-// there. Only a node with a console can be replaced in place.
-func settle(c *config.Config, log *slog.Logger) (*place, error) {
-	p := &place{c: c, log: log, known: c.KnownBackends, quit: make(chan struct{})}
+// newTakeover opens the node's addresses, or takes them over from the process that serves
+// there. Only a node with a console can be replaced without downtime.
+func newTakeover(c *config.Config, log *slog.Logger) (*takeover, error) {
+	t := &takeover{config: c, log: log, known: c.KnownBackends, quit: make(chan struct{})}
 	var err error
 	if c.Console == "" {
 		l, err := net.Listen("tcp", c.Listen)
 		if err != nil {
 			return nil, err
 		}
-		p.listener = l.(*net.TCPListener)
-		return p, nil
+		t.listener = l.(*net.TCPListener)
+		return t, nil
 	}
-	if p.console, err = net.Listen("tcp", c.Console); err != nil {
+	if t.console, err = net.Listen("tcp", c.Console); err != nil {
 		return nil, cli.Wrong(fmt.Errorf("config: console: %w", err))
 	}
-	// One that has taken the place over itself offers it again once its predecessor has ended.
-	for until := time.Now().Add(claimWithin); ; time.Sleep(claimAgain) {
-		p.before, err = handover.Claim(os.TempDir(), c.Listen)
-		if !errors.Is(err, handover.ErrNobody) || !handover.InUse(c.Listen) || time.Now().After(until) {
+	// A process that has itself taken over accepts a successor once its own predecessor has ended.
+	for deadline := time.Now().Add(claimTimeout); ; time.Sleep(claimRetryDelay) {
+		t.predecessor, err = handover.Claim(os.TempDir(), c.Listen)
+		if !errors.Is(err, handover.ErrNobody) || !handover.InUse(c.Listen) || time.Now().After(deadline) {
 			break
 		}
 	}
 	switch {
 	case err == nil:
-		p.listener = p.before.Listener
-		if err := p.take(p.before.State); err != nil {
-			log.Warn("handover: the list is not taken over", logging.Cause, err)
+		t.listener = t.predecessor.Listener
+		if err := t.importState(t.predecessor.State); err != nil {
+			log.Warn("handover: state not imported", logging.Cause, err)
 		}
-		log.Info("handover: takes the place of a process")
-		return p, nil
+		log.Info("handover: took over from a running process")
+		return t, nil
 	case !errors.Is(err, handover.ErrNobody):
-		log.Warn("handover: no place is taken over", logging.Cause, err)
+		log.Warn("handover: taking over failed", logging.Cause, err)
 	}
 	if handover.InUse(c.Listen) {
-		log.Warn("handover: another process listens at the same address, and hands nothing over")
+		log.Warn("handover: another process listens at the same address without handing over")
 	}
-	if p.listener, err = handover.Listen(c.Listen); err != nil {
-		return nil, errors.Join(err, p.console.Close())
+	if t.listener, err = handover.Listen(c.Listen); err != nil {
+		return nil, errors.Join(err, t.console.Close())
 	}
-	return p, nil
+	return t, nil
 }
 
-// handed is what a successor is handed: the list in the registry's form, and what the
-// module learned.
-type handed struct {
-	List    discovery.List  `json:"list"`
-	Learned json.RawMessage `json:"learned,omitempty"`
+// handoverState is the state that a successor gets: the list in the registry's form, and what
+// the module learned.
+type handoverState struct {
+	List        discovery.List  `json:"list"`
+	ModuleState json.RawMessage `json:"learned,omitempty"`
 }
 
-// take reads what the predecessor knew.
-func (p *place) take(state []byte) error {
-	var h handed
-	if err := json.Unmarshal(state, &h); err != nil {
+// importState adopts the state of the predecessor.
+func (t *takeover) importState(text []byte) error {
+	var s handoverState
+	if err := json.Unmarshal(text, &s); err != nil {
 		return err
 	}
-	if _, err := h.List.Backends(); err != nil {
+	if _, err := s.List.Backends(); err != nil {
 		return err
 	}
-	if len(h.List.Targets) > 0 {
-		p.known, p.learned = h.List, h.Learned
+	if len(s.List.Targets) > 0 {
+		t.known, t.moduleState = s.List, s.ModuleState
 	}
 	return nil
 }
 
-// state is what a successor is handed. The version is read first: what is told twice
-// does no harm, what is missed does.
-func state(owner *core.EventLoop, registry *discovery.Client) (handed, error) {
-	rev := registry.Revision()
-	known, ok := owner.Snapshot(time.Second)
+// captureState returns the state for a successor. The revision is read before the list: a
+// change that is delivered twice does no harm, but a missed one does.
+func captureState(loop *core.EventLoop, registry *discovery.Client) (handoverState, error) {
+	revision := registry.Revision()
+	snapshot, ok := loop.Snapshot(time.Second)
 	if !ok {
-		return handed{}, errors.New("the owner did not tell its list in time")
+		return handoverState{}, errors.New("the event loop did not return a snapshot in time")
 	}
-	return handed{discovery.NewList(rev, true, known.Backends), known.ModuleState}, nil
+	return handoverState{discovery.NewList(revision, true, snapshot.Backends), snapshot.ModuleState}, nil
 }
 
-// offer tells the predecessor that this process serves, and waits for a successor once
-// the predecessor has ended.
-func (p *place) offer(tell func() (handed, error), lot shares) {
-	if p.console == nil {
+// offerSuccessor tells the predecessor that this process serves, and waits for a successor
+// once the predecessor has ended.
+func (t *takeover) offerSuccessor(capture func() (handoverState, error), shares resourceShares) {
+	if t.console == nil {
 		return
 	}
 	state := func() ([]byte, error) {
-		h, err := tell()
+		s, err := capture()
 		if err != nil {
 			return nil, err
 		}
-		return json.Marshal(h)
+		return json.Marshal(s)
 	}
 	go func() {
-		if p.before != nil {
-			if err := p.before.Ready(); err != nil {
-				p.log.Warn("handover: the predecessor did not hear", logging.Cause, err)
+		if t.predecessor != nil {
+			if err := t.predecessor.Ready(); err != nil {
+				t.log.Warn("handover: the predecessor was not notified", logging.Cause, err)
 			}
 			select {
-			case <-p.before.Gone():
-			case <-p.quit:
+			case <-t.predecessor.Gone():
+			case <-t.quit:
 				return
 			}
-			lot.set(false)
-			p.log.Info("handover: the predecessor has ended")
+			shares.apply(false)
+			t.log.Info("handover: the predecessor has ended")
 		}
 		for {
-			o, err := handover.Wait(os.TempDir(), p.c.Listen, p.listener, state, lot, p.log)
+			offer, err := handover.Wait(os.TempDir(), t.config.Listen, t.listener, state, shares, t.log)
 			switch {
 			case err == nil:
-				<-p.quit
-				o.Close()
+				<-t.quit
+				offer.Close()
 				return
 			case !errors.Is(err, handover.ErrTaken):
-				p.log.Warn("handover: no successor can be handed this place", logging.Cause, err)
+				t.log.Warn("handover: cannot accept a successor", logging.Cause, err)
 				return
 			}
-			select { // taken by one that hands nothing over, and will end
-			case <-time.After(waitAgain):
-			case <-p.quit:
+			select { // the address is taken by a process that does not hand over, and will end
+			case <-time.After(successorRetryDelay):
+			case <-t.quit:
 				return
 			}
 		}
 	}()
 }
 
-func (p *place) close() {
-	if p.console != nil {
-		p.console.Close()
+// close closes the console and ends the wait for a successor.
+func (t *takeover) close() {
+	if t.console != nil {
+		t.console.Close()
 	}
-	close(p.quit)
+	close(t.quit)
 }
 
 const (
-	// restMB is what the program takes beside bodies, and leastMB the least that these get.
-	restMB  = 16
-	leastMB = 2
+	// programMemoryMB is what the program uses in addition to bodies.
+	programMemoryMB = 16
+	// minBodyMemoryMB is the minimum for bodies.
+	minBodyMemoryMB = 2
 )
 
-// shares holds a process to its part of the node's descriptors and memory: half of them
-// while another process of the node runs.
-type shares struct {
-	c      *config.Config
-	pool   *upstream.Pool
-	front  *session.Frontend
-	budget *message.Budget
-	log    *slog.Logger
+// resourceShares limits a process to its share of the node's descriptors and memory: half of
+// them while another process of the node runs.
+type resourceShares struct {
+	config   *config.Config
+	pool     *upstream.Pool
+	frontend *session.Frontend
+	budget   *message.Budget
+	log      *slog.Logger
 }
 
-func (s shares) set(halved bool) {
-	part := 1.0
+func (s resourceShares) apply(halved bool) {
+	share := 1.0
 	if halved {
-		part = 0.5
+		share = 0.5
 	}
-	// The collector works harder from three quarters of the memory on. Of what these leave
-	// over the program itself, half is for bodies: as much may wait to be collected.
-	memory := part * float64(s.c.MemoryMB) * 3 / 4
+	// The garbage collector runs more often above three quarters of the memory. Of what
+	// remains of these after the program itself, half is for bodies: as much again may
+	// wait for collection.
+	memory := share * float64(s.config.MemoryMB) * 3 / 4
 	debug.SetMemoryLimit(int64(memory * (1 << 20)))
-	s.budget.Set(int64(max((memory-restMB)/2, leastMB) * (1 << 20)))
-	usable := part * float64(s.c.Sockets-spareSockets)
-	s.pool.Limit(int(usable * s.c.Options.Backend.Share))
-	s.front.SetLimits(int(usable*s.c.Options.Session.Share), int(part*session.SessionOverflow), int(part*float64(s.c.Sockets)*s.c.Options.Session.RequestShare))
+	s.budget.Set(int64(max((memory-programMemoryMB)/2, minBodyMemoryMB) * (1 << 20)))
+	usable := share * float64(s.config.Sockets-reservedSockets)
+	s.pool.Limit(int(usable * s.config.Options.Backend.Share))
+	s.frontend.SetLimits(int(usable*s.config.Options.Session.Share), int(share*session.SessionOverflow), int(share*float64(s.config.Sockets)*s.config.Options.Session.RequestShare))
 }
 
-// Began has a successor and this process share.
-func (s shares) Began() {
-	s.log.Info("handover: a successor gets ready")
-	s.set(true)
+// Began is called when a successor starts: from then on it and this process share.
+func (s resourceShares) Began() {
+	s.log.Info("handover: a successor is starting")
+	s.apply(true)
 }
 
-// Ready leaves new connections to the successor once this process is told to end.
-func (s shares) Ready() { s.front.Succeeded(true) }
+// Ready is called when the successor is ready: it gets the new connections once this process
+// is told to end.
+func (s resourceShares) Ready() { s.frontend.Succeeded(true) }
 
-// Gone gives this process the whole back.
-func (s shares) Gone() {
+// Gone is called when the successor has ended: this process uses all resources again.
+func (s resourceShares) Gone() {
 	s.log.Info("handover: the successor has ended")
-	s.front.Succeeded(false)
-	s.set(false)
+	s.frontend.Succeeded(false)
+	s.apply(false)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,10 +1,10 @@
 // Package core runs the decision module of one node. One goroutine owns the
-// module, the table of requests and the timers; fronts, backends and the registry
-// reach it through queues only, and it never waits for any of them. The steps
-// themselves are an Owner's, which the lab drives in virtual time.
+// module, the table of requests and the timers. Frontends, transports and the
+// registry reach it through queues only, and it never waits for any of them. The
+// event handling itself is in Engine, which the lab also drives on a virtual clock.
 //
-// The package knows no protocol. A further front hands its requests to Submit and
-// takes their answers, and so goes through the same decisions and rules.
+// The package knows no protocol. A further frontend passes its requests to Submit
+// and receives their answers, and so uses the same decisions and rules.
 package core
 
 import (
@@ -18,97 +18,134 @@
 	"pipitmux/logic"
 )
 
-// Request is a request that a front has taken whole.
+// Request is a request that a frontend has received.
 type Request struct {
-	ID, Class        string
-	Retry            bool
-	Tenant           string           // who the request belongs to, as the settings name them; empty: not told
-	WorkHint         time.Duration    // a guess at its work; 0: not told
-	PreferredServers []logic.ServerID // that hold part of its prompt, best first
-	Worth            float64          // 0: its class's
-	AvoidedServer    logic.ServerID   // gets it only where there is no other backend
-	// MaxAttempts is how many attempts the request may have, 0: as many as its class.
+	ID    string
+	Class string
+	// Retry is set where the client marked the request as a repeat of an earlier one.
+	Retry bool
+	// Tenant owns the request, by its name in the settings. Empty: not given.
+	Tenant string
+	// WorkHint is the client's estimate of the work. 0: not given.
+	WorkHint time.Duration
+	// PreferredServers hold part of the request's prompt, best first.
+	PreferredServers []logic.ServerID
+	// Worth is the value of serving the request. 0: that of its class.
+	Worth float64
+	// AvoidedServer gets the request only where there is no other backend.
+	AvoidedServer logic.ServerID
+	// MaxAttempts is how many attempts the request may have. 0: as many as its class.
 	MaxAttempts int
 	Arrived     time.Time
-	Timeout     time.Duration // how long the client waits, from Arrived; 0: as long as its class lets it
-	Call        any           // handed to the backends unread
-	BodyPending bool          // its last byte has not come: Whole tells of that. One attempt can be made.
+	// Timeout is how long the client waits, from Arrived. 0: the deadline of the class.
+	Timeout time.Duration
+	// Call is passed to the transport unread.
+	Call any
+	// BodyPending is set while the last byte has not arrived; BodyComplete reports
+	// its arrival. Such a request can have one attempt only.
+	BodyPending bool
 	Session     Session
 }
 
-// Session is the side of a front that waits for an answer.
+// Session is the side of a frontend that waits for an answer.
 type Session interface {
-	// Answer gets the one final answer of a request. It must not block.
+	// Answer receives the one final answer of a request. It must not block.
 	Answer(Answer)
 }
 
-// AnswerKind says what an Answer is.
+// AnswerKind says how a request was answered.
 type AnswerKind uint8
 
 // The kinds of Answer.
 const (
-	Served    AnswerKind = iota // Reply is a backend's answer
-	Rejected                    // a refusal: trying again is harmless
-	Failed                      // an answer that promises nothing; a Reply is a backend's own failure, to be passed on
-	Duplicate                   // the id belongs to a request that is still held
+	// Served means that Reply is a backend's response.
+	Served AnswerKind = iota
+	// Rejected means that the client can safely retry.
+	Rejected
+	// Failed makes no promise about whether the request ran. A Reply is a backend's
+	// own failure, to be passed on.
+	Failed
+	// Duplicate means that another request with the same ID is still in flight.
+	Duplicate
 )
 
 // Answer is the final answer of a request.
 type Answer struct {
 	Kind       AnswerKind
 	RetryAfter time.Duration
-	MayHaveRun bool           // of a refusal: an attempt may have run, it is harmless only since the request may be repeated
-	Attempts   int            // that were sent
-	Server     logic.ServerID // whose streamed answer it is, else empty
-	// Reply is set where Kind is Served. Where Kind is Failed it may be: it then is the newest
-	// failure that a backend answered with and that goes to the client unchanged, in the place
-	// of a refusal too. Only a carrier that ends attempts with Pass brings such ones. Who gets
-	// a Reply that is an io.Closer closes it.
+	// MayHaveRun is set on a rejection after an attempt that may have run: retrying
+	// is then safe only because the request is repeatable.
+	MayHaveRun bool
+	// Attempts is how many attempts were sent.
+	Attempts int
+	// Server is the backend whose streamed response this is, else empty.
+	Server logic.ServerID
+	// Reply is set where Kind is Served. Where Kind is Failed it may be set: it is then the
+	// latest failure that a backend responded with, and goes to the client unchanged, even
+	// in place of a rejection. Only transports that set PassThrough produce such replies.
+	// The receiver of a Reply that is an io.Closer closes it.
 	Reply any
 }
 
-// Instance is where a backend's present process is reached.
+// Instance is the running process of a backend and its address.
 type Instance struct {
 	ID       logic.ServerID
 	Endpoint string
-	Started  time.Duration // a backend that starts anew holds none of its old connections
+	// Started is the start of the process in Unix time. A restarted backend holds none
+	// of its old connections.
+	Started time.Duration
 }
 
 // Attempt is one send of a request to a backend.
 type Attempt struct {
-	Call        any
-	Instance    Instance
-	Deadline    time.Time     // for the whole answer, streamed ones too; zero for a request whose last byte has not come
-	Timeout     time.Duration // and then it has so long from that byte
-	StartBefore time.Time     // its first byte has to be written before then; zero: whenever
+	Call     any
+	Instance Instance
+	// Deadline is for the whole response, streamed ones too. It is zero for a request
+	// whose last byte has not arrived.
+	Deadline time.Time
+	// Timeout applies from that last byte where Deadline is zero.
+	Timeout time.Duration
+	// StartBefore is when the attempt's first byte must have been written. Zero: no limit.
+	StartBefore time.Time
 }
 
-// AttemptResult is how an attempt ended, or that its streamed answer has begun.
+// AttemptResult is how an attempt ended, or reports that its streamed response has started.
 type AttemptResult struct {
-	Result      logic.Result
-	Reply       any       // of an OK, or with Pass; an io.Closer is closed where nobody gets it
-	LoadReport  []float64 // nil: none came
-	At          time.Time
-	ClientGone  bool // it was not begun, since the client has left
-	Streaming   bool // an OK whose Reply is still coming: the attempt's end is told once the Reply is closed
-	PassThrough bool // the Reply is a backend's own failure: it is the request's answer where no other attempt serves it
+	Result logic.Result
+	// Reply is set for an OK and with PassThrough. An io.Closer is closed where nobody
+	// receives it.
+	Reply any
+	// LoadReport holds the backend's reported load. nil: none was sent.
+	LoadReport []float64
+	At         time.Time
+	// ClientGone is set where the attempt was not started because the client has left.
+	ClientGone bool
+	// Streaming is set on an OK whose Reply is still arriving. The end of the attempt is
+	// reported after the Reply is closed.
+	Streaming bool
+	// PassThrough is set where Reply is a backend's own failure, which becomes the answer
+	// if no other attempt serves the request.
+	PassThrough bool
 }
 
-// Transport carries attempts. Its methods must not block.
+// Transport carries attempts to backends. Its methods must not block.
 type Transport interface {
-	// Start begins an attempt, calls done once, and returns what calls it off. Of a streamed
-	// answer done is called twice: with Begun when it comes, and without when its Reply was
-	// closed. Then the Result is OK if the Reply was read whole, Reset if the backend broke it,
-	// TimedOut if Until passed, and Canceled if it was closed or called off before its end.
+	// Start begins an attempt, calls done once, and returns a function that cancels it. For a
+	// streamed response done is called twice: with Streaming when the response starts, and
+	// without when its Reply was closed. The final Result is then OK if the Reply was read to
+	// its end, Reset if the backend broke it off, TimedOut if the deadline passed, and Canceled
+	// if it was closed or canceled before its end.
 	Start(a Attempt, done func(AttemptResult)) (cancel func())
-	// Withdraw ends the attempts to a place that have not begun, as Moot. None begins after it.
+	// Withdraw ends the attempts to an instance that have not started, as Moot. None starts
+	// after it.
 	Withdraw(Instance)
+	// CloseIdle closes the idle connections to an instance.
 	CloseIdle(Instance)
 }
 
-// Registry brings the list of backends. Its methods must not block; each call
-// is answered by exactly one List. A core whose settings don't say MustSubscribe may have
-// none: nil.
+// Registry delivers the list of backends. Its methods must not block; each call
+// is answered by exactly one UpdateBackends. It may be nil where the settings don't
+// set MustSubscribe.
 type Registry interface {
 	Subscribe()
 	Fetch()
@@ -120,189 +157,197 @@
 	Endpoint string
 }
 
-// queueLength bounds what waits for the owner. Whoever finds it full waits;
-// the owner itself waits for nobody, so the queue always empties.
-const queueLength = 1024
+const (
+	// maxQueuedEvents bounds the events that wait for the loop. Senders that find the queue
+	// full wait; the loop itself waits for nobody, so the queue always empties.
+	maxQueuedEvents = 1024
+	// maxUrgentEvents bounds the list updates that wait for the loop.
+	maxUrgentEvents = 64
+)
 
-// EventLoop runs an Owner in a goroutine of its own.
+// EventLoop runs an Engine in a goroutine of its own.
 type EventLoop struct {
-	owner  *Engine
+	engine *Engine
 	queue  chan func()
-	urgent chan func() // news of the list: it goes ahead of what waits in queue
+	urgent chan func() // list updates, handled ahead of what waits in queue
 	quit   chan struct{}
 	ready  atomic.Bool
 
-	known  func(listed, avoided int) // told what is known of the list, where not nil
-	toldAt time.Time
+	backendCounts func(listed, avoided int) // observer of the list's size; nil: none
+	reportedAt    time.Time
 }
 
-// knownEvery is how old what Watch tells may get.
-const knownEvery = 200 * time.Millisecond
+// backendCountsInterval is the maximum age of the counts that an observer has.
+const backendCountsInterval = 200 * time.Millisecond
 
-// ObserveBackendCounts has the owner tell how many backends are listed, and how many of these the
-// module avoids. It belongs before Run; tell must not block.
-func (c *EventLoop) ObserveBackendCounts(tell func(listed, avoided int)) { c.known = tell }
+// ObserveBackendCounts sets a function that the loop tells how many backends are listed,
+// and how many of these the module avoids. It must be called before Run; observe must
+// not block.
+func (l *EventLoop) ObserveBackendCounts(observe func(listed, avoided int)) {
+	l.backendCounts = observe
+}
 
-func (c *EventLoop) publish() {
-	if now := time.Now(); c.known != nil && now.Sub(c.toldAt) >= knownEvery/2 {
-		c.toldAt = now
-		c.known(c.owner.BackendCounts())
+func (l *EventLoop) reportBackendCounts() {
+	if now := time.Now(); l.backendCounts != nil && now.Sub(l.reportedAt) >= backendCountsInterval/2 {
+		l.reportedAt = now
+		l.backendCounts(l.engine.BackendCounts())
 	}
 }
 
-// NewEventLoop returns a Core that Run has yet to start.
+// NewEventLoop returns an EventLoop that Run has yet to start.
 func NewEventLoop(s logic.Settings, seed uint64, count *counters.Set, log *slog.Logger) (*EventLoop, error) {
 	m, err := logic.New(s, seed)
 	if err != nil {
 		return nil, err
 	}
-	c := &EventLoop{queue: make(chan func(), queueLength), urgent: make(chan func(), 64), quit: make(chan struct{})}
-	c.owner = NewEngine(m, s, Environment{Now: time.Now, Post: func(ev func()) { c.queue <- ev }, Counters: count, Log: log})
-	return c, nil
+	l := &EventLoop{queue: make(chan func(), maxQueuedEvents), urgent: make(chan func(), maxUrgentEvents), quit: make(chan struct{})}
+	l.engine = NewEngine(m, s, Environment{Now: time.Now, Post: func(event func()) { l.queue <- event }, Counters: count, Log: log})
+	return l, nil
 }
 
-// ErrQueueFull tells that a request could not be queued in time; nothing of it has run.
-var ErrQueueFull = errors.New("the queue of reqs is full")
+// ErrQueueFull reports that a request could not be queued in time; nothing of it has run.
+var ErrQueueFull = errors.New("the request queue is full")
 
-// submitWithin is how long a request may wait for room in the queue.
-const submitWithin = 100 * time.Millisecond
+// submitTimeout is how long a request may wait for room in the queue.
+const submitTimeout = 100 * time.Millisecond
 
-// Submit hands in a request. Its Session gets one answer unless Gone comes first.
-func (c *EventLoop) Submit(r Request) error {
-	ev := func() { c.owner.Request(r) }
+// Submit queues a request. Its Session receives one answer unless ClientGone comes first.
+func (l *EventLoop) Submit(r Request) error {
+	event := func() { l.engine.Request(r) }
 	select {
-	case c.queue <- ev:
+	case l.queue <- event:
 		return nil
 	default:
 	}
-	t := time.NewTimer(submitWithin)
+	t := time.NewTimer(submitTimeout)
 	defer t.Stop()
 	select {
-	case c.queue <- ev:
+	case l.queue <- event:
 		return nil
 	case <-t.C:
 		return ErrQueueFull
 	}
 }
 
-// Gone tells that the client of a request has left. Nothing is owed any more.
-func (c *EventLoop) ClientGone(id string, of Session) {
-	c.queue <- func() { c.owner.ClientGone(logic.RequestID(id), of) }
+// ClientGone reports that the client of a request has left. It gets no answer after that.
+func (l *EventLoop) ClientGone(id string, session Session) {
+	l.queue <- func() { l.engine.ClientGone(logic.RequestID(id), session) }
 }
 
-// Whole tells that the last byte of a request has come.
-func (c *EventLoop) BodyComplete(id string, of Session) {
-	c.queue <- func() { c.owner.BodyComplete(logic.RequestID(id), of) }
+// BodyComplete reports that the last byte of a request has arrived.
+func (l *EventLoop) BodyComplete(id string, session Session) {
+	l.queue <- func() { l.engine.BodyComplete(logic.RequestID(id), session) }
 }
 
-// UpdateBackends brings a list of the registry. It is told ahead of everything that
-// waits: a drain must not stand behind requests that would be sent to the drained.
-func (c *EventLoop) UpdateBackends(kind logic.ListKind, entries []Backend) {
-	c.urgent <- func() {
-		c.owner.UpdateBackends(kind, entries)
-		c.ready.Store(c.owner.HasServingBackend())
+// UpdateBackends delivers a list of the registry. It is handled ahead of everything that
+// waits: a drain must not queue behind requests that would be sent to the draining backend.
+func (l *EventLoop) UpdateBackends(kind logic.ListKind, backends []Backend) {
+	l.urgent <- func() {
+		l.engine.UpdateBackends(kind, backends)
+		l.ready.Store(l.engine.HasServingBackend())
 	}
 }
 
-// Snapshot is what a node's successor takes on.
+// Snapshot is the state that a node hands over to its successor.
 type Snapshot struct {
-	Backends    []Backend
-	ModuleState []byte // by the module, empty where it does not tell
+	Backends []Backend
+	// ModuleState is what the module has learned, empty where the module exports none.
+	ModuleState []byte
 }
 
-// Snapshot returns the list of backends as it was last told, and what the module learned,
-// or false where the owner does not get to it in time.
-func (c *EventLoop) Snapshot(within time.Duration) (Snapshot, bool) {
-	got := make(chan Snapshot, 1)
-	t := time.NewTimer(within)
+// Snapshot returns the current list of backends and what the module has learned,
+// or false where the loop does not handle the call within the timeout.
+func (l *EventLoop) Snapshot(timeout time.Duration) (Snapshot, bool) {
+	result := make(chan Snapshot, 1)
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
-	case c.urgent <- func() { got <- Snapshot{c.owner.Backends(), c.owner.ExportModuleState()} }:
+	case l.urgent <- func() { result <- Snapshot{l.engine.Backends(), l.engine.ExportModuleState()} }:
 	case <-t.C:
 		return Snapshot{}, false
 	}
 	select {
-	case k := <-got:
-		return k, true
+	case s := <-result:
+		return s, true
 	case <-t.C:
 		return Snapshot{}, false
 	}
 }
 
-// ImportModuleState has the module take on what another learned, whole or what holds through a stop. It
-// belongs after the first list.
-func (c *EventLoop) ImportModuleState(text []byte, whole bool) {
-	c.urgent <- func() { c.owner.ImportModuleState(text, whole) }
+// ImportModuleState has the module adopt what another module learned: all of it, or only
+// what stays valid across a restart. It must be called after the first list.
+func (l *EventLoop) ImportModuleState(text []byte, full bool) {
+	l.urgent <- func() { l.engine.ImportModuleState(text, full) }
 }
 
-// Reconfigure has the core take on other classes, for requests that come later.
-func (c *EventLoop) Reconfigure(classes []logic.Class) {
-	c.urgent <- func() { c.owner.Reconfigure(classes) }
+// Reconfigure replaces the request classes, for requests that arrive later.
+func (l *EventLoop) Reconfigure(classes []logic.Class) {
+	l.urgent <- func() { l.engine.Reconfigure(classes) }
 }
 
-// Ready tells whether the node knows a backend that takes requests.
-func (c *EventLoop) Ready() bool { return c.ready.Load() }
+// Ready reports whether the node knows a backend that takes requests.
+func (l *EventLoop) Ready() bool { return l.ready.Load() }
 
 // Stop ends Run.
-func (c *EventLoop) Stop() { close(c.quit) }
+func (l *EventLoop) Stop() { close(l.quit) }
 
-// Run owns the module until Stop.
-func (c *EventLoop) Run(b Transport, d Registry) {
-	c.owner.world.Transport, c.owner.world.Registry = b, d
+// Run handles events and timers until Stop.
+func (l *EventLoop) Run(t Transport, r Registry) {
+	l.engine.env.Transport, l.engine.env.Registry = t, r
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	for {
-		// What waits goes before the timers that are due: an answer that has come is not
-		// thrown away because the owner was late. What comes meanwhile waits its turn, so
-		// a full queue holds no timer up for long.
-		for n := len(c.queue); n > 0; n-- {
-			c.news()
-			(<-c.queue)()
-			c.owner.RunPending()
+		// Queued events go before due timers: an answer that has arrived is not thrown
+		// away because the loop was late. Events that are queued meanwhile wait for the
+		// next round, so a full queue cannot delay a timer for long.
+		for n := len(l.queue); n > 0; n-- {
+			l.handleUrgent()
+			(<-l.queue)()
+			l.engine.RunPending()
 		}
-		c.news()
-		c.owner.RunPending()
-		c.owner.FireTimers(c.news)
-		c.owner.RunPending()
-		c.publish()
-		alarm.Reset(c.untilNext())
+		l.handleUrgent()
+		l.engine.RunPending()
+		l.engine.FireTimers(l.handleUrgent)
+		l.engine.RunPending()
+		l.reportBackendCounts()
+		alarm.Reset(l.untilNextTimer())
 		select {
-		case ev := <-c.urgent:
-			ev()
-		case ev := <-c.queue:
-			c.news()
-			ev()
+		case event := <-l.urgent:
+			event()
+		case event := <-l.queue:
+			l.handleUrgent()
+			event()
 		case <-alarm.C:
-		case <-c.quit:
+		case <-l.quit:
 			return
 		}
-		c.owner.RunPending()
+		l.engine.RunPending()
 	}
 }
 
-// news takes every list that waits.
-func (c *EventLoop) news() {
+// handleUrgent handles every list update that waits.
+func (l *EventLoop) handleUrgent() {
 	for {
 		select {
-		case ev := <-c.urgent:
-			ev()
+		case event := <-l.urgent:
+			event()
 		default:
 			return
 		}
 	}
 }
 
-func (c *EventLoop) untilNext() time.Duration {
-	at, any := c.owner.NextTimer()
+func (l *EventLoop) untilNextTimer() time.Duration {
+	at, pending := l.engine.NextTimer()
 	wait := time.Hour
-	if any {
+	if pending {
 		wait = max(time.Until(at), 0)
 	}
-	if c.known != nil {
-		wait = min(wait, knownEvery)
+	if l.backendCounts != nil {
+		wait = min(wait, backendCountsInterval)
 	}
 	return wait
 }
 
-// String names a place in logs.
-func (p Instance) String() string { return fmt.Sprintf("%s at %s", p.ID, p.Endpoint) }
+// String formats an instance for logs.
+func (i Instance) String() string { return fmt.Sprintf("%s at %s", i.ID, i.Endpoint) }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -15,131 +15,132 @@
 	"pipitmux/logic"
 )
 
-// peers are backends and a registry that note what they are asked.
-type peers struct {
-	mu   sync.Mutex
-	went []logic.ServerID
-	ends chan func(AttemptResult)
-	off  atomic.Int64 // attempts called off
+// fakeTransport is a transport and a registry that record their calls.
+type fakeTransport struct {
+	mu       sync.Mutex
+	targets  []logic.ServerID // of the attempts
+	results  chan func(AttemptResult)
+	canceled atomic.Int64 // attempts
 }
 
-func (p *peers) Start(a Attempt, done func(AttemptResult)) func() {
-	p.mu.Lock()
-	p.went = append(p.went, a.Instance.ID)
-	p.mu.Unlock()
-	p.ends <- done
-	return func() { p.off.Add(1) }
+func (f *fakeTransport) Start(a Attempt, done func(AttemptResult)) func() {
+	f.mu.Lock()
+	f.targets = append(f.targets, a.Instance.ID)
+	f.mu.Unlock()
+	f.results <- done
+	return func() { f.canceled.Add(1) }
 }
-func (p *peers) CloseIdle(Instance) {}
-func (p *peers) Withdraw(Instance)  {}
-func (p *peers) Subscribe()         {}
-func (p *peers) Fetch()             {}
+func (f *fakeTransport) CloseIdle(Instance) {}
+func (f *fakeTransport) Withdraw(Instance)  {}
+func (f *fakeTransport) Subscribe()         {}
+func (f *fakeTransport) Fetch()             {}
 
-// serve ends every attempt as served.
-func (p *peers) serve() {
-	for end := range p.ends {
-		go end(AttemptResult{Result: logic.OK, At: time.Now()})
+// serve ends every attempt with OK.
+func (f *fakeTransport) serve() {
+	for finish := range f.results {
+		go finish(AttemptResult{Result: logic.OK, At: time.Now()})
 	}
 }
 
-type waiting chan Answer
+type answerChan chan Answer
 
-func receive(t *testing.T, w waiting) {
+func receive(t *testing.T, answers answerChan) {
 	t.Helper()
 	select {
-	case <-w:
+	case <-answers:
 	case <-time.After(20 * time.Second):
-		require.FailNow(t, "a request has no answer")
+		require.FailNow(t, "a request got no answer")
 	}
 }
 
-func (w waiting) Answer(a Answer) { w <- a }
+func (c answerChan) Answer(a Answer) { c <- a }
 
-func newCore(t *testing.T, aim time.Duration, states ...logic.ServerState) *EventLoop {
-	c, err := NewEventLoop(logic.Settings{CanCancel: true, Classes: []logic.Class{
-		{Name: "topup", Effect: logic.Unsafe, Aim: aim, Deadline: 2 * aim, Worth: 8}}}, 1, counters.New(), slog.New(slog.DiscardHandler))
+func newLoop(t *testing.T, targetTime time.Duration, states ...logic.ServerState) *EventLoop {
+	loop, err := NewEventLoop(logic.Settings{CanCancel: true, Classes: []logic.Class{
+		{Name: "topup", Effect: logic.Unsafe, Aim: targetTime, Deadline: 2 * targetTime, Worth: 8}}}, 1, counters.New(), slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	c.UpdateBackends(logic.ListCached, entries(states...))
-	return c
+	loop.UpdateBackends(logic.ListCached, testBackends(states...))
+	return loop
 }
 
-func entries(states ...logic.ServerState) (out []Backend) {
+func testBackends(states ...logic.ServerState) (backends []Backend) {
 	for i, s := range states {
-		out = append(out, Backend{Server: logic.Server{ID: logic.ServerID(fmt.Sprint("s-", i)), Capacity: 1, State: s}, Endpoint: "x:1"})
+		backends = append(backends, Backend{Server: logic.Server{ID: logic.ServerID(fmt.Sprint("s-", i)), Capacity: 1, State: s}, Endpoint: "x:1"})
 	}
-	return out
+	return backends
 }
 
-// A drain that was told after requests had been queued still goes first.
-func TestDrainGoesAheadOfWaitingRequests(t *testing.T) {
-	c, p := newCore(t, 5*time.Second, logic.Serving, logic.Serving), &peers{ends: make(chan func(AttemptResult), 100)}
-	answers := make(waiting, 100)
+// A drain that arrives after requests were queued must be handled before them: else they
+// would be sent to the draining backend.
+func TestDrainIsHandledBeforeQueuedRequests(t *testing.T) {
+	loop, transport := newLoop(t, 5*time.Second, logic.Serving, logic.Serving), &fakeTransport{results: make(chan func(AttemptResult), 100)}
+	answers := make(answerChan, 100)
 	for i := range 50 {
-		require.NoError(t, c.Submit(Request{ID: fmt.Sprint(i), Class: "topup", Arrived: time.Now(), Session: answers}))
+		require.NoError(t, loop.Submit(Request{ID: fmt.Sprint(i), Class: "topup", Arrived: time.Now(), Session: answers}))
 	}
-	c.UpdateBackends(logic.ListChanges, entries(logic.Serving, logic.Draining))
-	go c.Run(p, p)
-	defer c.Stop()
-	go p.serve()
+	loop.UpdateBackends(logic.ListChanges, testBackends(logic.Serving, logic.Draining))
+	go loop.Run(transport, transport)
+	defer loop.Stop()
+	go transport.serve()
 	for range 50 {
-		receive(t, answers) // served, or refused where one backend is too few
+		receive(t, answers) // served, or rejected where one backend is too few
 	}
-	assert.Contains(t, p.went, logic.ServerID("s-0"))
-	assert.NotContains(t, p.went, logic.ServerID("s-1"))
+	assert.Contains(t, transport.targets, logic.ServerID("s-0"))
+	assert.NotContains(t, transport.targets, logic.ServerID("s-1"))
 }
 
-// More comes in than the queue holds, while every end of an attempt has to pass
-// the same queue: all get through, and each request has one answer.
-func TestFullQueueLosesNothing(t *testing.T) {
-	const requests = 4 * queueLength
-	c, p := newCore(t, 5*time.Second, logic.Serving, logic.Serving), &peers{ends: make(chan func(AttemptResult), requests)}
-	answers := make(waiting, 2*requests)
-	taken := make(chan int, 100)
-	for range cap(taken) {
+// More requests arrive than the queue holds, while the results of attempts need the same
+// queue. Nothing may be lost: each request gets one answer.
+func TestFullQueueLosesNoEvent(t *testing.T) {
+	const requests = 4 * maxQueuedEvents
+	loop, transport := newLoop(t, 5*time.Second, logic.Serving, logic.Serving), &fakeTransport{results: make(chan func(AttemptResult), requests)}
+	answers := make(answerChan, 2*requests)
+	accepted := make(chan int, 100)
+	for range cap(accepted) {
 		go func() {
-			n := 0
-			for range requests / cap(taken) {
-				r := Request{ID: fmt.Sprintf("%p-%d", &n, n), Class: "topup", Arrived: time.Now(), Session: answers}
-				if c.Submit(r) == nil {
-					n++
+			count := 0
+			for range requests / cap(accepted) {
+				r := Request{ID: fmt.Sprintf("%p-%d", &count, count), Class: "topup", Arrived: time.Now(), Session: answers}
+				if loop.Submit(r) == nil {
+					count++
 				}
 			}
-			taken <- n
+			accepted <- count
 		}()
 	}
-	go c.Run(p, p)
-	defer c.Stop()
-	go p.serve()
+	go loop.Run(transport, transport)
+	defer loop.Stop()
+	go transport.serve()
 	want := 0
-	for range cap(taken) {
-		want += <-taken
+	for range cap(accepted) {
+		want += <-accepted
 	}
-	require.Greater(t, want, queueLength/2)
+	require.Greater(t, want, maxQueuedEvents/2)
 	for range want {
 		receive(t, answers)
 	}
 	assert.Empty(t, answers)
 }
 
-// The queue is full and nobody serves it: a request is turned down, not held for ever.
-func TestSubmitGivesUp(t *testing.T) {
-	c := newCore(t, 5*time.Second, logic.Serving)
-	for i := range queueLength {
-		require.NoError(t, c.Submit(Request{ID: fmt.Sprint(i)}))
+// Where the queue is full and nobody empties it, Submit must fail instead of blocking for ever.
+func TestSubmitFailsWhenQueueStaysFull(t *testing.T) {
+	loop := newLoop(t, 5*time.Second, logic.Serving)
+	for i := range maxQueuedEvents {
+		require.NoError(t, loop.Submit(Request{ID: fmt.Sprint(i)}))
 	}
-	assert.ErrorIs(t, c.Submit(Request{ID: "one more"}), ErrQueueFull)
+	assert.ErrorIs(t, loop.Submit(Request{ID: "one more"}), ErrQueueFull)
 }
 
-// An attempt that lasts until its request's end has timed out: the module's timer
-// for that same instant must not turn it into one that was called off.
-func TestTimeOutIsNotCalledOff(t *testing.T) {
-	c, p := newCore(t, 100*time.Millisecond, logic.Serving), &peers{ends: make(chan func(AttemptResult), 1)}
-	answers := make(waiting, 1)
-	go c.Run(p, p)
-	defer c.Stop()
-	require.NoError(t, c.Submit(Request{ID: "r", Class: "topup", Arrived: time.Now(), Session: answers}))
+// An attempt that lasts until its request's deadline has timed out. The module's timer for
+// that same instant must not cancel it: the backend would not be blamed.
+func TestTimedOutAttemptIsNotCanceled(t *testing.T) {
+	loop, transport := newLoop(t, 100*time.Millisecond, logic.Serving), &fakeTransport{results: make(chan func(AttemptResult), 1)}
+	answers := make(answerChan, 1)
+	go loop.Run(transport, transport)
+	defer loop.Stop()
+	require.NoError(t, loop.Submit(Request{ID: "r", Class: "topup", Arrived: time.Now(), Session: answers}))
 	receive(t, answers)
-	require.Len(t, p.ends, 1, "it was sent")
-	assert.Zero(t, p.off.Load(), "calls off")
-	(<-p.ends)(AttemptResult{Result: logic.TimedOut, At: time.Now()})
+	require.Len(t, transport.results, 1, "attempts sent")
+	assert.Zero(t, transport.canceled.Load(), "attempts canceled")
+	(<-transport.results)(AttemptResult{Result: logic.TimedOut, At: time.Now()})
 }
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -15,370 +15,383 @@
 	"pipitmux/logic"
 )
 
-// Module decides. *logic.Balancer is the one that a node runs; the lab puts
-// rivals in its place. The actions it returns are valid until the next call.
+// Module makes the decisions. *logic.Balancer is the one that a node runs; the lab
+// substitutes other policies. The actions it returns are valid until the next call.
 type Module interface {
 	Handle(now time.Duration, ev logic.Event) []logic.Action
 }
 
-// Counters takes the counts of what an Owner does.
+// Counters counts the events of an Engine by name.
 type Counters interface{ Add(name string) }
 
-// Environment is what an Owner needs of the world that it runs in. A node's is the
-// machine's clock and its queue; the lab's is virtual.
+// Environment is what an Engine needs from the process that runs it. A node has the
+// machine's clock and its own queue; the lab has a virtual clock.
 type Environment struct {
-	Now       func() time.Time
-	Post      func(func()) // has the end of an attempt told to the owner; called from any goroutine
+	Now func() time.Time
+	// Post has the result of an attempt handled by the engine. Any goroutine may call it.
+	Post      func(func())
 	Transport Transport
 	Registry  Registry
 	Counters  Counters
 	Log       *slog.Logger
 }
 
-// Engine takes the steps of one node round its module: requests, ends of attempts,
-// lists and timers in, sends and final answers out. It starts no goroutine,
-// reads no clock but its World's, and is not safe for concurrent use: Core runs
-// it for a node, the emulator in virtual time, and both so take the same steps.
+// Engine handles the events of one node around its module: requests, results of attempts,
+// lists and timers come in, attempts and final answers go out. It starts no goroutine, reads
+// no clock but its Environment's, and is not safe for concurrent use. EventLoop runs it for a
+// node and the emulator on a virtual clock, so both do exactly the same.
 type Engine struct {
-	world    Environment
+	env      Environment
 	module   Module
 	settings logic.Settings
-	local    []func() // events that the owner has for itself
-
-	origin   time.Time
-	at       time.Time // of the event that the module is told: its sends and timers count from there
-	requests map[logic.RequestID]*held
-	places   map[logic.ServerID]Instance
-	listed   map[logic.ServerID]Backend
-	timers   timers
-	serves   bool
+	pending  []func() // events that the engine raised itself
+
+	origin    time.Time
+	eventTime time.Time // of the event that the module handles: its attempts and timers count from there
+	requests  map[logic.RequestID]*requestState
+	instances map[logic.ServerID]Instance
+	backends  map[logic.ServerID]Backend
+	timers    timers
+	serving   bool // a listed backend takes requests
 }
 
-// held is a request from its arrival until it is answered and its attempts have ended.
-type held struct {
+// requestState is a request from its arrival until it is answered and its attempts have ended.
+type requestState struct {
 	Request
-	class    *logic.Class // nil: not known
-	until    time.Time
-	attempts []sent
-	open     int
-	over     bool             // answered, or its client has gone
-	streams  bool             // the answer still comes
-	failure  any              // the newest Reply that is passed on where no attempt serves the request, nil: none
-	timers   []logic.SetTimer // which start with its last byte
+	class          *logic.Class // nil: unknown
+	deadline       time.Time
+	attempts       []attemptState
+	inFlight       int              // attempts that have not ended
+	done           bool             // answered, or its client has gone
+	streaming      bool             // the answer is still arriving
+	failure        any              // the latest Reply that is passed on if no attempt serves the request, nil: none
+	deferredTimers []logic.SetTimer // start when the last byte of the request arrives
 }
 
-type sent struct {
-	at     time.Time
-	until  time.Time
-	within time.Duration // that the module gave it
-	server logic.ServerID
-	cancel func()
-	never  bool // it has ended and did not run
-	stream stream
+type attemptState struct {
+	started  time.Time
+	deadline time.Time
+	timeout  time.Duration // as set by the module
+	server   logic.ServerID
+	cancel   func()
+	neverRan bool // it has ended and did not run
+	stream   stream
 }
 
-// NewEngine returns an Owner of the module, which must have been made for the
+// NewEngine returns an Engine for the module, which must have been made with the
 // same settings.
-func NewEngine(m Module, s logic.Settings, w Environment) *Engine {
+func NewEngine(m Module, s logic.Settings, env Environment) *Engine {
 	return &Engine{
-		world: w, module: m, settings: s, origin: w.Now(),
-		requests: map[logic.RequestID]*held{}, places: map[logic.ServerID]Instance{},
-		listed: map[logic.ServerID]Backend{},
+		env: env, module: m, settings: s, origin: env.Now(),
+		requests: map[logic.RequestID]*requestState{}, instances: map[logic.ServerID]Instance{},
+		backends: map[logic.ServerID]Backend{},
 	}
 }
 
+// avoidanceReporter is a module that reports how many backends it avoids.
+type avoidanceReporter interface{ Avoided(time.Duration) int }
+
 // BackendCounts returns how many backends are listed, and how many of these the module
-// avoids now, where it tells.
-func (o *Engine) BackendCounts() (listed, avoided int) {
-	if m, ok := o.module.(interface{ Avoided(time.Duration) int }); ok {
-		avoided = m.Avoided(o.clock(o.world.Now()))
+// avoids now, where it reports that.
+func (e *Engine) BackendCounts() (listed, avoided int) {
+	if m, ok := e.module.(avoidanceReporter); ok {
+		avoided = m.Avoided(e.moduleTime(e.env.Now()))
 	}
-	return len(o.listed), avoided
+	return len(e.backends), avoided
 }
 
-// pupil is a module that hands on what it learned.
-type pupil interface {
+// stateTransferrer is a module that exports what it has learned and imports it from another.
+type stateTransferrer interface {
 	Learned() ([]byte, error)
 	Learn([]byte) error
 	Recall([]byte) error
 }
 
-// ExportModuleState returns what the module learned, empty where it does not tell.
-func (o *Engine) ExportModuleState() []byte {
-	m, ok := o.module.(pupil)
+// The optional interfaces are found by type assertion, so a renamed method would go unnoticed.
+var (
+	_ avoidanceReporter = (*logic.Balancer)(nil)
+	_ stateTransferrer  = (*logic.Balancer)(nil)
+)
+
+// ExportModuleState returns what the module has learned, empty where it exports nothing.
+func (e *Engine) ExportModuleState() []byte {
+	m, ok := e.module.(stateTransferrer)
 	if !ok {
 		return nil
 	}
 	text, err := m.Learned()
 	if err != nil {
-		o.world.Log.Warn("module: what it learned can't be told", logging.Cause, err)
+		e.env.Log.Warn("module: cannot export the learned state", logging.Cause, err)
 	}
 	return text
 }
 
-// ImportModuleState has the module take on what another learned, whole where that goes on at this
-// instant, else what holds through a stop.
-func (o *Engine) ImportModuleState(text []byte, whole bool) {
-	if m, ok := o.module.(pupil); ok {
-		learn := m.Recall
-		if whole {
-			learn = m.Learn
+// ImportModuleState has the module adopt what another module learned: all of it where this
+// module continues at the same instant, else only what stays valid across a restart.
+func (e *Engine) ImportModuleState(text []byte, full bool) {
+	if m, ok := e.module.(stateTransferrer); ok {
+		load := m.Recall
+		if full {
+			load = m.Learn
 		}
-		if err := learn(text); err != nil {
-			o.world.Log.Warn("module: what another learned is not taken on", logging.Cause, err)
+		if err := load(text); err != nil {
+			e.env.Log.Warn("module: learned state not imported", logging.Cause, err)
 		}
 	}
 }
 
-// Backends returns the list of backends, by their names.
-func (o *Engine) Backends() []Backend {
-	return slices.SortedFunc(maps.Values(o.listed), func(a, b Backend) int { return cmp.Compare(a.ID, b.ID) })
+// Backends returns the list of backends, sorted by ID.
+func (e *Engine) Backends() []Backend {
+	return slices.SortedFunc(maps.Values(e.backends), func(a, b Backend) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// HasServingBackend tells whether a backend is known that takes requests.
-func (o *Engine) HasServingBackend() bool { return o.serves }
+// HasServingBackend reports whether a backend is known that takes requests.
+func (e *Engine) HasServingBackend() bool { return e.serving }
 
-// RunPending takes the events that earlier ones have left behind. It belongs after
+// RunPending handles the events that earlier ones have raised. It must be called after
 // each event.
-func (o *Engine) RunPending() {
-	for len(o.local) > 0 {
-		ev := o.local[0]
-		o.local = o.local[1:]
-		ev()
+func (e *Engine) RunPending() {
+	for len(e.pending) > 0 {
+		event := e.pending[0]
+		e.pending = e.pending[1:]
+		event()
 	}
 }
 
-// clock is the module's: Unix time as it was at the start, and steady from
-// then on. A backend's start, given in Unix time, needs no mapping and stays
-// the same value in every list; the module takes a changed one for a restart.
-func (o *Engine) clock(t time.Time) time.Duration {
-	return time.Duration(o.origin.UnixNano()) + t.Sub(o.origin)
+// moduleTime returns the module's time: Unix time as it was at the start, monotonic from
+// then on. A backend's start, given in Unix time, then needs no conversion and has the same
+// value in every list; the module takes a changed value for a restart.
+func (e *Engine) moduleTime(t time.Time) time.Duration {
+	return time.Duration(e.origin.UnixNano()) + t.Sub(e.origin)
 }
 
-// tell hands an event to the module and carries out what it asks for. A panic
-// of the module ends the request that it was about, with a failure, and no other.
-func (o *Engine) tell(id logic.RequestID, ev logic.Event) {
+// dispatch passes an event to the module and executes the actions it returns. A panic
+// of the module fails the request that the event is about, and no other.
+func (e *Engine) dispatch(id logic.RequestID, ev logic.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			o.world.Counters.Add("module.panic")
-			o.world.Log.Error("module: panic", "event", fmt.Sprintf("%T", ev), logging.Request, id, logging.Cause, p, "stack", string(debug.Stack()))
-			o.answer(id, Answer{Kind: Failed})
+			e.env.Counters.Add("module.panic")
+			e.env.Log.Error("module: panic", "event", fmt.Sprintf("%T", ev), logging.Request, id, logging.Cause, p, "stack", string(debug.Stack()))
+			e.answer(id, Answer{Kind: Failed})
 		}
 	}()
-	o.at = o.world.Now()
-	for _, a := range o.module.Handle(o.clock(o.at), ev) {
-		_, first := ev.(logic.Request)
+	e.eventTime = e.env.Now()
+	for _, a := range e.module.Handle(e.moduleTime(e.eventTime), ev) {
+		_, arrival := ev.(logic.Request)
 		t, timer := a.(logic.SetTimer)
-		if r := o.requests[id]; first && timer && r != nil && r.BodyPending {
-			r.timers = append(r.timers, t)
+		if r := e.requests[id]; arrival && timer && r != nil && r.BodyPending {
+			r.deferredTimers = append(r.deferredTimers, t)
 			continue
 		}
-		o.act(a)
+		e.execute(a)
 	}
 }
 
-func (o *Engine) act(a logic.Action) {
+func (e *Engine) execute(a logic.Action) {
 	switch a := a.(type) {
 	case logic.Send:
-		o.send(a)
+		e.send(a)
 	case logic.Cancel:
-		// The module's last timer for a request and the time-out of its attempt fall due together.
-		// An attempt whose time is over ends as timed out: called off, a backend that hangs
-		// would bear no blame, or would by chance.
-		// A stream that answers its request ends with its reader.
-		if r := o.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
-			if t := &r.attempts[a.Attempt]; o.at.Before(t.until) && !t.stream.answers {
+		// The module's last timer for a request and the timeout of its attempt are due at the
+		// same instant. An attempt past its deadline ends as timed out: if it were canceled, a
+		// hanging backend would not be blamed, or only by chance.
+		// A stream that answers its request ends when its reader closes it.
+		if r := e.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
+			if t := &r.attempts[a.Attempt]; e.eventTime.Before(t.deadline) && !t.stream.isAnswer {
 				t.cancel()
 			}
 		}
 	case logic.Refuse:
-		o.answer(a.ID, Answer{Kind: Rejected, RetryAfter: a.RetryAfter})
+		e.answer(a.ID, Answer{Kind: Rejected, RetryAfter: a.RetryAfter})
 	case logic.Fail:
-		o.answer(a.ID, Answer{Kind: Failed})
+		e.answer(a.ID, Answer{Kind: Failed})
 	case logic.SetTimer:
-		heap.Push(&o.timers, timer{at: o.at.Add(a.After), token: a.Token})
+		heap.Push(&e.timers, timer{due: e.eventTime.Add(a.After), token: a.Token})
 	case logic.Subscribe:
-		if o.world.Registry != nil {
-			o.world.Registry.Subscribe()
+		if e.env.Registry != nil {
+			e.env.Registry.Subscribe()
 		}
 	case logic.Fetch:
-		if o.world.Registry != nil {
-			o.world.Registry.Fetch()
+		if e.env.Registry != nil {
+			e.env.Registry.Fetch()
 		}
 	case logic.CloseIdle:
-		if p, ok := o.places[a.Server]; ok {
-			o.world.Transport.CloseIdle(p)
+		if i, ok := e.instances[a.Server]; ok {
+			e.env.Transport.CloseIdle(i)
 		}
 	case logic.Log:
-		o.world.Log.Info("module: " + a.Text)
+		e.env.Log.Info("module: " + a.Text)
 	}
 }
 
-// Request takes a request. Its Session gets one answer unless Gone comes first.
-func (o *Engine) Request(r Request) {
+// Request handles a new request. Its Session receives one answer unless ClientGone comes first.
+func (e *Engine) Request(r Request) {
 	id := logic.RequestID(r.ID)
-	o.world.Counters.Add("req.taken")
-	if o.requests[id] != nil {
-		o.world.Counters.Add("answer.duplicate")
+	e.env.Counters.Add("req.taken")
+	if e.requests[id] != nil {
+		e.env.Counters.Add("answer.duplicate")
 		r.Session.Answer(Answer{Kind: Duplicate})
 		return
 	}
 	var class *logic.Class
-	for i := range o.settings.Classes {
-		if cl := &o.settings.Classes[i]; cl.Name == r.Class {
-			class = cl
-			if r.Timeout <= 0 || r.Timeout > cl.Deadline {
-				r.Timeout = cl.Deadline
+	for i := range e.settings.Classes {
+		if c := &e.settings.Classes[i]; c.Name == r.Class {
+			class = c
+			if r.Timeout <= 0 || r.Timeout > c.Deadline {
+				r.Timeout = c.Deadline
 			}
 		}
 	}
-	h := &held{Request: r, class: class, until: r.Arrived.Add(r.Timeout)}
-	o.requests[id] = h
+	state := &requestState{Request: r, class: class, deadline: r.Arrived.Add(r.Timeout)}
+	e.requests[id] = state
 	if r.BodyPending {
-		h.Arrived = o.world.Now()
-		h.until = h.Arrived.Add(openMost)
+		state.Arrived = e.env.Now()
+		state.deadline = state.Arrived.Add(maxBodyTime)
 	}
-	q := logic.Request{ID: id, Class: r.Class, Retry: r.Retry, Tenant: r.Tenant, Hint: r.WorkHint, Expires: r.Timeout, Coming: r.BodyPending,
+	request := logic.Request{ID: id, Class: r.Class, Retry: r.Retry, Tenant: r.Tenant, Hint: r.WorkHint, Expires: r.Timeout, Coming: r.BodyPending,
 		Prefer: r.PreferredServers, Worth: r.Worth, MaxAttempts: r.MaxAttempts, Avoid: r.AvoidedServer}
 	if !r.BodyPending {
-		// What the request waited for its turn is gone from the client's patience.
-		q.Expires = h.until.Sub(o.world.Now())
+		// The time that the request spent in the queue counts against the client's timeout.
+		request.Expires = state.deadline.Sub(e.env.Now())
 	}
-	o.tell(id, q)
+	e.dispatch(id, request)
 }
 
-// openMost is beyond any time that a front lets a body take.
-const openMost = time.Hour
+// maxBodyTime is longer than any frontend lets a body take.
+const maxBodyTime = time.Hour
 
-// BodyComplete starts the time of a request whose last byte has come, and of its attempt.
-func (o *Engine) BodyComplete(id logic.RequestID, of Session) {
-	r := o.requests[id]
-	if r == nil || r.over || r.Session != of || !r.BodyPending {
+// BodyComplete starts the timeouts of a request whose last byte has arrived, and of its attempt.
+func (e *Engine) BodyComplete(id logic.RequestID, session Session) {
+	r := e.requests[id]
+	if r == nil || r.done || r.Session != session || !r.BodyPending {
 		return
 	}
-	now := o.world.Now()
+	now := e.env.Now()
 	r.BodyPending = false
-	r.until = now.Add(r.Timeout)
+	r.deadline = now.Add(r.Timeout)
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		a.at, a.until = now, now.Add(a.within)
+		a.started, a.deadline = now, now.Add(a.timeout)
 	}
-	o.tell(id, logic.Whole{ID: id, Took: now.Sub(r.Arrived)})
-	for _, t := range r.timers {
-		o.act(t)
+	e.dispatch(id, logic.Whole{ID: id, Took: now.Sub(r.Arrived)})
+	for _, t := range r.deferredTimers {
+		e.execute(t)
 	}
-	r.timers = nil
+	r.deferredTimers = nil
 }
 
-// ClientGone drops the request that a session held under the id; an id sent twice must
-// not let the second client take the first one's request along.
-func (o *Engine) ClientGone(id logic.RequestID, of Session) {
-	r := o.requests[id]
-	if r == nil || r.over || r.Session != of {
+// ClientGone drops the request that the session has in flight under the ID. Where two clients
+// use the same ID, the second must not drop the first one's request.
+func (e *Engine) ClientGone(id logic.RequestID, session Session) {
+	r := e.requests[id]
+	if r == nil || r.done || r.Session != session {
 		return
 	}
-	o.gone(id, r)
-	o.forget(id, r)
+	e.abandon(id, r)
+	e.release(id, r)
 }
 
-func (o *Engine) gone(id logic.RequestID, r *held) {
-	o.world.Counters.Add("client.gone")
-	r.over = true
+// abandon ends a request without an answer, since its client has gone.
+func (e *Engine) abandon(id logic.RequestID, r *requestState) {
+	e.env.Counters.Add("client.gone")
+	r.done = true
 	r.dropFailure()
-	o.tell(id, logic.ClientGone{ID: id})
+	e.dispatch(id, logic.ClientGone{ID: id})
 }
 
 // answer gives a request its final answer, unless it has one.
-func (o *Engine) answer(id logic.RequestID, a Answer) {
-	r := o.requests[id]
-	if r == nil || r.over {
+func (e *Engine) answer(id logic.RequestID, a Answer) {
+	r := e.requests[id]
+	if r == nil || r.done {
 		return
 	}
-	r.over = true
+	r.done = true
 	a.MayHaveRun, a.Attempts = a.Kind == Rejected && r.mayHaveRun(), len(r.attempts)
 	if f := r.failure; f != nil && a.Kind != Served {
 		a, r.failure = Answer{Kind: Failed, Reply: f, Attempts: a.Attempts}, nil
-		o.world.Counters.Add("answer.passed")
+		e.env.Counters.Add("answer.passed")
 	}
 	r.dropFailure()
-	o.world.Counters.Add(answerCounts[a.Kind])
-	if a.Kind != Served && o.world.Log.Enabled(context.Background(), slog.LevelDebug) {
-		o.world.Log.LogAttrs(context.Background(), slog.LevelDebug, "req not served", slog.String(logging.Request, string(id)),
+	e.env.Counters.Add(answerCounts[a.Kind])
+	if a.Kind != Served && e.env.Log.Enabled(context.Background(), slog.LevelDebug) {
+		e.env.Log.LogAttrs(context.Background(), slog.LevelDebug, "request not served", slog.String(logging.Request, string(id)),
 			slog.String("class", r.Class), slog.String(logging.Cause, answerCounts[a.Kind][len("answer."):]), slog.Int("attempts", len(r.attempts)))
 	}
 	r.Session.Answer(a)
 	r.Call = nil
-	o.forget(id, r)
+	e.release(id, r)
 }
 
-func (o *Engine) forget(id logic.RequestID, r *held) {
-	if r.over && r.open == 0 {
-		delete(o.requests, id)
+// release forgets a request that is done and has no attempt in flight.
+func (e *Engine) release(id logic.RequestID, r *requestState) {
+	if r.done && r.inFlight == 0 {
+		delete(e.requests, id)
 	}
 }
 
-// send starts an attempt. Every Send gets one Outcome, also where nothing can go out.
-func (o *Engine) send(a logic.Send) {
-	r := o.requests[a.ID]
+// send starts an attempt. Every Send gets one Outcome, even where nothing can be sent.
+func (e *Engine) send(a logic.Send) {
+	r := e.requests[a.ID]
 	if r == nil {
-		o.world.Log.Error("module: a send for a req that is not held", logging.Request, a.ID)
+		e.env.Log.Error("module: send for an unknown request", logging.Request, a.ID)
 		return
 	}
-	now := o.at
-	until := now.Add(a.Within)
-	if a.Within <= 0 || until.After(r.until) {
-		until = r.until
+	now := e.eventTime
+	deadline := now.Add(a.Within)
+	if a.Within <= 0 || deadline.After(r.deadline) {
+		deadline = r.deadline
 	}
 	n := len(r.attempts)
-	r.attempts = append(r.attempts, sent{at: now, until: until, within: a.Within, server: a.Server, cancel: func() {}})
-	r.open++
-	place, known := o.places[a.Server]
-	if most := o.most(r); r.over || !known || !until.After(now) || most > 0 && n >= most {
-		o.local = append(o.local, func() { o.ended(a.ID, n, AttemptResult{Result: logic.Moot, At: now}) })
+	r.attempts = append(r.attempts, attemptState{started: now, deadline: deadline, timeout: a.Within, server: a.Server, cancel: func() {}})
+	r.inFlight++
+	instance, known := e.instances[a.Server]
+	if limit := e.maxAttempts(r); r.done || !known || !deadline.After(now) || limit > 0 && n >= limit {
+		e.pending = append(e.pending, func() { e.attemptEvent(a.ID, n, AttemptResult{Result: logic.Moot, At: now}) })
 		return
 	}
-	o.world.Counters.Add("attempt.sent")
-	out := Attempt{Call: r.Call, Instance: place, Deadline: until, StartBefore: r.before()}
+	e.env.Counters.Add("attempt.sent")
+	attempt := Attempt{Call: r.Call, Instance: instance, Deadline: deadline, StartBefore: r.startBefore()}
 	if r.BodyPending {
-		out.Deadline, out.Timeout = time.Time{}, min(a.Within, r.Timeout)
+		attempt.Deadline, attempt.Timeout = time.Time{}, min(a.Within, r.Timeout)
 	}
-	r.attempts[n].cancel = o.world.Transport.Start(out, func(e AttemptResult) {
-		o.world.Post(func() { o.ended(a.ID, n, e) })
+	r.attempts[n].cancel = e.env.Transport.Start(attempt, func(result AttemptResult) {
+		e.env.Post(func() { e.attemptEvent(a.ID, n, result) })
 	})
 }
 
-// mayHaveRun tells whether an attempt was sent that did not end as one that never ran.
-func (r *held) mayHaveRun() bool {
-	return slices.ContainsFunc(r.attempts, func(a sent) bool { return !a.never })
+// mayHaveRun reports whether an attempt was sent that is not known to have never run.
+func (r *requestState) mayHaveRun() bool {
+	return slices.ContainsFunc(r.attempts, func(a attemptState) bool { return !a.neverRan })
 }
 
-// most is how many attempts a request may have, 0: any number.
-func (o *Engine) most(r *held) int {
+// maxAttempts returns how many attempts a request may have. 0: any number.
+func (e *Engine) maxAttempts(r *requestState) int {
 	if r.MaxAttempts > 0 {
 		return r.MaxAttempts
 	}
 	if r.class != nil && r.class.MaxAttempts > 0 {
 		return r.class.MaxAttempts
 	}
-	return o.settings.MaxAttempts
+	return e.settings.MaxAttempts
 }
 
-// before returns until when a further attempt of a keyed request may begin: backends drop its
-// repeats for a while only, and a connection that comes up late may use all of that up.
-func (r *held) before() (until time.Time) {
+// startBefore returns when a further attempt of a keyed request must have started, zero where
+// it may start at any time. Backends deduplicate repeats within a window only, and a connection
+// that is established late may use up all of it.
+func (r *requestState) startBefore() (limit time.Time) {
 	if r.class == nil || r.class.Effect != logic.Keyed {
-		return until
+		return limit
 	}
 	for _, a := range r.attempts[:len(r.attempts)-1] {
-		if over := a.at.Add(r.class.Window); !a.never && (until.IsZero() || over.Before(until)) {
-			until = over
+		if windowEnd := a.started.Add(r.class.Window); !a.neverRan && (limit.IsZero() || windowEnd.Before(limit)) {
+			limit = windowEnd
 		}
 	}
-	return until
+	return limit
 }
 
-// The counts' names stand here whole: joined for each event they would be a
-// good part of what an event costs.
+// The full names of the counters are constants: building them for each event would be a
+// large part of the event's cost.
 var (
 	answerCounts = [...]string{Served: "answer.served", Rejected: "answer.refused", Failed: "answer.failed",
 		Duplicate: "answer.duplicate"}
@@ -389,106 +402,107 @@
 		logic.ListCached: "list.cached", logic.ListFailed: "list.failed"}
 )
 
-// ended takes the end of an attempt. The first OK answers the request.
-func (o *Engine) ended(id logic.RequestID, n int, e AttemptResult) {
-	if e.Streaming {
-		o.begun(id, n, e)
+// attemptEvent handles the end of an attempt, or the start of its stream. The first OK
+// answers the request.
+func (e *Engine) attemptEvent(id logic.RequestID, n int, result AttemptResult) {
+	if result.Streaming {
+		e.streamStarted(id, n, result)
 		return
 	}
-	o.world.Counters.Add(outcomeCounts[e.Result])
-	r := o.requests[id]
+	e.env.Counters.Add(outcomeCounts[result.Result])
+	r := e.requests[id]
 	if r == nil {
-		o.world.Log.Error("an attempt ended of a req that is not held", logging.Request, id, logging.Attempt, n)
+		e.env.Log.Error("attempt of an unknown request ended", logging.Request, id, logging.Attempt, n)
 		return
 	}
-	if e.ClientGone && !r.over {
-		o.gone(id, r)
+	if result.ClientGone && !r.done {
+		e.abandon(id, r)
 	}
 	t := &r.attempts[n]
-	t.never = e.Result.NeverRan()
-	r.open--
+	t.neverRan = result.Result.NeverRan()
+	r.inFlight--
 	if r.BodyPending {
-		t.at = e.At // no backend has begun on it
+		t.started = result.At // no backend has started on it
 	}
-	// Asked first: what a line is made of must not be put together for nothing.
-	if o.world.Log.Enabled(context.Background(), slog.LevelDebug) {
-		o.world.Log.LogAttrs(context.Background(), slog.LevelDebug, "attempt ended", slog.String(logging.Request, string(id)),
+	// Checked first, so that no attributes are built for a line that is not logged.
+	if e.env.Log.Enabled(context.Background(), slog.LevelDebug) {
+		e.env.Log.LogAttrs(context.Background(), slog.LevelDebug, "attempt ended", slog.String(logging.Request, string(id)),
 			slog.String(logging.Backend, string(t.server)), slog.Int(logging.Attempt, n),
-			slog.String(logging.Cause, outcomeCounts[e.Result][len("outcome."):]), slog.Duration("took", e.At.Sub(t.at)))
+			slog.String(logging.Cause, outcomeCounts[result.Result][len("outcome."):]), slog.Duration("took", result.At.Sub(t.started)))
 	}
 	switch {
-	case e.Result == logic.OK && !r.over:
-		o.answer(id, Answer{Kind: Served, Reply: e.Reply})
-	case e.PassThrough && !r.over:
+	case result.Result == logic.OK && !r.done:
+		e.answer(id, Answer{Kind: Served, Reply: result.Reply})
+	case result.PassThrough && !r.done:
 		r.dropFailure()
-		r.failure = e.Reply
+		r.failure = result.Reply
 	default:
-		discard(e.Reply)
+		discard(result.Reply)
 	}
-	latency := max(e.At.Sub(t.at), 0)
-	if t.stream.begun {
+	latency := max(result.At.Sub(t.started), 0)
+	if t.stream.started {
 		latency = t.stream.latency
 	}
-	if t.stream.answers {
-		r.streams = false
+	if t.stream.isAnswer {
+		r.streaming = false
 	}
-	// While the answer streams, the end of a second copy does not finish the request.
-	o.tell(id, logic.Outcome{
-		ID: id, Attempt: n, Result: e.Result, Final: r.over && !r.streams, Server: t.server,
-		Latency: latency, Report: e.LoadReport,
+	// While the answer streams, the end of another attempt does not finish the request.
+	e.dispatch(id, logic.Outcome{
+		ID: id, Attempt: n, Result: result.Result, Final: r.done && !r.streaming, Server: t.server,
+		Latency: latency, Report: result.LoadReport,
 	})
-	o.forget(id, r)
+	e.release(id, r)
 }
 
-// UpdateBackends takes news of the backends. The connections to a process that is gone,
-// or has been started anew or elsewhere, are dropped. Attempts that were decided on before
-// it and have not begun are withdrawn where their backend leaves, and decided anew.
-func (o *Engine) UpdateBackends(kind logic.ListKind, entries []Backend) {
-	o.world.Counters.Add(listCounts[kind])
-	servers := make([]logic.Server, 0, len(entries))
-	was := o.places
+// UpdateBackends handles a list of backends. The connections to a process that is gone,
+// was restarted or has moved are closed. Attempts that have not started are withdrawn where
+// their backend leaves, and decided again.
+func (e *Engine) UpdateBackends(kind logic.ListKind, backends []Backend) {
+	e.env.Counters.Add(listCounts[kind])
+	servers := make([]logic.Server, 0, len(backends))
+	previous := e.instances
 	if kind == logic.ListFull || kind == logic.ListCached {
-		o.places = make(map[logic.ServerID]Instance, len(entries))
-		o.listed = make(map[logic.ServerID]Backend, len(entries))
-	}
-	for _, e := range entries {
-		p := Instance{ID: e.ID, Endpoint: e.Endpoint, Started: e.Born}
-		if old, ok := was[e.ID]; ok && (old != p || e.State != logic.Serving) {
-			o.world.Transport.Withdraw(old)
-			if old != p || e.State == logic.Gone {
-				o.world.Transport.CloseIdle(old)
+		e.instances = make(map[logic.ServerID]Instance, len(backends))
+		e.backends = make(map[logic.ServerID]Backend, len(backends))
+	}
+	for _, b := range backends {
+		instance := Instance{ID: b.ID, Endpoint: b.Endpoint, Started: b.Born}
+		if old, ok := previous[b.ID]; ok && (old != instance || b.State != logic.Serving) {
+			e.env.Transport.Withdraw(old)
+			if old != instance || b.State == logic.Gone {
+				e.env.Transport.CloseIdle(old)
 			}
 		}
-		if e.State == logic.Gone {
-			delete(o.places, e.ID)
-			delete(o.listed, e.ID)
+		if b.State == logic.Gone {
+			delete(e.instances, b.ID)
+			delete(e.backends, b.ID)
 		} else {
-			o.places[e.ID], o.listed[e.ID] = p, e
+			e.instances[b.ID], e.backends[b.ID] = instance, b
 		}
-		servers = append(servers, e.Server)
+		servers = append(servers, b.Server)
 	}
 	if kind == logic.ListFull || kind == logic.ListCached {
-		o.drop(was)
+		e.closeRemoved(previous)
 	}
-	o.serves = false
-	for _, e := range o.listed {
-		o.serves = o.serves || e.State == logic.Serving
+	e.serving = false
+	for _, b := range e.backends {
+		e.serving = e.serving || b.State == logic.Serving
 	}
-	o.tell("", logic.ServerList{Kind: kind, Servers: servers})
+	e.dispatch("", logic.ServerList{Kind: kind, Servers: servers})
 }
 
-// drop closes the connections to those that a whole list left out, in the order
-// of their names: the same list must have the same effects in the same order.
-func (o *Engine) drop(was map[logic.ServerID]Instance) {
-	var left []Instance
-	for id, p := range was {
-		if _, ok := o.places[id]; !ok {
-			left = append(left, p)
+// closeRemoved closes the connections to the instances that a full list no longer has, sorted
+// by ID: the same list must have the same effects in the same order.
+func (e *Engine) closeRemoved(previous map[logic.ServerID]Instance) {
+	var removed []Instance
+	for id, i := range previous {
+		if _, ok := e.instances[id]; !ok {
+			removed = append(removed, i)
 		}
 	}
-	slices.SortFunc(left, func(a, b Instance) int { return cmp.Compare(a.ID, b.ID) })
-	for _, p := range left {
-		o.world.Transport.Withdraw(p)
-		o.world.Transport.CloseIdle(p)
+	slices.SortFunc(removed, func(a, b Instance) int { return cmp.Compare(a.ID, b.ID) })
+	for _, i := range removed {
+		e.env.Transport.Withdraw(i)
+		e.env.Transport.CloseIdle(i)
 	}
 }
--- a/internal/core/engine_test.go
+++ b/internal/core/engine_test.go
@@ -14,7 +14,7 @@
 	"pipitmux/logic"
 )
 
-// stub answers each attempt at once, and requests by nobody.
+// stub is a transport that serves each attempt at once, and ignores everything else.
 type stub struct{}
 
 func (stub) Start(_ Attempt, done func(AttemptResult)) func() {
@@ -28,49 +28,50 @@
 func (stub) Answer(Answer)      {}
 func (stub) Add(string)         {}
 
-// sender sends each request to one backend.
-type sender struct{ out []logic.Action }
+// sendingModule sends each request to one backend.
+type sendingModule struct{ actions []logic.Action }
 
-func (s *sender) Handle(_ time.Duration, ev logic.Event) []logic.Action {
-	s.out = s.out[:0]
+func (s *sendingModule) Handle(_ time.Duration, ev logic.Event) []logic.Action {
+	s.actions = s.actions[:0]
 	if r, ok := ev.(logic.Request); ok {
-		s.out = append(s.out, logic.Send{ID: r.ID, Server: "b", Within: time.Second})
+		s.actions = append(s.actions, logic.Send{ID: r.ID, Server: "b", Within: time.Second})
 	}
-	return s.out
+	return s.actions
 }
 
-func owner(log *slog.Logger) func(id string) {
-	var later []func()
+// newRequestFunc returns a function that runs a request through an engine.
+func newRequestFunc(log *slog.Logger) func(id string) {
+	var posted []func()
 	at := time.Unix(1, 0)
-	o := NewEngine(&sender{}, logic.Settings{Classes: []logic.Class{{Name: "topup", Deadline: time.Second}}}, Environment{
-		Now: func() time.Time { return at }, Post: func(ev func()) { later = append(later, ev) },
+	e := NewEngine(&sendingModule{}, logic.Settings{Classes: []logic.Class{{Name: "topup", Deadline: time.Second}}}, Environment{
+		Now: func() time.Time { return at }, Post: func(event func()) { posted = append(posted, event) },
 		Transport: stub{}, Registry: stub{}, Counters: stub{}, Log: log})
-	o.UpdateBackends(logic.ListFull, []Backend{{Server: logic.Server{ID: "b"}, Endpoint: "x:1"}})
+	e.UpdateBackends(logic.ListFull, []Backend{{Server: logic.Server{ID: "b"}, Endpoint: "x:1"}})
 	return func(id string) {
-		o.Request(Request{ID: id, Class: "topup", Arrived: at, Session: stub{}})
-		for _, ev := range later {
-			ev()
+		e.Request(Request{ID: id, Class: "topup", Arrived: at, Session: stub{}})
+		for _, event := range posted {
+			event()
 		}
-		later = later[:0]
-		o.RunPending()
+		posted = posted[:0]
+		e.RunPending()
 	}
 }
 
-// A logger whose level is off costs a request no allocation; one that is on tells of
-// the attempt under the stable keys.
-func TestLogCostsNothingWhenOff(t *testing.T) {
+// A disabled log level must cost a request no allocation. An enabled one logs the attempt
+// under the stable keys.
+func TestDisabledLogAllocatesNothing(t *testing.T) {
 	count := func(log *slog.Logger) float64 {
-		request := owner(log)
+		request := newRequestFunc(log)
 		return testing.AllocsPerRun(200, func() { request("r") })
 	}
 	off := count(logging.New(io.Discard, "info", "json"))
 	assert.Equal(t, count(slog.New(slog.DiscardHandler)), off)
-	var none strings.Builder
-	owner(logging.New(&none, "info", "json"))("r7")
-	assert.Empty(t, none.String())
+	var silent strings.Builder
+	newRequestFunc(logging.New(&silent, "info", "json"))("r7")
+	assert.Empty(t, silent.String())
 
 	var out strings.Builder
-	owner(logging.New(&out, "debug", "json"))("r7")
+	newRequestFunc(logging.New(&out, "debug", "json"))("r7")
 	for _, part := range []string{`"req":"r7"`, `"backend":"b"`, `"attempt":0`, `"cause":"ok"`} {
 		assert.Contains(t, out.String(), part)
 	}
@@ -83,7 +84,7 @@
 			if level != "none" {
 				log = logging.New(io.Discard, level, "text")
 			}
-			request := owner(log)
+			request := newRequestFunc(log)
 			b.ReportAllocs()
 			for i := range b.N {
 				request(strconv.Itoa(i & 1023))
@@ -92,136 +93,136 @@
 	}
 }
 
-// hand is a module that a test plays by hand, and the backends that it sends to.
-type hand struct {
-	do        func(ev logic.Event) []logic.Action
-	told      []logic.Event
+// scripted is a module whose actions a test provides, with its transport and session.
+type scripted struct {
+	handle    func(ev logic.Event) []logic.Action
+	events    []logic.Event
 	started   []Attempt
-	ends      []func(AttemptResult)
+	finish    []func(AttemptResult) // of the started attempts
 	withdrawn []Instance
 	answers   []Answer
 }
 
-func (h *hand) Handle(_ time.Duration, ev logic.Event) []logic.Action {
-	h.told = append(h.told, ev)
-	return h.do(ev)
+func (s *scripted) Handle(_ time.Duration, ev logic.Event) []logic.Action {
+	s.events = append(s.events, ev)
+	return s.handle(ev)
 }
-func (h *hand) Start(a Attempt, done func(AttemptResult)) func() {
-	h.started, h.ends = append(h.started, a), append(h.ends, done)
+func (s *scripted) Start(a Attempt, done func(AttemptResult)) func() {
+	s.started, s.finish = append(s.started, a), append(s.finish, done)
 	return func() {}
 }
-func (h *hand) Withdraw(p Instance) { h.withdrawn = append(h.withdrawn, p) }
-func (h *hand) CloseIdle(Instance)  {}
-func (h *hand) Answer(a Answer)     { h.answers = append(h.answers, a) }
-
-// play runs an owner round the module, at a time that the test moves.
-func (h *hand) play(c logic.Class, at *time.Time) *Engine {
-	o := NewEngine(h, logic.Settings{Classes: []logic.Class{c}}, Environment{
-		Now: func() time.Time { return *at }, Post: func(ev func()) { ev() },
-		Transport: h, Registry: stub{}, Counters: stub{}, Log: slog.New(slog.DiscardHandler)})
-	o.UpdateBackends(logic.ListFull, []Backend{{Server: logic.Server{ID: "a"}, Endpoint: "x:1"}, {Server: logic.Server{ID: "b"}, Endpoint: "x:2"}})
-	return o
+func (s *scripted) Withdraw(i Instance) { s.withdrawn = append(s.withdrawn, i) }
+func (s *scripted) CloseIdle(Instance)  {}
+func (s *scripted) Answer(a Answer)     { s.answers = append(s.answers, a) }
+
+// newEngine returns an engine for the module, at a time that the test advances.
+func (s *scripted) newEngine(c logic.Class, at *time.Time) *Engine {
+	e := NewEngine(s, logic.Settings{Classes: []logic.Class{c}}, Environment{
+		Now: func() time.Time { return *at }, Post: func(event func()) { event() },
+		Transport: s, Registry: stub{}, Counters: stub{}, Log: slog.New(slog.DiscardHandler)})
+	e.UpdateBackends(logic.ListFull, []Backend{{Server: logic.Server{ID: "a"}, Endpoint: "x:1"}, {Server: logic.Server{ID: "b"}, Endpoint: "x:2"}})
+	return e
 }
 
-// A keyed request's further attempt has to begin while the first one's repeats are dropped, and
-// the first that may have run counts; what never ran does not.
-func TestFurtherAttemptsBeginWithinTheWindow(t *testing.T) {
+// A further attempt of a keyed request must start while backends still deduplicate the first
+// one that may have run; after that it could run twice. Attempts that never ran don't count.
+func TestKeyedRetriesStartWithinDeduplicationWindow(t *testing.T) {
 	for name, tt := range map[string]struct {
 		effect logic.Effect
 		first  logic.Result
-		want   time.Duration // after the first attempt, 0: whenever
+		want   time.Duration // after the first attempt, 0: no limit
 	}{
 		"keyed, may have run": {logic.Keyed, logic.TimedOut, 700 * time.Millisecond},
 		"keyed, never ran":    {logic.Keyed, logic.ConnectFailed, 0},
 		"safe":                {logic.Safe, logic.TimedOut, 0},
 	} {
 		at := time.Unix(1000, 0)
-		h := &hand{do: func(ev logic.Event) []logic.Action {
+		s := &scripted{handle: func(ev logic.Event) []logic.Action {
 			switch ev.(type) {
 			case logic.Request, logic.Outcome:
 				return []logic.Action{logic.Send{ID: "r", Server: "a", Within: time.Second}}
 			}
 			return nil
 		}}
-		o := h.play(logic.Class{Name: "c", Effect: tt.effect, Window: 700 * time.Millisecond, Deadline: 5 * time.Second}, &at)
-		o.Request(Request{ID: "r", Class: "c", Arrived: at, Session: h})
+		e := s.newEngine(logic.Class{Name: "c", Effect: tt.effect, Window: 700 * time.Millisecond, Deadline: 5 * time.Second}, &at)
+		e.Request(Request{ID: "r", Class: "c", Arrived: at, Session: s})
 		sent := at
 		for range 2 {
 			at = at.Add(200 * time.Millisecond)
-			h.ends[len(h.ends)-1](AttemptResult{Result: tt.first, At: at})
+			s.finish[len(s.finish)-1](AttemptResult{Result: tt.first, At: at})
 		}
-		if assert.Len(t, h.started, 3, name) {
-			assert.True(t, h.started[0].StartBefore.IsZero(), name)
+		if assert.Len(t, s.started, 3, name) {
+			assert.True(t, s.started[0].StartBefore.IsZero(), name)
 			want := time.Time{}
 			if tt.want > 0 {
 				want = sent.Add(tt.want)
 			}
-			assert.Equal(t, want, h.started[1].StartBefore, name)
-			assert.Equal(t, want, h.started[2].StartBefore, name)
+			assert.Equal(t, want, s.started[1].StartBefore, name)
+			assert.Equal(t, want, s.started[2].StartBefore, name)
 		}
 	}
 }
 
-// Whatever list tells that a backend leaves, or is another process now, its attempts that
-// have not begun are withdrawn before the module hears of it.
-func TestListsWithdrawAttempts(t *testing.T) {
+// When a list reports that a backend leaves or was replaced, its attempts that have not started
+// must be withdrawn before the module handles the list: else they would go to that backend.
+func TestListsWithdrawUnstartedAttempts(t *testing.T) {
 	a := Instance{ID: "a", Endpoint: "x:1"}
-	entry := func(state logic.ServerState, endpoint string, born time.Duration) Backend {
-		return Backend{Server: logic.Server{ID: "a", State: state, Born: born}, Endpoint: endpoint}
+	backendA := func(state logic.ServerState, endpoint string, started time.Duration) Backend {
+		return Backend{Server: logic.Server{ID: "a", State: state, Born: started}, Endpoint: endpoint}
 	}
 	other := Backend{Server: logic.Server{ID: "b"}, Endpoint: "x:2"}
 	for name, tt := range map[string]struct {
-		kind    logic.ListKind
-		entries []Backend
-		want    []Instance
+		kind     logic.ListKind
+		backends []Backend
+		want     []Instance
 	}{
-		"serves on":           {logic.ListChanges, []Backend{entry(logic.Serving, "x:1", 0)}, nil},
-		"drains":              {logic.ListChanges, []Backend{entry(logic.Draining, "x:1", 0)}, []Instance{a}},
-		"gone":                {logic.ListChanges, []Backend{entry(logic.Gone, "", 0)}, []Instance{a}},
-		"started anew":        {logic.ListChanges, []Backend{entry(logic.Serving, "x:1", 5)}, []Instance{a}},
-		"elsewhere":           {logic.ListFull, []Backend{entry(logic.Serving, "x:9", 0), other}, []Instance{a}},
-		"drains, by a whole":  {logic.ListFull, []Backend{entry(logic.Draining, "x:1", 0), other}, []Instance{a}},
-		"missing in a whole":  {logic.ListFull, []Backend{other}, []Instance{a}},
-		"a list that failed":  {logic.ListFailed, nil, nil},
-		"whole, nothing new":  {logic.ListFull, []Backend{entry(logic.Serving, "x:1", 0), other}, nil},
-		"of another, changes": {logic.ListChanges, []Backend{other}, nil},
+		"still serving":        {logic.ListChanges, []Backend{backendA(logic.Serving, "x:1", 0)}, nil},
+		"draining":             {logic.ListChanges, []Backend{backendA(logic.Draining, "x:1", 0)}, []Instance{a}},
+		"gone":                 {logic.ListChanges, []Backend{backendA(logic.Gone, "", 0)}, []Instance{a}},
+		"restarted":            {logic.ListChanges, []Backend{backendA(logic.Serving, "x:1", 5)}, []Instance{a}},
+		"moved":                {logic.ListFull, []Backend{backendA(logic.Serving, "x:9", 0), other}, []Instance{a}},
+		"draining, full list":  {logic.ListFull, []Backend{backendA(logic.Draining, "x:1", 0), other}, []Instance{a}},
+		"missing, full list":   {logic.ListFull, []Backend{other}, []Instance{a}},
+		"failed list":          {logic.ListFailed, nil, nil},
+		"full list, no change": {logic.ListFull, []Backend{backendA(logic.Serving, "x:1", 0), other}, nil},
+		"change of another":    {logic.ListChanges, []Backend{other}, nil},
 	} {
 		at := time.Unix(1000, 0)
-		var h *hand
-		seen := -1
-		h = &hand{do: func(ev logic.Event) []logic.Action {
+		var s *scripted
+		withdrawnBefore := -1
+		s = &scripted{handle: func(ev logic.Event) []logic.Action {
 			if l, ok := ev.(logic.ServerList); ok && l.Kind == tt.kind {
-				seen = len(h.withdrawn)
+				withdrawnBefore = len(s.withdrawn)
 			}
 			return nil
 		}}
-		o := h.play(logic.Class{Name: "c", Deadline: time.Second}, &at)
-		o.UpdateBackends(tt.kind, tt.entries)
-		assert.Equal(t, tt.want, h.withdrawn, name)
-		assert.Equal(t, len(tt.want), seen, "%s: before the module hears of it", name)
+		e := s.newEngine(logic.Class{Name: "c", Deadline: time.Second}, &at)
+		e.UpdateBackends(tt.kind, tt.backends)
+		assert.Equal(t, tt.want, s.withdrawn, name)
+		assert.Equal(t, len(tt.want), withdrawnBefore, "%s: withdrawn before the module handled the list", name)
 	}
 }
 
-// An attempt that was not begun, since its client has left, ends the request: nothing else is
-// tried for it, and nothing is answered.
-func TestClientLeftBeforeItsAttempt(t *testing.T) {
+// An attempt that was not started because its client has left must end the request: no further
+// attempt is made and no answer is given.
+func TestClientGoneBeforeAttemptEndsRequest(t *testing.T) {
 	at := time.Unix(1000, 0)
-	h := &hand{do: func(ev logic.Event) []logic.Action {
+	s := &scripted{handle: func(ev logic.Event) []logic.Action {
 		if _, ok := ev.(logic.Request); ok {
 			return []logic.Action{logic.Send{ID: "r", Server: "a", Within: time.Second}}
 		}
 		return nil
 	}}
-	o := h.play(logic.Class{Name: "c", Deadline: time.Second}, &at)
-	o.Request(Request{ID: "r", Class: "c", Arrived: at, Session: h})
-	h.told = nil
-	h.ends[0](AttemptResult{Result: logic.Moot, ClientGone: true, At: at})
-	if assert.Len(t, h.told, 2) {
-		assert.Equal(t, logic.ClientGone{ID: "r"}, h.told[0])
-		assert.True(t, h.told[1].(logic.Outcome).Final)
+	e := s.newEngine(logic.Class{Name: "c", Deadline: time.Second}, &at)
+	e.Request(Request{ID: "r", Class: "c", Arrived: at, Session: s})
+	s.events = nil
+	s.finish[0](AttemptResult{Result: logic.Moot, ClientGone: true, At: at})
+	if assert.Len(t, s.events, 2) {
+		assert.Equal(t, logic.ClientGone{ID: "r"}, s.events[0])
+		assert.True(t, s.events[1].(logic.Outcome).Final)
 	}
-	assert.Empty(t, h.answers)
-	assert.Empty(t, o.requests)
-	o.ClientGone("r", h) // which its session tells as well
-	assert.Len(t, h.told, 2)
+	assert.Empty(t, s.answers)
+	assert.Empty(t, e.requests)
+	e.ClientGone("r", s) // the session reports it, too
+	assert.Len(t, s.events, 2)
 }
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -9,71 +9,72 @@
 	"pipitmux/logic"
 )
 
-// stream is what an attempt's streamed answer has come to.
+// stream is the state of an attempt's streamed response.
 type stream struct {
-	begun   bool
-	answers bool // it is the request's answer
-	// latency is of its begin. The module learns from it then and once more from the attempt's
-	// Outcome, which so tells it again: how long an answer streams says nothing of a backend.
+	started  bool
+	isAnswer bool // it is the request's answer
+	// latency is the time until the response started. The module learns from it at the start;
+	// the attempt's Outcome repeats the same value, since the length of a stream says nothing
+	// about a backend.
 	latency time.Duration
 }
 
-// begun takes the begin of a streamed answer. The first one answers the request; its attempt
-// stays open until the answer is closed.
-func (o *Engine) begun(id logic.RequestID, n int, e AttemptResult) {
-	o.world.Counters.Add("stream.begun")
-	r := o.requests[id]
+// streamStarted handles the start of a streamed response. The first one answers the request;
+// its attempt stays in flight until the response is closed.
+func (e *Engine) streamStarted(id logic.RequestID, n int, result AttemptResult) {
+	e.env.Counters.Add("stream.begun")
+	r := e.requests[id]
 	if r == nil {
-		discard(e.Reply)
-		o.world.Log.Error("a stream began of a req that is not held", logging.Request, id, logging.Attempt, n)
+		discard(result.Reply)
+		e.env.Log.Error("stream of an unknown request started", logging.Request, id, logging.Attempt, n)
 		return
 	}
 	t := &r.attempts[n]
 	if r.BodyPending {
-		t.at = e.At // no backend has begun on it
+		t.started = result.At // no backend has started on it
 	}
-	t.stream = stream{begun: true, answers: !r.over, latency: max(e.At.Sub(t.at), 0)}
-	if r.over {
-		discard(e.Reply)
+	t.stream = stream{started: true, isAnswer: !r.done, latency: max(result.At.Sub(t.started), 0)}
+	if r.done {
+		discard(result.Reply)
 		return
 	}
-	r.streams = true
+	r.streaming = true
 	server, latency := t.server, t.stream.latency
-	o.answer(id, Answer{Kind: Served, Reply: e.Reply, Server: server})
-	o.tell(id, logic.Started{ID: id, Attempt: n, Server: server, Latency: latency})
-	if e.LoadReport != nil { // told now: at the stream's end it would be old
-		o.tell(id, logic.Probed{Server: server, Result: logic.OK, Latency: latency, Report: e.LoadReport})
+	e.answer(id, Answer{Kind: Served, Reply: result.Reply, Server: server})
+	e.dispatch(id, logic.Started{ID: id, Attempt: n, Server: server, Latency: latency})
+	if result.LoadReport != nil { // passed on now: at the end of the stream it would be stale
+		e.dispatch(id, logic.Probed{Server: server, Result: logic.OK, Latency: latency, Report: result.LoadReport})
 	}
 }
 
 // dropFailure closes the failure that would have been passed on.
-func (r *held) dropFailure() {
+func (r *requestState) dropFailure() {
 	discard(r.failure)
 	r.failure = nil
 }
 
-// discard closes a reply that nobody gets.
+// discard closes a reply that nobody receives.
 func discard(reply any) {
 	if c, ok := reply.(io.Closer); ok {
 		c.Close()
 	}
 }
 
-// reconfigurable is a module that takes on other classes.
+// reconfigurable is a module whose request classes can be replaced.
 type reconfigurable interface {
 	SetClasses([]logic.Class) error
 }
 
 var _ reconfigurable = (*logic.Balancer)(nil)
 
-// Reconfigure takes on other classes for requests that come later, and has the module do so
-// where it can.
-func (o *Engine) Reconfigure(classes []logic.Class) {
-	if m, ok := o.module.(reconfigurable); ok {
+// Reconfigure replaces the request classes, for requests that arrive later, and those of the
+// module where it supports that.
+func (e *Engine) Reconfigure(classes []logic.Class) {
+	if m, ok := e.module.(reconfigurable); ok {
 		if err := m.SetClasses(slices.Clone(classes)); err != nil {
-			o.world.Log.Error("module: the classes stay as they were", logging.Cause, err)
+			e.env.Log.Error("module: request classes not replaced", logging.Cause, err)
 			return
 		}
 	}
-	o.settings.Classes = slices.Clone(classes)
+	e.settings.Classes = slices.Clone(classes)
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -7,37 +7,37 @@
 	"pipitmux/logic"
 )
 
-// FireTimers tells the timers that are due. Before each, ahead is called where it is
-// not nil: what may not wait for a timer goes there.
-func (o *Engine) FireTimers(ahead func()) {
-	for now := o.world.Now(); len(o.timers) > 0 && !o.timers[0].at.After(now); {
-		t := heap.Pop(&o.timers).(timer)
-		if ahead != nil {
-			ahead()
+// FireTimers passes the due timers to the module. beforeEach, if not nil, is called before
+// each of them, to handle events that must not wait for a timer.
+func (e *Engine) FireTimers(beforeEach func()) {
+	for now := e.env.Now(); len(e.timers) > 0 && !e.timers[0].due.After(now); {
+		t := heap.Pop(&e.timers).(timer)
+		if beforeEach != nil {
+			beforeEach()
 		}
-		o.tell("", logic.Wake{Token: t.token})
+		e.dispatch("", logic.Wake{Token: t.token})
 	}
 }
 
 // NextTimer returns when the next timer is due, false where none is set.
-func (o *Engine) NextTimer() (time.Time, bool) {
-	if len(o.timers) == 0 {
+func (e *Engine) NextTimer() (time.Time, bool) {
+	if len(e.timers) == 0 {
 		return time.Time{}, false
 	}
-	return o.timers[0].at, true
+	return e.timers[0].due, true
 }
 
-// timer is a Wake that is to come.
+// timer is a scheduled Wake.
 type timer struct {
-	at    time.Time
+	due   time.Time
 	token uint64
 }
 
-// timers is a heap by time.
+// timers is a heap ordered by due time.
 type timers []timer
 
 func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].at.Before(t[j].at) }
+func (t timers) Less(i, j int) bool { return t[i].due.Before(t[j].due) }
 func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
 func (t *timers) Push(x any)        { *t = append(*t, x.(timer)) }
 func (t *timers) Pop() any {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -24,37 +24,43 @@
 )
 
 const (
-	connectWithin = time.Second
-	// A watch says something every 2 s, an empty line at least. One that says nothing whole for
-	// longer is broken, and would hide every drain to come. What it missed counts as told 6 s
-	// after it fell silent: what is left of those is for the new call.
-	silentFor = 3500 * time.Millisecond
-	// A call that is asked for waits for its turn at a registry that many share.
-	turnWithin = 5 * time.Second
-	// Another call is made beside one without a first word for so long, and a tenth more at
-	// most: registries answer or refuse within 2 s. And so beside a watch that is silent for
-	// so long, and a tenth more: its beats are 2 s apart. One that is refused is made again
-	// after againIn, and up to as long more. What a silent watch misses counts as told 6 s
-	// after it fell silent: 2.75 s of doubt, 2.42 s for a call that is lost, and the rest for
-	// the next one's answer.
-	turnDoubt  = 2200 * time.Millisecond
-	watchDoubt = 2500 * time.Millisecond
-	againIn    = 300 * time.Millisecond
-	// The agent that lists are pushed to answers at once, and asking costs it nothing: a call
-	// without a first word is lost, or the agent is silent or slow. So another is made beside it
-	// each time, and each waits for as long as a watch may be silent.
-	agentDoubt = 400 * time.Millisecond
-	// Pause of a watch that the module does not ask for. What the agent has counts as told at
-	// once, after an outage as well.
-	agentPause = 100 * time.Millisecond
-	maxList    = 4 << 20
+	connectTimeout = time.Second
+	// silenceTimeout is how long a watch may send nothing complete before it counts as broken:
+	// a healthy one sends at least an empty line every 2 s, and a silent one would hide every
+	// further drain. Changes that it misses count as delivered 6 s after it fell silent; what is
+	// left of these is for the new call.
+	silenceTimeout = 3500 * time.Millisecond
+	// callTimeout bounds a call that the module asked for. It may wait for its turn at a
+	// registry that many nodes share.
+	callTimeout = 5 * time.Second
+	// firstReplyHedgeDelay is how long a call may be without a first reply before another is
+	// made in parallel: registries answer or refuse within 2 s. Up to a tenth is added as jitter.
+	firstReplyHedgeDelay = 2200 * time.Millisecond
+	// watchHedgeDelay is how long a watch may be silent before another call is made in
+	// parallel: its empty lines are 2 s apart. Up to a tenth is added as jitter. What a silent
+	// watch misses counts as delivered 6 s after it fell silent: 2.75 s until the first hedged
+	// call, 2.42 s in case that one is lost, and the rest for the reply to the next one.
+	watchHedgeDelay = 2500 * time.Millisecond
+	// hedgeRetryDelay is the delay after which a refused hedged call is made again. Up to as
+	// long again is added as jitter.
+	hedgeRetryDelay = 300 * time.Millisecond
+	// agentHedgeDelay is the hedge delay for the agent that lists are pushed to. It answers at
+	// once and calls cost it nothing: a call without a first reply is lost, or the agent is
+	// silent or slow. So another call is made each time, and each may wait for silenceTimeout.
+	agentHedgeDelay = 400 * time.Millisecond
+	// agentRetryDelay is the pause before a watch that the module does not ask for is made
+	// again. What the agent has counts as delivered at once, after an outage as well.
+	agentRetryDelay = 100 * time.Millisecond
+	maxListBytes    = 4 << 20
 )
 
 // List is the registry's form of a list of backends.
 type List struct {
-	Revision int64    `json:"rev"`
-	Full     bool     `json:"all"`
-	Targets  []Target `json:"targets"`
+	// Revision is the version of the list, below 0 where it has none.
+	Revision int64 `json:"rev"`
+	// Full is set where the list has every backend, not only the changed ones.
+	Full    bool     `json:"all"`
+	Targets []Target `json:"targets"`
 }
 
 // Target is a backend in a List.
@@ -66,21 +72,23 @@
 	PodGroup int     `json:"pod_group"`
 	State    string  `json:"state"`
 	Capacity float64 `json:"capacity_hint"`
-	BootMS   int64   `json:"boot_ms"`
+	// BootMS is when the backend started, in milliseconds of Unix time.
+	BootMS int64 `json:"boot_ms"`
 }
 
 var states = map[string]logic.ServerState{
 	"in_service": logic.Serving, "terminating": logic.Draining, "terminated": logic.Gone,
 }
 
-// Backends returns the backends of a list as the core takes them.
+// Backends converts a list to the backends that package core uses. It fails where the list
+// contradicts itself.
 func (l *List) Backends() ([]core.Backend, error) {
-	out := make([]core.Backend, 0, len(l.Targets))
+	backends := make([]core.Backend, 0, len(l.Targets))
 	seen := make(map[string]int, len(l.Targets))
 	for i, t := range l.Targets {
 		state, ok := states[t.State]
 		if !ok {
-			return nil, fmt.Errorf("targets.%d.state: %q is not a state", i, t.State)
+			return nil, fmt.Errorf("targets.%d.state: unknown state %q", i, t.State)
 		}
 		if t.UID == "" {
 			return nil, fmt.Errorf("targets.%d.uid: missing", i)
@@ -88,26 +96,26 @@
 		if _, _, err := net.SplitHostPort(t.Endpoint); err != nil && state != logic.Gone {
 			return nil, fmt.Errorf("targets.%d.endpoint: %w", i, err)
 		}
-		if was, ok := seen[t.UID]; ok && l.Full && l.Targets[was] != t {
-			return nil, fmt.Errorf("targets.%d.uid: %q is targets.%d as well, with other values", i, t.UID, was)
+		if first, ok := seen[t.UID]; ok && l.Full && l.Targets[first] != t {
+			return nil, fmt.Errorf("targets.%d.uid: %q is also the uid of targets.%d, with other values", i, t.UID, first)
 		}
 		seen[t.UID] = i
-		out = append(out, core.Backend{Endpoint: t.Endpoint, Server: logic.Server{
+		backends = append(backends, core.Backend{Endpoint: t.Endpoint, Server: logic.Server{
 			ID: logic.ServerID(t.UID), Capacity: t.Capacity, State: state, Kind: t.Model, Zone: t.Zone,
 			Cell: t.PodGroup, Born: time.Duration(max(t.BootMS, 0)) * time.Millisecond,
 		}})
 	}
-	return out, nil
+	return backends, nil
 }
 
-// NewList returns a list in the registry's form: what Entries turns back.
-func NewList(rev int64, all bool, entries []core.Backend) List {
-	l := List{Revision: rev, Full: all, Targets: make([]Target, 0, len(entries))}
-	for _, e := range entries {
-		t := Target{UID: string(e.ID), Endpoint: e.Endpoint, Zone: e.Zone, Model: e.Kind, PodGroup: e.Cell,
-			Capacity: e.Capacity, BootMS: e.Born.Milliseconds()}
+// NewList returns backends in the registry's form, the inverse of List.Backends.
+func NewList(revision int64, full bool, backends []core.Backend) List {
+	l := List{Revision: revision, Full: full, Targets: make([]Target, 0, len(backends))}
+	for _, b := range backends {
+		t := Target{UID: string(b.ID), Endpoint: b.Endpoint, Zone: b.Zone, Model: b.Kind, PodGroup: b.Cell,
+			Capacity: b.Capacity, BootMS: b.Born.Milliseconds()}
 		for name, state := range states {
-			if state == e.State {
+			if state == b.State {
 				t.State = name
 			}
 		}
@@ -119,140 +127,140 @@
 // Client calls the registry at one address. Each Subscribe and each Fetch is
 // answered by one list; a failed call by ListFailed.
 type Client struct {
-	tell func(logic.ListKind, []core.Backend)
-	log  *slog.Logger
-	dial func(ctx context.Context, network, addr string) (net.Conn, error)
+	deliver func(logic.ListKind, []core.Backend)
+	log     *slog.Logger
+	dial    func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	telling sync.Mutex // held while a list is told, ahead of mu: lists are told in one order
-	order   order
+	deliverMu sync.Mutex // held while a list is delivered, locked before mu: lists are delivered in one order
+	filter    staleFilter
 
-	mu    sync.Mutex
-	addr  string
-	rev   int64
-	leave context.CancelFunc // ends the present watch for one at a new address
-	stop  context.CancelFunc // of the present watch
-	done  chan struct{}      // closed when it has ended
+	mu       sync.Mutex
+	addr     string
+	revision int64
+	leave    context.CancelFunc // ends the current watch for one at a new address
+	stop     context.CancelFunc // ends the current watch
+	done     chan struct{}      // closed when the current watch has ended
 }
 
 var _ core.Registry = (*Client)(nil)
 
-// New returns a Registry that has yet to call. known is the list that the node knows
+// New returns a Client that has yet to call. known is the list that the node has
 // already, with its version.
-func New(addr string, known List, tell func(logic.ListKind, []core.Backend), log *slog.Logger) *Client {
-	r := &Client{addr: addr, rev: known.Revision, tell: tell, log: log, dial: new(net.Dialer).DialContext,
-		order: newOrder(time.Now)}
-	if entries, err := known.Backends(); err == nil {
-		r.order.sort(&known, entries)
+func New(addr string, known List, deliver func(logic.ListKind, []core.Backend), log *slog.Logger) *Client {
+	c := &Client{addr: addr, revision: known.Revision, deliver: deliver, log: log, dial: new(net.Dialer).DialContext,
+		filter: newStaleFilter(time.Now)}
+	if backends, err := known.Backends(); err == nil {
+		c.filter.apply(&known, backends)
 	}
-	return r
+	return c
 }
 
-// Revision returns the version of the list that was last told.
-func (r *Client) Revision() int64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.rev
+// Revision returns the version of the list that was last delivered.
+func (c *Client) Revision() int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.revision
 }
 
-// Fetch asks for the whole list. It does not block.
-func (r *Client) Fetch() {
+// Fetch asks for the full list. It does not block.
+func (c *Client) Fetch() {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), turnWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
-		r.mu.Lock()
-		addr := r.addr
-		r.mu.Unlock()
-		err := r.call(ctx, addr, "/v1/endpoints", turnWithin, func(body *bufio.Reader, _ func()) error {
+		c.mu.Lock()
+		addr := c.addr
+		c.mu.Unlock()
+		err := c.call(ctx, addr, "/v1/endpoints", callTimeout, func(body *bufio.Reader, _ func()) error {
 			l := List{Revision: -1}
-			if err := json.NewDecoder(io.LimitReader(body, maxList)).Decode(&l); err != nil {
+			if err := json.NewDecoder(io.LimitReader(body, maxListBytes)).Decode(&l); err != nil {
 				return err
 			}
-			l.Full = true // the call is for the whole list
-			return r.take(nil, &l)
+			l.Full = true // the call is for the full list
+			return c.accept(nil, &l)
 		})
 		if err != nil {
-			r.log.Warn("director: no list", logging.Cause, err)
-			r.tell(logic.ListFailed, nil)
+			c.log.Warn("registry: fetching the list failed", logging.Cause, err)
+			c.deliver(logic.ListFailed, nil)
 		}
 	}()
 }
 
-// Subscribe starts a watch in place of the present one. It does not block.
-func (r *Client) Subscribe() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// Subscribe starts a watch in place of the current one. It does not block.
+func (c *Client) Subscribe() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	ctx, stop := context.WithCancel(context.Background())
-	before, stopBefore := r.done, r.stop
+	previous, stopPrevious := c.done, c.stop
 	done := make(chan struct{})
-	r.stop, r.done = stop, done
+	c.stop, c.done = stop, done
 	go func() {
 		defer close(done)
-		if before != nil { // its reply, or the lack of one, comes before this one's
-			stopBefore()
-			<-before
+		if previous != nil { // its reply, or its failure, is delivered before this one's
+			stopPrevious()
+			<-previous
 		}
-		replied, err := r.follow(ctx, patience{turnWithin, turnDoubt, 3})
+		replied, err := c.watch(ctx, hedgePolicy{callTimeout, firstReplyHedgeDelay, 3})
 		if ctx.Err() != nil && replied {
-			return // replaced: the module holds this watch for the new one
+			return // replaced: the module takes this watch for the new one
 		}
-		r.log.Warn("director: the watch broke", logging.Cause, err)
-		r.tell(logic.ListFailed, nil)
+		c.log.Warn("registry: watch failed", logging.Cause, err)
+		c.deliver(logic.ListFailed, nil)
 	}()
 }
 
-// KeepWatching watches until ctx ends, for a module that does not ask: the lists are pushed, to an
-// agent on the node's own machine.
-func (r *Client) KeepWatching(ctx context.Context) {
+// KeepWatching watches until ctx ends, for a module that does not ask for lists: they are
+// pushed to an agent on the node's own machine.
+func (c *Client) KeepWatching(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
-		replied, err := r.follow(ctx, patience{silentFor, agentDoubt, int(silentFor/agentDoubt) + 1})
+		replied, err := c.watch(ctx, hedgePolicy{silenceTimeout, agentHedgeDelay, int(silenceTimeout/agentHedgeDelay) + 1})
 		if failures++; replied {
 			failures = 1
 		}
-		if failures&(failures-1) == 0 { // ever fewer lines of an outage that goes on
-			r.log.Warn("director: the watch broke", "failures", failures, logging.Cause, err)
+		if failures&(failures-1) == 0 { // at powers of two, so that a long outage logs few lines
+			c.log.Warn("registry: watch failed", "failures", failures, logging.Cause, err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(agentPause/2 + rand.N(agentPause/2)):
+		case <-time.After(agentRetryDelay/2 + rand.N(agentRetryDelay/2)):
 		}
 	}
 }
 
-// SetAddress goes over to the registry at another address: the present watch ends
-// unseen and goes on there. Its module has been told nothing failed, so no drain
-// and no call is made up, and a call that waits for its list still gets one.
-func (r *Client) SetAddress(addr string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if addr == r.addr {
+// SetAddress moves to the registry at another address: the current watch ends and continues
+// there. The module is told of no failure, so it assumes no drain and makes no further call,
+// and a call that waits for its list still gets one.
+func (c *Client) SetAddress(addr string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if addr == c.addr {
 		return
 	}
-	r.addr = addr
-	if r.leave != nil {
-		r.leave()
+	c.addr = addr
+	if c.leave != nil {
+		c.leave()
 	}
 }
 
-// patience is how a caller waits for first words.
-type patience struct {
-	first time.Duration // of one call
-	doubt time.Duration // until another is made beside it, and a tenth more at most
-	most  int           // calls out at once
+// hedgePolicy says how a caller waits for first replies.
+type hedgePolicy struct {
+	timeout  time.Duration // of one call's first reply
+	delay    time.Duration // until another call is made in parallel; up to a tenth is added
+	maxCalls int           // in flight at once
 }
 
-// follow watches until a watch ends other than by a move. It also returns
-// whether a first list was told.
-func (r *Client) follow(ctx context.Context, p patience) (replied bool, err error) {
+// watch watches until a watch ends for any reason but a new address. It also returns
+// whether a first list was delivered.
+func (c *Client) watch(ctx context.Context, policy hedgePolicy) (replied bool, err error) {
 	for {
-		here, leave := context.WithCancel(ctx)
-		r.mu.Lock()
-		r.leave = leave
-		addr := r.addr
-		r.mu.Unlock()
-		told, err := r.stay(here, addr, p)
-		replied = replied || told
-		moved := here.Err() != nil && ctx.Err() == nil
+		addrCtx, leave := context.WithCancel(ctx)
+		c.mu.Lock()
+		c.leave = leave
+		addr := c.addr
+		c.mu.Unlock()
+		delivered, err := c.watchAddress(addrCtx, addr, policy)
+		replied = replied || delivered
+		moved := addrCtx.Err() != nil && ctx.Err() == nil
 		leave()
 		if !moved {
 			return replied, err
@@ -260,163 +268,164 @@
 	}
 }
 
-// watch is one call for a watch, guarded by Registry.telling.
-type watch struct {
-	rivals *[]*watch
-	end    context.CancelFunc
-	rev    int64 // of its last list
-	dead   bool  // a rival has spoken
+// watchCall is one call for a watch, guarded by Client.deliverMu.
+type watchCall struct {
+	parallel   *[]*watchCall // the calls in flight, this one included
+	cancel     context.CancelFunc
+	revision   int64 // of its last list
+	superseded bool  // a parallel call has replied
 }
 
-// event is a word of a watch, or its end.
-type event struct {
-	of  *watch
-	err error // nil: a word
+// watchEvent is a line of a watch, or its end.
+type watchEvent struct {
+	call *watchCall
+	err  error // nil: a line
 }
 
-// stay watches at one address until no call is out any more. A call or a watch that says
-// nothing for longer than an honest one would gets another beside it, and goes on: of those
-// that are out the first to speak holds, and the others end. So a call that is lost costs no
-// more than a while, and one that waits for its turn does not lose it.
-func (r *Client) stay(ctx context.Context, addr string, p patience) (replied bool, err error) {
+// watchAddress watches at one address until no call is in flight any more. A call or a watch
+// that is silent for longer than a healthy one would be is hedged: another call is made in
+// parallel, the first of them to reply is kept, and the others end. So a lost call costs only
+// a short delay, and one that waits for its turn at the registry does not lose it.
+func (c *Client) watchAddress(ctx context.Context, addr string, policy hedgePolicy) (replied bool, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	var ended sync.WaitGroup
 	defer ended.Wait()
 	defer stop()
-	events := make(chan event)
-	var out []*watch // guarded by telling, but for the reads of this goroutine
-	doubt := time.NewTimer(time.Hour)
-	defer doubt.Stop()
-	var due time.Time // of the next call beside those that are out
-	ask := func(in time.Duration) {
-		due = time.Now().Add(in)
-		doubt.Reset(in)
+	events := make(chan watchEvent)
+	var calls []*watchCall // in flight; guarded by deliverMu, except for the reads of this goroutine
+	hedge := time.NewTimer(time.Hour)
+	defer hedge.Stop()
+	var due time.Time // of the next hedged call
+	scheduleHedge := func(delay time.Duration) {
+		due = time.Now().Add(delay)
+		hedge.Reset(delay)
 	}
 	open := func() {
-		r.mu.Lock()
-		path := fmt.Sprintf("/v1/endpoints?stream=1&index=%d", r.rev)
-		r.mu.Unlock()
-		here, end := context.WithCancel(ctx)
-		w := &watch{rivals: &out, end: end, rev: -1}
-		r.telling.Lock()
-		out = append(out, w)
-		r.telling.Unlock()
-		ask(p.doubt + rand.N(p.doubt/10))
-		put := func(err error) {
+		c.mu.Lock()
+		path := fmt.Sprintf("/v1/endpoints?stream=1&index=%d", c.revision)
+		c.mu.Unlock()
+		callCtx, cancel := context.WithCancel(ctx)
+		w := &watchCall{parallel: &calls, cancel: cancel, revision: -1}
+		c.deliverMu.Lock()
+		calls = append(calls, w)
+		c.deliverMu.Unlock()
+		scheduleHedge(policy.delay + rand.N(policy.delay/10))
+		post := func(err error) {
 			select {
-			case events <- event{w, err}:
+			case events <- watchEvent{w, err}:
 			case <-ctx.Done():
 			}
 		}
-		ended.Go(func() { put(r.watch(here, w, addr, path, p.first, func() { put(nil) })) })
+		ended.Go(func() { post(c.readWatch(callCtx, w, addr, path, policy.timeout, func() { post(nil) })) })
 	}
 	for open(); ; {
 		select {
 		case <-ctx.Done():
 			return replied, ctx.Err()
-		case <-doubt.C:
-			if ask(p.doubt); len(out) < p.most {
+		case <-hedge.C:
+			if scheduleHedge(policy.delay); len(calls) < policy.maxCalls {
 				open()
 			}
-		case e := <-events:
-			if e.err == nil {
+		case event := <-events:
+			if event.err == nil {
 				replied = true
-				ask(watchDoubt + rand.N(watchDoubt/10))
+				scheduleHedge(watchHedgeDelay + rand.N(watchHedgeDelay/10))
 				continue
 			}
-			e.of.end()
-			r.telling.Lock()
-			out = slices.DeleteFunc(out, func(w *watch) bool { return w == e.of })
-			replaced := e.of.dead
-			r.telling.Unlock()
-			if len(out) == 0 {
-				return replied, e.err
+			event.call.cancel()
+			c.deliverMu.Lock()
+			calls = slices.DeleteFunc(calls, func(w *watchCall) bool { return w == event.call })
+			superseded := event.call.superseded
+			c.deliverMu.Unlock()
+			if len(calls) == 0 {
+				return replied, event.err
 			}
-			if !replaced { // those that are left have said nothing since
-				r.log.Info("director: a call beside others broke", logging.Cause, e.err)
-				// Only sooner: calls that end one after the other would put the next off for good.
-				if in := againIn + rand.N(againIn); time.Now().Add(in).Before(due) {
-					ask(in)
+			if !superseded { // the remaining calls have not replied since
+				c.log.Info("registry: hedged call failed", logging.Cause, event.err)
+				// Only moved forward: calls that end one after the other would else defer
+				// the next one for ever.
+				if delay := hedgeRetryDelay + rand.N(hedgeRetryDelay); time.Now().Add(delay).Before(due) {
+					scheduleHedge(delay)
 				}
 			}
 		}
 	}
 }
 
-// watch tells lists until the watch ends, which it always does with an error. word is called
-// for each list and each empty line.
-func (r *Client) watch(ctx context.Context, w *watch, addr, path string, first time.Duration, word func()) error {
-	return r.call(ctx, addr, path, first, func(body *bufio.Reader, whole func()) error {
+// readWatch delivers lists until the watch ends, which it always does with an error. onLine is
+// called for each list and each empty line.
+func (c *Client) readWatch(ctx context.Context, w *watchCall, addr, path string, timeout time.Duration, onLine func()) error {
+	return c.call(ctx, addr, path, timeout, func(body *bufio.Reader, received func()) error {
 		for replied := false; ; replied = true {
-			l, err := next(body)
+			l, err := readList(body)
 			if err != nil {
 				return err
 			}
-			whole()
+			received()
 			if l == nil {
 				l = &List{Revision: -1} // an empty first line is the reply that nothing has changed
 				if replied {
 					l = nil
 				}
 			}
-			if err := r.take(w, l); err != nil {
+			if err := c.accept(w, l); err != nil {
 				return err
 			}
-			word()
+			onLine()
 		}
 	})
 }
 
-// errReplaced ends a watch beside which another has spoken first.
-var errReplaced = errors.New("another watch has spoken first")
+// errSuperseded ends a watch after a parallel one has replied first.
+var errSuperseded = errors.New("a parallel call has replied first")
 
-// take tells what a watch brought, a list or nil for an empty line, in the order of the
-// lists. A nil watch is a call for the whole list.
-func (r *Client) take(w *watch, l *List) error {
-	r.telling.Lock()
-	defer r.telling.Unlock()
-	if w != nil && w.dead {
-		return errReplaced
+// accept delivers what a watch received, a list or nil for an empty line, in the order of the
+// lists. A nil watch is a call for the full list.
+func (c *Client) accept(w *watchCall, l *List) error {
+	c.deliverMu.Lock()
+	defer c.deliverMu.Unlock()
+	if w != nil && w.superseded {
+		return errSuperseded
 	}
-	var entries []core.Backend
+	var backends []core.Backend
 	if l != nil {
 		var err error
-		if entries, err = l.Backends(); err != nil {
+		if backends, err = l.Backends(); err != nil {
 			return err
 		}
 		if w != nil && l.Revision >= 0 {
-			if l.Revision < w.rev {
-				return fmt.Errorf("rev: %d after %d", l.Revision, w.rev)
+			if l.Revision < w.revision {
+				return fmt.Errorf("rev: %d after %d", l.Revision, w.revision)
 			}
-			w.rev = l.Revision
+			w.revision = l.Revision
 		}
 	}
 	if w != nil {
-		for _, rival := range *w.rivals {
-			if rival.dead = rival != w; rival.dead {
-				rival.end()
+		for _, other := range *w.parallel {
+			if other.superseded = other != w; other.superseded {
+				other.cancel()
 			}
 		}
 	}
 	if l == nil {
 		return nil
 	}
-	entries = r.order.sort(l, entries)
+	backends = c.filter.apply(l, backends)
 	if l.Revision >= 0 {
-		r.mu.Lock()
-		r.rev = l.Revision
-		r.mu.Unlock()
+		c.mu.Lock()
+		c.revision = l.Revision
+		c.mu.Unlock()
 	}
 	kind := logic.ListChanges
 	if l.Full {
 		kind = logic.ListFull
 	}
-	r.tell(kind, entries)
+	c.deliver(kind, backends)
 	return nil
 }
 
-// next reads a list, over however many lines, or an empty line, which is nil.
-func next(in *bufio.Reader) (*List, error) {
+// readList reads a list, over however many lines, or an empty line, which is nil.
+func readList(in *bufio.Reader) (*List, error) {
 	for {
 		b, err := in.ReadByte()
 		switch {
@@ -431,10 +440,10 @@
 			return nil, err
 		}
 		l := &List{Revision: -1}
-		if err := json.NewDecoder(io.LimitReader(braces{in}, maxList)).Decode(l); err != nil {
+		if err := json.NewDecoder(io.LimitReader(braceReader{in}, maxListBytes)).Decode(l); err != nil {
 			return nil, err
 		}
-		// The end of the list's last line is no empty line, if it is here already.
+		// The end of the list's last line is not an empty line, if it has arrived already.
 		if b, err := in.Peek(min(in.Buffered(), 1)); err == nil && len(b) == 1 && b[0] == '\n' {
 			in.Discard(1)
 		}
@@ -442,11 +451,11 @@
 	}
 }
 
-// braces reads up to a closing brace at a time. A list ends with one, so a decoder that
-// reads from it takes nothing of what follows.
-type braces struct{ in *bufio.Reader }
+// braceReader reads up to a closing brace at a time. A list ends with one, so a decoder that
+// reads from it consumes nothing of what follows.
+type braceReader struct{ in *bufio.Reader }
 
-func (r braces) Read(p []byte) (int, error) {
+func (r braceReader) Read(p []byte) (int, error) {
 	if _, err := r.in.Peek(1); err != nil {
 		return 0, err
 	}
@@ -459,30 +468,31 @@
 	return n, err
 }
 
-// call sends a GET and has the body of its 200 answer read. The first of it has to come
-// whole within a time; whole tells that something has, and starts the clock of silence anew.
-func (r *Client) call(ctx context.Context, addr, path string, first time.Duration, read func(body *bufio.Reader, whole func()) error) error {
-	up, stop := context.WithTimeout(ctx, min(first, connectWithin))
+// call sends a GET and has read consume the body of its 200 response. The first part of the
+// body must be complete within the timeout; received reports a complete part, and restarts the
+// silence timeout.
+func (c *Client) call(ctx context.Context, addr, path string, timeout time.Duration, read func(body *bufio.Reader, received func()) error) error {
+	dialCtx, stop := context.WithTimeout(ctx, min(timeout, connectTimeout))
 	defer stop()
-	c, err := r.dial(up, "tcp", addr)
+	conn, err := c.dial(dialCtx, "tcp", addr)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	defer context.AfterFunc(ctx, func() { c.Close() })()
-	c.SetWriteDeadline(time.Now().Add(connectWithin))
-	c.SetReadDeadline(time.Now().Add(first))
-	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", path, addr); err != nil {
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	conn.SetWriteDeadline(time.Now().Add(connectTimeout))
+	conn.SetReadDeadline(time.Now().Add(timeout))
+	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", path, addr); err != nil {
 		return err
 	}
-	res, err := http.ReadResponse(bufio.NewReader(c), nil)
+	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return err
 	}
-	// The body is not closed: that would first read a watch to its end, and one that broke
-	// at a line would be held for ever while empty lines come. The connection is closed.
+	// The body is not closed, only the connection: closing the body would first read a watch
+	// to its end, and one that broke at a line would be kept for as long as empty lines come.
 	if res.StatusCode != http.StatusOK {
 		return fmt.Errorf("%s answered %s", path, res.Status)
 	}
-	return read(bufio.NewReader(res.Body), func() { c.SetReadDeadline(time.Now().Add(silentFor)) })
+	return read(bufio.NewReader(res.Body), func() { conn.SetReadDeadline(time.Now().Add(silenceTimeout)) })
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -16,13 +16,14 @@
 	"pipitmux/logic"
 )
 
-// Each Fetch, however it goes, is answered by one list.
+// Each Fetch must be answered by one list, whether it succeeds or fails.
 func TestFetch(t *testing.T) {
 	for _, tt := range []struct {
-		name, body string
-		status     int
-		want       logic.ListKind
-		entries    int
+		name     string
+		body     string
+		status   int
+		want     logic.ListKind
+		backends int
 	}{
 		{"list", `{"rev":3,"all":true,"targets":[{"uid":"a","endpoint":"h:1","state":"in_service","boot_ms":5}]}`, 200, logic.ListFull, 1},
 		{"empty list", `{"rev":3,"all":true,"targets":[]}`, 200, logic.ListFull, 0},
@@ -36,24 +37,25 @@
 			w.WriteHeader(tt.status)
 			io.WriteString(w, tt.body)
 		}))
-		told := make(chan string, 10)
-		registry := New(s.Listener.Addr().String(), List{}, func(k logic.ListKind, e []core.Backend) { told <- fmt.Sprint(k, len(e)) }, slog.New(slog.DiscardHandler))
+		delivered := make(chan string, 10)
+		client := New(s.Listener.Addr().String(), List{}, func(kind logic.ListKind, backends []core.Backend) { delivered <- fmt.Sprint(kind, len(backends)) }, slog.New(slog.DiscardHandler))
 		for range 2 {
-			registry.Fetch()
+			client.Fetch()
 			select {
-			case got := <-told:
-				assert.Equal(t, fmt.Sprint(tt.want, tt.entries), got, tt.name)
+			case got := <-delivered:
+				assert.Equal(t, fmt.Sprint(tt.want, tt.backends), got, tt.name)
 			case <-time.After(20 * time.Second):
-				t.Fatal("a Fetch without an answer")
+				t.Fatal("a Fetch got no list")
 			}
 		}
 		s.Close()
-		assert.Empty(t, told, tt.name)
+		assert.Empty(t, delivered, tt.name)
 	}
 }
 
-// A start in Unix time is the module's own clock, 0 stays "long ago".
-func TestEntries(t *testing.T) {
+// A backend's start in Unix time must reach the module unchanged, since that is its clock too.
+// 0 stays 0, which means long ago.
+func TestListBackends(t *testing.T) {
 	l := List{Targets: []Target{
 		{UID: "a", Endpoint: "h:1", State: "in_service", BootMS: 1700000000123, Capacity: 2, Zone: "z", Model: "k", PodGroup: 3},
 		{UID: "b", State: "terminated"},
@@ -67,24 +69,24 @@
 	}, got)
 }
 
-// A second Subscribe replaces a first that has had no answer: both get theirs.
+// A second Subscribe replaces a first one without a reply. Both must be answered.
 func TestEachSubscribeIsAnswered(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
 	defer l.Close()
-	told := make(chan logic.ListKind, 10)
-	registry := New(l.Addr().String(), List{}, func(k logic.ListKind, _ []core.Backend) { told <- k }, slog.New(slog.DiscardHandler))
-	registry.Subscribe()
-	first, err := l.Accept() // the first call is out
+	delivered := make(chan logic.ListKind, 10)
+	client := New(l.Addr().String(), List{}, func(kind logic.ListKind, _ []core.Backend) { delivered <- kind }, slog.New(slog.DiscardHandler))
+	client.Subscribe()
+	first, err := l.Accept() // the first call is in flight
 	assert.NoError(t, err)
 	defer first.Close()
-	registry.Subscribe()
-	assert.Equal(t, logic.ListFailed, <-told)
+	client.Subscribe()
+	assert.Equal(t, logic.ListFailed, <-delivered)
 	second, err := l.Accept()
 	assert.NoError(t, err)
 	defer second.Close()
 	const line = "{\"rev\":2,\"all\":true,\"targets\":[]}\n"
 	fmt.Fprintf(second, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(line), line)
-	assert.Equal(t, logic.ListFull, <-told)
-	assert.Empty(t, told)
+	assert.Equal(t, logic.ListFull, <-delivered)
+	assert.Empty(t, delivered)
 }
--- a/internal/discovery/delivery_test.go
+++ b/internal/discovery/delivery_test.go
@@ -23,149 +23,151 @@
 	"pipitmux/logic"
 )
 
-// toldWithin is when a change counts as told: so long after the registry had it and could be
-// reached, whatever call failed, was refused or given up.
-const toldWithin = 6 * time.Second
+// deliveryLimit is the time within which a change must be delivered, counted from when the
+// registry had it and was reachable, whatever call failed, was refused or given up.
+const deliveryLimit = 6 * time.Second
 
 const (
-	before = `{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":"h:1","state":"in_service"},{"uid":"b","endpoint":"h:2","state":"in_service"}]}` + "\n"
-	drain  = `{"rev":2,"all":false,"targets":[{"uid":"a","endpoint":"h:1","state":"terminating"}]}` + "\n"
+	initialList = `{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":"h:1","state":"in_service"},{"uid":"b","endpoint":"h:2","state":"in_service"}]}` + "\n"
+	drainList   = `{"rev":2,"all":false,"targets":[{"uid":"a","endpoint":"h:1","state":"terminating"}]}` + "\n"
 )
 
-// desk is a registry that takes calls in turn, as many as it is made for.
-type desk struct {
-	began   time.Time
-	per     time.Duration // of its time that a call takes
-	drain   time.Duration // when a backend begins to drain: the registry has it from then on
-	down    [2]time.Duration
-	silence time.Duration // when the watches then open fall silent, 0: never
-	reset   time.Duration // when they are reset, 0: never
-	fate    func(of string, call int) fate
+// queuedRegistry is a registry that handles one call at a time, at a limited rate.
+type queuedRegistry struct {
+	started     time.Time
+	timePerCall time.Duration
+	drain       time.Duration    // when a backend begins to drain: the registry has it from then on
+	down        [2]time.Duration // start and end of an outage
+	silence     time.Duration    // when the open watches fall silent, 0: never
+	reset       time.Duration    // when the open watches are reset, 0: never
+	outcome     func(node string, call int) callOutcome
 
-	mu    sync.Mutex
-	free  time.Duration
-	calls map[string]int
-	made  []time.Duration
+	mu        sync.Mutex
+	freeAt    time.Duration  // when the queue is empty
+	calls     map[string]int // of each node
+	callTimes []time.Duration
 }
 
-type fate int
+type callOutcome int
 
 const (
-	heard   fate = iota
-	lost         // taken, and nothing comes of it
-	refused      // at once
+	handled callOutcome = iota
+	lost                // accepted, without a reply
+	refused             // at once
 )
 
-const deskPatience = 2 * time.Second // a call that waits longer for its turn is refused
+const maxQueueWait = 2 * time.Second // a call that would wait longer for its turn is refused
 
-func (k *desk) at() time.Duration { return time.Since(k.began) }
+func (r *queuedRegistry) now() time.Duration { return time.Since(r.started) }
 
-func (k *desk) isDown() bool { at := k.at(); return at >= k.down[0] && at < k.down[1] }
+func (r *queuedRegistry) isDown() bool { now := r.now(); return now >= r.down[0] && now < r.down[1] }
 
-// turn books the desk's time for a call, false where it waits too long.
-func (k *desk) turn() bool {
-	k.mu.Lock()
-	wait := max(k.free-k.at(), 0)
-	if wait <= deskPatience {
-		k.free = k.at() + wait + k.per
+// takeTurn queues a call and waits for its turn. It returns false where the queue is too long.
+func (r *queuedRegistry) takeTurn() bool {
+	r.mu.Lock()
+	wait := max(r.freeAt-r.now(), 0)
+	if wait <= maxQueueWait {
+		r.freeAt = r.now() + wait + r.timePerCall
 	}
-	k.mu.Unlock()
-	time.Sleep(min(wait, deskPatience) + k.per)
-	return wait <= deskPatience
+	r.mu.Unlock()
+	time.Sleep(min(wait, maxQueueWait) + r.timePerCall)
+	return wait <= maxQueueWait
 }
 
-func (k *desk) serve(c net.Conn, of string) {
+func (r *queuedRegistry) serve(c net.Conn, node string) {
 	defer c.Close()
 	request, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil {
 		return
 	}
-	k.mu.Lock()
-	call := k.calls[of]
-	k.calls[of]++
-	k.made = append(k.made, k.at())
-	k.mu.Unlock()
-	switch f := k.fate(of, call); {
-	case k.isDown():
+	r.mu.Lock()
+	call := r.calls[node]
+	r.calls[node]++
+	r.callTimes = append(r.callTimes, r.now())
+	r.mu.Unlock()
+	switch outcome := r.outcome(node, call); {
+	case r.isDown():
 		return
-	case f == lost:
+	case outcome == lost:
 		io.Copy(io.Discard, c)
 		return
-	case f == refused || !k.turn():
+	case outcome == refused || !r.takeTurn():
 		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
 	gone := make(chan struct{})
 	go func() { io.Copy(io.Discard, c); close(gone) }()
-	first := before
+	first := initialList
 	if !strings.HasSuffix(request.URL.RawQuery, "index=0") {
 		first = "\n"
 	}
-	if k.at() >= k.drain {
-		first = drain
+	if r.now() >= r.drain {
+		first = drainList
 	}
 	if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+first); err != nil {
 		return
 	}
-	for opened, said, beat := k.at(), first == drain, k.at()+2*time.Second; ; time.Sleep(20 * time.Millisecond) {
+	for opened, drainSent, nextLine := r.now(), first == drainList, r.now()+2*time.Second; ; time.Sleep(20 * time.Millisecond) {
 		select {
 		case <-gone:
 			return
 		default:
 		}
-		now := k.at()
+		now := r.now()
 		switch {
-		case k.isDown() || k.reset > 0 && opened < k.reset && now >= k.reset:
+		case r.isDown() || r.reset > 0 && opened < r.reset && now >= r.reset:
 			return
-		case k.silence > 0 && opened < k.silence && now >= k.silence:
+		case r.silence > 0 && opened < r.silence && now >= r.silence:
 			<-gone
 			return
-		case now >= k.drain && !said:
-			said, beat = true, now+2*time.Second
-			io.WriteString(c, drain)
-		case now >= beat:
-			beat = now + 2*time.Second
+		case now >= r.drain && !drainSent:
+			drainSent, nextLine = true, now+2*time.Second
+			io.WriteString(c, drainList)
+		case now >= nextLine:
+			nextLine = now + 2*time.Second
 			io.WriteString(c, "\n")
 		}
 	}
 }
 
-type noBackends struct{}
+// noTransport never starts an attempt.
+type noTransport struct{}
 
-func (noBackends) Start(core.Attempt, func(core.AttemptResult)) func() { return func() {} }
-func (noBackends) Withdraw(core.Instance)                              {}
-func (noBackends) CloseIdle(core.Instance)                             {}
+func (noTransport) Start(core.Attempt, func(core.AttemptResult)) func() { return func() {} }
+func (noTransport) Withdraw(core.Instance)                              {}
+func (noTransport) CloseIdle(core.Instance)                             {}
 
-// node is a node's module with its registry, and when it was told the drain.
-func (k *desk) node(t testing.TB, name string, nodes, number int, dial func(context.Context, string, string) (net.Conn, error)) (told <-chan time.Duration, end func()) {
-	quiet := slog.New(slog.DiscardHandler)
-	owner, err := core.NewEventLoop(logic.Settings{Nodes: nodes, Number: number, MustSubscribe: true, AskWithin: 10 * time.Second,
-		Classes: []logic.Class{{Name: "c", Aim: time.Second, Deadline: time.Second}}}, uint64(number+1), counters.New(), quiet)
+// startNode runs an event loop with a client of the registry. drained receives when the drain
+// was delivered.
+func (r *queuedRegistry) startNode(t testing.TB, name string, nodes, number int, dial func(context.Context, string, string) (net.Conn, error)) (drained <-chan time.Duration, end func()) {
+	log := slog.New(slog.DiscardHandler)
+	loop, err := core.NewEventLoop(logic.Settings{Nodes: nodes, Number: number, MustSubscribe: true, AskWithin: 10 * time.Second,
+		Classes: []logic.Class{{Name: "c", Aim: time.Second, Deadline: time.Second}}}, uint64(number+1), counters.New(), log)
 	require.NoError(t, err)
-	out := make(chan time.Duration, 1)
-	registry := New(name, List{}, func(kind logic.ListKind, entries []core.Backend) {
-		for _, e := range entries {
-			if e.ID == "a" && e.State == logic.Draining {
+	drainTimes := make(chan time.Duration, 1)
+	client := New(name, List{}, func(kind logic.ListKind, backends []core.Backend) {
+		for _, b := range backends {
+			if b.ID == "a" && b.State == logic.Draining {
 				select {
-				case out <- k.at():
+				case drainTimes <- r.now():
 				default:
 				}
 			}
 		}
-		owner.UpdateBackends(kind, entries)
-	}, quiet)
+		loop.UpdateBackends(kind, backends)
+	}, log)
 	if dial != nil {
-		registry.dial = dial
+		client.dial = dial
 	}
 	ended := make(chan struct{})
-	go func() { owner.Run(noBackends{}, registry); close(ended) }()
-	owner.UpdateBackends(logic.ListCached, nil) // which starts the module
-	return out, func() {
-		owner.Stop()
+	go func() { loop.Run(noTransport{}, client); close(ended) }()
+	loop.UpdateBackends(logic.ListCached, nil) // which starts the module
+	return drainTimes, func() {
+		loop.Stop()
 		<-ended
-		registry.mu.Lock()
-		stop, done := registry.stop, registry.done
-		registry.mu.Unlock()
+		client.mu.Lock()
+		stop, done := client.stop, client.done
+		client.mu.Unlock()
 		if stop != nil {
 			stop()
 			<-done
@@ -173,135 +175,137 @@
 	}
 }
 
-// crossings are the ways in which a drain and a failure of a registry can meet.
-var crossings = map[string]func(*desk){
-	"the watch falls silent as the drain begins":                func(k *desk) { k.silence, k.drain = 3*time.Second, 3*time.Second },
-	"and the next call is lost":                                 func(k *desk) { k.silence, k.drain, k.fate = 3*time.Second, 3*time.Second, only(1, lost) },
-	"and the next call is refused":                              func(k *desk) { k.silence, k.drain, k.fate = 3*time.Second, 3*time.Second, only(1, refused) },
-	"the watch is silent from its opening":                      func(k *desk) { k.drain, k.fate = 100*time.Millisecond, only(0, lost) },
-	"a call is refused, and the next one lost as a drain comes": func(k *desk) { k.drain, k.fate = time.Second, first(refused, lost) },
-	"all watches are reset, and the next calls refused": func(k *desk) {
-		k.reset, k.drain, k.fate = 3*time.Second, 3*time.Second, first(heard, refused, refused)
+// crossings are the ways in which a drain can coincide with a failure of the registry.
+var crossings = map[string]func(*queuedRegistry){
+	"the watch falls silent as the drain begins": func(r *queuedRegistry) { r.silence, r.drain = 3*time.Second, 3*time.Second },
+	"and the next call is lost":                  func(r *queuedRegistry) { r.silence, r.drain, r.outcome = 3*time.Second, 3*time.Second, only(1, lost) },
+	"and the next call is refused": func(r *queuedRegistry) {
+		r.silence, r.drain, r.outcome = 3*time.Second, 3*time.Second, only(1, refused)
 	},
-	"the registry is back, and the drain begins": func(k *desk) {
-		k.down, k.drain = [2]time.Duration{2 * time.Second, 9 * time.Second}, 9*time.Second
+	"the watch is silent from its opening":                      func(r *queuedRegistry) { r.drain, r.outcome = 100*time.Millisecond, only(0, lost) },
+	"a call is refused, and the next one lost as a drain comes": func(r *queuedRegistry) { r.drain, r.outcome = time.Second, first(refused, lost) },
+	"all watches are reset, and the next calls refused": func(r *queuedRegistry) {
+		r.reset, r.drain, r.outcome = 3*time.Second, 3*time.Second, first(handled, refused, refused)
 	},
-	"the registry is back, and the next call is lost": func(k *desk) {
-		k.down, k.drain = [2]time.Duration{2 * time.Second, 9 * time.Second}, 9*time.Second
+	"the registry returns as the drain begins": func(r *queuedRegistry) {
+		r.down, r.drain = [2]time.Duration{2 * time.Second, 9 * time.Second}, 9*time.Second
+	},
+	"the registry returns, and the next call is lost": func(r *queuedRegistry) {
+		r.down, r.drain = [2]time.Duration{2 * time.Second, 9 * time.Second}, 9*time.Second
 		var once sync.Map
-		k.fate = func(of string, call int) fate {
-			if k.at() < k.down[1] {
-				return heard
+		r.outcome = func(node string, call int) callOutcome {
+			if r.now() < r.down[1] {
+				return handled
 			}
-			if _, lostOne := once.LoadOrStore(of, true); !lostOne {
+			if _, alreadyLost := once.LoadOrStore(node, true); !alreadyLost {
 				return lost
 			}
-			return heard
+			return handled
 		}
 	},
 }
 
-func only(which int, f fate) func(string, int) fate {
-	return func(_ string, call int) fate {
+func only(which int, outcome callOutcome) func(string, int) callOutcome {
+	return func(_ string, call int) callOutcome {
 		if call == which {
-			return f
+			return outcome
 		}
-		return heard
+		return handled
 	}
 }
 
-func first(fates ...fate) func(string, int) fate {
-	return func(_ string, call int) fate {
-		if call < len(fates) {
-			return fates[call]
+func first(outcomes ...callOutcome) func(string, int) callOutcome {
+	return func(_ string, call int) callOutcome {
+		if call < len(outcomes) {
+			return outcomes[call]
 		}
-		return heard
+		return handled
 	}
 }
 
-func newDesk(per time.Duration) *desk {
-	return &desk{began: time.Now(), per: per, calls: map[string]int{}, fate: func(string, int) fate { return heard }}
+func newQueuedRegistry(timePerCall time.Duration) *queuedRegistry {
+	return &queuedRegistry{started: time.Now(), timePerCall: timePerCall, calls: map[string]int{}, outcome: func(string, int) callOutcome { return handled }}
 }
 
-// On real sockets, one node: whatever call is lost or refused as a drain begins, it is told
-// in time.
-func TestToldInTimeOnSockets(t *testing.T) {
+// One node on real sockets: a drain must be delivered in time, whatever call is lost or refused
+// as it begins.
+func TestDrainIsDeliveredInTimeOnSockets(t *testing.T) {
 	for name, set := range crossings {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			defer l.Close()
-			k := newDesk(10 * time.Millisecond)
-			set(k)
+			r := newQueuedRegistry(10 * time.Millisecond)
+			set(r)
 			go func() {
 				for {
 					c, err := l.Accept()
 					if err != nil {
 						return
 					}
-					go k.serve(c, "")
+					go r.serve(c, "")
 				}
 			}()
-			told, end := k.node(t, l.Addr().String(), 1, 0, nil)
+			drained, end := r.startNode(t, l.Addr().String(), 1, 0, nil)
 			defer end()
 			select {
-			case at := <-told:
-				assert.LessOrEqual(t, at, k.drain+toldWithin)
+			case at := <-drained:
+				assert.LessOrEqual(t, at, r.drain+deliveryLimit)
 			case <-time.After(30 * time.Second):
-				t.Error("never told")
+				t.Error("the drain was never delivered")
 			}
 		})
 	}
 }
 
-// Thirty nodes at once, at a registry that takes fifteen calls a second: all are told in time,
-// and none of them by calling without end.
-func TestToldInTimeThirtyNodes(t *testing.T) {
+// Thirty nodes share a registry that takes fifteen calls per second. The drain must reach all of
+// them in time, and they must not overload the registry with calls.
+func TestDrainIsDeliveredInTimeToThirtyNodes(t *testing.T) {
 	const nodes = 30
 	for name, set := range crossings {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				k := newDesk(time.Second / 15)
-				set(k)
+				r := newQueuedRegistry(time.Second / 15)
+				set(r)
 				var ends []func()
-				var told []<-chan time.Duration
+				var drained []<-chan time.Duration
 				for n := range nodes {
-					of := fmt.Sprint("n", n)
-					was, end := k.node(t, of, nodes, n, func(context.Context, string, string) (net.Conn, error) {
-						if k.isDown() {
-							k.mu.Lock()
-							k.made = append(k.made, k.at())
-							k.mu.Unlock()
+					name := fmt.Sprint("n", n)
+					nodeDrained, end := r.startNode(t, name, nodes, n, func(context.Context, string, string) (net.Conn, error) {
+						if r.isDown() {
+							r.mu.Lock()
+							r.callTimes = append(r.callTimes, r.now())
+							r.mu.Unlock()
 							return nil, errors.New("down")
 						}
-						here, there := net.Pipe()
-						go k.serve(there, of)
-						return here, nil
+						clientSide, serverSide := net.Pipe()
+						go r.serve(serverSide, name)
+						return clientSide, nil
 					})
-					told, ends = append(told, was), append(ends, end)
+					drained, ends = append(drained, nodeDrained), append(ends, end)
 				}
-				time.Sleep(k.drain + toldWithin)
+				time.Sleep(r.drain + deliveryLimit)
 				late := 0
-				for _, was := range told {
+				for _, nodeDrained := range drained {
 					select {
-					case <-was:
+					case <-nodeDrained:
 					default:
 						late++
 					}
 				}
-				assert.Zero(t, late, "nodes that were not told in time")
+				assert.Zero(t, late, "nodes that the drain did not reach in time")
 				after := 0
-				for _, at := range k.made {
-					if at >= k.drain {
+				for _, at := range r.callTimes {
+					if at >= r.drain {
 						after++
 					}
 				}
-				assert.LessOrEqual(t, after, 4*nodes, "calls since then")
+				assert.LessOrEqual(t, after, 4*nodes, "calls since the drain")
 				for _, end := range ends {
 					end()
 				}
-				time.Sleep(10 * time.Second) // for what is under way at the desk to end
+				time.Sleep(10 * time.Second) // until the calls in flight have ended
 			})
 		})
 	}
--- a/internal/discovery/filter.go
+++ b/internal/discovery/filter.go
@@ -7,70 +7,71 @@
 	"pipitmux/logic"
 )
 
-// order keeps an older list from bringing back what a newer one has ended, whichever way
-// the two came: on a watch, on one beside it, in an answer, from before this process.
+// staleFilter keeps an older list from undoing the drain or removal that a newer one
+// reported, however the two arrived: on a watch, on a parallel one, in the response to a
+// fetch, or from before this process.
 //
-// A registry that starts again may number its lists from below, so an older list is heeded
-// in all else: who is new in it, who has started anew, who has ended.
-type order struct {
-	now    func() time.Time
-	listed map[logic.ServerID]time.Duration // when each started
-	ended  map[logic.ServerID]ending
+// A registry that restarts may number its lists from a lower version, so all else in an older
+// list is used: new backends, restarts, drains and removals.
+type staleFilter struct {
+	now        func() time.Time
+	listed     map[logic.ServerID]time.Duration // when each backend's process started
+	departures map[logic.ServerID]departure
 }
 
-// ending is that a backend's process was told to drain or to be gone.
-type ending struct {
-	state logic.ServerState
-	born  time.Duration
-	rev   int64 // of the list that told it
-	at    time.Time
+// departure records that a backend's process was reported as draining or gone.
+type departure struct {
+	state    logic.ServerState
+	started  time.Duration // of the process
+	revision int64         // of the list that reported it
+	at       time.Time
 }
 
-// endingFor is how long an ending is remembered: no list is under way for longer.
-const endingFor = 5 * time.Minute
+// departureRetention is how long a departure is remembered: no list is in transit for longer.
+const departureRetention = 5 * time.Minute
 
-func newOrder(now func() time.Time) order {
-	return order{now: now, listed: map[logic.ServerID]time.Duration{}, ended: map[logic.ServerID]ending{}}
+func newStaleFilter(now func() time.Time) staleFilter {
+	return staleFilter{now: now, listed: map[logic.ServerID]time.Duration{}, departures: map[logic.ServerID]departure{}}
 }
 
-// sort returns the entries of a list as they hold beside what was told before. A list
+// apply returns the backends of a list, corrected by what was reported before. A list
 // without a version counts as the newest.
-func (o *order) sort(l *List, entries []core.Backend) []core.Backend {
-	now := o.now()
-	older := func(was ending) bool { return l.Revision >= 0 && l.Revision < was.rev }
-	out, before := entries[:0], o.listed
+func (f *staleFilter) apply(l *List, backends []core.Backend) []core.Backend {
+	now := f.now()
+	olderThan := func(d departure) bool { return l.Revision >= 0 && l.Revision < d.revision }
+	out, previous := backends[:0], f.listed
 	if l.Full {
-		o.listed = make(map[logic.ServerID]time.Duration, len(entries))
+		f.listed = make(map[logic.ServerID]time.Duration, len(backends))
 	}
-	for _, e := range entries {
-		was, known := o.ended[e.ID]
+	for _, b := range backends {
+		left, known := f.departures[b.ID]
 		switch {
-		case known && older(was) && e.Born <= was.born && e.State < was.state:
-			e.State = was.state
-		case e.State == logic.Serving:
-			delete(o.ended, e.ID)
-		case known && older(was): // what it ended was an earlier process, or it says the same
+		case known && olderThan(left) && b.Born <= left.started && b.State < left.state:
+			b.State = left.state
+		case b.State == logic.Serving:
+			delete(f.departures, b.ID)
+		case known && olderThan(left): // the departure was of an earlier process, or is the same
 		default:
-			o.ended[e.ID] = ending{e.State, max(e.Born, before[e.ID]), l.Revision, now}
+			f.departures[b.ID] = departure{b.State, max(b.Born, previous[b.ID]), l.Revision, now}
 		}
-		if e.State != logic.Gone {
-			o.listed[e.ID] = e.Born
-		} else if delete(o.listed, e.ID); l.Full {
-			continue // in a whole list it is missing
+		if b.State != logic.Gone {
+			f.listed[b.ID] = b.Born
+		} else if delete(f.listed, b.ID); l.Full {
+			continue // a full list omits backends that are gone
 		}
-		out = append(out, e)
+		out = append(out, b)
 	}
 	if l.Full {
-		for id, born := range before {
-			_, in := o.listed[id]
-			if was, known := o.ended[id]; !in && !(known && was.state == logic.Gone) && !(known && older(was)) {
-				o.ended[id] = ending{logic.Gone, born, l.Revision, now}
+		for id, started := range previous {
+			_, listed := f.listed[id]
+			if left, known := f.departures[id]; !listed && !(known && left.state == logic.Gone) && !(known && olderThan(left)) {
+				f.departures[id] = departure{logic.Gone, started, l.Revision, now}
 			}
 		}
 	}
-	for id, e := range o.ended {
-		if now.Sub(e.at) > endingFor {
-			delete(o.ended, id)
+	for id, d := range f.departures {
+		if now.Sub(d.at) > departureRetention {
+			delete(f.departures, id)
 		}
 	}
 	return out
