--- a/cmd/oakseam/node.go
+++ b/cmd/oakseam/node.go
@@ -67,8 +67,8 @@
 	budget := message.NewBudget(0)
 	pool := upstream.New(backend.Codec{ReportFields: c.Settings.ReportFields}, upstream.Options{
 		ConnectTimeout: c.ConnectTimeout,
-		IdleFor:        time.Duration(float64(c.Settings.ConnIdle) * c.Options.Backend.IdleShare),
-		Bare:           true, Relayed: figureSet.Relayed, Budget: budget,
+		IdleTimeout:    time.Duration(float64(c.Settings.ConnIdle) * c.Options.Backend.IdleShare),
+		OmitHeader:     true, OnRequestWritten: figureSet.Relayed, Budget: budget,
 	}, count, log)
 	frontend := session.New(session.Options{
 		Classes: c.Settings.Classes, RetryAfter: c.RetryAfter,
@@ -95,7 +95,7 @@
 	}
 	go loop.Run(pool, registry)
 	defer loop.Stop()
-	go pool.Reap(quit)
+	go pool.ReapIdle(quit)
 	if !c.Settings.MustSubscribe {
 		go registry.KeepWatching(context.Background())
 	}
@@ -158,7 +158,7 @@
 	for _, cl := range c.Settings.Classes {
 		longest = max(longest, cl.Deadline)
 	}
-	if err := frontend.End(min(longest, maxKillDeadline) + killGrace - exitMargin); err != nil {
+	if err := frontend.Shutdown(min(longest, maxKillDeadline) + killGrace - exitMargin); err != nil {
 		log.Warn("shut down with client sessions still open", logging.Cause, err)
 	}
 	return nil
--- a/cmd/oakseam/takeover.go
+++ b/cmd/oakseam/takeover.go
@@ -201,9 +201,9 @@
 	// wait for collection.
 	memory := share * float64(s.config.MemoryMB) * 3 / 4
 	debug.SetMemoryLimit(int64(memory * (1 << 20)))
-	s.budget.Set(int64(max((memory-programMemoryMB)/2, minBodyMemoryMB) * (1 << 20)))
+	s.budget.SetLimit(int64(max((memory-programMemoryMB)/2, minBodyMemoryMB) * (1 << 20)))
 	usable := share * float64(s.config.Sockets-reservedSockets)
-	s.pool.Limit(int(usable * s.config.Options.Backend.Share))
+	s.pool.SetMaxConns(int(usable * s.config.Options.Backend.Share))
 	s.frontend.SetLimits(int(usable*s.config.Options.Session.Share), int(share*session.SessionOverflow), int(share*float64(s.config.Sockets)*s.config.Options.Session.RequestShare))
 }
 
@@ -215,11 +215,11 @@
 
 // Ready is called when the successor is ready: it gets the new connections once this process
 // is told to end.
-func (s resourceShares) Ready() { s.frontend.Succeeded(true) }
+func (s resourceShares) Ready() { s.frontend.SetHasSuccessor(true) }
 
 // Gone is called when the successor has ended: this process uses all resources again.
 func (s resourceShares) Gone() {
 	s.log.Info("handover: the successor has ended")
-	s.frontend.Succeeded(false)
+	s.frontend.SetHasSuccessor(false)
 	s.apply(false)
 }
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -23,8 +23,8 @@
 
 var _ upstream.Codec = Codec{}
 
-// Head writes the head of a request. The call's own headers are not passed on.
-func (Codec) Head(dst *bytes.Buffer, c *message.Call, _ core.Instance, left time.Duration) {
+// WriteHead writes the head of a request. The call's own headers are not passed on.
+func (Codec) WriteHead(dst *bytes.Buffer, c *message.Call, _ core.Instance, left time.Duration) {
 	fmt.Fprintf(dst, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\nX-Time-Left: %du\r\n",
 		c.Method, c.Target, c.Host, c.ID, max(left.Microseconds(), 1))
 	if c.Key != "" {
@@ -33,14 +33,14 @@
 	if c.ContentType != "" {
 		fmt.Fprintf(dst, "Content-Type: %s\r\n", c.ContentType)
 	}
-	upstream.Frame(dst, c)
+	upstream.WriteBodyFraming(dst, c)
 	dst.WriteString("\r\n")
 }
 
-// Judge classifies a response: 200 is served, one that the backend marks as unprocessed
+// Classify classifies a response: 200 is served, one that the backend marks as unprocessed
 // never ran, and all others failed.
-func (c Codec) Judge(_ *message.Call, res *http.Response) upstream.Verdict {
-	v := upstream.Verdict{Result: logic.Failed, Report: c.parseReport(res.Header.Get("X-Backend-Load"))}
+func (c Codec) Classify(_ *message.Call, res *http.Response) upstream.Classification {
+	v := upstream.Classification{Result: logic.Failed, Report: c.parseReport(res.Header.Get("X-Backend-Load"))}
 	switch res.StatusCode {
 	case http.StatusOK:
 		v.Result = logic.OK
@@ -58,7 +58,7 @@
 // headerNames maps the fields in the settings to their names in a report's header, where
 // these differ.
 var headerNames = map[string]string{
-	logic.ReportHeld: "inflight", "pending": "queue", "cpu_share": "util",
+	logic.ReportInFlight: "inflight", "pending": "queue", "cpu_share": "util",
 	"svc_ms": "latency_ms", "served_ps": "qps", "failed_ps": "eps",
 }
 
--- a/internal/barograph/coordinator/coordinator.go
+++ b/internal/barograph/coordinator/coordinator.go
@@ -117,7 +117,7 @@
 	return groups
 }
 
-func (c *Coordinator) machine(group replica.GroupID) host.Machine {
+func (c *Coordinator) machine(group replica.GroupID) host.StateMachine {
 	switch group {
 	case protocol.ConfigurationGroup:
 		return revisions.New(c.news.tell)
@@ -195,7 +195,7 @@
 // Directory is the directory as far as this node knows.
 func (c *Coordinator) Directory() protocol.Directory {
 	var d protocol.Directory
-	c.node.Host.Peek(protocol.ConfigurationGroup, func(m host.Machine) { d = m.(*revisions.Machine).Directory() })
+	c.node.Host.ReadLocal(protocol.ConfigurationGroup, func(m host.StateMachine) { d = m.(*revisions.Machine).Directory() })
 	return d
 }
 
@@ -220,7 +220,7 @@
 // repair makes one change to a group's members where one is due.
 func (c *Coordinator) repair(ctx context.Context, group replica.GroupID, d protocol.Directory) {
 	status, err := c.node.Host.Status(group)
-	if err != nil || !status.Settled {
+	if err != nil || !status.LeaderReady {
 		return
 	}
 	cores := OfClass(d, protocol.Core)
@@ -273,7 +273,7 @@
 	}
 	status, err := c.node.Host.Status(protocol.ConfigurationGroup)
 	nodes := OfClass(d, protocol.Storage)
-	if err != nil || !status.Settled || len(nodes) == 0 || !c.settled(len(nodes)) {
+	if err != nil || !status.LeaderReady || len(nodes) == 0 || !c.settled(len(nodes)) {
 		return
 	}
 	assignment := &revisions.Assignment{}
--- a/internal/barograph/coordinator/duty.go
+++ b/internal/barograph/coordinator/duty.go
@@ -24,18 +24,18 @@
 // cut off or frozen may not know yet that another holds it.
 func (d *listerDuty) Held() (epoch uint64, ok bool) {
 	status, err := d.c.node.Host.Status(protocol.ListerDuty)
-	if err != nil || !status.Settled {
+	if err != nil || !status.LeaderReady {
 		return 0, false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), heldWithin)
 	defer cancel()
-	err = d.c.node.Host.Read(ctx, protocol.ListerDuty, func(host.Machine) {})
+	err = d.c.node.Host.Read(ctx, protocol.ListerDuty, func(host.StateMachine) {})
 	return status.Term, err == nil
 }
 
 // Lists implements lister.Duty.
 func (d *listerDuty) Lists(partition int) (lists []protocol.ServerList) {
-	d.c.node.Host.Peek(protocol.ServiceGroup(partition), func(m host.Machine) {
+	d.c.node.Host.ReadLocal(protocol.ServiceGroup(partition), func(m host.StateMachine) {
 		lists, _ = m.(*servers.Machine).Lists()
 	})
 	return lists
@@ -60,7 +60,7 @@
 		return
 	}
 	for _, id := range heirs(status.Members.Voters, d.c.node.Self.ID) {
-		if err := d.c.node.Host.Handover(protocol.ListerDuty, id); err == nil {
+		if err := d.c.node.Host.TransferLeadership(protocol.ListerDuty, id); err == nil {
 			klog.InfoS("The lister's duty is handed over", "to", id)
 			return
 		}
--- a/internal/barograph/node/calls.go
+++ b/internal/barograph/node/calls.go
@@ -57,7 +57,7 @@
 func (c *replicaCalls) Index(args *protocol.IndexArgs, reply *protocol.IndexReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Within)
 	defer cancel()
-	err := c.node.Host.Read(ctx, args.Group, func(host.Machine) {})
+	err := c.node.Host.Read(ctx, args.Group, func(host.StateMachine) {})
 	reply.Outcome, reply.Owner = OutcomeOf(err)
 	if err == nil {
 		reply.Index, _ = c.node.Host.Applied(args.Group)
@@ -68,10 +68,10 @@
 // OutcomeOf gives a failure the form that calls hand back, and who is the owner where that is
 // known. A proposal that a deposed owner took may still come into force.
 func OutcomeOf(err error) (protocol.Outcome, replica.NodeID) {
-	var notOwner *replica.NotOwnerError
+	var notOwner *replica.NotLeaderError
 	owner := replica.NodeID(0)
 	if errors.As(err, &notOwner) {
-		owner = notOwner.Owner
+		owner = notOwner.Leader
 	}
 	var unknown *host.UnknownOutcomeError
 	switch {
@@ -201,7 +201,7 @@
 	if err != nil {
 		return 0
 	}
-	return status.Owner
+	return status.Leader
 }
 
 // another picks one of the nodes that may know a group's owner, in turn.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -277,7 +277,7 @@
 	if err != nil {
 		return err
 	}
-	if c.Settings, err = wire.Settings(settings); err != nil {
+	if c.Settings, err = wire.ParseSettings(settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	c.Settings.ConnIdle = cmp.Or(c.Settings.ConnIdle, defaultConnIdle)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -136,7 +136,7 @@
 	// its end, Reset if the backend broke it off, TimedOut if the deadline passed, and Canceled
 	// if it was closed or canceled before its end.
 	Start(a Attempt, done func(AttemptResult)) (cancel func())
-	// Withdraw ends the attempts to an instance that have not started, as Moot. None starts
+	// Withdraw ends the attempts to an instance that have not started, as NotSent. None starts
 	// after it.
 	Withdraw(Instance)
 	// CloseIdle closes the idle connections to an instance.
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -89,22 +89,22 @@
 }
 
 // avoidanceReporter is a module that reports how many backends it avoids.
-type avoidanceReporter interface{ Avoided(time.Duration) int }
+type avoidanceReporter interface{ CountAvoided(time.Duration) int }
 
 // BackendCounts returns how many backends are listed, and how many of these the module
 // avoids now, where it reports that.
 func (e *Engine) BackendCounts() (listed, avoided int) {
 	if m, ok := e.module.(avoidanceReporter); ok {
-		avoided = m.Avoided(e.moduleTime(e.env.Now()))
+		avoided = m.CountAvoided(e.moduleTime(e.env.Now()))
 	}
 	return len(e.backends), avoided
 }
 
 // stateTransferrer is a module that exports what it has learned and imports it from another.
 type stateTransferrer interface {
-	Learned() ([]byte, error)
-	Learn([]byte) error
-	Recall([]byte) error
+	ExportLearned() ([]byte, error)
+	ImportLearned([]byte) error
+	ImportAfterRestart([]byte) error
 }
 
 // The optional interfaces are found by type assertion, so a renamed method would go unnoticed.
@@ -119,7 +119,7 @@
 	if !ok {
 		return nil
 	}
-	text, err := m.Learned()
+	text, err := m.ExportLearned()
 	if err != nil {
 		e.env.Log.Warn("module: cannot export the learned state", logging.Cause, err)
 	}
@@ -130,9 +130,9 @@
 // module continues at the same instant, else only what stays valid across a restart.
 func (e *Engine) ImportModuleState(text []byte, full bool) {
 	if m, ok := e.module.(stateTransferrer); ok {
-		load := m.Recall
+		load := m.ImportAfterRestart
 		if full {
-			load = m.Learn
+			load = m.ImportLearned
 		}
 		if err := load(text); err != nil {
 			e.env.Log.Warn("module: learned state not imported", logging.Cause, err)
@@ -201,7 +201,7 @@
 				t.cancel()
 			}
 		}
-	case logic.Refuse:
+	case logic.Reject:
 		e.answer(a.ID, Answer{Kind: Rejected, RetryAfter: a.RetryAfter})
 	case logic.Fail:
 		e.answer(a.ID, Answer{Kind: Failed})
@@ -248,11 +248,11 @@
 		state.Arrived = e.env.Now()
 		state.deadline = state.Arrived.Add(maxBodyTime)
 	}
-	request := logic.Request{ID: id, Class: r.Class, Retry: r.Retry, Tenant: r.Tenant, Hint: r.WorkHint, Expires: r.Timeout, Coming: r.BodyPending,
-		Prefer: r.PreferredServers, Worth: r.Worth, MaxAttempts: r.MaxAttempts, Avoid: r.AvoidedServer}
+	request := logic.Request{ID: id, Class: r.Class, Retry: r.Retry, Tenant: r.Tenant, WorkHint: r.WorkHint, ClientTimeout: r.Timeout, BodyPending: r.BodyPending,
+		Preferred: r.PreferredServers, Worth: r.Worth, MaxAttempts: r.MaxAttempts, Avoid: r.AvoidedServer}
 	if !r.BodyPending {
 		// The time that the request spent in the queue counts against the client's timeout.
-		request.Expires = state.deadline.Sub(e.env.Now())
+		request.ClientTimeout = state.deadline.Sub(e.env.Now())
 	}
 	e.dispatch(id, request)
 }
@@ -273,7 +273,7 @@
 		a := &r.attempts[i]
 		a.started, a.deadline = now, now.Add(a.timeout)
 	}
-	e.dispatch(id, logic.Whole{ID: id, Took: now.Sub(r.Arrived)})
+	e.dispatch(id, logic.Whole{ID: id, BodyTime: now.Sub(r.Arrived)})
 	for _, t := range r.deferredTimers {
 		e.execute(t)
 	}
@@ -337,22 +337,22 @@
 		return
 	}
 	now := e.eventTime
-	deadline := now.Add(a.Within)
-	if a.Within <= 0 || deadline.After(r.deadline) {
+	deadline := now.Add(a.Timeout)
+	if a.Timeout <= 0 || deadline.After(r.deadline) {
 		deadline = r.deadline
 	}
 	n := len(r.attempts)
-	r.attempts = append(r.attempts, attemptState{started: now, deadline: deadline, timeout: a.Within, server: a.Server, cancel: func() {}})
+	r.attempts = append(r.attempts, attemptState{started: now, deadline: deadline, timeout: a.Timeout, server: a.Server, cancel: func() {}})
 	r.inFlight++
 	instance, known := e.instances[a.Server]
 	if limit := e.maxAttempts(r); r.done || !known || !deadline.After(now) || limit > 0 && n >= limit {
-		e.pending = append(e.pending, func() { e.attemptEvent(a.ID, n, AttemptResult{Result: logic.Moot, At: now}) })
+		e.pending = append(e.pending, func() { e.attemptEvent(a.ID, n, AttemptResult{Result: logic.NotSent, At: now}) })
 		return
 	}
 	e.env.Counters.Add("attempt.sent")
 	attempt := Attempt{Call: r.Call, Instance: instance, Deadline: deadline, StartBefore: r.startBefore()}
 	if r.BodyPending {
-		attempt.Deadline, attempt.Timeout = time.Time{}, min(a.Within, r.Timeout)
+		attempt.Deadline, attempt.Timeout = time.Time{}, min(a.Timeout, r.Timeout)
 	}
 	r.attempts[n].cancel = e.env.Transport.Start(attempt, func(result AttemptResult) {
 		e.env.Post(func() { e.attemptEvent(a.ID, n, result) })
@@ -397,7 +397,7 @@
 		Duplicate: "answer.duplicate"}
 	outcomeCounts = [...]string{logic.OK: "outcome.ok", logic.Failed: "outcome.error", logic.QueueFull: "outcome.queue-full",
 		logic.TimedOut: "outcome.timed-out", logic.ConnectFailed: "outcome.connect-failed", logic.Reset: "outcome.reset",
-		logic.Canceled: "outcome.canceled", logic.Moot: "outcome.moot"}
+		logic.Canceled: "outcome.canceled", logic.NotSent: "outcome.moot"}
 	listCounts = [...]string{logic.ListFull: "list.full", logic.ListChanges: "list.changes",
 		logic.ListCached: "list.cached", logic.ListFailed: "list.failed"}
 )
@@ -466,7 +466,7 @@
 		e.backends = make(map[logic.ServerID]Backend, len(backends))
 	}
 	for _, b := range backends {
-		instance := Instance{ID: b.ID, Endpoint: b.Endpoint, Started: b.Born}
+		instance := Instance{ID: b.ID, Endpoint: b.Endpoint, Started: b.StartedAt}
 		if old, ok := previous[b.ID]; ok && (old != instance || b.State != logic.Serving) {
 			e.env.Transport.Withdraw(old)
 			if old != instance || b.State == logic.Gone {
--- a/internal/core/engine_test.go
+++ b/internal/core/engine_test.go
@@ -34,7 +34,7 @@
 func (s *sendingModule) Handle(_ time.Duration, ev logic.Event) []logic.Action {
 	s.actions = s.actions[:0]
 	if r, ok := ev.(logic.Request); ok {
-		s.actions = append(s.actions, logic.Send{ID: r.ID, Server: "b", Within: time.Second})
+		s.actions = append(s.actions, logic.Send{ID: r.ID, Server: "b", Timeout: time.Second})
 	}
 	return s.actions
 }
@@ -140,7 +140,7 @@
 		s := &scripted{handle: func(ev logic.Event) []logic.Action {
 			switch ev.(type) {
 			case logic.Request, logic.Outcome:
-				return []logic.Action{logic.Send{ID: "r", Server: "a", Within: time.Second}}
+				return []logic.Action{logic.Send{ID: "r", Server: "a", Timeout: time.Second}}
 			}
 			return nil
 		}}
@@ -168,7 +168,7 @@
 func TestListsWithdrawUnstartedAttempts(t *testing.T) {
 	a := Instance{ID: "a", Endpoint: "x:1"}
 	backendA := func(state logic.ServerState, endpoint string, started time.Duration) Backend {
-		return Backend{Server: logic.Server{ID: "a", State: state, Born: started}, Endpoint: endpoint}
+		return Backend{Server: logic.Server{ID: "a", State: state, StartedAt: started}, Endpoint: endpoint}
 	}
 	other := Backend{Server: logic.Server{ID: "b"}, Endpoint: "x:2"}
 	for name, tt := range map[string]struct {
@@ -209,14 +209,14 @@
 	at := time.Unix(1000, 0)
 	s := &scripted{handle: func(ev logic.Event) []logic.Action {
 		if _, ok := ev.(logic.Request); ok {
-			return []logic.Action{logic.Send{ID: "r", Server: "a", Within: time.Second}}
+			return []logic.Action{logic.Send{ID: "r", Server: "a", Timeout: time.Second}}
 		}
 		return nil
 	}}
 	e := s.newEngine(logic.Class{Name: "c", Deadline: time.Second}, &at)
 	e.Request(Request{ID: "r", Class: "c", Arrived: at, Session: s})
 	s.events = nil
-	s.finish[0](AttemptResult{Result: logic.Moot, ClientGone: true, At: at})
+	s.finish[0](AttemptResult{Result: logic.NotSent, ClientGone: true, At: at})
 	if assert.Len(t, s.events, 2) {
 		assert.Equal(t, logic.ClientGone{ID: "r"}, s.events[0])
 		assert.True(t, s.events[1].(logic.Outcome).Final)
--- a/internal/core/stream_test.go
+++ b/internal/core/stream_test.go
@@ -124,9 +124,9 @@
 		want   Answer // its Reply is set below to the second failure, where that is passed on
 	}{
 		"fails":                {logic.Fail{ID: "r"}, true, AttemptResult{Result: logic.Failed, PassThrough: true}, Answer{Kind: Failed, Attempts: 2}},
-		"rejects":              {logic.Refuse{ID: "r", RetryAfter: time.Second}, true, AttemptResult{Result: logic.Failed, PassThrough: true}, Answer{Kind: Failed, Attempts: 2}},
+		"rejects":              {logic.Reject{ID: "r", RetryAfter: time.Second}, true, AttemptResult{Result: logic.Failed, PassThrough: true}, Answer{Kind: Failed, Attempts: 2}},
 		"other attempt served": {logic.Fail{ID: "r"}, true, AttemptResult{Result: logic.OK}, Answer{Kind: Served, Attempts: 2}},
-		"nothing to pass on":   {logic.Refuse{ID: "r", RetryAfter: time.Second}, false, AttemptResult{Result: logic.Failed}, Answer{Kind: Rejected, RetryAfter: time.Second, MayHaveRun: true, Attempts: 2}},
+		"nothing to pass on":   {logic.Reject{ID: "r", RetryAfter: time.Second}, false, AttemptResult{Result: logic.Failed}, Answer{Kind: Rejected, RetryAfter: time.Second, MayHaveRun: true, Attempts: 2}},
 	} {
 		s := newTwoAttempts(giveUp(tt.action))
 		first, second := &countingReply{}, &countingReply{}
@@ -182,7 +182,7 @@
 	at := time.Unix(1000, 0)
 	m := &reconfigurableModule{scripted: scripted{handle: func(ev logic.Event) []logic.Action {
 		if q, ok := ev.(logic.Request); ok {
-			return []logic.Action{logic.Subscribe{}, logic.Fetch{}, logic.Send{ID: q.ID, Server: "a", Within: time.Hour}}
+			return []logic.Action{logic.Subscribe{}, logic.Fetch{}, logic.Send{ID: q.ID, Server: "a", Timeout: time.Hour}}
 		}
 		return nil
 	}}}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -102,7 +102,7 @@
 		seen[t.UID] = i
 		backends = append(backends, core.Backend{Endpoint: t.Endpoint, Server: logic.Server{
 			ID: logic.ServerID(t.UID), Capacity: t.Capacity, State: state, Kind: t.Model, Zone: t.Zone,
-			Cell: t.PodGroup, Born: time.Duration(max(t.BootMS, 0)) * time.Millisecond,
+			Cell: t.PodGroup, StartedAt: time.Duration(max(t.BootMS, 0)) * time.Millisecond,
 		}})
 	}
 	return backends, nil
@@ -113,7 +113,7 @@
 	l := List{Revision: revision, Full: full, Targets: make([]Target, 0, len(backends))}
 	for _, b := range backends {
 		t := Target{UID: string(b.ID), Endpoint: b.Endpoint, Zone: b.Zone, Model: b.Kind, PodGroup: b.Cell,
-			Capacity: b.Capacity, BootMS: b.Born.Milliseconds()}
+			Capacity: b.Capacity, BootMS: b.StartedAt.Milliseconds()}
 		for name, state := range states {
 			if state == b.State {
 				t.State = name
--- a/internal/discovery/filter.go
+++ b/internal/discovery/filter.go
@@ -46,16 +46,16 @@
 	for _, b := range backends {
 		left, known := f.departures[b.ID]
 		switch {
-		case known && olderThan(left) && b.Born <= left.started && b.State < left.state:
+		case known && olderThan(left) && b.StartedAt <= left.started && b.State < left.state:
 			b.State = left.state
 		case b.State == logic.Serving:
 			delete(f.departures, b.ID)
 		case known && olderThan(left): // the departure was of an earlier process, or is the same
 		default:
-			f.departures[b.ID] = departure{b.State, max(b.Born, previous[b.ID]), l.Revision, now}
+			f.departures[b.ID] = departure{b.State, max(b.StartedAt, previous[b.ID]), l.Revision, now}
 		}
 		if b.State != logic.Gone {
-			f.listed[b.ID] = b.Born
+			f.listed[b.ID] = b.StartedAt
 		} else if delete(f.listed, b.ID); l.Full {
 			continue // a full list omits backends that are gone
 		}
--- a/internal/session/answer.go
+++ b/internal/session/answer.go
@@ -33,7 +33,7 @@
 		} else {
 			w.Header().Set("Content-Type", reply.ContentType)
 		}
-		if reply.Length != message.Unknown {
+		if reply.Length != message.UnknownLength {
 			w.Header().Set("Content-Length", strconv.FormatInt(reply.Length, 10))
 		}
 		if reply.Rest == nil {
@@ -54,7 +54,7 @@
 // relay passes a long response on as it arrives. Once part of it is sent no other answer is
 // possible: if it breaks off, the session ends early, so that the client notices.
 func (f *Frontend) relay(w http.ResponseWriter, class string, reply *message.Reply) {
-	clientErr, backendErr := f.Pass(w, reply.Body, reply.Rest)
+	clientErr, backendErr := f.Relay(w, reply.Body, reply.Rest)
 	switch {
 	case backendErr != nil:
 		f.count.Add("answer.broken")
--- a/internal/session/api.go
+++ b/internal/session/api.go
@@ -19,18 +19,18 @@
 	defer f.open.Add(-1)
 	overLimit := f.open.Add(1) > f.maxOpen.Load()
 	request, in, err := f.readRequest(w, r, conn, p)
-	if err != nil && !errors.Is(err, ingress.ErrNoRoom) {
+	if err != nil && !errors.Is(err, ingress.ErrBudgetExhausted) {
 		f.rejectMalformed(w, err)
 		return
 	}
 	defer in.Close()
 	counter := ""
 	switch {
-	case errors.Is(err, ingress.ErrNoRoom):
+	case errors.Is(err, ingress.ErrBudgetExhausted):
 		counter = "answer.no-room"
 	case overLimit:
 		counter = "answer.req-limit"
-	case !f.Takes():
+	case !f.AcceptsRequests():
 		counter = "answer.draining"
 	}
 	if counter != "" {
@@ -52,14 +52,14 @@
 	var a core.Answer
 	select {
 	case a = <-p.answer:
-	case <-f.Over():
+	case <-f.RespondNow():
 		f.loop.ClientGone(request.ID, p)
 		select { // an answer that has arrived is used instead of the failure
 		case a = <-p.answer:
 		default:
 			a.Kind = core.Failed
 		}
-	case <-in.Broke():
+	case <-in.Failed():
 		f.loop.ClientGone(request.ID, p)
 		f.rejectMalformed(w, errors.New("body: it did not come whole"))
 		return
--- a/internal/session/frontend.go
+++ b/internal/session/frontend.go
@@ -82,10 +82,10 @@
 		longest = max(longest, c.Deadline)
 	}
 	f.Server = ingress.New(ingress.Options{
-		Handler: f.serve, Doubtful: f.rejectAmbiguous,
+		Handler: f.serve, RejectAmbiguous: f.rejectAmbiguous,
 		MaxSessions: opt.MaxSessions, Overflow: SessionOverflow,
-		HeadWithin: opt.HeadTimeout, BodyWithin: opt.BodyTimeout, IdleFor: opt.IdleTimeout,
-		WriteWithin: writeTimeout, AnswerWithin: 2 * longest, AnswerBy: finalAnswerMargin,
+		HeaderTimeout: opt.HeadTimeout, BodyTimeout: opt.BodyTimeout, IdleTimeout: opt.IdleTimeout,
+		WriteTimeout: writeTimeout, ResponseTimeout: 2 * longest, RespondNowMargin: finalAnswerMargin,
 		MaxHeaderBytes: maxHeaderBytes, Lifecycle: lifecycle.NodeTiming,
 	}, l, count)
 	return f
@@ -95,7 +95,7 @@
 // are shed, and how many open requests are allowed. Idle sessions over the limit end.
 func (f *Frontend) SetLimits(sessions, overflow, requests int) {
 	f.maxOpen.Store(int64(requests))
-	f.Server.Limit(sessions, overflow)
+	f.Server.SetMaxSessions(sessions, overflow)
 }
 
 // Ready returns nil where the node takes clients, or the reason why it does not.
--- a/internal/session/request.go
+++ b/internal/session/request.go
@@ -58,14 +58,14 @@
 	}
 	request := &core.Request{ID: id, Class: name, Retry: r.Header.Get("X-Repeat") == "1", Timeout: timeout,
 		Tenant: r.Header.Get("X-Account"), WorkHint: parseWorkHint(r.Header.Get("X-Weight-Hint"))}
-	in := ingress.NewBody(w, r, ingress.BodyLimits{Within: f.opt.BodyTimeout, PerByte: bodyTimePerByte,
-		Held: message.Held, Longest: message.Longest, Budget: f.opt.Budget})
-	body, long, err := in.First(r.ContentLength)
+	in := ingress.NewBody(w, r, ingress.BodyLimits{Timeout: f.opt.BodyTimeout, TimeoutPerByte: bodyTimePerByte,
+		MaxBuffered: message.MaxBuffered, MaxBytes: message.MaxBodyBytes, Budget: f.opt.Budget})
+	body, long, err := in.ReadPrefix(r.ContentLength)
 	if err != nil {
 		in.Close()
 		var large *http.MaxBytesError
 		switch {
-		case errors.Is(err, ingress.ErrNoRoom):
+		case errors.Is(err, ingress.ErrBudgetExhausted):
 			return request, in, err
 		case errors.As(err, &large):
 			return nil, nil, &clientError{http.StatusRequestEntityTooLarge, "the body is over 32 MiB"}
@@ -82,7 +82,7 @@
 		ContentType: r.Header.Get("Content-Type"), Body: body, Length: int64(len(body)),
 	}
 	if !long {
-		call.Left = conn.Gone
+		call.ClientGone = conn.ClientClosed
 	}
 	if long {
 		http.NewResponseController(w).EnableFullDuplex()
--- a/internal/upstream/error.go
+++ b/internal/upstream/error.go
@@ -14,8 +14,8 @@
 const (
 	NotConnected Stage = iota
 	PartlyWritten
-	WrittenWhole
-	AnswerBegun
+	FullyWritten
+	ResponseBegun
 )
 
 var stageNames = [...]string{"not connected", "partly written", "written whole", "answer begun"}
@@ -37,10 +37,10 @@
 func (e *Error) result() logic.Result {
 	switch {
 	case errors.Is(e.Err, errWithdrawn), errors.Is(e.Err, errLeft), errors.Is(e.Err, errWindow):
-		return logic.Moot
+		return logic.NotSent
 	case errors.Is(e.Err, context.Canceled), errors.Is(e.Err, errClient):
 		return logic.Canceled
-	case e.Stage < WrittenWhole:
+	case e.Stage < FullyWritten:
 		return logic.ConnectFailed
 	case errors.Is(e.Err, context.DeadlineExceeded):
 		return logic.TimedOut
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -18,9 +18,9 @@
 	err error
 }
 
-// Settings reads the settings of an INIT. Unknown keys are ignored, absent
+// ParseSettings reads the settings of an INIT. Unknown keys are ignored, absent
 // ones leave their zero value; logic.New judges what a decision needs.
-func Settings(text string) (logic.Settings, error) {
+func ParseSettings(text string) (logic.Settings, error) {
 	f := &facts{kv: map[string]string{}}
 	for part := range strings.SplitSeq(text, " ") {
 		if part == "" {
@@ -60,7 +60,7 @@
 	if fields := f.text("report.fields"); fields != "" && f.text("report.how") != "none" {
 		for name := range strings.SplitSeq(fields, ",") {
 			if name == "busy_reqs" {
-				name = logic.ReportHeld
+				name = logic.ReportInFlight
 			}
 			s.ReportFields = append(s.ReportFields, name)
 		}
@@ -77,7 +77,7 @@
 
 var effects = map[string]logic.Effect{"safe": logic.Safe, "keyed": logic.Keyed, "unsafe": logic.Unsafe}
 
-var groups = map[string]logic.Group{"": logic.GroupAll, "all": logic.GroupAll, "zone": logic.GroupZone, "cell": logic.GroupCell}
+var groups = map[string]logic.DedupScope{"": logic.DedupAll, "all": logic.DedupAll, "zone": logic.DedupZone, "cell": logic.DedupCell}
 
 func (f *facts) class(p string) logic.Class {
 	effect, ok := effects[f.text(p+"effect")]
@@ -149,10 +149,10 @@
 	}
 }
 
-// Encode returns settings as the nested object that a node is configured with,
+// EncodeSettings returns settings as the nested object that a node is configured with,
 // by the names and units that Settings reads. Connect is how long a connection
 // may take to come up, which the module is not told.
-func Encode(s logic.Settings, connect time.Duration) map[string]any {
+func EncodeSettings(s logic.Settings, connect time.Duration) map[string]any {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	classes := make([]any, 0, len(s.Classes))
 	for _, c := range s.Classes {
@@ -169,7 +169,7 @@
 	how := "none"
 	fields := make([]any, 0, len(s.ReportFields))
 	for _, f := range s.ReportFields {
-		if how = "answers"; f == logic.ReportHeld {
+		if how = "answers"; f == logic.ReportInFlight {
 			f = "busy_reqs"
 		}
 		fields = append(fields, f)
