--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -39,7 +39,7 @@
 }
 
 // The head of a request must be exactly as specified.
-func TestHead(t *testing.T) {
+func TestWriteHeadIsExact(t *testing.T) {
 	const start = "POST /api/x HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: i\r\n"
 	for _, tt := range []struct {
 		call message.Call
@@ -64,7 +64,7 @@
 
 // Only a response that the backend marks as unprocessed may count as never run, and only a 200
 // as served.
-func TestJudge(t *testing.T) {
+func TestOnlyUnprocessedNeverRan(t *testing.T) {
 	for _, tt := range []struct {
 		status      int
 		unprocessed string
--- a/internal/session/answer.go
+++ b/internal/session/answer.go
@@ -40,7 +40,7 @@
 			w.Write(reply.Body)
 			break
 		}
-		f.relay(w, class, reply)
+		f.streamReply(w, class, reply)
 	case core.Rejected:
 		f.writeRejection(w, a.RetryAfter)
 	case core.Duplicate:
@@ -51,9 +51,9 @@
 	f.opt.Figures.Ended(class, figure)
 }
 
-// relay passes a long response on as it arrives. Once part of it is sent no other answer is
+// streamReply passes a long response on as it arrives. Once part of it is sent no other answer is
 // possible: if it breaks off, the session ends early, so that the client notices.
-func (f *Frontend) relay(w http.ResponseWriter, class string, reply *message.Reply) {
+func (f *Frontend) streamReply(w http.ResponseWriter, class string, reply *message.Reply) {
 	clientErr, backendErr := f.Relay(w, reply.Body, reply.Rest)
 	switch {
 	case backendErr != nil:
--- a/internal/session/request.go
+++ b/internal/session/request.go
@@ -23,7 +23,7 @@
 )
 
 // readRequest reads a request and parses what the decisions need. All else is passed on as it
-// arrived. A body up to message.Held is read to its end; a longer one is streamed.
+// arrived. A body up to message.MaxBuffered is read to its end; a longer one is streamed.
 func (f *Frontend) readRequest(w http.ResponseWriter, r *http.Request, conn *ingress.Conn, p *pendingAnswer) (*core.Request, *ingress.Body, error) {
 	for _, h := range [...]string{"X-Correlation-Id", "X-Service-Class", "X-Time-Left", "Idempotency-Key", "X-Repeat", "X-Account"} {
 		if len(r.Header[h]) > 1 {
