--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Command simhost runs many instances of the decision module on the
-// simulator's wire: batches of events on standard input, one reply for each
-// on standard output. The instances share nothing.
+// Command simhost runs instances of the decision module for the simulator. It reads batches of
+// events on standard input and writes one reply for each batch on standard output, in the line
+// protocol of package wire. The instances share no state.
 package main
 
 import (
@@ -16,92 +16,94 @@
 )
 
 func main() {
-	debug.SetGCPercent(400) // many small instances in one process: collect less often
+	debug.SetGCPercent(400) // run the collector less often: the process holds many small instances
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintf(os.Stderr, "simhost: %v\n", err)
 		os.Exit(1)
 	}
 }
 
-// run answers batches until the input ends.
+// run answers batches until the input ends, or returns the first error.
 func run(in io.Reader, out io.Writer) error {
-	r := wire.NewReader(in)
+	reader := wire.NewReader(in)
 	w := bufio.NewWriterSize(out, 1<<20)
 	h := host{nodes: map[int]*logic.Balancer{}}
 	for {
-		b, err := r.Next()
+		batch, err := reader.Next()
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if h.reply, err = h.answer(h.reply[:0], b); err != nil {
+		if h.reply, err = h.answer(h.reply[:0], batch); err != nil {
 			return err
 		}
 		if _, err := w.Write(h.reply); err != nil {
-			return fmt.Errorf("writing a reply: %w", err)
+			return fmt.Errorf("write reply: %w", err)
 		}
 		if err := w.Flush(); err != nil {
-			return fmt.Errorf("writing a reply: %w", err)
+			return fmt.Errorf("write reply: %w", err)
 		}
 	}
 }
 
-// host holds the running instances. One whose decision code has failed stays
-// as nil until it is stopped or started anew.
+// host holds the running instances by number. An instance whose decision code failed is kept as
+// nil until it is stopped or started again.
 type host struct {
 	nodes map[int]*logic.Balancer
-	reply []byte
+	reply []byte // buffer of the present reply
 }
 
-// answer adds the reply to a batch to dst.
-func (h *host) answer(dst []byte, b *wire.Batch) ([]byte, error) {
-	for i := range b.Items {
-		it := &b.Items[i]
-		switch it.Op {
+// answer handles a batch and appends the reply to dst.
+func (h *host) answer(dst []byte, batch *wire.Batch) ([]byte, error) {
+	for i := range batch.Items {
+		item := &batch.Items[i]
+		switch item.Op {
 		case wire.OpStart:
-			dst = h.start(dst, it)
+			dst = h.start(dst, item)
 			continue
 		case wire.OpStop:
-			delete(h.nodes, it.Node)
+			delete(h.nodes, item.Node)
 			continue
 		}
-		n, ok := h.nodes[it.Node]
+		balancer, ok := h.nodes[item.Node]
 		if !ok {
-			return dst, &wire.LineError{Line: it.Line, Err: fmt.Errorf("instance %d was never started", it.Node)}
+			return dst, &wire.LineError{Line: item.Line, Err: fmt.Errorf("instance %d was never started", item.Node)}
 		}
-		if n != nil && it.Op == wire.OpEvent {
-			dst = h.event(dst, n, it, b.Now)
+		if balancer != nil && item.Op == wire.OpEvent {
+			dst = h.event(dst, balancer, item, batch.Now)
 		}
 	}
-	return wire.AppendEnd(dst, b.Seq), nil
+	return wire.AppendFinished(dst, batch.Seq), nil
 }
 
-func (h *host) start(dst []byte, it *wire.Item) []byte {
-	s, err := wire.ParseSettings(it.Settings)
+// start creates an instance. Settings that cannot be used are reported as its failure.
+func (h *host) start(dst []byte, item *wire.Item) []byte {
+	settings, err := wire.ParseSettings(item.Settings)
 	if err == nil {
-		h.nodes[it.Node], err = logic.New(s, it.Seed)
+		h.nodes[item.Node], err = logic.New(settings, item.Seed)
 	}
 	if err != nil {
-		h.nodes[it.Node] = nil
-		return wire.AppendFault(dst, it.Node, err.Error())
+		h.nodes[item.Node] = nil
+		return wire.AppendBug(dst, item.Node, err.Error())
 	}
 	return dst
 }
 
-// event lets an instance decide; a panic is reported as its failure.
-func (h *host) event(dst []byte, n *logic.Balancer, it *wire.Item, now time.Duration) (res []byte) {
-	whole := len(dst)
+// event passes an event to an instance and appends its actions to dst. A panic is reported as
+// the failure of the instance, in place of its actions.
+func (h *host) event(dst []byte, balancer *logic.Balancer, item *wire.Item, now time.Duration) (reply []byte) {
+	begin := len(dst)
 	defer func() {
 		if p := recover(); p != nil {
-			h.nodes[it.Node] = nil
-			fmt.Fprintf(os.Stderr, "simhost: instance %d: panic: %v\n%s", it.Node, p, debug.Stack())
-			res = wire.AppendFault(dst[:whole], it.Node, fmt.Sprintf("panic: %v", p))
+			h.nodes[item.Node] = nil
+			fmt.Fprintf(os.Stderr, "simhost: instance %d: panic: %v\n%s", item.Node, p, debug.Stack())
+			reply = wire.AppendBug(dst[:begin], item.Node, fmt.Sprintf("panic: %v", p))
 		}
 	}()
-	for _, a := range n.Handle(now, it.Event) {
-		dst = wire.AppendAction(dst, it.Node, a)
+	for _, a := range balancer.Handle(now, item.Event) {
+		dst = wire.AppendAction(dst, item.Node, a)
 	}
 	return dst
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -14,15 +14,16 @@
 	"pipitmux/logic"
 )
 
-const facts = "classes.count=2 classes.0.name=get classes.0.effect=safe classes.0.slo-us=100000 " +
+const settings = "classes.count=2 classes.0.name=get classes.0.effect=safe classes.0.slo-us=100000 " +
 	"classes.0.deadline-us=400000 classes.0.worth=2.0 classes.1.name=pay classes.1.effect=unsafe " +
 	"classes.1.slo-us=100000 classes.1.deadline-us=400000 tick-us=1000 a.new.key=7 limits.second-copies=true " +
 	"limits.cancelling=true rules.answer-slack-us=5000 replicas-of-me=2 locality=east"
 
-const start = "CLOCK 1000 1\nINIT 0 5 " + facts + "\nREGISTER 0 2\nM 1 SERVING - k east backend.a 0\n" +
+const start = "CLOCK 1000 1\nINIT 0 5 " + settings + "\nREGISTER 0 2\nM 1 SERVING - k east backend.a 0\n" +
 	"M 1.5 SERVING 0 k west backend.b 1\nSYNC 0 C 1 0\nEND\n"
 
-func play(input string) (string, error) {
+// runInput runs the host on input and returns its output.
+func runInput(input string) (string, error) {
 	var out bytes.Buffer
 	err := run(strings.NewReader(input), &out)
 	return out.String(), err
@@ -38,14 +39,14 @@
 			`^FINISHED 1\nSCHEDULE 0 \d+ \d+\n(SCHEDULE 0 \d+ \d+\n)?FORWARD 0 r1 backend.[ab] \d+\nFINISHED 2\nHANG_UP 0 backend.[ab]\nFINISHED 3\n$`},
 		{"client gone after the answer", start + "CLOCK 2000 2\nKNOCK 0 r1 0 nonesuch 0 - 300000 - -\nTIMED_OUT_CLIENT 0 r1\nEND\n",
 			`^FINISHED 1\nREJECT 0 r1 0\nFINISHED 2\n$`},
-		{"restart in a batch", start + "CLOCK 2000 2\nDETACH 0\nINIT 0 6 " + facts + "\nSYNC 0 C 1 0\nEND\n", "FINISHED 2\n$"},
+		{"restart in a batch", start + "CLOCK 2000 2\nDETACH 0\nINIT 0 6 " + settings + "\nSYNC 0 C 1 0\nEND\n", "FINISHED 2\n$"},
 		{"list number reused in a batch", start + "CLOCK 2000 2\nREGISTER 0 1\nM 1 DELETED - k east backend.a 0\nSYNC 0 D 2 0\n" +
 			"REGISTER 0 1\nM 1 DELETED - k west backend.b 0\nSYNC 0 D 3 0\nKNOCK 0 r1 0 get 0 - 300000 - -\nEND\n", `REJECT 0 r1 0\nFINISHED 2\n$`},
 		{"no classes", "CLOCK 1 1\nINIT 0 5 tick-us=1000\nEND\n", `^BUG 0 settings: no classes\nFINISHED 1\n$`},
-		{"impossible setting", "CLOCK 1 1\nINIT 0 5 " + strings.Replace(facts, "safe", "odd", 1) + "\nSYNC 0 X 1 -\nEND\n", `^BUG 0 .*effect.*odd.*\nFINISHED 1\n$`},
+		{"impossible setting", "CLOCK 1 1\nINIT 0 5 " + strings.Replace(settings, "safe", "odd", 1) + "\nSYNC 0 X 1 -\nEND\n", `^BUG 0 .*effect.*odd.*\nFINISHED 1\n$`},
 		{"peer message and probe", start + "CLOCK 2000 2\nDATAGRAM 0 1 6869\nPONG 0 backend.a Ok 900 1.5,-\nEND\n", "FINISHED 2\n$"},
 	} {
-		got, err := play(tt.input)
+		got, err := runInput(tt.input)
 		if err != nil {
 			t.Errorf("%s: %v", tt.name, err)
 		}
@@ -81,19 +82,20 @@
 
 func TestBadInput(t *testing.T) {
 	for _, tt := range badInputs {
-		out, err := play(tt.input)
-		var le *wire.LineError
-		if !errors.As(err, &le) || le.Line != tt.line || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line that names line %d", tt.name, err, tt.line)
+		out, err := runInput(tt.input)
+		var lineError *wire.LineError
+		if !errors.As(err, &lineError) || lineError.Line != tt.line || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: error %v, want one line that names input line %d", tt.name, err, tt.line)
 		}
 		if rest := strings.ReplaceAll(out, "FINISHED 1\n", ""); rest != "" {
-			t.Errorf("%s: wrote %q", tt.name, out)
+			t.Errorf("%s: unexpected output %q", tt.name, out)
 		}
 	}
 }
 
-// TestExit runs the program itself: status 1 and one line on standard error.
-func TestExit(t *testing.T) {
+// TestExitStatus runs the built program. Invalid input must give status 1 and one line on
+// standard error.
+func TestExitStatus(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "simhost")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
@@ -109,43 +111,43 @@
 			t.Errorf("%q: exit %d, want %d", input, got, want)
 		}
 		if n := strings.Count(stderr.String(), "\n"); n != want {
-			t.Errorf("%q: %d lines on standard error", input, n)
+			t.Errorf("%q: %d lines on standard error, want %d", input, n, want)
 		}
 	}
 }
 
-// A panic in the module is reported as the instance's fault, and the instance
-// stays down until it is started anew.
+// A panic in the decision module must be reported as the failure of its instance, which stays
+// down until it is started again.
 func TestPanicIsReported(t *testing.T) {
 	h := host{nodes: map[int]*logic.Balancer{}}
-	it := &wire.Item{Node: 3, Event: logic.Wake{Token: 1}}
-	got := string(h.event([]byte("SCHEDULE 1 1 1\n"), nil, it, 0))
+	item := &wire.Item{Node: 3, Event: logic.Wake{Token: 1}}
+	got := string(h.event([]byte("SCHEDULE 1 1 1\n"), nil, item, 0))
 	if !regexp.MustCompile(`^SCHEDULE 1 1 1\nBUG 3 panic: .*\n$`).MatchString(got) {
 		t.Errorf("got %q", got)
 	}
 	if n, ok := h.nodes[3]; !ok || n != nil {
-		t.Error("the instance is not down")
+		t.Error("the instance still runs after its panic")
 	}
 }
 
-// FuzzRun gives any input: replies, or an error of one line.
+// FuzzRun checks that any input gives replies or an error of one line, and no panic.
 func FuzzRun(f *testing.F) {
-	f.Add("CLOCK 0 0\nPONG 0  Ok 0 A\n") // two faults in a line gave an error of two lines
+	f.Add("CLOCK 0 0\nPONG 0  Ok 0 A\n") // two invalid values in a line once gave an error of two lines
 	f.Add(start)
 	f.Add(start + "CLOCK 2000 2\nKNOCK 0 r1 0 get 0 7 300000 t 900\nWAKE 0 4\nBEGUN 0 r1 5 backend.a 0\nEND\n")
 	for _, tt := range badInputs {
 		f.Add(tt.input)
 	}
 	f.Fuzz(func(t *testing.T, input string) {
-		out, err := play(input)
+		out, err := runInput(input)
 		if err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("error of several lines: %q", err)
+			t.Errorf("error with more than one line: %q", err)
 		}
 		if strings.Contains(out, "panic") {
 			t.Errorf("panic: %s", out)
 		}
 		if out != "" && !strings.HasSuffix(out, "\n") {
-			t.Errorf("reply cut short: %q", out)
+			t.Errorf("incomplete reply line: %q", out)
 		}
 	})
 }
--- a/internal/wire/list.go
+++ b/internal/wire/list.go
@@ -9,52 +9,53 @@
 	"pipitmux/logic"
 )
 
-// list reads a REGISTER and its entries.
-func (r *Reader) list(f []string) error {
-	no, err := listNumber(f[1])
+// readServerList reads the server lines that follow a REGISTER line and stores the list.
+func (r *Reader) readServerList(f []string) error {
+	number, err := parseListNumber(f[1])
 	if err != nil {
 		return fmt.Errorf("REGISTER: %w", err)
 	}
-	n, err := strconv.Atoi(f[2])
-	if err != nil || n < 0 || n > maxEntries {
+	count, err := strconv.Atoi(f[2])
+	if err != nil || count < 0 || count > maxListedServers {
 		return fmt.Errorf("REGISTER: count %q", clip(f[2]))
 	}
-	list := make([]logic.Server, 0, min(n, 4096))
-	for i := 0; i < n; i++ {
+	list := make([]logic.Server, 0, min(count, 4096))
+	for i := 0; i < count; i++ {
 		text, err := r.readLine()
 		if err == io.EOF {
 			r.line++
-			return errors.New("input ends within a list")
+			return errors.New("input ends inside a server list")
 		}
 		if err != nil {
 			return err
 		}
-		s, err := entry(r.split(text, 9))
+		s, err := parseServer(r.split(text, 9))
 		if err != nil {
-			return fmt.Errorf("entry %d of %d: %w", i+1, n, err)
+			return fmt.Errorf("entry %d of %d: %w", i+1, count, err)
 		}
 		list = append(list, s)
 	}
-	r.lists[no], r.given[no] = list, true
+	r.lists[number], r.defined[number] = list, true
 	return nil
 }
 
-func listNumber(s string) (int, error) {
-	no, err := strconv.Atoi(s)
-	if err != nil || no < 0 || no >= maxLists {
+func parseListNumber(s string) (int, error) {
+	number, err := strconv.Atoi(s)
+	if err != nil || number < 0 || number >= maxLists {
 		return 0, fmt.Errorf("list number %q", clip(s))
 	}
-	return no, nil
+	return number, nil
 }
 
 var states = map[string]logic.ServerState{
 	"SERVING": logic.Serving, "DRAINING": logic.Draining, "DELETED": logic.Gone,
 }
 
-// entry reads an M line: capacity, state, born, kind, zone, server, cell.
-func entry(f []string) (s logic.Server, err error) {
+// parseServer parses the fields of an M line: capacity, state, start time, kind, zone, server
+// id and cell.
+func parseServer(f []string) (s logic.Server, err error) {
 	if f[0] != "M" || len(f) != 8 {
-		return s, errors.New("an M line with 7 values wanted")
+		return s, errors.New("expected an M line with 7 values")
 	}
 	s.Capacity = 1
 	if f[1] != "-" {
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -10,74 +10,76 @@
 	"pipitmux/logic"
 )
 
-// widths holds how many parts each message has, its name included.
-var widths = map[string]int{
+// fieldCounts maps each message name to its number of space-separated fields, including the
+// name.
+var fieldCounts = map[string]int{
 	"INIT": 4, "DETACH": 2, "REGISTER": 3, "SYNC": 5, "KNOCK": 10, "BEGUN": 6, "ENDED": 9,
 	"TIMED_OUT_CLIENT": 3, "WAKE": 3, "PONG": 6, "DATAGRAM": 4,
 }
 
-// message reads one message; a REGISTER gives no Item.
-func (r *Reader) message(text string) (*Item, error) {
+// parseMessage parses one message. It returns a nil Item for a REGISTER, which only defines a
+// server list.
+func (r *Reader) parseMessage(text string) (*Item, error) {
 	name, _, _ := strings.Cut(text, " ")
-	want, ok := widths[name]
+	want, ok := fieldCounts[name]
 	if !ok {
 		return nil, fmt.Errorf("unknown message %q", clip(name))
 	}
 	limit := want + 1
 	if name == "INIT" {
-		limit = want // the settings take up the rest of the line
+		limit = want // the settings are the rest of the line
 	}
 	f := r.split(text, limit)
 	if len(f) != want && !(name == "INIT" && len(f) == 3) {
-		return nil, fmt.Errorf("%s: %d values wanted", name, want-1)
+		return nil, fmt.Errorf("%s: expected %d values", name, want-1)
 	}
 	if name == "REGISTER" {
-		return nil, r.list(f)
+		return nil, r.readServerList(f)
 	}
 	node, err := strconv.Atoi(f[1])
 	if err != nil || node < 0 {
 		return nil, fmt.Errorf("%s: instance %q", name, clip(f[1]))
 	}
-	it := &Item{Node: node, Line: r.line}
-	if err := r.fill(it, name, f); err != nil {
+	item := &Item{Node: node, Line: r.line}
+	if err := r.parseFields(item, name, f); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	return it, nil
+	return item, nil
 }
 
-// fill reads the values of a message into it.
-func (r *Reader) fill(it *Item, name string, f []string) (err error) {
+// parseFields parses the fields f of the message with the given name into item.
+func (r *Reader) parseFields(item *Item, name string, f []string) (err error) {
 	switch name {
 	case "INIT":
-		it.Op = OpStart
-		if it.Seed, err = strconv.ParseUint(f[2], 10, 64); err != nil {
+		item.Op = OpStart
+		if item.Seed, err = strconv.ParseUint(f[2], 10, 64); err != nil {
 			return fmt.Errorf("seed %q", clip(f[2]))
 		}
 		if len(f) == 4 {
-			it.Settings = f[3]
+			item.Settings = f[3]
 		}
 	case "DETACH":
-		it.Op = OpStop
+		item.Op = OpStop
 	case "SYNC":
-		it.Event, err = r.sync(f)
+		item.Event, err = r.parseSync(f)
 	case "KNOCK":
-		it.Event, err = knock(f)
+		item.Event, err = parseKnock(f)
 	case "BEGUN":
-		it.Event, err = begun(f)
+		item.Event, err = parseBegun(f)
 	case "ENDED":
-		it.Event, err = ended(f)
+		item.Event, err = parseEnded(f)
 	case "TIMED_OUT_CLIENT":
-		it.Event, err = logic.ClientGone{ID: logic.RequestID(f[2])}, nonEmpty("request", f[2])
+		item.Event, err = logic.ClientGone{ID: logic.RequestID(f[2])}, nonEmpty("request", f[2])
 	case "WAKE":
-		token, perr := strconv.ParseUint(f[2], 10, 64)
-		if perr != nil {
+		token, parseErr := strconv.ParseUint(f[2], 10, 64)
+		if parseErr != nil {
 			return fmt.Errorf("token %q was never set", clip(f[2]))
 		}
-		it.Event = logic.Wake{Token: token}
+		item.Event = logic.Wake{Token: token}
 	case "PONG":
-		it.Event, err = pong(f)
+		item.Event, err = parsePong(f)
 	case "DATAGRAM":
-		it.Op = OpIgnored // the module sends no peer messages and heeds none
+		item.Op = OpIgnored // the module neither sends nor uses peer messages
 		return checkDatagram(f)
 	}
 	return err
@@ -87,7 +89,8 @@
 	"D": logic.ListChanges, "F": logic.ListFull, "C": logic.ListCached, "X": logic.ListFailed,
 }
 
-func (r *Reader) sync(f []string) (logic.Event, error) {
+// parseSync parses a SYNC message: a server list, or the failure to fetch one.
+func (r *Reader) parseSync(f []string) (logic.Event, error) {
 	kind, ok := listKinds[f[2]]
 	if !ok {
 		return nil, fmt.Errorf("list kind %q", clip(f[2]))
@@ -95,17 +98,18 @@
 	if kind == logic.ListFailed {
 		return logic.ServerList{Kind: kind}, nil
 	}
-	no, err := listNumber(f[4])
+	number, err := parseListNumber(f[4])
 	if err != nil {
 		return nil, err
 	}
-	if !r.given[no] {
-		return nil, fmt.Errorf("list %d was never given", no)
+	if !r.defined[number] {
+		return nil, fmt.Errorf("list %d was never defined", number)
 	}
-	return logic.ServerList{Kind: kind, Servers: r.lists[no]}, nil
+	return logic.ServerList{Kind: kind, Servers: r.lists[number]}, nil
 }
 
-func knock(f []string) (logic.Event, error) {
+// parseKnock parses a KNOCK message: a client request.
+func parseKnock(f []string) (logic.Event, error) {
 	q := logic.Request{ID: logic.RequestID(f[2]), Class: orEmpty(f[4]), Tenant: orEmpty(f[8])}
 	if q.Tenant == "0" {
 		q.Tenant = ""
@@ -114,10 +118,10 @@
 		return nil, err
 	}
 	var err error
-	if _, err = boolean(f[3]); err != nil {
+	if _, err = parseBool(f[3]); err != nil {
 		return nil, fmt.Errorf("write: %w", err)
 	}
-	if q.Retry, err = boolean(f[5]); err != nil {
+	if q.Retry, err = parseBool(f[5]); err != nil {
 		return nil, fmt.Errorf("retry: %w", err)
 	}
 	if f[6] != "-" {
@@ -134,13 +138,14 @@
 	return q, nil
 }
 
-func begun(f []string) (logic.Event, error) {
+// parseBegun parses a BEGUN message: a streamed response has started.
+func parseBegun(f []string) (logic.Event, error) {
 	e := logic.Started{ID: logic.RequestID(f[2]), Server: logic.ServerID(f[4])}
 	var err error
 	if e.Latency, err = micros(f[3]); err != nil {
 		return nil, fmt.Errorf("latency: %w", err)
 	}
-	e.Attempt, err = attempt(f[5])
+	e.Attempt, err = parseAttempt(f[5])
 	return e, cmp.Or(err, nonEmpty("request", f[2]), nonEmpty("server", f[4]))
 }
 
@@ -150,27 +155,29 @@
 	"Ignored": logic.Moot,
 }
 
-func ended(f []string) (logic.Event, error) {
+// parseEnded parses an ENDED message: the outcome of an attempt.
+func parseEnded(f []string) (logic.Event, error) {
 	e := logic.Outcome{ID: logic.RequestID(f[2]), Server: logic.ServerID(f[6])}
 	var ok bool
 	if e.Result, ok = results[f[3]]; !ok {
 		return nil, fmt.Errorf("outcome %q", clip(f[3]))
 	}
 	var err error
-	if e.Attempt, err = attempt(f[4]); err != nil {
+	if e.Attempt, err = parseAttempt(f[4]); err != nil {
 		return nil, err
 	}
-	if e.Final, err = boolean(f[5]); err != nil {
+	if e.Final, err = parseBool(f[5]); err != nil {
 		return nil, fmt.Errorf("last: %w", err)
 	}
 	if e.Latency, err = microsOr0(f[7]); err != nil {
 		return nil, fmt.Errorf("latency: %w", err)
 	}
-	e.Report, err = report(f[8])
+	e.Report, err = parseReport(f[8])
 	return e, cmp.Or(err, nonEmpty("request", f[2]), nonEmpty("server", f[6]))
 }
 
-func pong(f []string) (logic.Event, error) {
+// parsePong parses a PONG message: the outcome of a probe.
+func parsePong(f []string) (logic.Event, error) {
 	e := logic.Probed{Server: logic.ServerID(f[2])}
 	var ok bool
 	if e.Result, ok = results[f[3]]; !ok {
@@ -180,16 +187,17 @@
 	if e.Latency, err = microsOr0(f[4]); err != nil {
 		return nil, fmt.Errorf("latency: %w", err)
 	}
-	e.Report, err = report(f[5])
+	e.Report, err = parseReport(f[5])
 	return e, cmp.Or(err, nonEmpty("server", f[2]))
 }
 
+// checkDatagram validates a DATAGRAM message: a peer number and a payload in hex.
 func checkDatagram(f []string) error {
 	if _, err := strconv.Atoi(f[2]); err != nil {
 		return fmt.Errorf("peer %q", clip(f[2]))
 	}
 	if f[3] != "-" && (len(f[3])%2 != 0 || strings.Trim(f[3], "0123456789abcdefABCDEF") != "") {
-		return errors.New("bytes are not hex digits")
+		return errors.New("payload is not in hex digits")
 	}
 	return nil
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,28 +9,28 @@
 	"pipitmux/logic"
 )
 
-// maxObjects bounds the length that a list of objects may announce.
+// maxObjects limits the count that a list of objects in the settings may state.
 const maxObjects = 10000
 
-// facts reads single settings and keeps the first fault.
-type facts struct {
-	kv  map[string]string
-	err error
+// settingsParser reads single settings and keeps the first error.
+type settingsParser struct {
+	values map[string]string
+	err    error
 }
 
-// ParseSettings reads the settings of an INIT. Unknown keys are ignored, absent
-// ones leave their zero value; logic.New judges what a decision needs.
+// ParseSettings parses the settings of an INIT message. It ignores unknown keys and leaves
+// absent settings at their zero value. logic.New validates the result.
 func ParseSettings(text string) (logic.Settings, error) {
-	f := &facts{kv: map[string]string{}}
+	f := &settingsParser{values: map[string]string{}}
 	for part := range strings.SplitSeq(text, " ") {
 		if part == "" {
 			continue
 		}
-		k, v, ok := strings.Cut(part, "=")
+		key, value, ok := strings.Cut(part, "=")
 		if !ok {
 			return logic.Settings{}, fmt.Errorf("setting %q has no value", clip(part))
 		}
-		f.kv[k] = v
+		f.values[key] = value
 	}
 	s := logic.Settings{
 		Zone:           f.text("locality"),
@@ -69,8 +69,8 @@
 		s.Classes = append(s.Classes, f.class(fmt.Sprintf("classes.%d.", i)))
 	}
 	for i := range f.count("orgs.count") {
-		p := fmt.Sprintf("orgs.%d.", i)
-		s.Tenants = append(s.Tenants, logic.Tenant{Name: f.text(p + "name"), QuotaPerSec: f.number(p + "quota-per-s")})
+		prefix := fmt.Sprintf("orgs.%d.", i)
+		s.Tenants = append(s.Tenants, logic.Tenant{Name: f.text(prefix + "name"), QuotaPerSec: f.number(prefix + "quota-per-s")})
 	}
 	return s, f.err
 }
@@ -79,31 +79,34 @@
 
 var groups = map[string]logic.Group{"": logic.GroupAll, "all": logic.GroupAll, "zone": logic.GroupZone, "cell": logic.GroupCell}
 
-func (f *facts) class(p string) logic.Class {
-	effect, ok := effects[f.text(p+"effect")]
+// class reads the request class whose keys start with prefix.
+func (f *settingsParser) class(prefix string) logic.Class {
+	effect, ok := effects[f.text(prefix+"effect")]
 	if !ok {
-		f.fail(p+"effect", f.text(p+"effect"))
+		f.fail(prefix+"effect", f.text(prefix+"effect"))
 	}
-	group, ok := groups[f.text(p+"group")]
+	group, ok := groups[f.text(prefix+"group")]
 	if !ok && effect == logic.Keyed {
-		f.fail(p+"group", f.text(p+"group"))
+		f.fail(prefix+"group", f.text(prefix+"group"))
 	}
 	return logic.Class{
-		Name: f.text(p + "name"), Aim: f.time(p + "slo-us"), AimStretch: f.number(p + "aim-stretch"),
-		Deadline: f.time(p + "deadline-us"), Worth: f.number(p + "worth"), LateWorth: f.number(p + "late-worth"),
-		Effect: effect, Group: group, Window: f.time(p + "window-us"), Stream: f.flag(p + "stream"),
+		Name: f.text(prefix + "name"), Aim: f.time(prefix + "slo-us"), AimStretch: f.number(prefix + "aim-stretch"),
+		Deadline: f.time(prefix + "deadline-us"), Worth: f.number(prefix + "worth"), LateWorth: f.number(prefix + "late-worth"),
+		Effect: effect, Group: group, Window: f.time(prefix + "window-us"), Stream: f.flag(prefix + "stream"),
 	}
 }
 
-func (f *facts) fail(key, v string) {
+// fail records that the value of a setting is invalid, unless an error is recorded already.
+func (f *settingsParser) fail(key, value string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("setting %s: %q cannot be used", key, clip(v))
+		f.err = fmt.Errorf("setting %s: %q cannot be used", key, clip(value))
 	}
 }
 
-func (f *facts) text(key string) string { return orEmpty(f.kv[key]) }
+// text returns the value of a setting, and "" where it is absent or "-".
+func (f *settingsParser) text(key string) string { return orEmpty(f.values[key]) }
 
-func (f *facts) number(key string) float64 {
+func (f *settingsParser) number(key string) float64 {
 	v := f.text(key)
 	if v == "" {
 		return 0
@@ -116,7 +119,7 @@
 	return n
 }
 
-func (f *facts) time(key string) time.Duration {
+func (f *settingsParser) time(key string) time.Duration {
 	v := f.text(key)
 	if v == "" {
 		return 0
@@ -128,7 +131,7 @@
 	return d
 }
 
-func (f *facts) count(key string) int {
+func (f *settingsParser) count(key string) int {
 	n := f.number(key)
 	if n < 0 || n > maxObjects || n != float64(int(n)) {
 		f.fail(key, f.text(key))
@@ -137,7 +140,7 @@
 	return int(n)
 }
 
-func (f *facts) flag(key string) bool {
+func (f *settingsParser) flag(key string) bool {
 	switch v := f.text(key); v {
 	case "true", "1":
 		return true
@@ -149,11 +152,11 @@
 	}
 }
 
-// EncodeSettings returns settings as the nested object that a node is configured with,
-// by the names and units that Settings reads. Connect is how long a connection
-// may take to come up, which the module is not told.
+// EncodeSettings returns settings as the nested object of a node's configuration, with the names
+// and units that ParseSettings reads. Connect is the connect timeout, which is not part of
+// logic.Settings.
 func EncodeSettings(s logic.Settings, connect time.Duration) map[string]any {
-	us := func(d time.Duration) int64 { return d.Microseconds() }
+	us := func(d time.Duration) int64 { return d.Microseconds() } // keys that end in -us
 	classes := make([]any, 0, len(s.Classes))
 	for _, c := range s.Classes {
 		classes = append(classes, map[string]any{
@@ -166,17 +169,17 @@
 	if s.MustSubscribe {
 		mode = "subscribe"
 	}
-	how := "none"
+	reportMode := "none"
 	fields := make([]any, 0, len(s.ReportFields))
 	for _, f := range s.ReportFields {
-		if how = "answers"; f == logic.ReportHeld {
+		if reportMode = "answers"; f == logic.ReportHeld {
 			f = "busy_reqs"
 		}
 		fields = append(fields, f)
 	}
 	out := map[string]any{
 		"classes": classes, "locality": s.Zone, "replicas-of-me": s.Nodes, "ordinal": s.Number, "over-share-worth": s.OverShareWorth,
-		"tick-us": us(s.Tick), "registry-mode": mode, "report": map[string]any{"how": how, "fields": fields},
+		"tick-us": us(s.Tick), "registry-mode": mode, "report": map[string]any{"how": reportMode, "fields": fields},
 		"rules": map[string]any{"ask-within-us": us(s.AskWithin), "stop-sending-within-us": us(s.DrainGrace), "cold-from": s.ColdFrom,
 			"warm-within-us": us(s.WarmWithin), "fall-multiple": s.FallMultiple, "tip-after-us": us(s.FallAfter),
 			"answer-slack-us": us(s.AnswerSlack)},
@@ -195,10 +198,10 @@
 	return out
 }
 
-// nameOf returns the name of a value; "" names the same as another does.
+// nameOf returns the name of a value. It skips the empty name, which is an alias of another one.
 func nameOf[T comparable](names map[string]T, v T) string {
-	for name, of := range names {
-		if of == v && name != "" {
+	for name, value := range names {
+		if value == v && name != "" {
 			return name
 		}
 	}
--- a/internal/wire/value.go
+++ b/internal/wire/value.go
@@ -7,7 +7,9 @@
 	"time"
 )
 
-func report(s string) ([]float64, error) {
+// parseReport parses a load report: comma-separated numbers in the order of the report's
+// fields, where "-" stands for 0. It returns nil where there is none.
+func parseReport(s string) ([]float64, error) {
 	if s == "-" || s == "" {
 		return nil, nil
 	}
@@ -25,7 +27,8 @@
 	return out, nil
 }
 
-func attempt(s string) (int, error) {
+// parseAttempt parses the number of an attempt.
+func parseAttempt(s string) (int, error) {
 	n, err := strconv.Atoi(s)
 	if err != nil || n < 0 {
 		return 0, fmt.Errorf("attempt %q", clip(s))
@@ -33,7 +36,8 @@
 	return n, nil
 }
 
-func boolean(s string) (bool, error) {
+// parseBool parses 1 and 0, and "-" as false.
+func parseBool(s string) (bool, error) {
 	switch s {
 	case "1":
 		return true, nil
@@ -43,9 +47,10 @@
 	return false, fmt.Errorf("%q is neither 1 nor 0", clip(s))
 }
 
-// maxMicros keeps times within what time.Duration holds.
+// maxMicros keeps times within the range of time.Duration.
 const maxMicros = int64(1) << 52
 
+// micros parses a time in microseconds.
 func micros(s string) (time.Duration, error) {
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || n > maxMicros || n < -maxMicros {
@@ -54,6 +59,7 @@
 	return time.Duration(n) * time.Microsecond, nil
 }
 
+// microsOr0 parses a time in microseconds, and "-" as 0.
 func microsOr0(s string) (time.Duration, error) {
 	if s == "-" {
 		return 0, nil
@@ -61,6 +67,7 @@
 	return micros(s)
 }
 
+// orEmpty returns s, and "" for "-".
 func orEmpty(s string) string {
 	if s == "-" {
 		return ""
@@ -68,6 +75,7 @@
 	return s
 }
 
+// nonEmpty returns an error that names the value if it is empty or "-".
 func nonEmpty(what, s string) error {
 	if s == "" || s == "-" {
 		return fmt.Errorf("%s is missing", what)
@@ -75,7 +83,7 @@
 	return nil
 }
 
-// clip shortens what an error quotes.
+// clip shortens a value to 40 bytes for an error message.
 func clip(s string) string {
 	if len(s) > 40 {
 		return s[:40] + "…"
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and prints the simulator's line protocol. It knows the
-// words of the wire and nothing of the decisions.
+// Package wire parses and prints the simulator's line protocol. It translates between lines and
+// the events and actions of package logic, and makes no decisions.
 package wire
 
 import (
@@ -14,7 +14,7 @@
 	"pipitmux/logic"
 )
 
-// Op says what an Item is.
+// Op is the kind of an Item.
 type Op uint8
 
 // The kinds of Item.
@@ -22,160 +22,164 @@
 	OpEvent   Op = iota // an event for a running instance
 	OpStart             // an instance starts
 	OpStop              // an instance was killed
-	OpIgnored           // a message that asks for no decision
+	OpIgnored           // a message that needs no decision
 )
 
-// Item is one message of a batch that concerns an instance.
+// Item is one message of a batch, addressed to an instance.
 type Item struct {
 	Op       Op
 	Node     int
-	Line     int // where in the input it stands, from 1
+	Line     int // line number in the input, from 1
 	Seed     uint64
 	Settings string      // of OpStart
 	Event    logic.Event // of OpEvent
 }
 
-// Batch is what the simulator sends at one instant.
+// Batch holds the messages that the simulator sends at one instant.
 type Batch struct {
 	Now   time.Duration
 	Seq   string
 	Items []Item
 }
 
-// maxLists is how many numbers the server lists of a process share.
+// maxLists is the number of server lists that a process can keep, numbered from 0.
 const maxLists = 16
 
-// maxEntries bounds the count that a REGISTER may announce.
-const maxEntries = 1 << 20
+// maxListedServers limits the count that a REGISTER may state.
+const maxListedServers = 1 << 20
 
-// Reader takes batches from a stream. The server lists it has read belong to
-// the whole process.
+// Reader reads batches from a stream. The server lists that it has read are shared by all
+// instances of the process.
 type Reader struct {
-	in    *bufio.Reader
-	line  int
-	lists [maxLists][]logic.Server
-	given [maxLists]bool
-	buf   []string
-	long  []byte
+	in         *bufio.Reader
+	line       int // number of the line read last, from 1
+	lists      [maxLists][]logic.Server
+	defined    [maxLists]bool // lists that a REGISTER has set
+	fields     []string       // buffer of split
+	lineBuffer []byte         // buffer of readLine
 }
 
-// NewReader returns a Reader over in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, 1<<20)}
 }
 
-// LineError is a fault in the input and the line it stands in.
+// LineError is an error in the input with its line number.
 type LineError struct {
 	Line int
 	Err  error
 }
 
-// Error gives the line number and the fault.
+// Error returns the line number and the error.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns the fault without its place.
+// Unwrap returns the error without the line number.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// Next returns the next batch, io.EOF after the last one, or a *LineError.
+// Next returns the next batch. It returns io.EOF after the last one, and a *LineError for
+// invalid input.
 func (r *Reader) Next() (*Batch, error) {
 	text, err := r.readLine()
 	if err == io.EOF {
 		return nil, io.EOF
 	}
 	if err != nil {
-		return nil, r.fault(err)
+		return nil, r.withLine(err)
 	}
 	f := r.split(text, 3)
 	if f[0] != "CLOCK" {
-		return nil, r.fault(fmt.Errorf("CLOCK wanted, %q found", clip(f[0])))
+		return nil, r.withLine(fmt.Errorf("expected CLOCK, found %q", clip(f[0])))
 	}
 	if len(f) != 3 {
-		return nil, r.fault(errors.New("CLOCK: 2 values wanted"))
+		return nil, r.withLine(errors.New("CLOCK: expected 2 values"))
 	}
 	now, err := micros(f[1])
 	if err != nil {
-		return nil, r.fault(fmt.Errorf("CLOCK: %w", err))
+		return nil, r.withLine(fmt.Errorf("CLOCK: %w", err))
 	}
 	if _, err := strconv.ParseUint(f[2], 10, 64); err != nil {
-		return nil, r.fault(fmt.Errorf("CLOCK: batch number %q", clip(f[2])))
+		return nil, r.withLine(fmt.Errorf("CLOCK: batch number %q", clip(f[2])))
 	}
 	b := &Batch{Now: now, Seq: f[2]}
-	return b, r.items(b)
+	return b, r.readItems(b)
 }
 
-// items reads the messages of a batch up to its END.
-func (r *Reader) items(b *Batch) error {
+// readItems reads the messages of a batch up to its END line.
+func (r *Reader) readItems(b *Batch) error {
 	for {
 		text, err := r.readLine()
 		if err == io.EOF {
 			r.line++
-			return r.fault(errors.New("input ends within a batch"))
+			return r.withLine(errors.New("input ends inside a batch"))
 		}
 		if err != nil {
-			return r.fault(err)
+			return r.withLine(err)
 		}
 		if text == "END" {
 			return nil
 		}
-		it, err := r.message(text)
+		item, err := r.parseMessage(text)
 		if err != nil {
-			return r.fault(err)
+			return r.withLine(err)
 		}
-		if it != nil {
-			b.Items = append(b.Items, *it)
+		if item != nil {
+			b.Items = append(b.Items, *item)
 		}
 	}
 }
 
-func (r *Reader) fault(err error) error {
-	var le *LineError
-	if errors.As(err, &le) {
+// withLine adds the current line number to err, unless it has one.
+func (r *Reader) withLine(err error) error {
+	var lineError *LineError
+	if errors.As(err, &lineError) {
 		return err
 	}
 	return &LineError{Line: r.line, Err: err}
 }
 
-// maxLine bounds one line of input.
-const maxLine = 1 << 22
+// maxLineBytes limits the length of an input line.
+const maxLineBytes = 1 << 22
 
+// readLine returns the next line without its newline, and io.EOF where the input ends before it.
 func (r *Reader) readLine() (string, error) {
-	r.long = r.long[:0]
+	r.lineBuffer = r.lineBuffer[:0]
 	for {
 		part, err := r.in.ReadSlice('\n')
-		r.long = append(r.long, part...)
+		r.lineBuffer = append(r.lineBuffer, part...)
 		if err == nil {
 			break
 		}
-		if err == bufio.ErrBufferFull && len(r.long) <= maxLine {
+		if err == bufio.ErrBufferFull && len(r.lineBuffer) <= maxLineBytes {
 			continue
 		}
-		if err == io.EOF && len(r.long) == 0 {
+		if err == io.EOF && len(r.lineBuffer) == 0 {
 			return "", io.EOF
 		}
 		r.line++
 		switch {
 		case err == io.EOF:
-			return "", errors.New("input ends within a line")
+			return "", errors.New("input ends inside a line")
 		case err == bufio.ErrBufferFull:
 			return "", errors.New("line too long")
 		}
 		return "", fmt.Errorf("reading: %w", err)
 	}
 	r.line++
-	return string(r.long[:len(r.long)-1]), nil
+	return string(r.lineBuffer[:len(r.lineBuffer)-1]), nil
 }
 
-// split cuts a line at single spaces into at most n parts.
+// split splits a line at single spaces into at most n fields. The result is valid until the next
+// call.
 func (r *Reader) split(text string, n int) []string {
-	r.buf = r.buf[:0]
-	for len(r.buf) < n-1 {
+	r.fields = r.fields[:0]
+	for len(r.fields) < n-1 {
 		i := strings.IndexByte(text, ' ')
 		if i < 0 {
 			break
 		}
-		r.buf = append(r.buf, text[:i])
+		r.fields = append(r.fields, text[:i])
 		text = text[i+1:]
 	}
-	r.buf = append(r.buf, text)
-	return r.buf
+	r.fields = append(r.fields, text)
+	return r.fields
 }
