--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -17,164 +17,164 @@
 	"pipitmux/logic"
 )
 
-// maxHead is the most that an answer's head holds, with the interim answers
-// ahead of it, and that the framing of a chunked body adds.
-const maxHead = 16 << 10
+// maxHeadBytes limits the head of a response, including the interim (1xx) responses before it.
+// It also limits what the framing of a chunked body adds to a short response.
+const maxHeadBytes = 16 << 10
 
-// maxForeign is how many answers to other requests are dropped ahead of an attempt's own.
-const maxForeign = 2
+// maxMisrouted is how many responses to other requests are discarded before an attempt's own.
+const maxMisrouted = 2
 
-// Start begins an attempt in a goroutine of its own. It does not block. The goroutine of a
-// streamed answer stays until that is closed.
+// Start begins an attempt in its own goroutine and does not block. With a streamed response the
+// goroutine runs until the stream is closed.
 func (p *Pool) Start(a core.Attempt, done func(core.Ended)) (cancel func()) {
-	ctx, end := context.WithCancelCause(context.Background())
+	ctx, cancelWith := context.WithCancelCause(context.Background())
 	left := time.Until(a.Until)
 	if a.Until.IsZero() {
-		left = time.Hour // until the request's last byte, which comes sooner or never
+		left = time.Hour // for the upload of the body, which ends sooner or fails; then Within applies
 	}
-	timer := time.AfterFunc(left, func() { end(context.DeadlineExceeded) })
-	g := p.gate(a, end)
+	timer := time.AfterFunc(left, func() { cancelWith(context.DeadlineExceeded) })
+	pending := p.registerPending(a, cancelWith)
 	go func() {
-		defer end(nil)
+		defer cancelWith(nil)
 		defer timer.Stop()
-		e, s := p.carry(ctx, a, timer, g)
-		done(e)
+		end, s := p.run(ctx, a, timer, pending)
+		done(end)
 		if s != nil {
-			done(s.wait())
+			done(s.waitClosed())
 		}
 	}()
-	return func() { end(nil) }
+	return func() { cancelWith(nil) }
 }
 
-// carry makes an attempt and always returns its end, or the stream that it has begun: a
-// panic stops here, and is told as a broken connection that may have run.
-func (p *Pool) carry(ctx context.Context, a core.Attempt, timer *time.Timer, g *gate) (end core.Ended, s *stream) {
-	defer p.forget(g)
+// run makes an attempt and always returns its end, or the stream that it has begun. It recovers
+// a panic and reports it as a reset connection, since the request may have run.
+func (p *Pool) run(ctx context.Context, a core.Attempt, timer *time.Timer, pending *pendingAttempt) (end core.Ended, s *stream) {
+	defer p.unregisterPending(pending)
 	defer func() {
 		if v := recover(); v != nil {
 			p.log.Error("upstream: panic", logging.Backend, a.Place.ID, logging.Cause, v, "stack", string(debug.Stack()))
 			end, s = core.Ended{Result: logic.Reset, At: time.Now()}, nil
 		}
 	}()
-	end, s, err := p.exchange(ctx, a, timer, g)
-	end.At, end.Left = time.Now(), errors.Is(err, errLeft)
+	end, s, err := p.exchange(ctx, a, timer, pending)
+	end.At, end.Left = time.Now(), errors.Is(err, errClientGone)
 	var broken *Error
 	if errors.As(err, &broken) {
-		end.Result = p.counted(broken)
+		end.Result = p.countBroken(broken)
 	}
 	return end, s
 }
 
-// counted counts a broken attempt, and tells what it means.
-func (p *Pool) counted(broken *Error) logic.Result {
+// countBroken counts a failed attempt by its stage and returns its result.
+func (p *Pool) countBroken(broken *Error) logic.Result {
 	p.count.Add("broken." + strings.ReplaceAll(stageNames[broken.Stage], " ", "-"))
 	return broken.result()
 }
 
-// exchange writes the request and reads the answer on one connection. Nothing is
-// ever sent a second time here: that is for the module to decide.
-func (p *Pool) exchange(ctx context.Context, a core.Attempt, timer *time.Timer, g *gate) (end core.Ended, s *stream, err error) {
+// exchange writes the request and reads the response on one connection. It never retries: the
+// decision module decides on that.
+func (p *Pool) exchange(ctx context.Context, a core.Attempt, timer *time.Timer, pending *pendingAttempt) (end core.Ended, s *stream, err error) {
 	call := a.Call.(*message.Call)
 	if call.Rest != nil && call.Rest.Claimed() {
-		end.Result = logic.Moot // what followed the held part has gone to another
+		end.Result = logic.Moot // another attempt has claimed the rest of the body
 		return end, nil, nil
 	}
-	c, err := p.take(ctx, a.Place)
+	c, err := p.acquire(ctx, a.Place)
 	if err != nil {
-		return end, nil, &Error{NotConnected, because(ctx, err)}
+		return end, nil, &Error{NotConnected, withCause(ctx, err)}
 	}
-	if err := p.begin(ctx, g); err != nil {
-		p.give(c, !errors.Is(err, errWithdrawn)) // nothing was written on it
+	if err := p.confirmBegin(ctx, pending); err != nil {
+		p.put(c, !errors.Is(err, errWithdrawn)) // nothing was written on it
 		return end, nil, &Error{NotConnected, err}
 	}
-	reusable, passedOn := false, false
-	// The time-out, or being called off, wakes whatever waits on the connection.
-	unhook := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+	reusable, streaming := false, false
+	// A timeout or cancellation wakes whatever waits on the connection.
+	stopWake := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer func() {
-		if !passedOn {
-			p.give(c, unhook() && reusable)
+		if !streaming {
+			p.put(c, stopWake() && reusable)
 		}
 	}()
 	written := time.Now()
-	up := &upload{pool: p, c: c, call: call}
+	up := &upload{pool: p, conn: c, call: call}
 	if call.Rest == nil {
-		if broken := up.plain(time.Until(a.Until)); broken != nil {
-			p.broke(c, broken.Err, time.Since(written))
-			return end, nil, &Error{broken.Stage, because(ctx, broken.Err)}
+		if broken := up.writeBuffered(time.Until(a.Until)); broken != nil {
+			p.recordBreak(c, broken.Err, time.Since(written))
+			return end, nil, &Error{broken.Stage, withCause(ctx, broken.Err)}
 		}
 	} else {
-		go up.long(a.Within, timer)
+		go up.writeStreaming(a.Within, timer)
 	}
-	res, verdict, err := p.judged(c, call)
+	res, verdict, err := p.readResponse(c, call)
 	if err != nil {
-		p.broke(c, err, time.Since(written))
-		return end, nil, &Error{up.stage(), because(ctx, up.cause(err))}
+		p.recordBreak(c, err, time.Since(written))
+		return end, nil, &Error{up.stage(), withCause(ctx, up.cause(err))}
 	}
-	c.keep = stated(res.Header)
-	early := up.stage() != FullyWritten // the server did not wait for the whole request
-	c.left = maxHead + message.MaxBuffered
-	// The body is not closed: that would first read an answer without end to its end. Its
-	// connection is closed where it was not read whole.
+	c.keepAlive = keepAliveTimeout(res.Header)
+	early := up.stage() != FullyWritten // the server responded before it had the whole request
+	c.readLimit = maxHeadBytes + message.MaxBuffered
+	// The body is not closed, because Close would first read an endless response to its end. The
+	// connection is closed instead if the body was not read completely.
 	end.Result, end.Report = verdict.Result, verdict.Report
-	framed := res.ContentLength >= 0 || len(res.TransferEncoding) > 0
-	again := !early && !res.Close && framed && !c.stray
+	sized := res.ContentLength >= 0 || len(res.TransferEncoding) > 0
+	keepConn := !early && !res.Close && sized && !c.gotMisrouted
 	switch {
 	case verdict.Result == logic.OK && verdict.Stream && res.ContentLength <= message.MaxBodyBytes:
-		passedOn, end.Begun = true, true
-		s = p.stream(ctx, up, res, unhook, again)
-		end.Reply = p.dressed(&message.Reply{Length: res.ContentLength, Rest: s}, res)
+		streaming, end.Begun = true, true
+		s = p.stream(ctx, up, res, stopWake, keepConn)
+		end.Reply = p.withHead(&message.Reply{Length: res.ContentLength, Rest: s}, res)
 		return end, s, nil
 	case verdict.Result == logic.OK || verdict.PassThrough:
 		var r *message.Reply
-		if r, passedOn, err = p.reply(ctx, c, res, unhook, again); err != nil {
-			return end, nil, &Error{ResponseBegun, because(ctx, err)}
+		if r, streaming, err = p.readReply(ctx, c, res, stopWake, keepConn); err != nil {
+			return end, nil, &Error{ResponseBegun, withCause(ctx, err)}
 		}
-		end.Reply, end.Pass = p.dressed(r, res), verdict.Result != logic.OK
+		end.Reply, end.Pass = p.withHead(r, res), verdict.Result != logic.OK
 	default:
-		if err := drop(res.Body, message.MaxBuffered); err != nil {
-			return end, nil, &Error{ResponseBegun, because(ctx, err)}
+		if err := discardBody(res.Body, message.MaxBuffered); err != nil {
+			return end, nil, &Error{ResponseBegun, withCause(ctx, err)}
 		}
 	}
-	// A close that the server announced, or bytes beyond the answer, end the connection,
-	// and so does an answer that was not read whole.
-	reusable = again && !passedOn && c.in.Buffered() == 0
+	// The connection is not reused if the server announced a close, if bytes follow the response,
+	// or if the response was not read completely.
+	reusable = keepConn && !streaming && c.reader.Buffered() == 0
 	return end, nil, nil
 }
 
-// judged reads the head of the answer. Answers to other requests ahead of it are dropped, and
-// their connection is not used again.
-func (p *Pool) judged(c *conn, call *message.Call) (res *http.Response, v Classification, err error) {
-	for range maxForeign + 1 {
-		// An answer without end would be read at the speed of the wire until the time-out: one
-		// such head takes the processor from all other requests.
-		c.left = maxHead
-		if res, err = readHead(c.in); err != nil {
+// readResponse reads and classifies the head of the response. It discards responses to other
+// requests before it. Their connection is not used again.
+func (p *Pool) readResponse(c *conn, call *message.Call) (res *http.Response, v Classification, err error) {
+	for range maxMisrouted + 1 {
+		// Without a limit an endless head would be read at line rate until the timeout, and the
+		// CPU time would be missing for all other requests.
+		c.readLimit = maxHeadBytes
+		if res, err = readHead(c.reader); err != nil {
 			return nil, v, err
 		}
 		if v = p.codec.Classify(call, res); !v.Misrouted {
 			return res, v, nil
 		}
 		p.count.Add("answer.foreign")
-		c.stray = true
-		c.left = maxHead + framing*message.MaxBodyBytes
-		if err = drop(res.Body, message.MaxBodyBytes); err != nil {
+		c.gotMisrouted = true
+		c.readLimit = maxHeadBytes + chunkOverheadFactor*message.MaxBodyBytes
+		if err = discardBody(res.Body, message.MaxBodyBytes); err != nil {
 			return nil, v, err
 		}
 	}
-	return nil, v, errForeign
+	return nil, v, errTooManyMisrouted
 }
 
-// drop reads a body to its end, which has to come within so many bytes.
-func drop(body io.Reader, most int64) error {
-	n, err := io.Copy(io.Discard, io.LimitReader(body, most+1))
-	if err == nil && n > most {
-		err = errTooMuch
+// discardBody reads a body to its end. It fails if the body is longer than limit bytes.
+func discardBody(body io.Reader, limit int64) error {
+	n, err := io.Copy(io.Discard, io.LimitReader(body, limit+1))
+	if err == nil && n > limit {
+		err = errResponseTooLong
 	}
 	return err
 }
 
-// dressed gives a reply what the answer's head says.
-func (p *Pool) dressed(r *message.Reply, res *http.Response) *message.Reply {
+// withHead adds content type, status and header of the response to a reply.
+func (p *Pool) withHead(r *message.Reply, res *http.Response) *message.Reply {
 	r.ContentType = res.Header.Get("Content-Type")
 	if !p.opt.OmitHeader {
 		r.Status, r.Header = res.StatusCode, res.Header
@@ -182,22 +182,21 @@
 	return r
 }
 
-// What spoils an answer: the request has run, and nobody is served.
+// Errors that make a response useless although the request has run.
 var (
-	errTooMuch = errors.New("the answer is longer than any may be")
-	errForeign = errors.New("answers to other reqs came in the place of its own")
+	errResponseTooLong  = errors.New("the response exceeds the size limit")
+	errTooManyMisrouted = errors.New("too many responses to other requests arrived before the own one")
 )
 
-// because names the time-out or the calling off that broke an attempt, where
-// one of them did.
-func because(ctx context.Context, err error) error {
+// withCause wraps err in the timeout or cancellation that caused it, if there was one.
+func withCause(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return fmt.Errorf("%w (%v)", cause, err)
 	}
 	return err
 }
 
-// readHead reads the head of the answer and passes over interim ones.
+// readHead reads the head of the response and skips interim (1xx) responses.
 func readHead(in *bufio.Reader) (*http.Response, error) {
 	for {
 		res, err := http.ReadResponse(in, nil)
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -16,25 +16,28 @@
 	"pipitmux/logic"
 )
 
-// Only what proves that an attempt never ran may be called so.
-func TestStagesDecideTheResult(t *testing.T) {
-	timeout, off, broke := context.DeadlineExceeded, context.Canceled, errors.Join(io.EOF)
+// Only a failure before the request was fully written proves that it has not run, and only that may
+// be reported as ConnectFailed.
+func TestResultOfFailureByStage(t *testing.T) {
+	timeout := context.DeadlineExceeded
+	canceled := context.Canceled
+	broken := errors.Join(io.EOF)
 	for _, tt := range []struct {
 		stage Stage
 		err   error
 		want  logic.Result
 	}{
-		{NotConnected, broke, logic.ConnectFailed}, {NotConnected, timeout, logic.ConnectFailed},
-		{PartlyWritten, broke, logic.ConnectFailed}, {PartlyWritten, timeout, logic.ConnectFailed},
-		{FullyWritten, broke, logic.Reset}, {FullyWritten, timeout, logic.TimedOut},
-		{ResponseBegun, broke, logic.Reset}, {ResponseBegun, timeout, logic.TimedOut},
-		{NotConnected, off, logic.Canceled}, {ResponseBegun, off, logic.Canceled},
+		{NotConnected, broken, logic.ConnectFailed}, {NotConnected, timeout, logic.ConnectFailed},
+		{PartlyWritten, broken, logic.ConnectFailed}, {PartlyWritten, timeout, logic.ConnectFailed},
+		{FullyWritten, broken, logic.Reset}, {FullyWritten, timeout, logic.TimedOut},
+		{ResponseBegun, broken, logic.Reset}, {ResponseBegun, timeout, logic.TimedOut},
+		{NotConnected, canceled, logic.Canceled}, {ResponseBegun, canceled, logic.Canceled},
 	} {
 		assert.Equal(t, tt.want, (&Error{tt.stage, tt.err}).result(), "%s, %v", stageNames[tt.stage], tt.err)
 	}
 }
 
-// attempt makes one attempt at a backend and waits for its only end.
+// attempt makes one attempt at a server and returns its result.
 func attempt(p *Pool, at string, call any) logic.Result {
 	ends := make(chan core.Ended, 2)
 	p.Start(core.Attempt{Call: call, Place: core.Place{ID: logic.ServerID(at), Endpoint: at}, Until: time.Now().Add(20 * time.Second)},
@@ -42,9 +45,9 @@
 	return (<-ends).Result
 }
 
-// A node that runs out of sockets gives up idle connections first, and then
-// says that it could not connect: nothing of the request has run.
-func TestSocketLimit(t *testing.T) {
+// At its connection limit the pool first closes idle connections, and then reports ConnectFailed,
+// because the request has not run.
+func TestConnectionLimit(t *testing.T) {
 	release, arrived := make(chan struct{}), make(chan struct{}, 10)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if arrived <- struct{}{}; r.URL.Path == "/wait" {
@@ -57,7 +60,7 @@
 	p := poolOf(1)
 	call := &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i"}
 	assert.Equal(t, logic.OK, attempt(p, one.Listener.Addr().String(), call))
-	assert.Equal(t, logic.OK, attempt(p, two.Listener.Addr().String(), call), "the idle connection made room")
+	assert.Equal(t, logic.OK, attempt(p, two.Listener.Addr().String(), call), "the idle connection is closed to make room")
 	busy := make(chan logic.Result, 1)
 	go func() {
 		busy <- attempt(p, one.Listener.Addr().String(), &message.Call{Method: "GET", Target: "/wait", Host: "h", ID: "j"})
@@ -70,8 +73,8 @@
 	assert.Equal(t, logic.OK, <-busy)
 }
 
-// A panic ends its attempt, as one that may have run, and gives its socket back.
-func TestPanicStopsAtTheConnection(t *testing.T) {
+// A panic must end only its attempt, as one that may have run, and must not leak the connection.
+func TestPanicEndsOnlyItsAttempt(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	defer s.Close()
 	p := poolOf(1)
--- a/internal/upstream/codec_test.go
+++ b/internal/upstream/codec_test.go
@@ -11,22 +11,22 @@
 	"pipitmux/logic"
 )
 
-// plain is a protocol in which an answer's header says what is to be judged of it.
-type plain struct{}
+// testCodec is a protocol in which header fields of a response state its Classification.
+type testCodec struct{}
 
-func (plain) WriteHead(dst *bytes.Buffer, call *message.Call, at core.Place, _ time.Duration) {
+func (testCodec) WriteHead(dst *bytes.Buffer, call *message.Call, at core.Place, _ time.Duration) {
 	fmt.Fprintf(dst, "%s %s HTTP/1.1\r\nHost: %s\r\nTo: %s\r\n", call.Method, call.Target, call.Host, at.ID)
 	WriteBodyFraming(dst, call)
 	dst.WriteString("\r\n")
 }
 
-func (plain) Classify(call *message.Call, res *http.Response) Classification {
-	v := Classification{Result: logic.OK, PassThrough: res.Header.Get("Pass") != "", Stream: res.Header.Get("Stream") != ""}
+func (testCodec) Classify(call *message.Call, res *http.Response) Classification {
+	result := Classification{Result: logic.OK, PassThrough: res.Header.Get("Pass") != "", Stream: res.Header.Get("Stream") != ""}
 	if res.StatusCode != http.StatusOK {
-		v.Result = logic.Failed
+		result.Result = logic.Failed
 	}
 	if id := res.Header.Get("For"); id != "" && id != call.ID {
-		v.Misrouted = true
+		result.Misrouted = true
 	}
-	return v
+	return result
 }
--- a/internal/upstream/dial_linux.go
+++ b/internal/upstream/dial_linux.go
@@ -7,15 +7,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// userTimeout has the kernel end a connection on which what was sent is not acknowledged
-// for so long.
-func userTimeout(within time.Duration) func(network, address string, c syscall.RawConn) error {
+// tcpUserTimeout returns a dialer control function that sets TCP_USER_TIMEOUT: the kernel closes a
+// connection on which sent data stays unacknowledged for the given time.
+func tcpUserTimeout(timeout time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) (err error) {
-		asked := c.Control(func(fd uintptr) {
-			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(within.Milliseconds()))
+		controlErr := c.Control(func(fd uintptr) {
+			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 		})
-		if asked != nil {
-			return asked
+		if controlErr != nil {
+			return controlErr
 		}
 		return err
 	}
--- a/internal/upstream/error.go
+++ b/internal/upstream/error.go
@@ -7,38 +7,39 @@
 	"pipitmux/logic"
 )
 
-// Stage is how far an attempt has come.
+// Stage is how far an attempt got.
 type Stage uint8
 
-// The stages of an attempt.
+// The stages of an attempt, in order.
 const (
-	NotConnected Stage = iota
-	PartlyWritten
-	FullyWritten
-	ResponseBegun
+	NotConnected  Stage = iota // no byte of the request was written
+	PartlyWritten              // the server cannot have the whole request
+	FullyWritten               // the server may have the whole request
+	ResponseBegun              // the head of the response was read
 )
 
+// stageNames are the names of the stages in error messages and, with hyphens, in counters.
 var stageNames = [...]string{"not connected", "partly written", "written whole", "answer begun"}
 
-// Error is how an attempt broke and how far it had come.
+// Error is the error that ended an attempt and the stage it had reached.
 type Error struct {
 	Stage Stage
 	Err   error
 }
 
-// Error gives the stage and the cause.
+// Error returns the stage and the cause.
 func (e *Error) Error() string { return stageNames[e.Stage] + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// result is what a broken attempt means. A server begins a request at its last
-// byte: what broke before then never ran, what broke later may have.
+// result returns the result of a failed attempt. A server begins a request when it has received
+// its last byte. A request that failed before then has not run. One that failed later may have.
 func (e *Error) result() logic.Result {
 	switch {
-	case errors.Is(e.Err, errWithdrawn), errors.Is(e.Err, errLeft), errors.Is(e.Err, errWindow):
+	case errors.Is(e.Err, errWithdrawn), errors.Is(e.Err, errClientGone), errors.Is(e.Err, errDedupWindowOver):
 		return logic.Moot
-	case errors.Is(e.Err, context.Canceled), errors.Is(e.Err, errClient):
+	case errors.Is(e.Err, context.Canceled), errors.Is(e.Err, errClientBody):
 		return logic.Canceled
 	case e.Stage < FullyWritten:
 		return logic.ConnectFailed
--- a/internal/upstream/idle_limits.go
+++ b/internal/upstream/idle_limits.go
@@ -14,98 +14,104 @@
 )
 
 const (
-	// statedSlack is how long before the time that a server states for idle connections one is
-	// given up: a request must not cross the server's close.
-	statedSlack = time.Second
-	// restLeast is the least that is learned of how long connections may rest.
-	restLeast = 20 * time.Millisecond
-	// restDoubles is the time in which a learned limit doubles: what made servers forget
-	// connections passes.
-	restDoubles = 4 * time.Second
-	// witnesses is how many places have to forget connections until all are held to it.
-	witnesses = 3
-	// resetsFor is how long a place that reset a new connection at once is no witness: it
-	// resets whatever it gets.
-	resetsFor = 10 * time.Second
-	// forgottenTimes is how many times as long as its connection took to come up a request is
-	// out at most, where its server had forgotten the connection. One that it carried out and
-	// broke off takes its work besides. forgottenSlack is added, for a busy processor.
-	forgottenTimes = 2
-	forgottenSlack = 5 * time.Millisecond
+	// keepAliveMargin is how long before the keep-alive timeout that a server states an idle
+	// connection is given up, so that no request crosses the server's close.
+	keepAliveMargin = time.Second
+	// minIdleLimit is the shortest idle limit that is learned.
+	minIdleLimit = 20 * time.Millisecond
+	// idleLimitDoublingTime is the time in which a learned limit doubles, since the cause that made
+	// servers drop connections passes.
+	idleLimitDoublingTime = 4 * time.Second
+	// minPlacesForGlobalLimit is how many places have to drop idle connections until the limit
+	// applies to all places.
+	minPlacesForGlobalLimit = 3
+	// freshResetMemory is how long a place that reset a new connection immediately is not used for
+	// learning: it resets every connection, idle or not.
+	freshResetMemory = 10 * time.Second
+	// maxResetRoundTrips and resetSlack bound the time from a request to its reset if the server
+	// had dropped the idle connection: maxResetRoundTrips times the connect time, plus resetSlack
+	// for a busy CPU. A request that the server executed and broke off takes its work in addition.
+	maxResetRoundTrips = 2
+	resetSlack         = 5 * time.Millisecond
 )
 
-// restLimits learns how long connections may rest before servers forget them without a word.
-// It is pure, and not safe for concurrent use.
-type restLimits struct {
-	most   time.Duration // that any connection may rest
-	places map[core.Place]restLimit
-	resets map[core.Place]time.Time // when places last reset a new connection
-	all    restLimit                // where several servers have forgotten connections
+// idleLimits learns how long connections may stay idle before servers drop them without closing
+// them. It does no I/O and is not safe for concurrent use.
+type idleLimits struct {
+	max         time.Duration // upper limit of all idle limits
+	places      map[core.Place]idleLimit
+	freshResets map[core.Place]time.Time // when a place last reset a new connection
+	global      idleLimit                // for all places, once several have dropped connections
 }
 
-// restLimit is a limit that was learned at a time. The zero value limits nothing.
-type restLimit struct {
-	limit time.Duration
-	at    time.Time
+// idleLimit is a limit and the time at which it was learned. The zero value is no limit.
+type idleLimit struct {
+	limit     time.Duration
+	learnedAt time.Time
 }
 
-func newRestLimits(most time.Duration) *restLimits {
-	return &restLimits{most: most, places: map[core.Place]restLimit{}, resets: map[core.Place]time.Time{}}
+// newIdleLimits returns idle limits that are at most upperLimit.
+func newIdleLimits(upperLimit time.Duration) *idleLimits {
+	return &idleLimits{max: upperLimit, places: map[core.Place]idleLimit{}, freshResets: map[core.Place]time.Time{}}
 }
 
-// now is what is left of the limit by now; it is not above most.
-func (l restLimit) now(now time.Time, most time.Duration) time.Duration {
+// effective returns the limit that applies at the given time. It doubles every
+// idleLimitDoublingTime up to upperLimit.
+func (l idleLimit) effective(now time.Time, upperLimit time.Duration) time.Duration {
 	if l.limit == 0 {
-		return most
+		return upperLimit
 	}
 	limit := l.limit
-	for spent := now.Sub(l.at); spent >= restDoubles && limit < most; spent -= restDoubles {
+	for age := now.Sub(l.learnedAt); age >= idleLimitDoublingTime && limit < upperLimit; age -= idleLimitDoublingTime {
 		limit *= 2
 	}
-	return min(limit, most)
+	return min(limit, upperLimit)
 }
 
-// allowed is how long a connection to a place may have rested and be used.
-func (l *restLimits) allowed(at core.Place, now time.Time) time.Duration {
-	return min(l.places[at].now(now, l.most), l.all.now(now, l.most))
+// maxIdle returns how long a connection to a place may have been idle and still be used.
+func (l *idleLimits) maxIdle(at core.Place, now time.Time) time.Duration {
+	return min(l.places[at].effective(now, l.max), l.global.effective(now, l.max))
 }
 
-// forgotten notes that a place reset a connection that had rested so long. Where others did so
-// lately as well, all places are held to it.
-func (l *restLimits) forgotten(at core.Place, rested time.Duration, now time.Time) {
-	l.age(now)
-	if _, resets := l.resets[at]; resets {
+// recordStaleReset records that a place reset a connection after the given idle time, and limits
+// its idle time to half of that. If enough other places did so recently, the lowest limit applies
+// to all places.
+func (l *idleLimits) recordStaleReset(at core.Place, idleTime time.Duration, now time.Time) {
+	l.expire(now)
+	if _, unreliable := l.freshResets[at]; unreliable {
 		return
 	}
-	l.places[at] = restLimit{max(min(rested/2, l.allowed(at, now)), restLeast), now}
-	if len(l.places) < witnesses {
+	l.places[at] = idleLimit{max(min(idleTime/2, l.maxIdle(at, now)), minIdleLimit), now}
+	if len(l.places) < minPlacesForGlobalLimit {
 		return
 	}
-	least := l.most
+	lowest := l.max
 	for _, limit := range l.places {
-		least = min(least, limit.now(now, l.most))
+		lowest = min(lowest, limit.effective(now, l.max))
 	}
-	l.all = restLimit{least, now}
+	l.global = idleLimit{lowest, now}
 }
 
-// reset notes that a place reset a connection that was new. So it says nothing of rest.
-func (l *restLimits) reset(at core.Place, now time.Time) {
-	l.age(now)
-	l.resets[at] = now
+// recordFreshReset records that a place reset a new connection. Its resets then tell nothing about
+// idle time.
+func (l *idleLimits) recordFreshReset(at core.Place, now time.Time) {
+	l.expire(now)
+	l.freshResets[at] = now
 	delete(l.places, at)
-	if len(l.places) < witnesses {
-		l.all = restLimit{}
+	if len(l.places) < minPlacesForGlobalLimit {
+		l.global = idleLimit{}
 	}
 }
 
-// age forgets what was learned long ago.
-func (l *restLimits) age(now time.Time) {
-	maps.DeleteFunc(l.places, func(_ core.Place, limit restLimit) bool { return limit.now(now, l.most) >= l.most })
-	maps.DeleteFunc(l.resets, func(_ core.Place, at time.Time) bool { return now.Sub(at) >= resetsFor })
+// expire deletes limits and resets that no longer have an effect.
+func (l *idleLimits) expire(now time.Time) {
+	maps.DeleteFunc(l.places, func(_ core.Place, limit idleLimit) bool { return limit.effective(now, l.max) >= l.max })
+	maps.DeleteFunc(l.freshResets, func(_ core.Place, at time.Time) bool { return now.Sub(at) >= freshResetMemory })
 }
 
-// stated is how long a server says that it keeps an idle connection, 0: it doesn't say.
-func stated(header http.Header) time.Duration {
+// keepAliveTimeout returns how long a server states in a Keep-Alive field that it keeps an idle
+// connection, and 0 if it does not state that.
+func keepAliveTimeout(header http.Header) time.Duration {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -119,10 +125,11 @@
 	return 0
 }
 
-// resetAtOnce tells whether an attempt broke with err as its server's machine, rather than its
-// work, would have it: after being out for no longer than the way takes.
-func resetAtOnce(c *conn, err error, out time.Duration) bool {
+// isImmediateReset reports whether an attempt failed with a reset within the time that the round
+// trip takes. Such a reset comes from a server that does not know the connection, and not from one
+// that worked on the request.
+func isImmediateReset(c *conn, err error, elapsed time.Duration) bool {
 	reset := errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) ||
 		errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
-	return reset && out <= forgottenTimes*c.dialed+forgottenSlack
+	return reset && elapsed <= maxResetRoundTrips*c.dialTime+resetSlack
 }
--- a/internal/upstream/idle_limits_test.go
+++ b/internal/upstream/idle_limits_test.go
@@ -15,87 +15,93 @@
 
 var start = time.Unix(1000, 0)
 
-func TestAPlaceThatForgetsIsHeldToHalfTheRest(t *testing.T) {
-	l := newRestLimits(30 * time.Second)
+// A place that drops an idle connection is limited to half of its idle time.
+func TestIdleLimitOfAPlaceThatDropsConnections(t *testing.T) {
+	l := newIdleLimits(30 * time.Second)
 	a, b := core.Place{ID: "a"}, core.Place{ID: "b"}
-	assert.Equal(t, 30*time.Second, l.allowed(a, start))
-	l.forgotten(a, 800*time.Millisecond, start)
-	assert.Equal(t, 400*time.Millisecond, l.allowed(a, start))
-	assert.Equal(t, 30*time.Second, l.allowed(b, start), "one that forgets says nothing of others")
-	l.forgotten(a, 300*time.Millisecond, start)
-	assert.Equal(t, 150*time.Millisecond, l.allowed(a, start))
-	l.forgotten(a, 5*time.Second, start)
-	assert.Equal(t, 150*time.Millisecond, l.allowed(a, start), "an older connection tells less")
-	l.forgotten(a, time.Millisecond, start)
-	assert.Equal(t, restLeast, l.allowed(a, start))
+	assert.Equal(t, 30*time.Second, l.maxIdle(a, start))
+	l.recordStaleReset(a, 800*time.Millisecond, start)
+	assert.Equal(t, 400*time.Millisecond, l.maxIdle(a, start))
+	assert.Equal(t, 30*time.Second, l.maxIdle(b, start), "one place that drops connections does not limit others")
+	l.recordStaleReset(a, 300*time.Millisecond, start)
+	assert.Equal(t, 150*time.Millisecond, l.maxIdle(a, start))
+	l.recordStaleReset(a, 5*time.Second, start)
+	assert.Equal(t, 150*time.Millisecond, l.maxIdle(a, start), "a reset after a longer idle time does not raise the limit")
+	l.recordStaleReset(a, time.Millisecond, start)
+	assert.Equal(t, minIdleLimit, l.maxIdle(a, start))
 }
 
-func TestSeveralPlacesThatForgetTellOfAll(t *testing.T) {
-	l := newRestLimits(30 * time.Second)
-	l.forgotten(core.Place{ID: "a"}, 2*time.Second, start)
-	l.forgotten(core.Place{ID: "b"}, time.Second, start.Add(time.Second))
-	assert.Equal(t, 30*time.Second, l.allowed(core.Place{ID: "d"}, start.Add(time.Second)))
-	l.forgotten(core.Place{ID: "c"}, 3*time.Second, start.Add(time.Second))
-	assert.Equal(t, 500*time.Millisecond, l.allowed(core.Place{ID: "d"}, start.Add(time.Second)))
+// The limit applies to all places once three of them drop idle connections.
+func TestGlobalIdleLimit(t *testing.T) {
+	l := newIdleLimits(30 * time.Second)
+	l.recordStaleReset(core.Place{ID: "a"}, 2*time.Second, start)
+	l.recordStaleReset(core.Place{ID: "b"}, time.Second, start.Add(time.Second))
+	assert.Equal(t, 30*time.Second, l.maxIdle(core.Place{ID: "d"}, start.Add(time.Second)))
+	l.recordStaleReset(core.Place{ID: "c"}, 3*time.Second, start.Add(time.Second))
+	assert.Equal(t, 500*time.Millisecond, l.maxIdle(core.Place{ID: "d"}, start.Add(time.Second)))
 }
 
-// A server that resets new connections as well is sick, and no witness of how long others may rest.
-func TestPlacesThatResetAllAreNoWitnesses(t *testing.T) {
-	l := newRestLimits(30 * time.Second)
+// A server that also resets new connections is faulty. Its resets must not count as evidence of how
+// long connections to others may be idle.
+func TestPlacesThatResetNewConnectionsDoNotLimitOthers(t *testing.T) {
+	l := newIdleLimits(30 * time.Second)
 	a, b, c := core.Place{ID: "a"}, core.Place{ID: "b"}, core.Place{ID: "c"}
-	l.forgotten(a, time.Second, start)
-	l.forgotten(b, time.Second, start)
-	l.forgotten(c, time.Second, start)
-	assert.Equal(t, 500*time.Millisecond, l.allowed(core.Place{ID: "d"}, start))
-	l.reset(a, start)
-	assert.Equal(t, 30*time.Second, l.allowed(a, start))
-	assert.Equal(t, 30*time.Second, l.allowed(core.Place{ID: "d"}, start), "two are left")
-	assert.Equal(t, 500*time.Millisecond, l.allowed(b, start))
-	l.forgotten(a, time.Second, start.Add(resetsFor/2))
-	assert.Equal(t, 30*time.Second, l.allowed(a, start.Add(resetsFor/2)))
-	l.forgotten(a, time.Second, start.Add(resetsFor))
-	assert.Equal(t, 500*time.Millisecond, l.allowed(a, start.Add(resetsFor)))
+	l.recordStaleReset(a, time.Second, start)
+	l.recordStaleReset(b, time.Second, start)
+	l.recordStaleReset(c, time.Second, start)
+	assert.Equal(t, 500*time.Millisecond, l.maxIdle(core.Place{ID: "d"}, start))
+	l.recordFreshReset(a, start)
+	assert.Equal(t, 30*time.Second, l.maxIdle(a, start))
+	assert.Equal(t, 30*time.Second, l.maxIdle(core.Place{ID: "d"}, start), "two places are not enough for a global limit")
+	assert.Equal(t, 500*time.Millisecond, l.maxIdle(b, start))
+	l.recordStaleReset(a, time.Second, start.Add(freshResetMemory/2))
+	assert.Equal(t, 30*time.Second, l.maxIdle(a, start.Add(freshResetMemory/2)))
+	l.recordStaleReset(a, time.Second, start.Add(freshResetMemory))
+	assert.Equal(t, 500*time.Millisecond, l.maxIdle(a, start.Add(freshResetMemory)))
 }
 
-func TestLimitsOfRestPass(t *testing.T) {
-	l := newRestLimits(30 * time.Second)
+// A learned limit doubles with time until it has no effect.
+func TestIdleLimitsExpire(t *testing.T) {
+	l := newIdleLimits(30 * time.Second)
 	a, b := core.Place{ID: "a"}, core.Place{ID: "b"}
-	l.forgotten(a, time.Second, start)
-	assert.Equal(t, time.Second, l.allowed(a, start.Add(restDoubles)))
-	assert.Equal(t, 8*time.Second, l.allowed(a, start.Add(4*restDoubles)))
-	assert.Equal(t, 30*time.Second, l.allowed(a, start.Add(time.Hour)))
-	l.forgotten(b, time.Second, start.Add(time.Hour))
-	assert.Len(t, l.places, 1, "what a did long ago is not kept")
+	l.recordStaleReset(a, time.Second, start)
+	assert.Equal(t, time.Second, l.maxIdle(a, start.Add(idleLimitDoublingTime)))
+	assert.Equal(t, 8*time.Second, l.maxIdle(a, start.Add(4*idleLimitDoublingTime)))
+	assert.Equal(t, 30*time.Second, l.maxIdle(a, start.Add(time.Hour)))
+	l.recordStaleReset(b, time.Second, start.Add(time.Hour))
+	assert.Len(t, l.places, 1, "the expired limit of the first place is deleted")
 }
 
-func TestStatedRest(t *testing.T) {
+// Invalid timeouts in a Keep-Alive field are ignored.
+func TestKeepAliveTimeout(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"": 0, "timeout=5": 5 * time.Second, "max=3, timeout=15": 15 * time.Second, "Timeout=2": 2 * time.Second,
 		"timeout=-1": 0, "timeout=x": 0, "timeout=99999999999999999999": 0, "timeout=0": 0,
 	} {
-		assert.Equal(t, want, stated(http.Header{"Keep-Alive": {text}}), text)
+		assert.Equal(t, want, keepAliveTimeout(http.Header{"Keep-Alive": {text}}), text)
 	}
 }
 
-// Only a reset that comes at once shows that a connection was forgotten.
-func TestWhatIsAResetAtOnce(t *testing.T) {
-	c := &conn{dialed: 2 * time.Millisecond}
-	at, late := 3*time.Millisecond, 50*time.Millisecond
-	assert.True(t, resetAtOnce(c, syscall.ECONNRESET, at))
-	assert.True(t, resetAtOnce(c, &Error{FullyWritten, syscall.EPIPE}, at))
-	assert.True(t, resetAtOnce(c, io.ErrUnexpectedEOF, at))
-	assert.False(t, resetAtOnce(c, syscall.ECONNRESET, late), "the server worked on it and broke off")
-	assert.False(t, resetAtOnce(c, errors.New("other"), at))
+// Only an immediate reset shows that the server had dropped the connection.
+func TestImmediateReset(t *testing.T) {
+	c := &conn{dialTime: 2 * time.Millisecond}
+	early := 3 * time.Millisecond
+	late := 50 * time.Millisecond
+	assert.True(t, isImmediateReset(c, syscall.ECONNRESET, early))
+	assert.True(t, isImmediateReset(c, &Error{FullyWritten, syscall.EPIPE}, early))
+	assert.True(t, isImmediateReset(c, io.ErrUnexpectedEOF, early))
+	assert.False(t, isImmediateReset(c, syscall.ECONNRESET, late), "the server worked on the request and broke off")
+	assert.False(t, isImmediateReset(c, errors.New("other"), early))
 }
 
-// A connection isn't used, and not kept, longer than its server says.
-func TestConnectionsRestNoLongerThanStated(t *testing.T) {
+// A connection must not be idle for longer than its server states.
+func TestIdleTimeIsBelowTheKeepAliveTimeout(t *testing.T) {
 	p := &Pool{opt: Options{IdleTimeout: 30 * time.Second}}
-	assert.Equal(t, 30*time.Second, p.mayRest(&conn{}, start))
-	assert.Equal(t, 4*time.Second, p.mayRest(&conn{keep: 5 * time.Second}, start))
-	assert.Equal(t, 500*time.Millisecond, p.mayRest(&conn{keep: time.Second}, start), "most of a short time")
-	assert.Equal(t, 30*time.Second, p.mayRest(&conn{keep: time.Minute}, start))
-	p.rest = newRestLimits(30 * time.Second)
-	p.rest.forgotten(core.Place{ID: "a"}, time.Second, start)
-	assert.Equal(t, 500*time.Millisecond, p.mayRest(&conn{place: core.Place{ID: "a"}, keep: 5 * time.Second}, start))
+	assert.Equal(t, 30*time.Second, p.maxIdleTime(&conn{}, start))
+	assert.Equal(t, 4*time.Second, p.maxIdleTime(&conn{keepAlive: 5 * time.Second}, start))
+	assert.Equal(t, 500*time.Millisecond, p.maxIdleTime(&conn{keepAlive: time.Second}, start), "half of a short timeout")
+	assert.Equal(t, 30*time.Second, p.maxIdleTime(&conn{keepAlive: time.Minute}, start))
+	p.idleLimits = newIdleLimits(30 * time.Second)
+	p.idleLimits.recordStaleReset(core.Place{ID: "a"}, time.Second, start)
+	assert.Equal(t, 500*time.Millisecond, p.maxIdleTime(&conn{place: core.Place{ID: "a"}, keepAlive: 5 * time.Second}, start))
 }
--- a/internal/upstream/pending.go
+++ b/internal/upstream/pending.go
@@ -9,74 +9,74 @@
 	"pipitmux/internal/message"
 )
 
-// Why an attempt that waited for its connection does not begin.
+// Reasons why an attempt that waited for its connection does not begin.
 var (
-	errWithdrawn = errors.New("withdrawn: its server leaves")
-	errLeft      = errors.New("the client has left")
-	errWindow    = errors.New("the time in which its repeats are dropped is over")
+	errWithdrawn       = errors.New("withdrawn: the server is being removed")
+	errClientGone      = errors.New("the client has closed its connection")
+	errDedupWindowOver = errors.New("the deduplication window of the request is over")
 )
 
-// gate stands before an attempt's first byte. A connection may take long to come up, and
-// what was true when the attempt was decided on need not be so any more.
-type gate struct {
-	at  core.Attempt
-	end context.CancelCauseFunc
+// pendingAttempt is an attempt whose first byte has not been written. Connecting may take long, so
+// the conditions under which the attempt was decided on are checked again before that byte.
+type pendingAttempt struct {
+	attempt core.Attempt
+	cancel  context.CancelCauseFunc
 }
 
-// gate registers an attempt that has not begun.
-func (p *Pool) gate(a core.Attempt, end context.CancelCauseFunc) *gate {
-	g := &gate{a, end}
-	p.gatesMu.Lock()
-	defer p.gatesMu.Unlock()
-	at := p.gates[a.Place]
-	if at == nil {
-		at = map[*gate]struct{}{}
-		p.gates[a.Place] = at
+// registerPending registers an attempt that has not begun.
+func (p *Pool) registerPending(a core.Attempt, cancel context.CancelCauseFunc) *pendingAttempt {
+	pending := &pendingAttempt{a, cancel}
+	p.pendingMu.Lock()
+	defer p.pendingMu.Unlock()
+	ofPlace := p.pending[a.Place]
+	if ofPlace == nil {
+		ofPlace = map[*pendingAttempt]struct{}{}
+		p.pending[a.Place] = ofPlace
 	}
-	at[g] = struct{}{}
-	return g
+	ofPlace[pending] = struct{}{}
+	return pending
 }
 
-// Withdraw ends the attempts to a place that have not begun. It does not block, and none
-// begins after it.
+// Withdraw cancels the attempts to a place that have not begun. It does not block. None of them
+// begins after it returns.
 func (p *Pool) Withdraw(at core.Place) {
-	p.gatesMu.Lock()
-	defer p.gatesMu.Unlock()
-	for g := range p.gates[at] {
-		g.end(errWithdrawn)
+	p.pendingMu.Lock()
+	defer p.pendingMu.Unlock()
+	for pending := range p.pending[at] {
+		pending.cancel(errWithdrawn)
 		p.count.Add("attempt.withdrawn")
 	}
-	delete(p.gates, at)
+	delete(p.pending, at)
 }
 
-// begin passes the gate, or tells why the attempt must not begin.
-func (p *Pool) begin(ctx context.Context, g *gate) error {
-	if call, ok := g.at.Call.(*message.Call); ok && call.ClientGone != nil && ctx.Err() == nil && call.ClientGone() {
-		return errLeft
+// confirmBegin marks an attempt as begun, or returns the reason why it must not begin.
+func (p *Pool) confirmBegin(ctx context.Context, pending *pendingAttempt) error {
+	if call, ok := pending.attempt.Call.(*message.Call); ok && call.ClientGone != nil && ctx.Err() == nil && call.ClientGone() {
+		return errClientGone
 	}
-	p.gatesMu.Lock()
-	defer p.gatesMu.Unlock()
-	p.drop(g)
+	p.pendingMu.Lock()
+	defer p.pendingMu.Unlock()
+	p.unregisterPendingLocked(pending)
 	if cause := context.Cause(ctx); cause != nil {
-		return cause // withdrawn, called off or timed out
+		return cause // withdrawn, canceled or timed out
 	}
-	if b := g.at.Before; !b.IsZero() && !time.Now().Before(b) {
-		return errWindow
+	if before := pending.attempt.Before; !before.IsZero() && !time.Now().Before(before) {
+		return errDedupWindowOver
 	}
 	return nil
 }
 
-// forget takes away an attempt that has ended.
-func (p *Pool) forget(g *gate) {
-	p.gatesMu.Lock()
-	defer p.gatesMu.Unlock()
-	p.drop(g)
+// unregisterPending removes an attempt that has ended.
+func (p *Pool) unregisterPending(pending *pendingAttempt) {
+	p.pendingMu.Lock()
+	defer p.pendingMu.Unlock()
+	p.unregisterPendingLocked(pending)
 }
 
-// drop is forget with gatesMu held.
-func (p *Pool) drop(g *gate) {
-	at := p.gates[g.at.Place]
-	if delete(at, g); len(at) == 0 {
-		delete(p.gates, g.at.Place)
+// unregisterPendingLocked is unregisterPending for a caller that holds pendingMu.
+func (p *Pool) unregisterPendingLocked(pending *pendingAttempt) {
+	ofPlace := p.pending[pending.attempt.Place]
+	if delete(ofPlace, pending); len(ofPlace) == 0 {
+		delete(p.pending, pending.attempt.Place)
 	}
 }
--- a/internal/upstream/pending_test.go
+++ b/internal/upstream/pending_test.go
@@ -18,32 +18,32 @@
 	"pipitmux/logic"
 )
 
-// poolOf is a Pool of so many connections at most, none of which times out in a test.
-func poolOf(most int) *Pool {
-	return New(plain{}, Options{ConnectTimeout: 10 * time.Second, IdleTimeout: time.Hour, MaxConns: most, Budget: message.NewBudget(1 << 20), OmitHeader: true},
+// poolOf returns a Pool of at most maxConns connections, none of which times out in a test.
+func poolOf(maxConns int) *Pool {
+	return New(testCodec{}, Options{ConnectTimeout: 10 * time.Second, IdleTimeout: time.Hour, MaxConns: maxConns, Budget: message.NewBudget(1 << 20), OmitHeader: true},
 		counters.New(), slog.New(slog.DiscardHandler))
 }
 
-// What happens while an attempt's connection comes up holds before its first byte: none goes
-// to a backend that leaves, for a client that has left, or beyond the time in which repeats
-// are dropped. A connection that nothing was written on is used for the next one, unless its
-// backend leaves.
-func TestGateBeforeTheFirstByte(t *testing.T) {
+// What happens while an attempt connects must be respected before its first byte is written: none
+// goes to a server that is being removed, for a client that has left, or after the deduplication
+// window. A connection that nothing was written on is kept for the next attempt, unless its server
+// is being removed.
+func TestNothingIsWrittenIfConditionsChangeWhileConnecting(t *testing.T) {
 	for name, tt := range map[string]struct {
-		before time.Duration // until when the attempt may begin, from now
+		before time.Duration // latest begin of the attempt, from now; 0: none
 		event  func(p *Pool, at core.Place, cancel func(), left *atomic.Bool)
 		want   logic.Result
-		left   bool
-		kept   bool
+		left   bool // the end must say that the client has left
+		kept   bool // the connection must be kept
 	}{
-		"nothing":            {0, func(*Pool, core.Place, func(), *atomic.Bool) {}, logic.OK, false, true},
-		"the backend leaves": {0, func(p *Pool, at core.Place, _ func(), _ *atomic.Bool) { p.Withdraw(at) }, logic.Moot, false, false},
-		"another one does":   {0, func(p *Pool, at core.Place, _ func(), _ *atomic.Bool) { at.Born++; p.Withdraw(at) }, logic.OK, false, true},
-		"the client leaves":  {0, func(_ *Pool, _ core.Place, _ func(), left *atomic.Bool) { left.Store(true) }, logic.Moot, true, true},
-		"it is called off":   {0, func(_ *Pool, _ core.Place, cancel func(), _ *atomic.Bool) { cancel() }, logic.Canceled, false, true},
-		"its window is over": {-1, func(*Pool, core.Place, func(), *atomic.Bool) {}, logic.Moot, false, true},
-		"its window is open": {time.Hour, func(*Pool, core.Place, func(), *atomic.Bool) {}, logic.OK, false, true},
-		"both leave":         {0, func(p *Pool, at core.Place, _ func(), left *atomic.Bool) { left.Store(true); p.Withdraw(at) }, logic.Moot, false, false},
+		"nothing":                             {0, func(*Pool, core.Place, func(), *atomic.Bool) {}, logic.OK, false, true},
+		"server is removed":                   {0, func(p *Pool, at core.Place, _ func(), _ *atomic.Bool) { p.Withdraw(at) }, logic.Moot, false, false},
+		"another server is removed":           {0, func(p *Pool, at core.Place, _ func(), _ *atomic.Bool) { at.Born++; p.Withdraw(at) }, logic.OK, false, true},
+		"client leaves":                       {0, func(_ *Pool, _ core.Place, _ func(), left *atomic.Bool) { left.Store(true) }, logic.Moot, true, true},
+		"canceled":                            {0, func(_ *Pool, _ core.Place, cancel func(), _ *atomic.Bool) { cancel() }, logic.Canceled, false, true},
+		"window is over":                      {-1, func(*Pool, core.Place, func(), *atomic.Bool) {}, logic.Moot, false, true},
+		"window is open":                      {time.Hour, func(*Pool, core.Place, func(), *atomic.Bool) {}, logic.OK, false, true},
+		"client leaves and server is removed": {0, func(p *Pool, at core.Place, _ func(), left *atomic.Bool) { left.Store(true); p.Withdraw(at) }, logic.Moot, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, err := standin.NewBackend(standin.OK)
@@ -51,11 +51,12 @@
 			defer b.Close()
 			at := core.Place{ID: "b", Endpoint: b.Addr}
 			p := poolOf(2)
-			dialing, up := make(chan struct{}), make(chan struct{})
+			dialing := make(chan struct{})
+			connect := make(chan struct{})
 			dial := p.dial
 			p.dial = func(_ context.Context, network, addr string) (net.Conn, error) {
 				close(dialing)
-				<-up // it is up at last, whoever has given up waiting
+				<-connect // the connection comes up even if its attempt no longer waits
 				return dial(context.Background(), network, addr)
 			}
 			var left atomic.Bool
@@ -68,7 +69,7 @@
 			cancel := p.Start(a, func(e core.Ended) { ends <- e })
 			<-dialing
 			tt.event(p, at, cancel, &left)
-			close(up)
+			close(connect)
 			end := <-ends
 			assert.Equal(t, tt.want, end.Result)
 			assert.Equal(t, tt.left, end.Left)
@@ -77,18 +78,18 @@
 				sent = 1
 			}
 			assert.Len(t, b.Seen, sent)
-			assert.Empty(t, p.gates)
+			assert.Empty(t, p.pending)
 
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			assert.Equal(t, tt.kept, len(p.idle[at]) == 1, "the first connection")
+			assert.Equal(t, tt.kept, len(p.idle[at]) == 1, "the first connection is idle in the pool")
 		})
 	}
 }
 
-// Withdraw is asked for while attempts begin by the hundred: each one either was written
-// before it, or never is.
-func TestWithdrawAgainstBegin(t *testing.T) {
+// Withdraw races with attempts that begin: each attempt must have been written before it or never
+// be written.
+func TestWithdrawRacesWithBegin(t *testing.T) {
 	for range 20 {
 		b, err := standin.NewBackend(standin.OK)
 		require.NoError(t, err)
@@ -101,9 +102,9 @@
 				Until: time.Now().Add(20 * time.Second)}, func(e core.Ended) { ends <- e })
 		}
 		p.Withdraw(at)
-		p.gatesMu.Lock()
-		assert.Empty(t, p.gates[at], "whoever has not begun by now never does")
-		p.gatesMu.Unlock()
+		p.pendingMu.Lock()
+		assert.Empty(t, p.pending[at], "an attempt that has not begun by now must never begin")
+		p.pendingMu.Unlock()
 		served := 0
 		for range attempts {
 			switch e := <-ends; e.Result {
@@ -111,7 +112,7 @@
 				served++
 			case logic.Moot:
 			default:
-				assert.Fail(t, "neither written nor withdrawn", "%v", e.Result)
+				assert.Fail(t, "the attempt was neither written nor withdrawn", "%v", e.Result)
 			}
 		}
 		assert.Len(t, b.Seen, served)
@@ -119,29 +120,30 @@
 	}
 }
 
-// A backend answers the first request twice, the second time when the next request is under way. The
-// next one gets its own answer: it goes on another connection while the first has not rested,
-// and what came on that one meanwhile ends it.
-func TestSecondAnswerIsNobodys(t *testing.T) {
-	next, again := make(chan struct{}), make(chan struct{})
+// A faulty server responds twice to the first request, the second time during the next request. The
+// next request must get its own response: it uses another connection until the reuse delay of the
+// first one is over, and the unexpected bytes close the first one.
+func TestSecondResponseIsNotTakenForTheNextRequest(t *testing.T) {
+	nextArrived := make(chan struct{})
+	respondedAgain := make(chan struct{})
 	b, err := standin.NewBackend(func(c *net.TCPConn, r standin.Request) bool {
 		if r.URL.Path == "/first" {
 			standin.Say(c, 200, "", "first")
-			<-next
-			standin.Say(c, 200, "", "first") // once more
-			close(again)
+			<-nextArrived
+			standin.Say(c, 200, "", "first") // the same response again
+			close(respondedAgain)
 			return true
 		}
 		if r.URL.Path == "/next" {
-			close(next)
-			<-again
+			close(nextArrived)
+			<-respondedAgain
 		}
 		return standin.Say(c, 200, "", r.URL.Path)
 	})
 	require.NoError(t, err)
 	defer b.Close()
 	p := poolOf(10)
-	assert.Equal(t, restFor, p.restFor)
+	assert.Equal(t, reuseDelay, p.reuseDelay)
 	ask := func(path string) string {
 		ends := make(chan core.Ended, 1)
 		p.Start(core.Attempt{Call: &message.Call{Method: "GET", Target: path, Host: "h", ID: "i"}, Place: core.Place{ID: "b", Endpoint: b.Addr},
@@ -150,12 +152,12 @@
 		require.Equal(t, logic.OK, e.Result)
 		return string(e.Reply.(*message.Reply).Body)
 	}
-	p.restFor = time.Hour // no test hangs on how fast this machine is
+	p.reuseDelay = time.Hour // long, so that the test does not depend on the speed of the machine
 	assert.Equal(t, "first", ask("/first"))
 	assert.Equal(t, "/next", ask("/next"))
-	p.restFor = 0
+	p.reuseDelay = 0
 	for range 3 {
 		assert.Equal(t, "/later", ask("/later"))
 	}
-	assert.EqualValues(t, 2, b.Opened.Load(), "the one that has rested, with nothing on it, is used again")
+	assert.EqualValues(t, 2, b.Opened.Load(), "the connection past its reuse delay, with nothing received on it, is used again")
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -15,13 +15,14 @@
 	"pipitmux/internal/counters"
 )
 
-// restFor is how long a connection rests before it is used again. A server that answers
-// twice does so within some milliseconds: what came meanwhile is seen before the next request is
-// written, and is not taken for its answer.
-const restFor = 10 * time.Millisecond
+// reuseDelay is how long a connection stays unused after a response before it is used again. A
+// faulty server that responds twice does so within a few milliseconds. After the delay the second
+// response is detected before the next request is written, and is not taken for its response.
+const reuseDelay = 10 * time.Millisecond
 
-// Pool holds the connections to all servers. Idle ones are kept by place, so
-// that none to an earlier process of a server is used for its successor.
+// Pool holds the connections to all servers. Idle connections are kept by core.Place, which
+// identifies a server process, so that a connection to an earlier process of a server is never
+// used for its successor.
 type Pool struct {
 	codec Codec
 	opt   Options
@@ -29,195 +30,200 @@
 	log   *slog.Logger
 	dial  func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	restFor time.Duration
+	reuseDelay time.Duration // the constant, unless a test changes it
 
-	mu   sync.Mutex
-	open int                    // connections open or opening
-	idle map[core.Place][]*conn // the latest used last
-	rest *restLimits            // nil: nothing is learned of it
-	at   map[core.Place]int     // connections open or opening, by place
+	mu         sync.Mutex
+	open       int                    // connections open or being opened
+	idle       map[core.Place][]*conn // ordered by last use, the most recent last
+	idleLimits *idleLimits            // nil: idle limits are not learned
+	connCounts map[core.Place]int     // connections open or being opened, by place
 
-	gatesMu sync.Mutex
-	gates   map[core.Place]map[*gate]struct{} // of attempts that have not begun
+	pendingMu sync.Mutex
+	pending   map[core.Place]map[*pendingAttempt]struct{} // attempts that have not been written yet
 }
 
+// conn is a connection to a server.
 type conn struct {
 	net.Conn
-	in    *bufio.Reader
-	left  int // bytes that may still be read of the present answer
-	place core.Place
-	since time.Time // idle since
+	reader    *bufio.Reader
+	readLimit int // bytes that may still be read for the present response
+	place     core.Place
+	idleSince time.Time
 
-	dialed time.Duration // how long it took to come up
-	rested time.Duration // before its present request, 0: it is new
-	keep   time.Duration // how long its server keeps it idle, 0: it doesn't say
-	stray  bool          // an answer to another request came on it
+	dialTime     time.Duration // how long connecting took
+	idleTime     time.Duration // how long it was idle before its present request, 0: it is new
+	keepAlive    time.Duration // how long the server says that it keeps the connection idle, 0: not stated
+	gotMisrouted bool          // a response to another request arrived on it
 }
 
-// Read reads what the present answer may still bring.
+// Read reads at most as much as the present response may still contain.
 func (c *conn) Read(b []byte) (int, error) {
-	if c.left <= 0 {
-		return 0, errTooMuch
+	if c.readLimit <= 0 {
+		return 0, errResponseTooLong
 	}
-	n, err := c.Conn.Read(b[:min(len(b), c.left)])
-	c.left -= n
+	n, err := c.Conn.Read(b[:min(len(b), c.readLimit)])
+	c.readLimit -= n
 	return n, err
 }
 
-var errNoSockets = errors.New("no socket left for a connection")
+var errConnLimit = errors.New("connection limit reached")
 
-// take returns an idle connection to the place, or a new one.
-func (p *Pool) take(ctx context.Context, at core.Place) (*conn, error) {
+// acquire returns an idle connection to a place, or a new one.
+func (p *Pool) acquire(ctx context.Context, at core.Place) (*conn, error) {
 	for {
-		c, fresh := p.pop(at)
+		c, usable := p.popIdle(at)
 		if c == nil {
 			break
 		}
-		// A connection that the server has closed would take the request and lose it: a
-		// harmless failure would turn into a Reset, which an unsafe class can't repeat.
-		if fresh && c.quiet() {
+		// A connection that the server has closed would accept the request and lose it. A failure
+		// that is safe to retry would become a Reset, which an unsafe class cannot retry.
+		if usable && c.nothingReceived() {
 			p.count.Add("conn.reused")
 			return c, nil
 		}
-		p.give(c, false)
+		p.put(c, false)
 	}
-	if !p.reserve(at) {
-		return nil, errNoSockets
+	if !p.reserveSlot(at) {
+		return nil, errConnLimit
 	}
-	begun := time.Now()
+	began := time.Now()
 	nc, err := p.dial(ctx, "tcp", at.Endpoint)
 	if err != nil {
-		p.release(at)
+		p.releaseSlot(at)
 		return nil, err
 	}
 	p.count.Add("conn.opened")
-	c := &conn{Conn: nc, place: at, dialed: time.Since(begun)}
-	c.in = bufio.NewReaderSize(c, 4096)
+	c := &conn{Conn: nc, place: at, dialTime: time.Since(began)}
+	c.reader = bufio.NewReaderSize(c, 4096)
 	return c, nil
 }
 
-// mayRest is how long an idle connection may have rested and be used by now; p.mu is held.
-func (p *Pool) mayRest(c *conn, now time.Time) time.Duration {
-	most := p.opt.IdleTimeout
-	if c.keep > 0 {
-		most = min(most, max(c.keep-statedSlack, c.keep/2))
+// maxIdleTime returns how long c may have been idle and still be used now. The caller holds p.mu.
+func (p *Pool) maxIdleTime(c *conn, now time.Time) time.Duration {
+	limit := p.opt.IdleTimeout
+	if c.keepAlive > 0 {
+		limit = min(limit, max(c.keepAlive-keepAliveMargin, c.keepAlive/2))
 	}
-	if p.rest == nil {
-		return most
+	if p.idleLimits == nil {
+		return limit
 	}
-	return min(most, p.rest.allowed(c.place, now))
+	return min(limit, p.idleLimits.maxIdle(c.place, now))
 }
 
-// broke learns from an attempt that broke on a connection after being out for so long.
-func (p *Pool) broke(c *conn, err error, out time.Duration) {
-	if p.rest == nil || !resetAtOnce(c, err, out) {
+// recordBreak learns from an attempt that failed with err on c, the given time after its request
+// was written.
+func (p *Pool) recordBreak(c *conn, err error, elapsed time.Duration) {
+	if p.idleLimits == nil || !isImmediateReset(c, err, elapsed) {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.rested == 0 {
-		p.rest.reset(c.place, time.Now())
+	if c.idleTime == 0 {
+		p.idleLimits.recordFreshReset(c.place, time.Now())
 		return
 	}
 	p.count.Add("conn.forgotten")
-	p.rest.forgotten(c.place, c.rested, time.Now())
+	p.idleLimits.recordStaleReset(c.place, c.idleTime, time.Now())
 }
 
-// pop takes an idle connection to a place, and tells whether it may still be used. Where nothing
-// says that servers forget connections, it is the one that rested longest, so that all that a
-// burst left stay in use; else the one that was used last.
-func (p *Pool) pop(at core.Place) (c *conn, fresh bool) {
+// popIdle removes an idle connection to a place from the pool and reports whether it may still be
+// used. As long as there is no sign that servers drop idle connections, it takes the one that was
+// idle longest, so that all connections of a past burst stay in use. Otherwise it takes the one
+// that was used last.
+func (p *Pool) popIdle(at core.Place) (c *conn, usable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list, now := p.idle[at], time.Now()
-	rested := slices.IndexFunc(list, func(c *conn) bool { return now.Sub(c.since) < p.restFor })
-	if rested < 0 {
-		rested = len(list) // none is too young
+	ready := slices.IndexFunc(list, func(c *conn) bool { return now.Sub(c.idleSince) < p.reuseDelay })
+	if ready < 0 {
+		ready = len(list) // all have been idle for the reuse delay
 	}
-	if rested == 0 {
+	if ready == 0 {
 		return nil, false
 	}
-	i := rested - 1
-	if p.rest != nil && p.rest.allowed(at, now) >= p.opt.IdleTimeout {
+	i := ready - 1
+	if p.idleLimits != nil && p.idleLimits.maxIdle(at, now) >= p.opt.IdleTimeout {
 		i = 0
 	}
 	c = list[i]
 	p.idle[at] = slices.Delete(list, i, i+1)
-	c.rested = now.Sub(c.since)
-	return c, c.rested < p.mayRest(c, now)
+	c.idleTime = now.Sub(c.idleSince)
+	return c, c.idleTime < p.maxIdleTime(c, now)
 }
 
-// reserve books a socket; where none is left, the longest idle connection goes, to the same
-// place where that has its most.
-func (p *Pool) reserve(at core.Place) bool {
+// reserveSlot reserves a slot for a new connection to a place and reports whether there is one. If
+// a limit is reached, the connection that was idle longest is closed to make room: one to the same
+// place if the limit is that of the place.
+func (p *Pool) reserveSlot(at core.Place) bool {
 	p.mu.Lock()
-	oldest, booked := (*conn)(nil), true
+	oldest, reserved := (*conn)(nil), true
 	switch {
-	case p.full(at):
-		oldest = p.popFirst(at)
-		booked = oldest != nil
+	case p.atPlaceLimit(at):
+		oldest = p.popOldestOf(at)
+		reserved = oldest != nil
 	case p.open >= p.opt.MaxConns:
 		oldest = p.popOldest()
-		booked = oldest != nil
+		reserved = oldest != nil
 	}
 	if oldest != nil {
-		p.unbook(oldest.place) // its socket is the one booked
+		p.freeSlotLocked(oldest.place) // the new connection takes its slot
 	}
-	if booked {
+	if reserved {
 		p.open++
-		p.at[at]++
+		p.connCounts[at]++
 	}
 	p.mu.Unlock()
 	if oldest != nil {
 		oldest.Close()
 	}
-	if !booked {
+	if !reserved {
 		p.count.Add("conn.limit")
 	}
-	return booked
+	return reserved
 }
 
-// full tells whether a place has its most connections; p.mu is held.
-func (p *Pool) full(at core.Place) bool {
+// atPlaceLimit reports whether a place has reached its connection limit. The caller holds p.mu.
+func (p *Pool) atPlaceLimit(at core.Place) bool {
 	if p.opt.MaxConnsPerPlace == nil {
 		return false
 	}
-	most := p.opt.MaxConnsPerPlace(at)
-	return most > 0 && p.at[at] >= most
+	limit := p.opt.MaxConnsPerPlace(at)
+	return limit > 0 && p.connCounts[at] >= limit
 }
 
-// SetMaxConns changes how many connections may be open. The longest idle over it are closed.
-func (p *Pool) SetMaxConns(most int) {
+// SetMaxConns changes the limit of open connections. It closes idle connections beyond the limit,
+// those that were idle longest first.
+func (p *Pool) SetMaxConns(limit int) {
 	p.mu.Lock()
-	p.opt.MaxConns = most
-	var over []*conn
-	for n := p.open - most; n > 0; n-- {
+	p.opt.MaxConns = limit
+	var excess []*conn
+	for n := p.open - limit; n > 0; n-- {
 		oldest := p.popOldest()
 		if oldest == nil {
 			break
 		}
-		over = append(over, oldest)
+		excess = append(excess, oldest)
 	}
 	p.mu.Unlock()
-	p.closeAll(over)
+	p.closeAll(excess)
 }
 
-// popOldest takes the longest idle connection; p.mu is held.
+// popOldest removes the connection that was idle longest. The caller holds p.mu.
 func (p *Pool) popOldest() *conn {
 	var oldest *conn
 	for _, list := range p.idle {
-		if len(list) > 0 && (oldest == nil || list[0].since.Before(oldest.since)) {
+		if len(list) > 0 && (oldest == nil || list[0].idleSince.Before(oldest.idleSince)) {
 			oldest = list[0]
 		}
 	}
 	if oldest == nil {
 		return nil
 	}
-	return p.popFirst(oldest.place)
+	return p.popOldestOf(oldest.place)
 }
 
-// popFirst takes the longest idle connection to a place; p.mu is held.
-func (p *Pool) popFirst(at core.Place) *conn {
+// popOldestOf removes the connection to a place that was idle longest. The caller holds p.mu.
+func (p *Pool) popOldestOf(at core.Place) *conn {
 	list := p.idle[at]
 	if len(list) == 0 {
 		return nil
@@ -226,35 +232,36 @@
 	return list[0]
 }
 
-func (p *Pool) release(at core.Place) {
+// releaseSlot returns the slot of a connection to a place.
+func (p *Pool) releaseSlot(at core.Place) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.unbook(at)
+	p.freeSlotLocked(at)
 }
 
-// unbook gives a socket back; p.mu is held.
-func (p *Pool) unbook(at core.Place) {
+// freeSlotLocked returns the slot of a connection to a place. The caller holds p.mu.
+func (p *Pool) freeSlotLocked(at core.Place) {
 	p.open--
-	if p.at[at]--; p.at[at] == 0 {
-		delete(p.at, at)
+	if p.connCounts[at]--; p.connCounts[at] == 0 {
+		delete(p.connCounts, at)
 	}
 }
 
-// give takes a connection back: to be used again, or to be closed.
-func (p *Pool) give(c *conn, reusable bool) {
+// put returns a connection to the pool. It closes the connection unless it is reusable.
+func (p *Pool) put(c *conn, reusable bool) {
 	if !reusable {
 		c.Close()
-		p.release(c.place)
+		p.releaseSlot(c.place)
 		return
 	}
-	c.SetDeadline(time.Time{}) // what bounded a long body
-	c.since = time.Now()
+	c.SetDeadline(time.Time{}) // remove the deadlines of a long body
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	p.idle[c.place] = append(p.idle[c.place], c)
 	p.mu.Unlock()
 }
 
-// CloseIdle closes the idle connections to a place. It does not block.
+// CloseIdle closes the idle connections to a place without blocking.
 func (p *Pool) CloseIdle(at core.Place) {
 	p.mu.Lock()
 	list := p.idle[at]
@@ -267,56 +274,58 @@
 
 func (p *Pool) closeAll(list []*conn) {
 	for _, c := range list {
-		p.give(c, false)
+		p.put(c, false)
 	}
 }
 
-// ReapIdle closes idle connections clearly before the servers would, until quit is closed.
+// ReapIdle closes idle connections whose idle time is over, well before the servers would close
+// them. It returns when quit is closed.
 func (p *Pool) ReapIdle(quit <-chan struct{}) {
-	tick := time.NewTicker(max(p.opt.IdleTimeout/10, time.Millisecond))
-	defer tick.Stop()
+	ticker := time.NewTicker(max(p.opt.IdleTimeout/10, time.Millisecond))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-quit:
 			return
-		case now := <-tick.C:
-			p.closeAll(p.stale(now))
+		case now := <-ticker.C:
+			p.closeAll(p.removeExpired(now))
 		}
 	}
 }
 
-func (p *Pool) stale(now time.Time) (old []*conn) {
+// removeExpired removes the idle connections whose idle time is over, and returns them.
+func (p *Pool) removeExpired(now time.Time) (expired []*conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for at, list := range p.idle {
-		keep := list[:0:0]
+		kept := list[:0:0]
 		for _, c := range list {
-			if now.Sub(c.since) >= p.mayRest(c, now) {
-				old = append(old, c)
+			if now.Sub(c.idleSince) >= p.maxIdleTime(c, now) {
+				expired = append(expired, c)
 			} else {
-				keep = append(keep, c)
+				kept = append(kept, c)
 			}
 		}
-		if p.idle[at] = keep; len(keep) == 0 {
+		if p.idle[at] = kept; len(kept) == 0 {
 			delete(p.idle, at)
 		}
 	}
-	return old
+	return expired
 }
 
-// quiet tells whether nothing has come on an idle connection: no bytes, which
-// would belong to no request, and no close.
-func (c *conn) quiet() bool {
+// nothingReceived reports whether an idle connection has received neither bytes, which would
+// belong to no request, nor a close.
+func (c *conn) nothingReceived() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	nothing := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		nothing = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && nothing
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -20,29 +20,29 @@
 	"pipitmux/logic"
 )
 
-// ask makes one attempt at a place and returns its only end.
+// ask makes one attempt at a place and returns its end. It checks that there is only one.
 func ask(t *testing.T, p *Pool, at core.Place, path string) core.Ended {
 	t.Helper()
 	ends := make(chan core.Ended, 2)
 	call := &message.Call{Method: "GET", Target: path, Host: "h", ID: "i"}
-	p.Start(core.Attempt{Call: call, Place: at, Until: time.Now().Add(patience)}, func(e core.Ended) { ends <- e })
+	p.Start(core.Attempt{Call: call, Place: at, Until: time.Now().Add(testTimeout)}, func(e core.Ended) { ends <- e })
 	e := wait(t, ends)
 	assert.Equal(t, len(ends), 0)
 	return e
 }
 
-// Answers to other requests are dropped, two at most, and their connection serves no further request.
-func TestForeignAnswers(t *testing.T) {
-	for foreign, want := range []logic.Result{logic.OK, logic.OK, logic.OK, logic.Reset} {
-		t.Run(fmt.Sprint(foreign), func(t *testing.T) {
+// Up to two responses to other requests are discarded, and their connection is not used again.
+func TestMisroutedResponses(t *testing.T) {
+	for misrouted, want := range []logic.Result{logic.OK, logic.OK, logic.OK, logic.Reset} {
+		t.Run(fmt.Sprint(misrouted), func(t *testing.T) {
 			b, err := standin.NewBackend(func(c *net.TCPConn, _ standin.Request) bool {
 				text := ""
-				for i := range foreign {
-					framing := "Content-Length: 5\r\n\r\nother"
+				for i := range misrouted {
+					chunkOverheadFactor := "Content-Length: 5\r\n\r\nother"
 					if i == 1 {
-						framing = "Transfer-Encoding: chunked\r\n\r\n5\r\nother\r\n0\r\n\r\n"
+						chunkOverheadFactor = "Transfer-Encoding: chunked\r\n\r\n5\r\nother\r\n0\r\n\r\n"
 					}
-					text += "HTTP/1.1 500 x\r\nFor: j\r\n" + framing
+					text += "HTTP/1.1 500 x\r\nFor: j\r\n" + chunkOverheadFactor
 				}
 				fmt.Fprint(c, text+"HTTP/1.1 200 x\r\nFor: i\r\nContent-Length: 3\r\n\r\nown")
 				return true
@@ -50,7 +50,7 @@
 			assert.NilError(t, err)
 			defer b.Close()
 			p, at := poolOf(2), core.Place{ID: "b", Endpoint: b.Addr}
-			p.restFor = 0
+			p.reuseDelay = 0
 			for round := range 2 {
 				e := ask(t, p, at, "/")
 				assert.Equal(t, e.Result, want)
@@ -58,7 +58,7 @@
 					assert.Equal(t, string(e.Reply.(*message.Reply).Body), "own")
 				}
 				opened := 1
-				if foreign > 0 {
+				if misrouted > 0 {
 					opened = round + 1
 				}
 				assert.Equal(t, int(b.Opened.Load()), opened)
@@ -67,9 +67,9 @@
 	}
 }
 
-// A server's own failure is handed on with its status, header and body where the codec says
-// so, and only then.
-func TestFailureIsHandedOn(t *testing.T) {
+// A server's own error response is passed on with its status, header and body if the codec says so,
+// and only then.
+func TestErrorResponseIsPassedThrough(t *testing.T) {
 	b, err := standin.NewBackend(func(c *net.TCPConn, r standin.Request) bool {
 		header := "Content-Type: text/plain\r\nHint: full\r\n"
 		if r.URL.Path == "/pass" {
@@ -80,15 +80,15 @@
 	assert.NilError(t, err)
 	defer b.Close()
 	p, at := poolOf(2), core.Place{ID: "b", Endpoint: b.Addr}
-	for _, bare := range []bool{false, true} {
-		p.opt.OmitHeader = bare
+	for _, omitHeader := range []bool{false, true} {
+		p.opt.OmitHeader = omitHeader
 		e := ask(t, p, at, "/pass")
 		assert.Equal(t, e.Result, logic.Failed)
 		assert.Check(t, e.Pass)
 		r := e.Reply.(*message.Reply)
 		assert.Equal(t, string(r.Body), "no room")
 		assert.Equal(t, r.ContentType, "text/plain")
-		if bare {
+		if omitHeader {
 			assert.Equal(t, r.Status, 0)
 			assert.Check(t, r.Header == nil)
 		} else {
@@ -101,9 +101,9 @@
 	}
 }
 
-// A place with its most connections gets no further one while all are in use; an idle one
-// makes room, and other places have their own.
-func TestMostConnectionsOfAPlace(t *testing.T) {
+// A place at its connection limit gets no further connection while all are in use. An idle
+// connection is closed to make room. The limit does not affect other places.
+func TestConnectionLimitOfAPlace(t *testing.T) {
 	arrived, release := make(chan struct{}), make(chan struct{})
 	script := func(c *net.TCPConn, r standin.Request) bool {
 		if r.URL.Path == "/wait" {
@@ -120,7 +120,7 @@
 	defer two.Close()
 	first, other := core.Place{ID: "1", Endpoint: one.Addr}, core.Place{ID: "2", Endpoint: two.Addr}
 	p := poolOf(10)
-	p.restFor = time.Hour // no idle connection is used again
+	p.reuseDelay = time.Hour // long, so that no idle connection is used again
 	p.opt.MaxConnsPerPlace = func(at core.Place) int {
 		if at == first {
 			return 1
@@ -128,7 +128,7 @@
 		return 0
 	}
 	busy := make(chan core.Ended, 1)
-	p.Start(core.Attempt{Call: &message.Call{Method: "GET", Target: "/wait", Host: "h", ID: "j"}, Place: first, Until: time.Now().Add(patience)},
+	p.Start(core.Attempt{Call: &message.Call{Method: "GET", Target: "/wait", Host: "h", ID: "j"}, Place: first, Until: time.Now().Add(testTimeout)},
 		func(e core.Ended) { busy <- e })
 	wait(t, arrived)
 	assert.Equal(t, ask(t, p, first, "/").Result, logic.ConnectFailed)
@@ -139,54 +139,58 @@
 	assert.Equal(t, ask(t, p, first, "/").Result, logic.OK)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	assert.Equal(t, p.at[first], 1)
-	assert.Equal(t, p.at[other], 2)
+	assert.Equal(t, p.connCounts[first], 1)
+	assert.Equal(t, p.connCounts[other], 2)
 	assert.Equal(t, p.open, 3)
 }
 
-// The kernel's own time-out is set on connections where one is asked for, and Nagle's delay
-// is off on all.
+// TCP_USER_TIMEOUT is set on connections if the options have one, and Nagle's algorithm is off on
+// all connections.
 func TestSocketOptions(t *testing.T) {
 	b, err := standin.NewBackend(standin.OK)
 	assert.NilError(t, err)
 	defer b.Close()
-	for _, within := range []time.Duration{0, 3 * time.Second} {
-		p := New(plain{}, Options{ConnectTimeout: patience, MaxConns: 1, TCPUserTimeout: within}, nil, nil)
+	for _, timeout := range []time.Duration{0, 3 * time.Second} {
+		p := New(testCodec{}, Options{ConnectTimeout: testTimeout, MaxConns: 1, TCPUserTimeout: timeout}, nil, nil)
 		c, err := p.dial(t.Context(), "tcp", b.Addr)
 		assert.NilError(t, err)
 		defer c.Close()
-		assert.Equal(t, option(t, c, unix.TCP_USER_TIMEOUT), int(within.Milliseconds()))
+		assert.Equal(t, option(t, c, unix.TCP_USER_TIMEOUT), int(timeout.Milliseconds()))
 		assert.Equal(t, option(t, c, unix.TCP_NODELAY) != 0, true)
 	}
 }
 
+// option returns the value of a TCP socket option.
 func option(t *testing.T, c net.Conn, name int) (value int) {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	assert.NilError(t, err)
-	var failed error
-	assert.NilError(t, raw.Control(func(fd uintptr) { value, failed = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, name) }))
-	assert.NilError(t, failed)
+	var getErr error
+	assert.NilError(t, raw.Control(func(fd uintptr) { value, getErr = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, name) }))
+	assert.NilError(t, getErr)
 	return value
 }
 
-// watched is a connection that notes until when it may be written.
-type watched struct {
+// deadlineRecorder is a connection that records its last write deadline.
+type deadlineRecorder struct {
 	*net.TCPConn
-	until atomic.Pointer[time.Time]
+	deadline atomic.Pointer[time.Time]
 }
 
-func (w *watched) SetDeadline(t time.Time) error { w.until.Store(&t); return w.TCPConn.SetDeadline(t) }
-func (w *watched) SetWriteDeadline(t time.Time) error {
-	w.until.Store(&t)
+func (w *deadlineRecorder) SetDeadline(t time.Time) error {
+	w.deadline.Store(&t)
+	return w.TCPConn.SetDeadline(t)
+}
+func (w *deadlineRecorder) SetWriteDeadline(t time.Time) error {
+	w.deadline.Store(&t)
 	return w.TCPConn.SetWriteDeadline(t)
 }
 
-// What bounds a long body's writing doesn't bound the next request on its connection.
+// The write deadline of a long body must not remain on the connection for the next request.
 func TestLongBodyLeavesNoDeadline(t *testing.T) {
 	b, err := standin.NewBackend(standin.OK)
 	assert.NilError(t, err)
 	defer b.Close()
-	p, c := poolOf(1), &watched{}
+	p, c := poolOf(1), &deadlineRecorder{}
 	dial := p.dial
 	p.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		nc, err := dial(ctx, network, addr)
@@ -198,8 +202,8 @@
 	ends := make(chan core.Ended, 1)
 	call := &message.Call{Method: "POST", Target: "/", Host: "h", ID: "i", Body: []byte("be"), Length: 5,
 		Rest: message.NewStream(strings.NewReader("gun"), func() {})}
-	p.Start(core.Attempt{Call: call, Place: core.Place{ID: "b", Endpoint: b.Addr}, Within: patience}, func(e core.Ended) { ends <- e })
+	p.Start(core.Attempt{Call: call, Place: core.Place{ID: "b", Endpoint: b.Addr}, Within: testTimeout}, func(e core.Ended) { ends <- e })
 	assert.Equal(t, wait(t, ends).Result, logic.OK)
 	assert.Equal(t, (<-b.Seen).Body, "begun")
-	assert.Check(t, c.until.Load().IsZero())
+	assert.Check(t, c.deadline.Load().IsZero())
 }
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -10,21 +10,23 @@
 )
 
 const (
-	// holdFor is how long the first bytes of an answer of unknown length are held, so that
-	// a short one that breaks can still be sent for again.
-	holdFor = 50 * time.Millisecond
-	// framing is what chunks may add to each byte of a long body: one of a byte is six.
-	framing = 8
-	// pieceSize is what an answer of unknown length is read by.
-	pieceSize = 16 << 10
+	// bufferDelay is how long the first bytes of a response of unknown length are buffered, so that
+	// a short response that breaks off can still be retried.
+	bufferDelay = 50 * time.Millisecond
+	// chunkOverheadFactor limits what chunked framing may add to a long body, per byte. A chunk of
+	// one byte takes six bytes.
+	chunkOverheadFactor = 8
+	// readSize is the buffer size for reading a response of unknown length, in bytes.
+	readSize = 16 << 10
 )
 
-// reply reads an answer: whole, up to what is held of one. Of a longer one it returns
-// what has come, and passedOn: its connection then goes with the reply.
-func (p *Pool) reply(ctx context.Context, c *conn, res *http.Response, unhook func() bool, again bool) (r *message.Reply, passedOn bool, err error) {
+// readReply reads the body of a response. It buffers a body of up to message.MaxBuffered bytes
+// completely. For a longer one it returns what has arrived and streaming: the reply then owns the
+// connection.
+func (p *Pool) readReply(ctx context.Context, c *conn, res *http.Response, stopWake func() bool, keepConn bool) (r *message.Reply, streaming bool, err error) {
 	n := res.ContentLength
 	if n > message.MaxBodyBytes {
-		return nil, false, errTooMuch
+		return nil, false, errResponseTooLong
 	}
 	r = &message.Reply{Length: n}
 	if n >= 0 && n <= message.MaxBuffered && p.opt.Budget.TryAcquire(n) {
@@ -36,32 +38,32 @@
 		}
 		return r, false, nil
 	}
-	c.left = maxHead + framing*message.MaxBodyBytes
+	c.readLimit = maxHeadBytes + chunkOverheadFactor*message.MaxBodyBytes
 	if n >= 0 {
-		if !unhook() {
+		if !stopWake() {
 			return nil, false, context.Cause(ctx)
 		}
-		r.Rest = &rest{p: p, c: c, body: res.Body, again: again}
+		r.Rest = &replyRest{pool: p, conn: c, body: res.Body, keepConn: keepConn}
 		return r, true, nil
 	}
-	return p.unstated(ctx, c, res, unhook, again)
+	return p.readUnsized(ctx, c, res, stopWake, keepConn)
 }
 
-// unstated reads an answer that does not state its length. It is passed on once more
-// has come than is held, or has come for a while.
-func (p *Pool) unstated(ctx context.Context, c *conn, res *http.Response, unhook func() bool, again bool) (*message.Reply, bool, error) {
+// readUnsized reads a response that does not state its length. It starts to stream the response
+// when more has arrived than is buffered, or bufferDelay after its first bytes.
+func (p *Pool) readUnsized(ctx context.Context, c *conn, res *http.Response, stopWake func() bool, keepConn bool) (*message.Reply, bool, error) {
 	held := int64(message.MaxBuffered)
 	if !p.opt.Budget.TryAcquire(held) {
 		held = 0
 	}
 	r := &message.Reply{Length: message.UnknownLength, Release: func() { p.opt.Budget.Release(held) }}
-	in := newPump(res.Body)
-	var patience <-chan time.Time
+	body := newPump(res.Body)
+	var delayOver <-chan time.Time
 	for {
 		late := false
 		select {
-		case got := <-in.pieces:
-			r.Body = append(r.Body, got.b...)
+		case got := <-body.chunks:
+			r.Body = append(r.Body, got.data...)
 			if got.err == io.EOF {
 				r.Length = int64(len(r.Body))
 				return r, false, nil
@@ -70,82 +72,86 @@
 				r.Close()
 				return nil, false, got.err
 			}
-			if patience == nil {
-				t := time.NewTimer(holdFor)
-				defer t.Stop()
-				patience = t.C
+			if delayOver == nil {
+				timer := time.NewTimer(bufferDelay)
+				defer timer.Stop()
+				delayOver = timer.C
 			}
-		case <-patience:
+		case <-delayOver:
 			late = true
 		}
 		if late || int64(len(r.Body)) > held {
-			if !unhook() {
-				close(in.quit)
+			if !stopWake() {
+				close(body.quit)
 				r.Close()
 				return nil, false, context.Cause(ctx)
 			}
-			c.SetReadDeadline(time.Time{}) // a pump reads already
-			r.Rest = &rest{p: p, c: c, body: in, pump: in, again: again}
+			c.SetReadDeadline(time.Time{}) // the pump is already reading
+			r.Rest = &replyRest{pool: p, conn: c, body: body, pump: body, keepConn: keepConn}
 			return r, true, nil
 		}
 	}
 }
 
-// rest is what follows of a long answer. Its connection is used again only where it was
-// read to its end.
-type rest struct {
-	p     *Pool
-	c     *conn
-	body  io.Reader
-	pump  *pump
-	again bool
-	whole bool
-	came  int64
+// replyRest is the part of a long response that is not buffered. Its connection is used again only
+// if the body was read to its end.
+type replyRest struct {
+	pool     *Pool
+	conn     *conn
+	body     io.Reader
+	pump     *pump // nil: body is read directly
+	keepConn bool  // the connection may be used again
+	complete bool  // body was read to its end
+	received int64 // bytes of body
 }
 
-func (r *rest) Read(b []byte) (int, error) {
-	r.c.SetReadDeadline(time.Now().Add(stallFor))
+// Read implements io.Reader. It fails if the server sends nothing for stallTimeout.
+func (r *replyRest) Read(b []byte) (int, error) {
+	r.conn.SetReadDeadline(time.Now().Add(stallTimeout))
 	n, err := r.body.Read(b)
-	r.whole = err == io.EOF
-	if r.came += int64(n); r.came > message.MaxBodyBytes {
-		return 0, errTooMuch
+	r.complete = err == io.EOF
+	if r.received += int64(n); r.received > message.MaxBodyBytes {
+		return 0, errResponseTooLong
 	}
 	return n, err
 }
 
-func (r *rest) Close() error {
+// Close implements io.Closer. It returns the connection to the pool.
+func (r *replyRest) Close() error {
 	if r.pump != nil {
 		close(r.pump.quit)
 	}
-	reusable := r.whole && r.again && r.c.in.Buffered() == 0
-	r.p.give(r.c, reusable)
+	reusable := r.complete && r.keepConn && r.conn.reader.Buffered() == 0
+	r.pool.put(r.conn, reusable)
 	return nil
 }
 
-// pump reads a body in a goroutine of its own, so that who waits for it can stop waiting.
+// pump reads a body in its own goroutine, so that a receiver can wait for it with a timeout.
 type pump struct {
-	pieces chan piece
-	quit   chan struct{}
-	left   piece
+	chunks chan chunk
+	quit   chan struct{} // closed when nobody receives any more
+	rest   chunk         // what Read has not returned yet of the last chunk
 }
 
-type piece struct {
-	b   []byte
-	err error
+// chunk is the result of one read.
+type chunk struct {
+	data []byte
+	err  error
 }
 
+// newPump starts to read body.
 func newPump(body io.Reader) *pump {
-	p := &pump{pieces: make(chan piece), quit: make(chan struct{})}
+	p := &pump{chunks: make(chan chunk), quit: make(chan struct{})}
 	go func() {
-		// Two buffers in turn: who gets a piece is done with it when it asks for the next.
+		// Two buffers are used in turn: a receiver is done with a chunk when it asks for the next.
 		var buf [2][]byte
 		for i := 0; ; i = 1 - i {
 			if buf[i] == nil {
-				buf[i] = make([]byte, pieceSize)
+				buf[i] = make([]byte, readSize)
 			}
 			n, err := body.Read(buf[i])
 			select {
-			case p.pieces <- piece{buf[i][:n], err}:
+			case p.chunks <- chunk{buf[i][:n], err}:
 			case <-p.quit:
 				return
 			}
@@ -157,14 +163,15 @@
 	return p
 }
 
+// Read implements io.Reader.
 func (p *pump) Read(b []byte) (int, error) {
-	for len(p.left.b) == 0 {
-		if p.left.err != nil {
-			return 0, p.left.err
+	for len(p.rest.data) == 0 {
+		if p.rest.err != nil {
+			return 0, p.rest.err
 		}
-		p.left = <-p.pieces
+		p.rest = <-p.chunks
 	}
-	n := copy(b, p.left.b)
-	p.left.b = p.left.b[n:]
+	n := copy(b, p.rest.data)
+	p.rest.data = p.rest.data[n:]
 	return n, nil
 }
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -14,47 +14,48 @@
 	"pipitmux/logic"
 )
 
-// errClosed is what Read returns once the reader has closed a stream.
+// errClosed is the error of Read after the reader has closed a stream.
 var errClosed = errors.New("the stream is closed")
 
-// stream is the body of a streamed answer. Read gives its bytes as they come, and io.EOF
-// for a whole body only; past the attempt's time it fails with context.DeadlineExceeded.
-// Close may come from any goroutine, also while another reads, and more than once: a body
-// that was not read whole has its connection closed at once, so that the server stops.
+// stream is the body of a streamed response. Read returns its bytes as they arrive, and io.EOF
+// only for a complete body. After the deadline of the attempt it fails with
+// context.DeadlineExceeded. Close may be called from any goroutine, also during a Read, and more
+// than once. If the body was not read completely, Close closes the connection at once, so that the
+// server stops.
 type stream struct {
-	pool   *Pool
-	up     *upload
-	ctx    context.Context
-	body   io.Reader
-	unhook func() bool
-	again  bool          // its connection may be used again
-	over   chan struct{} // closed by Close
+	pool     *Pool
+	upload   *upload
+	ctx      context.Context
+	body     io.Reader
+	stopWake func() bool   // removes the hook by which the end of ctx wakes the connection
+	keepConn bool          // the connection may be used again
+	done     chan struct{} // closed by Close
 
-	mu     sync.Mutex
-	came   int64
-	err    error // with which every further Read ends, io.EOF: the body was whole
-	closed bool
-	result logic.Result // set by Close
+	mu       sync.Mutex
+	received int64 // bytes of the body
+	err      error // result of every further Read; io.EOF: the body is complete
+	closed   bool
+	result   logic.Result // set by Close
 }
 
-// stream takes over the connection of an answer whose head was read.
-func (p *Pool) stream(ctx context.Context, up *upload, res *http.Response, unhook func() bool, again bool) *stream {
-	up.c.left = maxHead + framing*message.MaxBodyBytes
-	return &stream{pool: p, up: up, ctx: ctx, body: res.Body, unhook: unhook, again: again, over: make(chan struct{})}
+// stream takes over the connection of a response whose head was read.
+func (p *Pool) stream(ctx context.Context, up *upload, res *http.Response, stopWake func() bool, keepConn bool) *stream {
+	up.conn.readLimit = maxHeadBytes + chunkOverheadFactor*message.MaxBodyBytes
+	return &stream{pool: p, upload: up, ctx: ctx, body: res.Body, stopWake: stopWake, keepConn: keepConn, done: make(chan struct{})}
 }
 
-// Read is io.Reader.
+// Read implements io.Reader.
 func (s *stream) Read(b []byte) (int, error) {
-	if err := s.ended(); err != nil {
+	if err := s.endError(); err != nil {
 		return 0, err
 	}
 	n, err := s.body.Read(b)
-	return n, s.took(n, err)
+	return n, s.recordRead(n, err)
 }
 
-// ended returns the error with which the stream has ended, nil while it goes on. What came
-// before its time was over is not handed out after it.
-func (s *stream) ended() error {
+// endError returns the error with which the stream has ended, and nil while it has not. Bytes that
+// arrived before the deadline are not returned after it.
+func (s *stream) endError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.err == nil && s.ctx.Err() != nil {
@@ -63,24 +64,24 @@
 	return s.err
 }
 
-// took notes what a read brought.
-func (s *stream) took(n int, err error) error {
+// recordRead records the result of a read and returns the error of the stream.
+func (s *stream) recordRead(n int, err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.came += int64(n)
+	s.received += int64(n)
 	switch {
-	case s.err != nil: // closed meanwhile
-	case s.came > message.MaxBodyBytes:
-		s.err = &Error{ResponseBegun, errTooMuch}
+	case s.err != nil: // closed during the read
+	case s.received > message.MaxBodyBytes:
+		s.err = &Error{ResponseBegun, errResponseTooLong}
 	case err == io.EOF:
 		s.err = io.EOF
 	case err != nil:
-		s.err = &Error{ResponseBegun, because(s.ctx, s.up.cause(err))}
+		s.err = &Error{ResponseBegun, withCause(s.ctx, s.upload.cause(err))}
 	}
 	return s.err
 }
 
-// Close is io.Closer. It gives the connection back.
+// Close implements io.Closer. It returns the connection to the pool.
 func (s *stream) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,49 +90,50 @@
 	}
 	s.closed = true
 	s.result = s.outcome()
-	whole := s.err == io.EOF
+	complete := s.err == io.EOF
 	if s.err == nil {
 		s.err = errClosed
 	}
-	quiet := s.unhook() // its time can't end the connection any more
-	c := s.up.c
-	reusable := quiet && whole && s.again && c.in.Buffered() == 0
-	s.pool.give(c, reusable)
-	close(s.over)
+	stopped := s.stopWake() // the end of ctx has not touched the connection, and no longer can
+	c := s.upload.conn
+	reusable := stopped && complete && s.keepConn && c.reader.Buffered() == 0
+	s.pool.put(c, reusable)
+	close(s.done)
 	return nil
 }
 
-// outcome is what the stream's end means; s.mu is held.
+// outcome returns the result of the attempt as the stream ended. The caller holds s.mu.
 func (s *stream) outcome() logic.Result {
 	var broken *Error
 	switch {
 	case s.err == io.EOF:
 		return logic.OK
 	case errors.As(s.err, &broken):
-		return s.pool.counted(broken)
+		return s.pool.countBroken(broken)
 	case errors.Is(context.Cause(s.ctx), context.DeadlineExceeded):
 		return logic.TimedOut
 	}
 	return logic.Canceled
 }
 
-// wait returns the end of the stream once it is closed. Where its time is over sooner, the
-// connection is closed then, so that the server stops.
-func (s *stream) wait() core.Ended {
+// waitClosed returns the end of the attempt once the stream is closed. If the deadline passes or
+// the attempt is canceled first, it closes the connection at once, so that the server stops.
+func (s *stream) waitClosed() core.Ended {
 	select {
-	case <-s.over:
+	case <-s.done:
 	case <-s.ctx.Done():
-		s.cut()
-		<-s.over
+		s.abort()
+		<-s.done
 	}
 	return core.Ended{Result: s.result, At: time.Now()}
 }
 
-// cut closes the connection under a reader that has not closed the stream.
-func (s *stream) cut() {
+// abort closes the connection of a stream that its reader has not closed yet, unless the body is
+// complete.
+func (s *stream) abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.closed && s.err != io.EOF {
-		s.up.c.Close()
+		s.upload.conn.Close()
 	}
 }
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -18,61 +18,63 @@
 )
 
 const (
-	event = "data: 1\n\n"
-	last  = "data: 2\n\n"
-	// patience is far beyond what any step takes.
-	patience = 20 * time.Second
+	firstEvent = "data: 1\n\n"
+	lastEvent  = "data: 2\n\n"
+	// testTimeout is far longer than any step takes.
+	testTimeout = 20 * time.Second
 )
 
-// framed is a way to frame a streamed answer of two events.
-type framed struct{ head, before, between, after string }
+// eventFraming is a way to frame a streamed response of two events: the header field and what is
+// written before, between and after the events.
+type eventFraming struct{ head, before, between, after string }
 
-var framings = map[string]framed{
+var framings = map[string]eventFraming{
 	"chunks": {"Transfer-Encoding: chunked\r\n", "9\r\n", "\r\n9\r\n", "\r\n0\r\n\r\n"},
-	"length": {fmt.Sprintf("Content-Length: %d\r\n", len(event+last)), "", "", ""},
+	"length": {fmt.Sprintf("Content-Length: %d\r\n", len(firstEvent+lastEvent)), "", "", ""},
 	"close":  {"", "", "", ""},
 }
 
-// streaming is a backend that streams, a step each time that it is told to.
-type streaming struct {
-	at    core.Place
-	step  chan func(c *net.TCPConn) bool // the answer goes on while it returns true
-	freed chan error                     // how the connection ended that it reads
-	b     *standin.Backend
+// streamingServer is a server that streams a response step by step.
+type streamingServer struct {
+	place  core.Place
+	steps  chan func(c *net.TCPConn) bool // the response goes on while a step returns true
+	closed chan error                     // the error with which the connection ended
+	server *standin.Backend
 }
 
-func newStreaming(t *testing.T) *streaming {
-	s := &streaming{step: make(chan func(c *net.TCPConn) bool), freed: make(chan error, 1)}
+func newStreamingServer(t *testing.T) *streamingServer {
+	s := &streamingServer{steps: make(chan func(c *net.TCPConn) bool), closed: make(chan error, 1)}
 	b, err := standin.NewBackend(func(c *net.TCPConn, _ standin.Request) bool {
-		for f := range s.step {
-			if !f(c) {
+		for step := range s.steps {
+			if !step(c) {
 				break
 			}
 		}
 		return false
 	})
 	assert.NilError(t, err)
-	t.Cleanup(func() { close(s.step); b.Close() })
-	s.b, s.at = b, core.Place{ID: "b", Endpoint: b.Addr}
+	t.Cleanup(func() { close(s.steps); b.Close() })
+	s.server, s.place = b, core.Place{ID: "b", Endpoint: b.Addr}
 	return s
 }
 
-func (s *streaming) write(text string) {
-	s.step <- func(c *net.TCPConn) bool { _, err := io.WriteString(c, text); return err == nil }
+// write writes a part of the response.
+func (s *streamingServer) write(text string) {
+	s.steps <- func(c *net.TCPConn) bool { _, err := io.WriteString(c, text); return err == nil }
 }
 
-// free has the backend read until the node ends the connection.
-func (s *streaming) free() {
-	s.step <- func(c *net.TCPConn) bool {
+// awaitClose lets the server read until the pool closes the connection.
+func (s *streamingServer) awaitClose() {
+	s.steps <- func(c *net.TCPConn) bool {
 		_, err := c.Read(make([]byte, 1))
-		s.freed <- err
+		s.closed <- err
 		return false
 	}
 }
 
 // end closes the connection, or resets it.
-func (s *streaming) end(reset bool) {
-	s.step <- func(c *net.TCPConn) bool {
+func (s *streamingServer) end(reset bool) {
+	s.steps <- func(c *net.TCPConn) bool {
 		if reset {
 			c.SetLinger(0)
 		}
@@ -80,24 +82,25 @@
 	}
 }
 
-// start begins an attempt, has the head and the first event written, and reads that.
-func (s *streaming) start(t *testing.T, p *Pool, f framed, until time.Time) (io.ReadCloser, chan core.Ended, func()) {
+// start begins an attempt, lets the server write the head and the first event, and reads them.
+func (s *streamingServer) start(t *testing.T, p *Pool, f eventFraming, until time.Time) (io.ReadCloser, chan core.Ended, func()) {
 	t.Helper()
 	ends := make(chan core.Ended, 3)
 	call := &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i"}
-	cancel := p.Start(core.Attempt{Call: call, Place: s.at, Until: until}, func(e core.Ended) { ends <- e })
+	cancel := p.Start(core.Attempt{Call: call, Place: s.place, Until: until}, func(e core.Ended) { ends <- e })
 	s.write("HTTP/1.1 200 OK\r\nStream: 1\r\nContent-Type: text/event-stream\r\n" + f.head + "\r\n")
-	e := wait(t, ends) // with no byte of the body written
+	e := wait(t, ends) // before any byte of the body is written
 	assert.Check(t, e.Begun)
 	assert.Equal(t, e.Result, logic.OK)
 	reply := e.Reply.(*message.Reply)
 	assert.Equal(t, reply.ContentType, "text/event-stream")
 	assert.Equal(t, len(reply.Body), 0)
-	s.write(f.before + event)
-	read(t, reply.Rest, event) // with no byte of the next one written
+	s.write(f.before + firstEvent)
+	read(t, reply.Rest, firstEvent) // before any byte of the next event is written
 	return reply.Rest, ends, cancel
 }
 
+// read reads and checks the next bytes.
 func read(t *testing.T, from io.Reader, want string) {
 	t.Helper()
 	got := make([]byte, len(want))
@@ -106,42 +109,44 @@
 	assert.Equal(t, string(got), want)
 }
 
+// wait receives from a channel.
 func wait[T any](t *testing.T, from chan T) (got T) {
 	t.Helper()
 	select {
 	case got = <-from:
-	case <-time.After(patience):
-		t.Fatal("nothing came")
+	case <-time.After(testTimeout):
+		t.Fatal("timed out waiting for a value")
 	}
 	return got
 }
 
-// ended closes a stream and returns its end, which is told once, however often it is closed.
-func ended(t *testing.T, rest io.Closer, ends chan core.Ended) logic.Result {
+// closeTwice closes a stream twice and returns its result. It checks that there is only one.
+func closeTwice(t *testing.T, replyRest io.Closer, ends chan core.Ended) logic.Result {
 	t.Helper()
-	rest.Close()
-	rest.Close()
+	replyRest.Close()
+	replyRest.Close()
 	e := wait(t, ends)
 	assert.Check(t, !e.Begun)
 	assert.Equal(t, len(ends), 0)
 	return e.Result
 }
 
-func (p *Pool) opened() int {
+// openConns returns the number of open connections.
+func (p *Pool) openConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// Each event of an answer is handed out before the next one is written, however it is framed,
-// and a whole one leaves a connection that can be used again where its end is told.
-func TestStreamEventByEvent(t *testing.T) {
+// Each event must be delivered before the server writes the next one, with every framing. A complete
+// response leaves a reusable connection if its framing marks its end.
+func TestStreamDeliversEachEventAtOnce(t *testing.T) {
 	for name, f := range framings {
 		t.Run(name, func(t *testing.T) {
-			s, p := newStreaming(t), poolOf(2)
-			rest, ends, _ := s.start(t, p, f, time.Now().Add(patience))
-			s.write(f.between + last)
-			read(t, rest, last)
+			s, p := newStreamingServer(t), poolOf(2)
+			replyRest, ends, _ := s.start(t, p, f, time.Now().Add(testTimeout))
+			s.write(f.between + lastEvent)
+			read(t, replyRest, lastEvent)
 			kept := 1
 			if f.after != "" {
 				s.write(f.after)
@@ -150,89 +155,92 @@
 				s.end(false)
 				kept = 0
 			}
-			left, err := io.ReadAll(rest)
+			remainder, err := io.ReadAll(replyRest)
 			assert.NilError(t, err)
-			assert.Equal(t, len(left), 0)
-			assert.Equal(t, ended(t, rest, ends), logic.OK)
-			assert.Equal(t, p.opened(), kept)
-			_, err = rest.Read(make([]byte, 1))
+			assert.Equal(t, len(remainder), 0)
+			assert.Equal(t, closeTwice(t, replyRest, ends), logic.OK)
+			assert.Equal(t, p.openConns(), kept)
+			_, err = replyRest.Read(make([]byte, 1))
 			assert.Equal(t, err, io.EOF)
 		})
 	}
 }
 
-// Only a body that came whole ends in io.EOF: that of a closed connection is whole where the
-// connection's end is the only framing, and a reset never ends a whole one.
-func TestStreamBroken(t *testing.T) {
+// Only a complete body may end with io.EOF. A closed connection completes a body only if the close is
+// its framing. A reset never completes a body.
+func TestBrokenStreamIsNotComplete(t *testing.T) {
 	for name, f := range framings {
 		for how, reset := range map[string]bool{"closed": false, "reset": true} {
 			t.Run(name+" "+how, func(t *testing.T) {
-				s, p := newStreaming(t), poolOf(2)
-				rest, ends, _ := s.start(t, p, f, time.Now().Add(patience))
+				s, p := newStreamingServer(t), poolOf(2)
+				replyRest, ends, _ := s.start(t, p, f, time.Now().Add(testTimeout))
 				s.end(reset)
-				_, err := io.ReadAll(rest)
+				_, err := io.ReadAll(replyRest)
 				want := logic.Reset
 				if name == "close" && !reset {
 					want = logic.OK
 				}
 				assert.Equal(t, err == nil, want == logic.OK, "%v", err)
-				assert.Equal(t, ended(t, rest, ends), want)
-				assert.Equal(t, p.opened(), 0)
+				assert.Equal(t, closeTwice(t, replyRest, ends), want)
+				assert.Equal(t, p.openConns(), 0)
 			})
 		}
 	}
 }
 
-// A reader that leaves frees the server at once, also while a read waits for the next event.
-func TestReaderLeavesStream(t *testing.T) {
-	s, p := newStreaming(t), poolOf(2)
-	rest, ends, _ := s.start(t, p, framings["chunks"], time.Now().Add(patience))
-	s.free()
+// A reader that closes the stream must release the server at once, also while a Read waits for the
+// next event.
+func TestCloseReleasesTheServer(t *testing.T) {
+	s, p := newStreamingServer(t), poolOf(2)
+	replyRest, ends, _ := s.start(t, p, framings["chunks"], time.Now().Add(testTimeout))
+	s.awaitClose()
 	broken := make(chan error, 1)
 	go func() {
-		_, err := rest.Read(make([]byte, 1))
+		_, err := replyRest.Read(make([]byte, 1))
 		broken <- err
 	}()
-	assert.Equal(t, ended(t, rest, ends), logic.Canceled)
-	assert.Check(t, wait(t, s.freed) != nil)
+	assert.Equal(t, closeTwice(t, replyRest, ends), logic.Canceled)
+	assert.Check(t, wait(t, s.closed) != nil)
 	err := wait(t, broken)
 	assert.Check(t, err != nil && err != io.EOF, "%v", err)
-	assert.Equal(t, p.opened(), 0)
+	assert.Equal(t, p.openConns(), 0)
 }
 
-// An attempt's time bounds its whole answer: past it the read fails, and the server is freed
-// though nobody has closed the answer.
-func TestStreamPastItsTime(t *testing.T) {
-	s, p := newStreaming(t), poolOf(2)
-	rest, ends, _ := s.start(t, p, framings["chunks"], time.Now().Add(time.Second))
-	s.free()
-	_, err := rest.Read(make([]byte, 1))
+// The deadline of an attempt bounds its whole response: after it Read fails, and the server is
+// released although the stream has not been closed.
+func TestStreamDeadline(t *testing.T) {
+	s, p := newStreamingServer(t), poolOf(2)
+	replyRest, ends, _ := s.start(t, p, framings["chunks"], time.Now().Add(time.Second))
+	s.awaitClose()
+	_, err := replyRest.Read(make([]byte, 1))
 	assert.Check(t, errors.Is(err, context.DeadlineExceeded), "%v", err)
-	assert.Check(t, wait(t, s.freed) != nil)
-	assert.Equal(t, ended(t, rest, ends), logic.TimedOut)
-	assert.Equal(t, p.opened(), 0)
-}
-
-// The time counts also where nobody reads, and what had come before is not handed out after.
-func TestStreamPastItsTimeUnread(t *testing.T) {
-	s, p := newStreaming(t), poolOf(2)
-	both := framed{head: framings["length"].head, before: event} // the second one comes with the first
-	rest, ends, _ := s.start(t, p, both, time.Now().Add(time.Second))
-	s.free()
-	assert.Check(t, wait(t, s.freed) != nil)
-	n, err := rest.Read(make([]byte, len(event)))
+	assert.Check(t, wait(t, s.closed) != nil)
+	assert.Equal(t, closeTwice(t, replyRest, ends), logic.TimedOut)
+	assert.Equal(t, p.openConns(), 0)
+}
+
+// The deadline also applies while nobody reads, and bytes that arrived before it are not returned
+// after it.
+func TestStreamDeadlineWithoutReader(t *testing.T) {
+	s, p := newStreamingServer(t), poolOf(2)
+	both := eventFraming{head: framings["length"].head, before: firstEvent} // the second event arrives together with the first
+	replyRest, ends, _ := s.start(t, p, both, time.Now().Add(time.Second))
+	s.awaitClose()
+	assert.Check(t, wait(t, s.closed) != nil)
+	n, err := replyRest.Read(make([]byte, len(firstEvent)))
 	assert.Equal(t, n, 0)
 	assert.Check(t, errors.Is(err, context.DeadlineExceeded), "%v", err)
-	assert.Equal(t, ended(t, rest, ends), logic.TimedOut)
+	assert.Equal(t, closeTwice(t, replyRest, ends), logic.TimedOut)
 }
 
-func TestStreamCalledOff(t *testing.T) {
-	s, p := newStreaming(t), poolOf(2)
-	rest, ends, cancel := s.start(t, p, framings["length"], time.Now().Add(patience))
-	s.free()
+// Canceling an attempt must end its stream and release the server.
+func TestCanceledStream(t *testing.T) {
+	s, p := newStreamingServer(t), poolOf(2)
+	replyRest, ends, cancel := s.start(t, p, framings["length"], time.Now().Add(testTimeout))
+	s.awaitClose()
 	cancel()
-	_, err := rest.Read(make([]byte, 1))
+	_, err := replyRest.Read(make([]byte, 1))
 	assert.Check(t, errors.Is(err, context.Canceled), "%v", err)
-	assert.Check(t, wait(t, s.freed) != nil)
-	assert.Equal(t, ended(t, rest, ends), logic.Canceled)
+	assert.Check(t, wait(t, s.closed) != nil)
+	assert.Equal(t, closeTwice(t, replyRest, ends), logic.Canceled)
 }
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -12,54 +12,56 @@
 	"pipitmux/internal/relay"
 )
 
-// stallFor ends a body on which a server gives, or takes, nothing for so long.
-const stallFor = 15 * time.Second
+// stallTimeout ends the transfer of a body if the server sends or accepts nothing for this time.
+const stallTimeout = 15 * time.Second
 
-// errClient tells that a request's body broke on the client's side.
-var errClient = errors.New("the client did not send its req whole")
+// errClientBody is the error of a request body that broke off on the client's side.
+var errClientBody = errors.New("the client did not send the complete request body")
 
-// upload writes a request to a server.
+// upload writes one request to a server.
 type upload struct {
-	pool *Pool
-	c    *conn
-	call *message.Call
-	at   atomic.Uint32 // Stage: WrittenWhole as soon as the server may have it all
+	pool         *Pool
+	conn         *conn
+	call         *message.Call
+	currentStage atomic.Uint32 // a Stage; FullyWritten as soon as the server may have the whole request
 
 	mu  sync.Mutex
-	err error // of the client, or of the server's connection
+	err error // of the client's body or of the server's connection
 }
 
-func (u *upload) stage() Stage { return Stage(u.at.Load()) }
+// stage returns the stage that the attempt has reached.
+func (u *upload) stage() Stage { return Stage(u.currentStage.Load()) }
 
-// cause returns what broke the writing, or else err, with which the reading ended.
+// cause returns the error of the client's body if that broke off, and otherwise err, with which
+// the reading ended.
 func (u *upload) cause(err error) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if errors.Is(u.err, errClient) {
+	if errors.Is(u.err, errClientBody) {
 		return u.err
 	}
 	return err
 }
 
-// headRoom is what most heads fit in.
-const headRoom = 512
+// headBufferBytes is a size that most request heads fit in.
+const headBufferBytes = 512
 
-// head is the request's head, with room behind it.
-func (u *upload) head(left time.Duration, room int) *bytes.Buffer {
+// head returns a buffer with the request's head and space for bodyBytes more bytes.
+func (u *upload) head(left time.Duration, bodyBytes int) *bytes.Buffer {
 	out := &bytes.Buffer{}
-	out.Grow(headRoom + room)
-	u.pool.codec.WriteHead(out, u.call, u.c.place, left)
+	out.Grow(headBufferBytes + bodyBytes)
+	u.pool.codec.WriteHead(out, u.call, u.conn.place, left)
 	return out
 }
 
-// plain writes a request that is held whole.
-func (u *upload) plain(left time.Duration) *Error {
+// writeBuffered writes a request whose body is buffered completely.
+func (u *upload) writeBuffered(left time.Duration) *Error {
 	out := u.head(left, len(u.call.Body))
 	out.Write(u.call.Body)
-	u.at.Store(uint32(PartlyWritten))
-	n, err := u.c.Write(out.Bytes())
+	u.currentStage.Store(uint32(PartlyWritten))
+	n, err := u.conn.Write(out.Bytes())
 	if n == out.Len() {
-		u.at.Store(uint32(FullyWritten))
+		u.currentStage.Store(uint32(FullyWritten))
 	}
 	if err != nil {
 		return &Error{u.stage(), err}
@@ -68,65 +70,66 @@
 	return nil
 }
 
-// long writes a request as it comes. Its attempt has so long from the last byte on. Where it
-// breaks, who reads the answer is woken.
-func (u *upload) long(within time.Duration, timer *time.Timer) {
-	if err := u.pass(within); err != nil {
+// writeStreaming writes a request whose body is still arriving. After the last byte the attempt
+// has the given timeout. If the client's body breaks off, it wakes the reader of the response.
+func (u *upload) writeStreaming(timeout time.Duration, timer *time.Timer) {
+	if err := u.writeBodyParts(timeout); err != nil {
 		u.mu.Lock()
 		u.err = err
 		u.mu.Unlock()
-		if errors.Is(err, errClient) {
-			u.c.SetDeadline(time.Unix(1, 0))
+		if errors.Is(err, errClientBody) {
+			u.conn.SetDeadline(time.Unix(1, 0))
 		}
-		return // else the server's answer or its close is read
+		return // otherwise the reader gets the server's response or its close
 	}
-	timer.Reset(within)
+	timer.Reset(timeout)
 	u.pool.opt.OnRequestWritten()
 }
 
-func (u *upload) pass(within time.Duration) error {
-	u.at.Store(uint32(PartlyWritten))
+// writeBodyParts writes the head, the buffered part of the body and then the rest as it arrives.
+func (u *upload) writeBodyParts(timeout time.Duration) error {
+	u.currentStage.Store(uint32(PartlyWritten))
 	written := int64(0)
 	chunked := u.call.Length == message.UnknownLength
 	var chunk bytes.Buffer
-	put := func(b []byte) error {
+	write := func(b []byte) error {
 		if written += int64(len(b)); written == u.call.Length {
-			u.at.Store(uint32(FullyWritten)) // with these bytes the server may begin
+			u.currentStage.Store(uint32(FullyWritten)) // with these bytes the server may begin the request
 		}
-		u.c.SetWriteDeadline(time.Now().Add(stallFor))
+		u.conn.SetWriteDeadline(time.Now().Add(stallTimeout))
 		if !chunked {
-			_, err := u.c.Write(b)
+			_, err := u.conn.Write(b)
 			return err
 		}
 		chunk.Reset()
 		fmt.Fprintf(&chunk, "%x\r\n", len(b))
 		chunk.Write(b)
 		chunk.WriteString("\r\n")
-		_, err := u.c.Write(chunk.Bytes())
+		_, err := u.conn.Write(chunk.Bytes())
 		return err
 	}
-	if _, err := u.c.Write(u.head(within, 0).Bytes()); err != nil {
+	if _, err := u.conn.Write(u.head(timeout, 0).Bytes()); err != nil {
 		return err
 	}
-	if err := put(u.call.Body); err != nil {
+	if err := write(u.call.Body); err != nil {
 		return err
 	}
 	if !u.call.Rest.Claim() {
-		return fmt.Errorf("%w: another attempt has it", errClient)
+		return fmt.Errorf("%w: another attempt has claimed it", errClientBody)
 	}
-	toServer, fromClient := relay.Copy(put, u.call.Rest)
+	toServer, fromClient := relay.Copy(write, u.call.Rest)
 	switch {
 	case fromClient != nil:
-		return fmt.Errorf("%w: %w", errClient, fromClient)
+		return fmt.Errorf("%w: %w", errClientBody, fromClient)
 	case toServer != nil:
 		return toServer
 	case !chunked:
 		if written != u.call.Length {
-			return fmt.Errorf("%w: %d bytes of %d", errClient, written, u.call.Length)
+			return fmt.Errorf("%w: got %d of %d bytes", errClientBody, written, u.call.Length)
 		}
 		return nil
 	}
-	u.at.Store(uint32(FullyWritten))
-	_, err := u.c.Write([]byte("0\r\n\r\n"))
+	u.currentStage.Store(uint32(FullyWritten))
+	_, err := u.conn.Write([]byte("0\r\n\r\n"))
 	return err
 }
--- a/internal/upstream/upload_test.go
+++ b/internal/upstream/upload_test.go
@@ -14,64 +14,67 @@
 	"pipitmux/logic"
 )
 
+// errBroken is the error of a write that fails.
 var errBroken = errors.New("connection reset")
 
-// breaking is a connection that breaks with the write that reaches so many bytes, of which it
-// takes so many.
-type breaking struct {
+// failingConn is a connection whose write fails when the total number of bytes reaches failAt. Of
+// that write it accepts the given number of bytes.
+type failingConn struct {
 	net.Conn
-	at, takes, written int
+	failAt   int
+	accepted int
+	written  int
 }
 
-func (c *breaking) Write(b []byte) (int, error) {
-	if c.written+len(b) < c.at {
+func (c *failingConn) Write(b []byte) (int, error) {
+	if c.written+len(b) < c.failAt {
 		c.written += len(b)
 		return len(b), nil
 	}
-	return min(c.takes, len(b)), errBroken
+	return min(c.accepted, len(b)), errBroken
 }
 
-func (c *breaking) SetWriteDeadline(time.Time) error { return nil }
+func (c *failingConn) SetWriteDeadline(time.Time) error { return nil }
 
-// writing makes an upload on a connection that breaks.
-func writing(call *message.Call, at, takes int) *upload {
-	socket := &breaking{at: at, takes: takes}
-	return &upload{pool: poolOf(1), c: &conn{Conn: socket, in: bufio.NewReader(strings.NewReader(""))}, call: call}
+// failingUpload returns an upload on a connection that fails.
+func failingUpload(call *message.Call, failAt, accepted int) *upload {
+	socket := &failingConn{failAt: failAt, accepted: accepted}
+	return &upload{pool: poolOf(1), conn: &conn{Conn: socket, reader: bufio.NewReader(strings.NewReader(""))}, call: call}
 }
 
-// A write that took all bytes may have reached the server, though it reports an error: the
-// request is not sent again. Where it took one byte less nothing can have run.
-func TestWriteThatBreaksTellsWhatMayHaveRun(t *testing.T) {
+// A write that accepted all bytes may have reached the server although it reports an error, so the
+// result must not say that the request has not run. With one byte less it cannot have run.
+func TestResultOfFailedWrite(t *testing.T) {
 	call := &message.Call{Method: "POST", Target: "/", Host: "h", ID: "i", Length: 4, Body: []byte("body")}
-	size := writing(call, 0, 0).head(time.Second, 0).Len() + len(call.Body)
-	for takes, want := range map[int]logic.Result{
+	size := failingUpload(call, 0, 0).head(time.Second, 0).Len() + len(call.Body)
+	for accepted, want := range map[int]logic.Result{
 		0: logic.ConnectFailed, 1: logic.ConnectFailed, size - 1: logic.ConnectFailed, size: logic.Reset,
 	} {
-		broken := writing(call, size, takes).plain(time.Second)
-		assert.Equal(t, want, broken.result(), "%d of %d bytes were taken", takes, size)
+		broken := failingUpload(call, size, accepted).writeBuffered(time.Second)
+		assert.Equal(t, want, broken.result(), "%d of %d bytes were accepted", accepted, size)
 	}
 }
 
-// Of a body that is passed on as it comes, the last bytes may run the request as soon as they
-// are handed to the kernel, whatever the write reports. Earlier ones can't.
-func TestPassedOnBodyThatBreaksTellsWhatMayHaveRun(t *testing.T) {
+// With a streamed body the request may run as soon as the last bytes are passed to the kernel,
+// whatever the write reports. Earlier bytes cannot run it.
+func TestResultOfFailedBodyStreaming(t *testing.T) {
 	call := func(length int64) *message.Call {
 		return &message.Call{Method: "POST", Target: "/", Host: "h", ID: "i", Length: length, Body: []byte("be"),
 			Rest: message.NewStream(strings.NewReader("gun"), func() {})}
 	}
 	for _, length := range []int64{5, message.UnknownLength} {
-		head := writing(call(length), 0, 0).head(time.Second, 0).Len()
+		head := failingUpload(call(length), 0, 0).head(time.Second, 0).Len()
 		whole := head + 5
 		if length == message.UnknownLength {
 			whole = head + len("2\r\nbe\r\n3\r\ngun\r\n0\r\n\r\n")
 		}
-		for at, want := range map[int]logic.Result{
+		for failAt, want := range map[int]logic.Result{
 			head: logic.ConnectFailed, head + 1: logic.ConnectFailed, whole: logic.Reset,
 		} {
-			up := writing(call(length), at, 0)
-			err := up.pass(time.Second)
+			upload := failingUpload(call(length), failAt, 0)
+			err := upload.writeBodyParts(time.Second)
 			assert.ErrorIs(t, err, errBroken)
-			assert.Equal(t, want, (&Error{up.stage(), err}).result(), "length %d, broken at %d of %d", length, at, whole)
+			assert.Equal(t, want, (&Error{upload.stage(), err}).result(), "length %d, failed at byte %d of %d", length, failAt, whole)
 		}
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package upstream carries attempts to servers over HTTP/1.1 on plain connections, and
-// keeps the idle connections of each. It knows framing and connections; what a head says
-// and what an answer means is up to a Codec.
+// Package upstream sends attempts to servers over HTTP/1.1 on plain TCP connections and pools the
+// idle connections of each server. It handles framing and connections. A Codec writes the request
+// heads and interprets the responses.
 package upstream
 
 import (
@@ -17,65 +17,68 @@
 	"pipitmux/logic"
 )
 
-// Codec is one protocol spoken with servers over HTTP/1.1. Its methods are called from the
-// goroutines of all attempts.
+// Codec implements one application protocol on top of HTTP/1.1. Its methods are called
+// concurrently by the goroutines of all attempts.
 type Codec interface {
-	// WriteHead writes the head of a request, up to and with the empty line. The request has so long left.
-	// Frame writes the line that tells how its body is framed.
+	// WriteHead writes the head of a request, including the empty line that ends it. left is the
+	// time that remains until the deadline of the attempt. WriteBodyFraming writes the header
+	// field that frames the body.
 	WriteHead(dst *bytes.Buffer, call *message.Call, at core.Place, left time.Duration)
-	// Classify tells what an answer means, from its head. It may change the header that a Reply
-	// hands on, and must not read the body.
+	// Classify interprets a response by its head. It may change the header, which a Reply passes
+	// on, and must not read the body.
 	Classify(call *message.Call, res *http.Response) Classification
 }
 
-// Classification is what an answer's head means.
+// Classification is the meaning of a response, as its head tells it.
 type Classification struct {
 	Result      logic.Result
-	Report      []float64 // a load report in the order of the settings' fields, nil: none
-	Misrouted   bool      // it belongs to another request: it is read whole and dropped, and the next one is read
-	PassThrough bool      // the reply is handed on though Result is not OK: a server's own failure, unchanged
-	Stream      bool      // of an OK: its bytes are passed on as they come, and nothing of them is held back
+	Report      []float64 // load report in the order of the fields in the settings; nil: none
+	Misrouted   bool      // the response belongs to another request: it is read and discarded, and the next one is read
+	PassThrough bool      // the reply is passed on unchanged although Result is not OK: it is the server's own error response
+	Stream      bool      // only with an OK: the body is passed on as it arrives, without buffering
 }
 
-// Options are the limits of a Pool.
+// Options configures a Pool.
 type Options struct {
 	ConnectTimeout   time.Duration
-	TCPUserTimeout   time.Duration        // what is sent has to be acknowledged within it (TCP_USER_TIMEOUT), 0: not set
-	IdleTimeout      time.Duration        // a connection is not kept idle for longer
-	LearnIdleLimits  bool                 // connections rest shorter where servers forget them sooner
-	MaxConns         int                  // open or opening, over all servers
-	MaxConnsPerPlace func(core.Place) int // open or opening to one place, 0: no limit; nil: none has one. It must not block
-	OmitHeader       bool                 // replies carry neither Status nor Header
-	OnRequestWritten func()               // called for each attempt that is written whole
+	TCPUserTimeout   time.Duration        // TCP_USER_TIMEOUT: how long sent data may stay unacknowledged; 0: not set
+	IdleTimeout      time.Duration        // longest time that a connection is kept idle
+	LearnIdleLimits  bool                 // shorten the idle timeout where servers drop idle connections sooner
+	MaxConns         int                  // limit of connections open or being opened, over all servers
+	MaxConnsPerPlace func(core.Place) int // limit for one server process, 0: none; a nil function: no limits. It must not block
+	OmitHeader       bool                 // leave Status and Header of replies empty
+	OnRequestWritten func()               // called for each attempt whose request was fully written
 	Budget           *message.Budget
 }
 
-// dialer sends no keep-alives: an attempt's own time-out is far shorter.
+// dialer returns the dialer of the pool. It sends no TCP keep-alives, because the timeout of an
+// attempt is far shorter than any keep-alive interval.
 func (o Options) dialer() net.Dialer {
 	d := net.Dialer{Timeout: o.ConnectTimeout, KeepAlive: -1}
 	if o.TCPUserTimeout > 0 {
-		d.Control = userTimeout(o.TCPUserTimeout)
+		d.Control = tcpUserTimeout(o.TCPUserTimeout)
 	}
 	return d
 }
 
 var _ core.Backends = (*Pool)(nil)
 
-// New returns a Pool without connections.
+// New returns a Pool without open connections.
 func New(codec Codec, opt Options, count *counters.Set, log *slog.Logger) *Pool {
 	if opt.OnRequestWritten == nil {
 		opt.OnRequestWritten = func() {}
 	}
 	d := opt.dialer()
-	p := &Pool{codec: codec, opt: opt, count: count, log: log, dial: d.DialContext, restFor: restFor,
-		idle: map[core.Place][]*conn{}, at: map[core.Place]int{}, gates: map[core.Place]map[*gate]struct{}{}}
+	p := &Pool{codec: codec, opt: opt, count: count, log: log, dial: d.DialContext, reuseDelay: reuseDelay,
+		idle: map[core.Place][]*conn{}, connCounts: map[core.Place]int{}, pending: map[core.Place]map[*pendingAttempt]struct{}{}}
 	if opt.LearnIdleLimits {
-		p.rest = newRestLimits(opt.IdleTimeout)
+		p.idleLimits = newIdleLimits(opt.IdleTimeout)
 	}
 	return p
 }
 
-// WriteBodyFraming writes the line of a head that tells how the request's body is framed, where there is one.
+// WriteBodyFraming writes the Transfer-Encoding or Content-Length field of a request head. It
+// writes none for a GET without a body.
 func WriteBodyFraming(dst *bytes.Buffer, call *message.Call) {
 	switch {
 	case call.Length == message.UnknownLength:
