--- a/internal/ingress/body.go
+++ b/internal/ingress/body.go
@@ -8,65 +8,65 @@
 	"time"
 )
 
-// ErrBudgetExhausted tells that a body does not fit in the budget.
-var ErrBudgetExhausted = errors.New("no room for the body")
+// ErrBudgetExhausted is the error of a body that does not fit in the memory budget.
+var ErrBudgetExhausted = errors.New("the body does not fit in the memory budget")
 
-// grownFrom is the first buffer, in bytes, of a body whose length is not stated.
-const grownFrom = 2 << 10
+// initialBodyBuffer is the first buffer size, in bytes, for a body that does not state its length.
+const initialBodyBuffer = 2 << 10
 
-// Budget is how many bytes the bodies of a process may take.
+// Budget limits the memory that the bodies of a process may take, in bytes.
 type Budget interface {
-	TryAcquire(n int64) bool // takes bytes, or none and returns false where they don't fit
-	Release(n int64)         // gives bytes back
+	TryAcquire(n int64) bool // acquires n bytes, or none and returns false if they are not available
+	Release(n int64)         // returns n bytes
 }
 
-// BodyLimits are what a body is held to.
+// BodyLimits are the limits of size and time of a body.
 type BodyLimits struct {
-	Timeout        time.Duration // how long a client may take for it,
-	TimeoutPerByte time.Duration // and so much more for each byte that has come
-	MaxBuffered    int64         // the longest part that First reads, in bytes
-	MaxBytes       int64         // the longest body, in bytes
-	Budget         Budget        // what First takes counts here until Close
+	Timeout        time.Duration // how long a client may take for the body,
+	TimeoutPerByte time.Duration // plus this for each byte received
+	MaxBuffered    int64         // longest part that ReadPrefix buffers, in bytes
+	MaxBytes       int64         // longest body, in bytes
+	Budget         Budget        // charged for the buffer of ReadPrefix until Close
 }
 
-// Body is a request's body as it comes, at the pace that a client is held to.
+// Body is the body of a request as it arrives. It enforces the minimum pace of BodyLimits.
 type Body struct {
-	src     io.Reader
-	control *http.ResponseController
-	began   time.Time
-	limits  BodyLimits
-	broke   chan struct{} // closed where the body can't come whole any more
-	taken   int64         // of the budget
+	source     io.Reader
+	controller *http.ResponseController
+	start      time.Time
+	limits     BodyLimits
+	failed     chan struct{} // closed when the body cannot be completed any more
+	acquired   int64         // bytes of the budget
 
-	mu      sync.Mutex
-	read    sync.Cond // told when a Read ends
-	reading bool
-	got     int64
-	over    bool // nothing more is read
-	whole   bool
+	mu       sync.Mutex
+	readDone sync.Cond // signaled when a Read ends
+	reading  bool
+	received int64 // bytes
+	stopped  bool  // nothing more is read
+	complete bool
 }
 
-// NewBody returns the body of r, whose pace counts from now. It has to be closed.
+// NewBody returns the body of r. Its time starts now. The caller must close it.
 func NewBody(w http.ResponseWriter, r *http.Request, limits BodyLimits) *Body {
-	in := &Body{src: http.MaxBytesReader(unwrapped(w), r.Body, limits.MaxBytes), control: http.NewResponseController(w),
-		began: time.Now(), limits: limits, broke: make(chan struct{})}
-	in.read.L = &in.mu
+	in := &Body{source: http.MaxBytesReader(unwrapWriter(w), r.Body, limits.MaxBytes), controller: http.NewResponseController(w),
+		start: time.Now(), limits: limits, failed: make(chan struct{})}
+	in.readDone.L = &in.mu
 	return in
 }
 
-// Failed is closed where the body can't come whole any more.
-func (in *Body) Failed() <-chan struct{} { return in.broke }
+// Failed returns a channel that is closed when the body cannot be completed any more.
+func (in *Body) Failed() <-chan struct{} { return in.failed }
 
-// ReadPrefix reads a body of a stated length, or of an unknown one (below 0), up to what is held,
-// and tells whether there is more of it. It fails with ErrNoRoom where there is no room for
-// that, and with an *http.MaxBytesError where the stated length is over the longest.
-func (in *Body) ReadPrefix(length int64) (body []byte, long bool, err error) {
+// ReadPrefix reads up to MaxBuffered bytes of a body with the stated length, which is below 0 if it
+// is unknown, and reports whether there is more. It fails with ErrBudgetExhausted if the buffer does
+// not fit in the budget, and with an *http.MaxBytesError if the stated length exceeds MaxBytes.
+func (in *Body) ReadPrefix(length int64) (body []byte, more bool, err error) {
 	size := in.limits.MaxBuffered
 	if length >= 0 {
 		size = min(length, size)
 	}
 	if size == 0 {
-		in.settle()
+		in.markComplete()
 		return nil, false, nil
 	}
 	if length > in.limits.MaxBytes {
@@ -75,25 +75,25 @@
 	if !in.limits.Budget.TryAcquire(size) {
 		return nil, false, ErrBudgetExhausted
 	}
-	in.taken = size
+	in.acquired = size
 	if length >= 0 {
 		body = make([]byte, size)
 		if _, err = io.ReadFull(in, body); err != nil {
 			return nil, false, err
 		}
 		if length == size {
-			in.settle()
+			in.markComplete()
 		}
 		return body, length > size, nil
 	}
-	body = make([]byte, 0, min(grownFrom, size))
+	body = make([]byte, 0, min(initialBodyBuffer, size))
 	for {
 		n, err := in.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
 		switch {
 		case err == io.EOF:
-			in.limits.Budget.Release(in.taken - int64(cap(body)))
-			in.taken = int64(cap(body))
+			in.limits.Budget.Release(in.acquired - int64(cap(body)))
+			in.acquired = int64(cap(body))
 			return body, false, nil
 		case err != nil:
 			return nil, false, err
@@ -105,65 +105,67 @@
 	}
 }
 
-// settle notes that the body is whole.
-func (in *Body) settle() {
+// markComplete records that the body is complete.
+func (in *Body) markComplete() {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.end()
+	in.markCompleteLocked()
 }
 
-// end is settle with in.mu held. A request that has come may wait long for its answer.
-func (in *Body) end() {
-	in.whole, in.over = true, true
-	in.control.SetReadDeadline(time.Time{})
+// markCompleteLocked is markComplete for a caller that holds in.mu. It removes the read deadline,
+// because a complete request may wait long for its response.
+func (in *Body) markCompleteLocked() {
+	in.complete, in.stopped = true, true
+	in.controller.SetReadDeadline(time.Time{})
 }
 
-// Read reads within the time that the client has for what came so far.
+// Read implements io.Reader. It fails if the client is slower than the limits allow for the bytes
+// received so far.
 func (in *Body) Read(b []byte) (int, error) {
 	in.mu.Lock()
-	if in.over {
+	if in.stopped {
 		in.mu.Unlock()
 		return 0, io.ErrClosedPipe
 	}
-	in.control.SetReadDeadline(in.began.Add(in.limits.Timeout + time.Duration(in.got)*in.limits.TimeoutPerByte))
+	in.controller.SetReadDeadline(in.start.Add(in.limits.Timeout + time.Duration(in.received)*in.limits.TimeoutPerByte))
 	in.reading = true
 	in.mu.Unlock()
-	n, err := in.src.Read(b)
+	n, err := in.source.Read(b)
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.reading = false
-	in.read.Broadcast()
-	in.got += int64(n)
+	in.readDone.Broadcast()
+	in.received += int64(n)
 	switch {
-	case in.over:
+	case in.stopped:
 	case err == io.EOF:
-		in.end()
+		in.markCompleteLocked()
 	case err != nil:
-		in.over = true
-		close(in.broke)
+		in.stopped = true
+		close(in.failed)
 	}
 	return n, err
 }
 
-// Stop ends the reading, also one that waits, and tells whether the body had come whole.
-// It returns when nobody reads any more: net/http would lift the time bound of a Read that
-// it finds under way, and then wait for what is left of the body without one.
+// Stop ends reading, also a Read that waits, and reports whether the body was complete. It returns
+// when no Read is in progress any more: net/http would remove the deadline of a Read in progress
+// and then wait for the rest of the body without one.
 func (in *Body) Stop() bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if !in.over {
-		in.over = true
-		in.control.SetReadDeadline(time.Unix(1, 0))
+	if !in.stopped {
+		in.stopped = true
+		in.controller.SetReadDeadline(time.Unix(1, 0))
 	}
 	for in.reading {
-		in.read.Wait()
+		in.readDone.Wait()
 	}
-	return in.whole
+	return in.complete
 }
 
-// Close stops, and gives back what was taken of the budget.
+// Close stops reading and returns the buffer to the budget.
 func (in *Body) Close() {
 	in.Stop()
-	in.limits.Budget.Release(in.taken)
-	in.taken = 0
+	in.limits.Budget.Release(in.acquired)
+	in.acquired = 0
 }
--- a/internal/ingress/body_test.go
+++ b/internal/ingress/body_test.go
@@ -13,10 +13,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// bytesLeft is a budget.
-type bytesLeft struct{ atomic.Int64 }
+// testBudget is a Budget.
+type testBudget struct{ atomic.Int64 }
 
-func (b *bytesLeft) TryAcquire(n int64) bool {
+func (b *testBudget) TryAcquire(n int64) bool {
 	if b.Add(-n) < 0 {
 		b.Add(n)
 		return false
@@ -24,62 +24,64 @@
 	return true
 }
 
-func (b *bytesLeft) Release(n int64) { b.Add(n) }
+func (b *testBudget) Release(n int64) { b.Add(n) }
 
-func limits(room int64) BodyLimits {
-	b := &bytesLeft{}
-	b.Store(room)
-	return BodyLimits{Timeout: patience, TimeoutPerByte: time.Millisecond, MaxBuffered: 10, MaxBytes: 20, Budget: b}
+// limits returns limits with a budget of budgetBytes.
+func limits(budgetBytes int64) BodyLimits {
+	b := &testBudget{}
+	b.Store(budgetBytes)
+	return BodyLimits{Timeout: testTimeout, TimeoutPerByte: time.Millisecond, MaxBuffered: 10, MaxBytes: 20, Budget: b}
 }
 
-// first is what First returned, and what came after it.
-type first struct {
-	body, rest string
-	long       bool
-	err        error
-	room       int64 // after Close
+// prefixResult is the result of ReadPrefix and what was read after it.
+type prefixResult struct {
+	body   string
+	rest   string
+	more   bool
+	err    error
+	budget int64 // after Close
 }
 
-// A body is read whole up to what is held, and told to be long beyond; the budget has all back
-// after it.
-func TestFirst(t *testing.T) {
+// A body is read up to the buffer limit, and a longer one is reported as such. Close must return
+// everything to the budget.
+func TestReadPrefix(t *testing.T) {
 	stated := func(n int) string { return fmt.Sprintf("Content-Length: %d\r\n\r\n", n) }
 	chunked := func(n int) string {
 		return fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", n, strings.Repeat("c", n))
 	}
 	for name, tt := range map[string]struct {
-		text string
-		room int64
-		want first
+		text   string
+		budget int64
+		want   prefixResult
 	}{
-		"none":                   {"\r\n", 0, first{}},
-		"stated":                 {stated(3) + "abc", 100, first{body: "abc"}},
-		"stated, as held":        {stated(10) + "0123456789", 100, first{body: "0123456789"}},
-		"stated, longer":         {stated(12) + "0123456789ab", 100, first{body: "0123456789", rest: "ab", long: true}},
-		"stated, too long":       {stated(21), 100, first{err: &http.MaxBytesError{}}},
-		"stated, no room":        {stated(3), 2, first{err: ErrBudgetExhausted}},
-		"chunked":                {chunked(3), 100, first{body: "ccc"}},
-		"chunked, longer":        {chunked(12), 100, first{body: "cccccccccc", rest: "cc", long: true}},
-		"chunked, not even held": {chunked(3), 9, first{err: ErrBudgetExhausted}},
-		"chunked, too long":      {chunked(21), 100, first{body: "cccccccccc", rest: "cccccccccc", long: true, err: &http.MaxBytesError{}}},
+		"none":                            {"\r\n", 0, prefixResult{}},
+		"stated":                          {stated(3) + "abc", 100, prefixResult{body: "abc"}},
+		"stated, as long as the buffer":   {stated(10) + "0123456789", 100, prefixResult{body: "0123456789"}},
+		"stated, longer than the buffer":  {stated(12) + "0123456789ab", 100, prefixResult{body: "0123456789", rest: "ab", more: true}},
+		"stated, too long":                {stated(21), 100, prefixResult{err: &http.MaxBytesError{}}},
+		"stated, over the budget":         {stated(3), 2, prefixResult{err: ErrBudgetExhausted}},
+		"chunked":                         {chunked(3), 100, prefixResult{body: "ccc"}},
+		"chunked, longer than the buffer": {chunked(12), 100, prefixResult{body: "cccccccccc", rest: "cc", more: true}},
+		"chunked, buffer over the budget": {chunked(3), 9, prefixResult{err: ErrBudgetExhausted}},
+		"chunked, too long":               {chunked(21), 100, prefixResult{body: "cccccccccc", rest: "cccccccccc", more: true, err: &http.MaxBytesError{}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			results := make(chan first, 1)
-			_, addr := serving(t, Options{}, func(w http.ResponseWriter, r *http.Request, _ *Conn) {
-				held := limits(tt.room)
-				in := NewBody(w, r, held)
-				body, long, err := in.ReadPrefix(r.ContentLength)
-				got := first{body: string(body), long: long, err: err}
-				if long {
+			results := make(chan prefixResult, 1)
+			_, addr := startServer(t, Options{}, func(w http.ResponseWriter, r *http.Request, _ *Conn) {
+				bodyLimits := limits(tt.budget)
+				in := NewBody(w, r, bodyLimits)
+				body, more, err := in.ReadPrefix(r.ContentLength)
+				got := prefixResult{body: string(body), more: more, err: err}
+				if more {
 					rest, err := io.ReadAll(in)
 					got.rest, got.err = string(rest), err
 				}
 				in.Close()
-				got.room = held.Budget.(*bytesLeft).Load()
+				got.budget = bodyLimits.Budget.(*testBudget).Load()
 				w.Header().Set("Connection", "close")
 				results <- got
 			})
-			c := call(t, addr)
+			c := connect(t, addr)
 			c.send("POST / HTTP/1.1\r\nHost: x\r\n" + tt.text)
 			got := await(t, results, "the body")
 			var large, wantLarge *http.MaxBytesError
@@ -89,34 +91,35 @@
 			}
 			assert.Equal(t, got.body, tt.want.body)
 			assert.Equal(t, got.rest, tt.want.rest)
-			assert.Equal(t, got.long, tt.want.long)
-			assert.Equal(t, got.room, tt.room, "the budget has all back")
+			assert.Equal(t, got.more, tt.want.more)
+			assert.Equal(t, got.budget, tt.budget, "everything is back in the budget")
 		})
 	}
 }
 
-// A body whose client leaves, or does not keep the pace, breaks.
-func TestBroke(t *testing.T) {
-	for name, within := range map[string]time.Duration{"its client leaves": patience, "too slow": time.Millisecond} {
+// A body fails if its client closes the connection or is too slow.
+func TestBodyFails(t *testing.T) {
+	for name, timeout := range map[string]time.Duration{"client closes": testTimeout, "too slow": time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
-			came, broke := make(chan bool), make(chan error, 1)
-			_, addr := serving(t, Options{}, func(w http.ResponseWriter, r *http.Request, _ *Conn) {
-				held := limits(100)
-				held.Timeout = within
-				in := NewBody(w, r, held)
+			arrived := make(chan bool)
+			failed := make(chan error, 1)
+			_, addr := startServer(t, Options{}, func(w http.ResponseWriter, r *http.Request, _ *Conn) {
+				bodyLimits := limits(100)
+				bodyLimits.Timeout = timeout
+				in := NewBody(w, r, bodyLimits)
 				defer in.Close()
-				came <- true
+				arrived <- true
 				_, _, err := in.ReadPrefix(r.ContentLength)
 				<-in.Failed()
-				broke <- err
+				failed <- err
 			})
-			c := call(t, addr)
+			c := connect(t, addr)
 			c.send("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\na")
-			await(t, came, "the request")
-			if within == patience {
+			await(t, arrived, "the request")
+			if timeout == testTimeout {
 				assert.NilError(t, c.CloseWrite())
 			}
-			assert.Assert(t, await(t, broke, "the break") != nil)
+			assert.Assert(t, await(t, failed, "the failure") != nil)
 		})
 	}
 }
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -11,52 +11,53 @@
 	"time"
 )
 
-// Conn is a client session's connection. It counts towards the limit, and follows the
-// requests on it as their bytes come.
+// Conn is the connection of a client session. It counts towards the session limit and tracks the
+// framing of the requests on it as their bytes arrive.
 type Conn struct {
 	net.Conn
 	framing
 	server *Server
 	closed atomic.Bool
-	active atomic.Bool // a request is open, as net/http tells
+	active atomic.Bool // a request is open, as net/http reports
 
-	raw    syscall.RawConn // nil: what it is has no descriptor
-	rd     sync.Mutex      // held by who reads
-	ahead  []byte          // came behind a request that is open, to be read next
-	passed int             // bytes that came behind it and were dropped
+	raw       syscall.RawConn // nil: the connection has no file descriptor
+	readMu    sync.Mutex      // held while reading
+	readAhead []byte          // received after an open request, to be read next
+	discarded int             // bytes received after it that were discarded
 
-	mu     sync.Mutex // held over each look at the socket with what follows from it
-	ending bool       // nothing that comes is read any more
+	mu      sync.Mutex // held while the socket is inspected and the result is acted on
+	closing bool       // received bytes are no longer read
 }
 
 const (
-	// aheadMost is how much is kept of what comes behind a request that is open, and passOver how
-	// much more is dropped before nothing is read any more: a client that sends on has not
-	// left, and its close stands behind its bytes.
-	aheadMost = 8 << 10
-	passOver  = 4 << 20
-	// lingerFor is how long a session that the node ends is read out: bytes that cross the
-	// close would reset it, and take away an answer that the client has not read yet
-	// (RFC 9112, section 9.6).
-	lingerFor = 250 * time.Millisecond
+	// maxReadAhead is how many bytes that follow an open request are kept. maxDiscarded is how many
+	// more are discarded before reading stops: a client that keeps sending has not left, and its
+	// close follows its bytes.
+	maxReadAhead = 8 << 10
+	maxDiscarded = 4 << 20
+	// lingerTime is how long data is still read from a session that the node closes. Bytes that
+	// cross the close would otherwise cause a reset, and the client could lose a response that it
+	// has not read yet (RFC 9112, section 9.6).
+	lingerTime = 250 * time.Millisecond
 )
 
-// errPassedOver ends a session of whose bytes some were dropped.
-var errPassedOver = errors.New("more came behind a request than is kept")
+// errReadAheadOverflow ends a session of which bytes were discarded.
+var errReadAheadOverflow = errors.New("too many bytes received after an open request")
 
+// newConn returns a Conn for an accepted connection.
 func newConn(c net.Conn, s *Server) *Conn {
-	k := &Conn{Conn: c, framing: framing{length: -1}, server: s}
-	if d, ok := c.(syscall.Conn); ok {
-		k.raw, _ = d.SyscallConn()
+	conn := &Conn{Conn: c, framing: framing{length: -1}, server: s}
+	if descriptor, ok := c.(syscall.Conn); ok {
+		conn.raw, _ = descriptor.SyscallConn()
 	}
-	return k
+	return conn
 }
 
-// Close ends the client session and gives its place free, once. Where the client may still
-// send, it is told of the end first, and what comes then is neither answered nor sent on.
+// Close closes the client session and frees its slot, once. If the client may still send, Close
+// first shuts down the sending side. Bytes received after that are neither answered nor forwarded.
 func (c *Conn) Close() error {
 	c.mu.Lock()
-	c.ending = true
+	c.closing = true
 	c.mu.Unlock()
 	if c.closed.Swap(true) {
 		return nil
@@ -69,24 +70,24 @@
 	return nil
 }
 
-// linger ends the sending side, reads out the other for a while, and closes.
+// linger shuts down the sending side, discards received data for a while, and closes.
 func (c *Conn) linger() {
 	defer c.server.lingering.Add(-1)
 	defer c.Conn.Close()
 	c.CloseWrite()
-	c.Conn.SetReadDeadline(time.Unix(1, 0)) // wakes who reads
-	c.rd.Lock()
-	defer c.rd.Unlock()
-	c.Conn.SetReadDeadline(time.Now().Add(c.server.lingerFor))
-	io.Copy(io.Discard, io.LimitReader(c.Conn, passOver))
+	c.Conn.SetReadDeadline(time.Unix(1, 0)) // wakes a reader
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	c.Conn.SetReadDeadline(time.Now().Add(c.server.lingerTime))
+	io.Copy(io.Discard, io.LimitReader(c.Conn, maxDiscarded))
 }
 
-// end closes the session if it stands between requests. Nothing that has come is lost by that:
-// no byte is read between the look and the decision.
-func (c *Conn) end() bool {
+// closeIfIdle closes the session if it is between requests. It loses no received byte, because none
+// is read between the check and the decision.
+func (c *Conn) closeIfIdle() bool {
 	c.mu.Lock()
-	idle := !c.ending && c.between()
-	c.ending = c.ending || idle
+	idle := !c.closing && c.idle()
+	c.closing = c.closing || idle
 	c.mu.Unlock()
 	if idle {
 		c.Close()
@@ -94,19 +95,20 @@
 	return idle
 }
 
-// SetReadDeadline holds for who reads requests: the read-out of an end has its own. What
-// net/http sets by one of its marks is the server's time of now.
+// SetReadDeadline sets the deadline for reading requests. It has no effect on a closing session,
+// whose lingering has its own deadline. A deadline by which net/http sets one of the timeout markers
+// is replaced by the present timeout of the server.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ending {
+	if c.closing {
 		return nil
 	}
-	return c.Conn.SetReadDeadline(c.server.unmark(t))
+	return c.Conn.SetReadDeadline(c.server.resolveDeadline(t))
 }
 
-// CloseWrite ends the sending side: net/http waits a little then before it closes, so
-// that bytes which it has not read don't reset the connection before the answer is read.
+// CloseWrite shuts down the sending side. net/http calls it and waits a little before it closes, so
+// that unread bytes do not reset the connection before the client has read the response.
 func (c *Conn) CloseWrite() error {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		return t.CloseWrite()
@@ -114,69 +116,70 @@
 	return nil
 }
 
-// Read reads, and follows what came. Behind a whole request net/http reads one byte ahead to
-// learn of the client's end, and would learn of none behind a byte; so what comes there is
-// kept, and the Read waits for the end.
+// Read implements net.Conn and tracks the framing. After a complete request net/http reads one byte
+// ahead to detect that the client closes, and would detect nothing after such a byte. So Read keeps
+// bytes that arrive then, and goes on waiting for the close.
 func (c *Conn) Read(b []byte) (int, error) {
 	c.mu.Lock()
-	ending := c.ending
+	closing := c.closing
 	c.mu.Unlock()
-	if ending { // or it would wait for the read-out
+	if closing { // otherwise it would wait until the lingering ends
 		return 0, &net.OpError{Op: "read", Net: "tcp", Err: net.ErrClosed}
 	}
-	c.rd.Lock()
-	defer c.rd.Unlock()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	switch {
-	case len(b) == 1 && c.active.Load() && c.raw != nil: // a body is never read by single bytes
-		return 0, c.watch(b)
-	case len(c.ahead) > 0:
-		n := copy(b, c.ahead)
-		if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-			c.ahead = nil
+	case len(b) == 1 && c.active.Load() && c.raw != nil: // net/http never reads a body by single bytes
+		return 0, c.watchForClose(b)
+	case len(c.readAhead) > 0:
+		n := copy(b, c.readAhead)
+		if c.readAhead = c.readAhead[n:]; len(c.readAhead) == 0 {
+			c.readAhead = nil
 		}
 		return n, nil
-	case c.passed > 0:
-		return 0, errPassedOver
+	case c.discarded > 0:
+		return 0, errReadAheadOverflow
 	}
-	return c.take(b)
+	return c.readAndTrack(b)
 }
 
-// watch keeps what comes until the client ends or the watch is broken off. From most clients
-// nothing does: buf is the caller's, and a larger one is made once something has.
-func (c *Conn) watch(buf []byte) error {
+// watchForClose keeps received bytes until the client closes or the read is interrupted. Most
+// clients send nothing then, so it uses the caller's buf and allocates a larger buffer only after
+// the first byte.
+func (c *Conn) watchForClose(buf []byte) error {
 	for {
-		n, err := c.take(buf)
+		n, err := c.readAndTrack(buf)
 		if err != nil {
 			return err
 		}
-		kept := min(n, aheadMost-len(c.ahead))
-		if c.passed > 0 {
+		kept := min(n, maxReadAhead-len(c.readAhead))
+		if c.discarded > 0 {
 			kept = 0
 		}
-		c.ahead = append(c.ahead, buf[:kept]...)
-		c.passed += n - kept
+		c.readAhead = append(c.readAhead, buf[:kept]...)
+		c.discarded += n - kept
 		switch {
-		case c.passed > passOver:
-			buf = nil // waits, and reads no more
+		case c.discarded > maxDiscarded:
+			buf = nil // waits without reading more
 		case len(buf) == 1:
 			buf = make([]byte, 512)
 		}
 	}
 }
 
-// take reads what has come as one step with what follows from it: who decides whether the
-// session stands between requests sees both or neither.
-func (c *Conn) take(b []byte) (n int, err error) {
+// readAndTrack reads received bytes and tracks their framing in one critical section, so that a
+// concurrent check whether the session is idle sees both or neither.
+func (c *Conn) readAndTrack(b []byte) (n int, err error) {
 	if c.raw == nil {
 		n, err = c.Conn.Read(b)
-		c.came(b[:n])
+		c.track(b[:n])
 		return n, err
 	}
-	waited := c.raw.Read(func(fd uintptr) bool {
+	rawErr := c.raw.Read(func(fd uintptr) bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		switch n, err = 0, nil; {
-		case c.ending:
+		case c.closing:
 			err = net.ErrClosed
 			return true
 		case len(b) == 0:
@@ -195,11 +198,11 @@
 		case n == 0:
 			err = io.EOF
 		}
-		c.came(b[:n])
+		c.track(b[:n])
 		return true
 	})
-	if waited != nil {
-		n, err = 0, waited
+	if rawErr != nil {
+		n, err = 0, rawErr
 	}
 	if err != nil && err != io.EOF {
 		err = &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: err}
@@ -207,41 +210,43 @@
 	return n, err
 }
 
-// between tells whether the session stands between requests, with no part of one come.
-func (c *Conn) between() bool {
-	return !c.active.Load() && !c.midway.Load() && c.heads.Load() == c.served.Load() && c.quiet()
+// idle reports whether the session is between requests and no part of a request has arrived.
+func (c *Conn) idle() bool {
+	return !c.active.Load() && !c.partial.Load() && c.heads.Load() == c.handled.Load() && c.nothingReceived()
 }
 
-// quiet tells whether nothing has come that is not read yet.
-func (c *Conn) quiet() bool {
+// nothingReceived reports whether no received bytes are waiting to be read.
+func (c *Conn) nothingReceived() bool {
 	_, err := c.peek()
 	return err == syscall.EAGAIN
 }
 
-// ClientClosed tells whether the client has closed its connection, as far as its bytes have been
-// read. It asks the socket: who reads may not have had its turn yet.
+// ClientClosed reports whether the client has closed its connection and all its bytes have been
+// read. It inspects the socket, because the reading goroutine may not have run yet.
 func (c *Conn) ClientClosed() bool {
 	n, err := c.peek()
-	return n == 0 && err != syscall.EAGAIN && err != errNoSocket
+	return n == 0 && err != syscall.EAGAIN && err != errNoDescriptor
 }
 
-var errNoSocket = errors.New("no socket to ask")
+// errNoDescriptor is the error of peek for a connection without a file descriptor.
+var errNoDescriptor = errors.New("the connection has no file descriptor")
 
-// peek looks at what has come and is not read yet: 0 bytes without an error are the end.
+// peek returns how many of up to one byte wait to be read. 0 without an error means that the client
+// has closed.
 func (c *Conn) peek() (n int, err error) {
 	if c.raw == nil {
-		return 0, errNoSocket
+		return 0, errNoDescriptor
 	}
 	var b [1]byte
-	asked := c.raw.Control(func(fd uintptr) {
+	controlErr := c.raw.Control(func(fd uintptr) {
 		for {
 			if n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); err != syscall.EINTR {
 				return
 			}
 		}
 	})
-	if asked != nil {
-		err = asked
+	if controlErr != nil {
+		err = controlErr
 	}
 	return max(n, 0), err
 }
--- a/internal/ingress/export_test.go
+++ b/internal/ingress/export_test.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// What follows lets tests of the package from outside see into it.
+// The functions below give the external tests of this package access to its internals.
 
-// SetLingerFor changes how long sessions that have ended are read out.
-func (s *Server) SetLingerFor(d time.Duration) { s.lingerFor = d }
+// SetLingerTime changes how long data is read from closed sessions.
+func (s *Server) SetLingerTime(d time.Duration) { s.lingerTime = d }
 
-// SetRespondNowMargin changes how long before End's time Over is closed.
+// SetRespondNowMargin changes how long before the timeout of Shutdown RespondNow is closed.
 func (s *Server) SetRespondNowMargin(d time.Duration) { s.opt.RespondNowMargin = d }
 
-// Sessions is how many client sessions count towards the limit.
+// Sessions returns the number of client sessions that count towards the limit.
 func (s *Server) Sessions() int64 { return s.sessions.Load() }
 
-// Lingering is how many ended sessions are read out.
+// Lingering returns the number of closed sessions from which data is still read.
 func (s *Server) Lingering() int64 { return s.lingering.Load() }
 
-// Closed is closed when no more sessions are taken.
+// Closed returns a channel that is closed when no more sessions are accepted.
 func (s *Server) Closed() chan struct{} { return s.closed }
 
-// ListenerClosing tells whether the listener closes once nobody waits at it.
-func (s *Server) ListenerClosing() bool { return s.last.Load() }
+// ListenerClosing reports whether the listener closes once its accept queue is empty.
+func (s *Server) ListenerClosing() bool { return s.listenerClosing.Load() }
 
-// EachIdle hands each session without an open request to see, while nothing changes them.
-func (s *Server) EachIdle(see func(*Conn)) {
+// EachIdle calls visit for each session without an open request. None changes meanwhile.
+func (s *Server) EachIdle(visit func(*Conn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.spare {
-		see(c)
+	for c := range s.idleSessions {
+		visit(c)
 	}
 }
 
-// CloseIfIdle closes the session if it stands between requests.
-func (c *Conn) CloseIfIdle() bool { return c.end() }
+// CloseIfIdle closes the session if it is between requests.
+func (c *Conn) CloseIfIdle() bool { return c.closeIfIdle() }
 
-// Idle tells whether the session stands between requests.
-func (c *Conn) Idle() bool { return c.between() }
+// Idle reports whether the session is between requests.
+func (c *Conn) Idle() bool { return c.idle() }
--- a/internal/ingress/framing.go
+++ b/internal/ingress/framing.go
@@ -6,85 +6,85 @@
 	"sync/atomic"
 )
 
-// lineKept is how much of a head's line is looked at: names and lengths are shorter.
-const lineKept = 64
+// maxLineBytes is how many bytes of a head line are examined. Field names and lengths are shorter.
+const maxLineBytes = 64
 
-// framing follows the requests of a connection as their bytes come: net/http drops
-// Content-Length where Transfer-Encoding is there too, and so hides that the two may frame
-// different requests, one in the body of another.
+// framing tracks the requests of a connection as their bytes arrive. net/http drops Content-Length
+// if there is a Transfer-Encoding, and thereby hides that the two may frame different requests, one
+// inside the body of another (request smuggling).
 type framing struct {
-	line   []byte // of the head that is coming, its first bytes
-	begun  bool   // the head has a line
-	length int64  // that it states, -1: none
-	coded  bool   // it states a Transfer-Encoding
-	left   int64  // bytes of a body that are still to come
-	chunks part   // where in a coded body it stands
-	doubt  atomic.Int64
+	line            []byte       // first bytes of the present line
+	headBegun       bool         // the request line of the present head has arrived
+	length          int64        // Content-Length of the present head, -1: none
+	transferEncoded bool         // the present head has a Transfer-Encoding
+	bodyLeft        int64        // bytes of the present body or chunk that have not arrived
+	chunkState      chunkState   // position in a chunked body
+	ambiguousFrom   atomic.Int64 // number of the first request whose framing is ambiguous, 0: none
 
-	// Read by whoever looks for a session to shed.
-	midway atomic.Bool  // part of a request has come
-	heads  atomic.Int64 // that came whole
-	served atomic.Int64 // of these, net/http has handed out
+	// The following are also read by goroutines that look for a session to shed.
+	partial atomic.Bool  // a part of a request has arrived
+	heads   atomic.Int64 // complete heads
+	handled atomic.Int64 // heads that net/http has passed to the handler
 }
 
-// part is where a coded body stands between its lines and its bytes.
-type part uint8
+// chunkState is the position in a chunked body.
+type chunkState uint8
 
 const (
-	none    part = iota
-	size         // a line that states a chunk's length comes next
-	trailer      // lines after the last chunk come
+	notChunked   chunkState = iota
+	chunkSize               // a line with the size of a chunk is next
+	chunkTrailer            // trailer lines after the last chunk are next
 )
 
-// came follows bytes that were read.
-func (f *framing) came(b []byte) {
-	for len(b) > 0 && f.doubt.Load() == 0 {
-		b = f.follow(b)
+// track processes bytes that were read.
+func (f *framing) track(b []byte) {
+	for len(b) > 0 && f.ambiguousFrom.Load() == 0 {
+		b = f.consume(b)
 	}
-	f.midway.Store(f.begun || len(f.line) > 0 || f.left > 0 || f.chunks != none)
+	f.partial.Store(f.headBegun || len(f.line) > 0 || f.bodyLeft > 0 || f.chunkState != notChunked)
 }
 
-// follow takes a body's bytes or one line, and returns what is left.
-func (f *framing) follow(b []byte) []byte {
-	if f.left > 0 {
-		n := min(f.left, int64(len(b)))
-		f.left -= n
+// consume processes bytes of a body or one line, and returns the remaining bytes.
+func (f *framing) consume(b []byte) []byte {
+	if f.bodyLeft > 0 {
+		n := min(f.bodyLeft, int64(len(b)))
+		f.bodyLeft -= n
 		return b[n:]
 	}
-	part, rest, whole := bytes.Cut(b, []byte{'\n'})
-	f.line = append(f.line, part[:min(len(part), lineKept-len(f.line))]...)
-	if !whole {
+	part, rest, complete := bytes.Cut(b, []byte{'\n'})
+	f.line = append(f.line, part[:min(len(part), maxLineBytes-len(f.line))]...)
+	if !complete {
 		return nil
 	}
 	line := bytes.TrimSuffix(f.line, []byte{'\r'})
 	f.line = f.line[:0]
 	switch {
-	case f.chunks != none:
-		f.chunk(line)
+	case f.chunkState != notChunked:
+		f.chunkLine(line)
 		return rest
 	case len(line) > 0:
-		f.field(line)
+		f.headLine(line)
 		return rest
 	}
 	heads := f.heads.Add(1)
 	switch {
-	case f.coded && f.length >= 0:
-		f.doubt.Store(heads)
-	case f.coded:
-		f.chunks = size
+	case f.transferEncoded && f.length >= 0:
+		f.ambiguousFrom.Store(heads)
+	case f.transferEncoded:
+		f.chunkState = chunkSize
 	default:
-		f.left = max(f.length, 0)
+		f.bodyLeft = max(f.length, 0)
 	}
-	f.begun, f.length, f.coded = false, -1, false
+	f.headBegun, f.length, f.transferEncoded = false, -1, false
 	return rest
 }
 
-// chunk takes a line of a coded body. What can't be read puts what stands behind the request
-// in doubt; net/http turns the request itself down.
-func (f *framing) chunk(line []byte) {
-	if f.chunks == trailer {
+// chunkLine processes a size or trailer line of a chunked body. An invalid line makes what follows
+// the request ambiguous. net/http rejects the request itself.
+func (f *framing) chunkLine(line []byte) {
+	if f.chunkState == chunkTrailer {
 		if len(line) == 0 {
-			f.chunks = none
+			f.chunkState = notChunked
 		}
 		return
 	}
@@ -92,39 +92,41 @@
 	n, err := strconv.ParseUint(string(bytes.TrimRight(digits, " \t")), 16, 32)
 	switch {
 	case err != nil:
-		f.doubt.Store(f.heads.Load() + 1)
+		f.ambiguousFrom.Store(f.heads.Load() + 1)
 	case n == 0:
-		f.chunks = trailer
+		f.chunkState = chunkTrailer
 	default:
-		f.left = int64(n) + int64(len("\r\n"))
+		f.bodyLeft = int64(n) + int64(len("\r\n"))
 	}
 }
 
-// field takes a line of a head. What net/http might read otherwise is in doubt.
-func (f *framing) field(line []byte) {
-	if !f.begun {
-		f.begun = true // the request line
+// headLine processes a line of a head. The request is ambiguous if net/http might interpret the
+// line in another way.
+func (f *framing) headLine(line []byte) {
+	if !f.headBegun {
+		f.headBegun = true // the request line
 		return
 	}
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	switch {
-	case line[0] == ' ' || line[0] == '\t': // the line before goes on
-		f.doubt.Store(f.heads.Load() + 1)
+	case line[0] == ' ' || line[0] == '\t': // continues the line before (obsolete line folding)
+		f.ambiguousFrom.Store(f.heads.Load() + 1)
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-		f.coded = true
+		f.transferEncoded = true
 	case bytes.EqualFold(name, []byte("Content-Length")):
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 62)
 		if err != nil || f.length >= 0 && f.length != int64(n) {
-			f.doubt.Store(f.heads.Load() + 1)
+			f.ambiguousFrom.Store(f.heads.Load() + 1)
 			return
 		}
 		f.length = int64(n)
 	}
 }
 
-// doubtful tells, of each request that net/http hands out in turn, whether it may be
-// framed otherwise than net/http took it, or stands behind one that may be.
-func (f *framing) doubtful() bool {
-	served, first := f.served.Add(1), f.doubt.Load()
-	return first > 0 && served >= first
+// ambiguous reports for the next request that net/http passes to the handler whether its framing may
+// differ from what net/http took it for, or whether it follows such a request. It is called once
+// for each request.
+func (f *framing) ambiguous() bool {
+	number, first := f.handled.Add(1), f.ambiguousFrom.Load()
+	return first > 0 && number >= first
 }
--- a/internal/ingress/lifecycle.go
+++ b/internal/ingress/lifecycle.go
@@ -11,127 +11,131 @@
 	"pipitmux/internal/wait"
 )
 
-// leaveStep is how often the life cycle is asked which sessions end while the server leaves.
-const leaveStep = 20 * time.Millisecond
+// lifecyclePollInterval is how often the server asks the lifecycle which idle sessions to close
+// while it sends its clients away, and checks whether a shutdown is complete.
+const lifecyclePollInterval = 20 * time.Millisecond
 
-// Drain has clients sent away: answers end their sessions, and idle sessions end, as the life
-// cycle says.
-func (s *Server) Drain() error { return s.move(s.life.Drain) }
+// Drain sends clients away: responses close their sessions, and idle sessions are closed, at the
+// times that the lifecycle sets.
+func (s *Server) Drain() error { return s.changeLifecycle(s.lifecycle.Drain) }
 
-// Resume has clients taken again.
-func (s *Server) Resume() error { return s.move(s.life.Resume) }
+// Resume ends a drain: the server keeps clients again.
+func (s *Server) Resume() error { return s.changeLifecycle(s.lifecycle.Resume) }
 
-// SetHasSuccessor tells whether a successor serves at the same address, from the same queue
-// of connections.
-func (s *Server) SetHasSuccessor(serves bool) { s.heir.Store(serves) }
+// SetHasSuccessor records whether a successor process serves at the same address, from the same
+// accept queue.
+func (s *Server) SetHasSuccessor(serving bool) { s.hasSuccessor.Store(serving) }
 
-// HasSuccessor returns what Succeeded told last.
-func (s *Server) HasSuccessor() bool { return s.heir.Load() }
+// HasSuccessor returns the value of the last SetHasSuccessor.
+func (s *Server) HasSuccessor() bool { return s.hasSuccessor.Load() }
 
-// Phase returns where the server stands. A question whether it is ready has the answer yes
-// while it is lifecycle.Serving.
+// Phase returns the phase of the server. The server is ready while it is lifecycle.Serving.
 func (s *Server) Phase() lifecycle.Phase {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.life.Phase()
+	return s.lifecycle.Phase()
 }
 
-// Leaving tells whether the server sends its clients away.
+// Leaving reports whether the server sends its clients away, for a drain or a shutdown.
 func (s *Server) Leaving() bool { return s.leaving.Load() }
 
-// AcceptsRequests tells whether a request that has come now is taken.
+// AcceptsRequests reports whether a request that arrives now is accepted.
 func (s *Server) AcceptsRequests() bool {
 	if !s.leaving.Load() {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.life.Takes(time.Now())
+	return s.lifecycle.Takes(time.Now())
 }
 
-// RespondNow is closed when each open request has to be answered at once: AnswerBy before the end
-// of End's time.
-func (s *Server) RespondNow() <-chan struct{} { return s.over }
+// RespondNow returns a channel that is closed when each open request must be answered at once:
+// RespondNowMargin before the timeout of Shutdown.
+func (s *Server) RespondNow() <-chan struct{} { return s.respondNow }
 
-// closes tells whether an answer that is given now ends its session.
-func (s *Server) closes() bool {
+// closesSessions reports whether a response that is given now closes its session.
+func (s *Server) closesSessions() bool {
 	if !s.leaving.Load() {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.life.Closes(time.Now())
+	return s.lifecycle.Closes(time.Now())
 }
 
-// move takes a step of the life cycle and sees that idle sessions end while it says so.
-func (s *Server) move(step func(time.Time) error) error {
+// changeLifecycle applies a transition of the lifecycle, and starts to close idle sessions if the
+// server then sends its clients away.
+func (s *Server) changeLifecycle(transition func(time.Time) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := step(time.Now()); err != nil {
+	if err := transition(time.Now()); err != nil {
 		return err
 	}
-	s.leaving.Store(s.life.Leaving())
-	if s.life.Leaving() && !s.gone {
-		s.gone = true
-		go s.leave()
+	s.leaving.Store(s.lifecycle.Leaving())
+	if s.lifecycle.Leaving() && !s.closingIdle {
+		s.closingIdle = true
+		go s.closeIdleSessions()
 	}
 	return nil
 }
 
-// leave ends idle sessions, the longest idle first, until the server stays.
-func (s *Server) leave() {
-	tick := time.NewTicker(leaveStep)
-	defer tick.Stop()
-	for now := range tick.C {
-		if !s.endDue(now) {
+// closeIdleSessions closes idle sessions, those that were idle longest first, until the server no
+// longer sends its clients away.
+func (s *Server) closeIdleSessions() {
+	ticker := time.NewTicker(lifecyclePollInterval)
+	defer ticker.Stop()
+	for now := range ticker.C {
+		if !s.closeDueSessions(now) {
 			return
 		}
 	}
 }
 
-// endDue ends the idle sessions that are due, and tells whether the server still leaves.
-func (s *Server) endDue(now time.Time) bool {
+// closeDueSessions closes the idle sessions that are due, and reports whether the server still sends
+// its clients away.
+func (s *Server) closeDueSessions(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.life.Leaving() {
-		s.gone = false
+	if !s.lifecycle.Leaving() {
+		s.closingIdle = false
 		return false
 	}
-	idle := slices.SortedFunc(maps.Keys(s.spare), func(a, b *Conn) int {
-		return s.spare[a].since.Compare(s.spare[b].since)
+	idle := slices.SortedFunc(maps.Keys(s.idleSessions), func(a, b *Conn) int {
+		return s.idleSessions[a].since.Compare(s.idleSessions[b].since)
 	})
-	for n := s.life.End(now, len(idle)); n > 0 && len(idle) > 0; idle = idle[1:] {
-		// One on which something has come brings a request: its answer ends it.
-		if idle[0].end() {
-			delete(s.spare, idle[0])
+	for n := s.lifecycle.End(now, len(idle)); n > 0 && len(idle) > 0; idle = idle[1:] {
+		// A session on which bytes have arrived gets a request, and its response closes it.
+		if idle[0].closeIfIdle() {
+			delete(s.idleSessions, idle[0])
 			n--
 		}
 	}
 	return true
 }
 
-// Shutdown takes no more client sessions after a while, and returns when every request that was
-// taken has its answer and its session has ended, or with an error after the time within.
-// By then each open request has to be answered: unanswered it would be lost. net/http's
-// own Shutdown is not used: it closes sessions on which a request is being read.
-func (s *Server) Shutdown(within time.Duration) error {
-	s.move(func(now time.Time) error { s.life.Stop(now); return nil })
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// Shutdown stops accepting client sessions after a while, and returns when every accepted request
+// has been answered and its session closed. After timeout it closes all sessions and returns an
+// error. Handlers must answer open requests before that, when RespondNow is closed, because
+// unanswered requests would be lost. The Shutdown of net/http is not used, because it closes
+// sessions on which a request is being read.
+func (s *Server) Shutdown(timeout time.Duration) error {
+	s.changeLifecycle(func(now time.Time) error { s.lifecycle.Stop(now); return nil })
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	defer time.AfterFunc(within-s.opt.RespondNowMargin, func() { close(s.over) }).Stop()
-	if s.heir.Load() {
-		s.listener.Close() // the successor takes them from the same queue
+	defer time.AfterFunc(timeout-s.opt.RespondNowMargin, func() { close(s.respondNow) }).Stop()
+	if s.hasSuccessor.Load() {
+		s.listener.Close() // the successor accepts new connections from the same queue
 	} else {
 		wait.For(ctx, s.opt.Lifecycle.StayOpen)
 		s.listener.close()
 	}
-	tick := time.NewTicker(leaveStep)
-	defer tick.Stop()
+	ticker := time.NewTicker(lifecyclePollInterval)
+	defer ticker.Stop()
 	for closed := s.closed; ; {
 		select {
 		case <-closed:
 			closed = nil
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return errors.Join(ctx.Err(), s.server.Close())
 		}
@@ -140,5 +144,3 @@
 		}
 	}
 }
-
-// stay waits so long, unless the context ends before.
--- a/internal/ingress/lifecycle_test.go
+++ b/internal/ingress/lifecycle_test.go
@@ -10,24 +10,26 @@
 	"pipitmux/internal/lifecycle"
 )
 
-// leaving is a timing whose answers end their sessions from so long after the call on, and
-// whose idle sessions end at once or never.
+// leaving returns a timing in which responses close their sessions once the time closes has passed
+// since the call, and idle sessions are closed once the time from has passed.
 func leaving(closes, from time.Duration) lifecycle.Timing {
 	leave := lifecycle.Leave{From: from, Until: from + 1, Closes: closes}
 	return lifecycle.Timing{Drain: leave, Stop: leave}
 }
 
+// stop begins the stop phase of the lifecycle.
 func stop(s *Server) error {
-	return s.move(func(now time.Time) error { s.life.Stop(now); return nil })
+	return s.changeLifecycle(func(now time.Time) error { s.lifecycle.Stop(now); return nil })
 }
 
-// Where answers have no bound on their time, one ends its session by when it is given, though
-// its request came before the stop. Before the time of that none does, and all is taken.
-func TestAnswersEndTheirSessionByWhenTheyAreGiven(t *testing.T) {
+// Without a ResponseTimeout the time of a response decides whether it closes its session, even if its
+// request arrived before the stop. Before the time that the lifecycle sets none does, and all
+// requests are accepted.
+func TestTimeOfResponseDecidesWhetherSessionCloses(t *testing.T) {
 	for name, tt := range map[string]struct {
 		closes time.Duration
-		ends   bool
-	}{"from the stop on": {0, true}, "later": {never, false}} {
+		closed bool
+	}{"immediately": {0, true}, "later": {never, false}} {
 		t.Run(name, func(t *testing.T) {
 			for _, write := range []handler{
 				hello,
@@ -35,101 +37,106 @@
 				func(w http.ResponseWriter, _ *http.Request, _ *Conn) { http.NewResponseController(w).Flush() },
 				func(w http.ResponseWriter, _ *http.Request, _ *Conn) { w.WriteHeader(http.StatusTeapot) },
 			} {
-				came, on := make(chan bool), make(chan bool)
-				s, addr := serving(t, Options{Lifecycle: leaving(tt.closes, never)}, func(w http.ResponseWriter, r *http.Request, c *Conn) {
-					came <- true
-					<-on
+				arrived := make(chan bool)
+				proceed := make(chan bool)
+				s, addr := startServer(t, Options{Lifecycle: leaving(tt.closes, never)}, func(w http.ResponseWriter, r *http.Request, c *Conn) {
+					arrived <- true
+					<-proceed
 					write(w, r, c)
 				})
-				c := call(t, addr)
-				c.send(plain)
-				await(t, came, "the request")
+				c := connect(t, addr)
+				c.send(plainRequest)
+				await(t, arrived, "the request")
 				assert.NilError(t, stop(s))
 				assert.Equal(t, s.Phase(), lifecycle.Stopping)
 				assert.Assert(t, s.Leaving() && s.AcceptsRequests())
-				on <- true
-				res, _ := c.answer()
-				assert.Equal(t, res.Close, tt.ends)
+				proceed <- true
+				res, _ := c.readResponse()
+				assert.Equal(t, res.Close, tt.closed)
 			}
 		})
 	}
 }
 
-// A bound on the time of answers keeps what was settled when the request came.
-func TestAnswersInTimeKeepWhatWasSettled(t *testing.T) {
-	came, on := make(chan bool), make(chan bool)
-	s, addr := serving(t, Options{ResponseTimeout: patience, Lifecycle: leaving(0, never)}, func(w http.ResponseWriter, r *http.Request, c *Conn) {
-		came <- true
-		<-on
+// With a ResponseTimeout the time of the request decides whether its response closes the session.
+func TestTimeOfRequestDecidesWithResponseTimeout(t *testing.T) {
+	arrived := make(chan bool)
+	proceed := make(chan bool)
+	s, addr := startServer(t, Options{ResponseTimeout: testTimeout, Lifecycle: leaving(0, never)}, func(w http.ResponseWriter, r *http.Request, c *Conn) {
+		arrived <- true
+		<-proceed
 		hello(w, r, c)
 	})
-	c := call(t, addr)
-	c.send(plain)
-	await(t, came, "the request")
+	c := connect(t, addr)
+	c.send(plainRequest)
+	await(t, arrived, "the request")
 	assert.NilError(t, s.Drain())
-	on <- true
-	res, _ := c.answer()
+	proceed <- true
+	res, _ := c.readResponse()
 	assert.Assert(t, !res.Close)
-	c.send(plain)
-	await(t, came, "the request after the drain")
-	on <- true
-	res, _ = c.answer()
+	c.send(plainRequest)
+	await(t, arrived, "the request after the drain")
+	proceed <- true
+	res, _ = c.readResponse()
 	assert.Assert(t, res.Close)
 }
 
-// A machine that is told to end still takes new connections, ends what rests, and is done when
-// what is open has its answer, long before the time is over.
-func TestEnd(t *testing.T) {
+// During a shutdown the server still accepts new connections for a while and closes idle sessions. It
+// completes when open requests are answered, long before its timeout.
+func TestShutdown(t *testing.T) {
 	timing := leaving(0, 0)
 	timing.StayOpen = time.Second
-	came, on := make(chan bool), make(chan bool)
-	s, addr := serving(t, Options{Lifecycle: timing}, func(w http.ResponseWriter, r *http.Request, c *Conn) {
+	arrived := make(chan bool)
+	proceed := make(chan bool)
+	s, addr := startServer(t, Options{Lifecycle: timing}, func(w http.ResponseWriter, r *http.Request, c *Conn) {
 		if r.URL.Path == "/open" {
-			came <- true
-			<-on
+			arrived <- true
+			<-proceed
 		}
 		hello(w, r, c)
 	})
-	rests, open := call(t, addr), call(t, addr)
-	rests.send(plain)
-	rests.answer()
+	idle, open := connect(t, addr), connect(t, addr)
+	idle.send(plainRequest)
+	idle.readResponse()
 	open.send("GET /open HTTP/1.1\r\nHost: x\r\n\r\n")
-	await(t, came, "the open request")
+	await(t, arrived, "the open request")
 	ended := make(chan error, 1)
 	go func() { ended <- s.Shutdown(never) }()
-	rests.ended()
-	rests.Close()
-	late := call(t, addr)
-	late.send(plain)
-	res, _ := late.answer()
+	idle.readEnd()
+	idle.Close()
+	late := connect(t, addr)
+	late.send(plainRequest)
+	res, _ := late.readResponse()
 	assert.Assert(t, res.Close)
 	late.Close()
-	await(t, s.closed, "the listener's end")
+	await(t, s.closed, "the listener to close")
 	select {
 	case <-ended:
-		t.Fatal("a request is open")
+		t.Fatal("the shutdown completed while a request was open")
 	default:
 	}
-	on <- true
-	_, body := open.answer()
+	proceed <- true
+	_, body := open.readResponse()
 	assert.Equal(t, body, "hello")
 	open.Close()
-	assert.NilError(t, await(t, ended, "the end"))
+	assert.NilError(t, await(t, ended, "the shutdown to complete"))
 }
 
-// A request that stays open does not hold up the end beyond its time, and is told before.
-func TestEndWithinItsTime(t *testing.T) {
-	came, told := make(chan bool), make(chan bool, 1)
+// A request that stays open must not delay the shutdown beyond its timeout, and its handler must be
+// notified before.
+func TestShutdownTimeout(t *testing.T) {
+	arrived := make(chan bool)
+	notified := make(chan bool, 1)
 	var s *Server
-	s, addr := serving(t, Options{RespondNowMargin: never, Lifecycle: leaving(0, 0)}, func(w http.ResponseWriter, r *http.Request, c *Conn) {
-		came <- true
+	s, addr := startServer(t, Options{RespondNowMargin: never, Lifecycle: leaving(0, 0)}, func(w http.ResponseWriter, r *http.Request, c *Conn) {
+		arrived <- true
 		<-s.RespondNow()
-		told <- true
+		notified <- true
 		<-r.Context().Done()
 	})
-	c := call(t, addr)
-	c.send(plain)
-	await(t, came, "the request")
+	c := connect(t, addr)
+	c.send(plainRequest)
+	await(t, arrived, "the request")
 	assert.ErrorContains(t, s.Shutdown(time.Second/10), "deadline")
-	assert.Assert(t, await(t, told, "the word that it is over"))
+	assert.Assert(t, await(t, notified, "the notification of the handler"))
 }
--- a/internal/ingress/limits.go
+++ b/internal/ingress/limits.go
@@ -7,43 +7,44 @@
 )
 
 const (
-	// headMark and idleMark are the times that net/http is told. It reads them without a lock;
-	// a deadline by one of them stands for the time of now.
-	headMark = 10 * 365 * 24 * time.Hour
-	idleMark = 20 * 365 * 24 * time.Hour
+	// headerTimeoutMarker and idleTimeoutMarker are the timeouts that net/http is configured with.
+	// net/http reads its timeouts without a lock, so they cannot change while it serves. A deadline
+	// set from a marker is replaced by the timeout that applies at that moment.
+	headerTimeoutMarker = 10 * 365 * 24 * time.Hour
+	idleTimeoutMarker   = 20 * 365 * 24 * time.Hour
 )
 
-// SetTimeouts changes how long a client may take for a head, and how long a session may stay open
-// between requests; 0 is no bound. A head that is coming and a session that is idle keep the
-// times that they began with.
-func (s *Server) SetTimeouts(head, idle time.Duration) {
-	s.head.Store(int64(head))
-	s.idle.Store(int64(idle))
+// SetTimeouts changes how long a client may take for a head, and how long a session may be idle
+// between requests; 0 means no limit. A head that is arriving and a session that is idle keep the
+// timeouts that they began with.
+func (s *Server) SetTimeouts(header, idle time.Duration) {
+	s.headerTimeout.Store(int64(header))
+	s.idleTimeout.Store(int64(idle))
 }
 
-// SetMaxHeaderBytes changes the longest head that reaches the handler, below the
-// MaxHeaderBytes of the options; 0 leaves it to these.
-func (s *Server) SetMaxHeaderBytes(most int) { s.headBytes.Store(int64(most)) }
+// SetMaxHeaderBytes changes the longest head that reaches the handler. It must be below the
+// MaxHeaderBytes of the options; 0 leaves only that limit.
+func (s *Server) SetMaxHeaderBytes(limit int) { s.maxHeaderBytes.Store(int64(limit)) }
 
-// unmark returns the deadline that holds for one which net/http sets.
-func (s *Server) unmark(t time.Time) time.Time {
+// resolveDeadline returns the deadline that applies for one that net/http sets.
+func (s *Server) resolveDeadline(t time.Time) time.Time {
 	now := time.Now()
-	within := int64(0)
+	timeout := int64(0)
 	switch ahead := t.Sub(now); {
-	case t.IsZero() || ahead < headMark/2:
+	case t.IsZero() || ahead < headerTimeoutMarker/2:
 		return t
-	case ahead < (headMark+idleMark)/2:
-		within = s.head.Load()
+	case ahead < (headerTimeoutMarker+idleTimeoutMarker)/2:
+		timeout = s.headerTimeout.Load()
 	default:
-		within = s.idle.Load()
+		timeout = s.idleTimeout.Load()
 	}
-	if within <= 0 {
+	if timeout <= 0 {
 		return time.Time{}
 	}
-	return now.Add(time.Duration(within))
+	return now.Add(time.Duration(timeout))
 }
 
-// headSize is the length of a request's head in bytes, as clients commonly write it.
+// headSize returns the length of a request's head in bytes, as clients commonly write it.
 func headSize(r *http.Request) int64 {
 	n := len(r.Method) + len(" ") + len(r.RequestURI) + len(" ") + len(r.Proto) + len("\r\n")
 	n += len("Host: ") + len(r.Host) + len("\r\n")
@@ -55,18 +56,18 @@
 	return int64(n + len("\r\n"))
 }
 
-// SetMaxSessions changes how many client sessions are allowed, and how many beyond while others are
-// shed. Idle sessions over it end.
+// SetMaxSessions changes the limit of client sessions, and the overflow: how many more connections
+// are accepted while others are shed. It sheds sessions that exceed the limit.
 func (s *Server) SetMaxSessions(sessions, overflow int) {
 	s.overflow.Store(int64(overflow))
-	s.most.Store(int64(sessions))
-	for over := s.sessions.Load() - int64(sessions); over > 0; over-- {
-		s.shed()
+	s.maxSessions.Store(int64(sessions))
+	for excess := s.sessions.Load() - int64(sessions); excess > 0; excess-- {
+		s.shedSession()
 	}
 }
 
-// track notes which sessions wait between requests.
-func (s *Server) track(nc net.Conn, state http.ConnState) {
+// trackState records which sessions have no open request. net/http calls it.
+func (s *Server) trackState(nc net.Conn, state http.ConnState) {
 	c := nc.(*Conn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,43 +75,44 @@
 	switch state {
 	case http.StateNew:
 		s.count.Add("session.opened")
-		s.spare[c] = waiting{time.Now(), true}
+		s.idleSessions[c] = idleSession{time.Now(), true}
 	case http.StateIdle:
-		s.spare[c] = waiting{time.Now(), false}
+		s.idleSessions[c] = idleSession{time.Now(), false}
 	default:
-		delete(s.spare, c)
+		delete(s.idleSessions, c)
 	}
 }
 
-// shed ends a client session without a request, so that silent clients by the
-// hundred don't keep out those that ask: the longest silent of those that never
-// asked, or else the longest idle. One on which a request is coming in stays.
-func (s *Server) shed() {
+// shedSession closes one client session without a request, so that hundreds of silent clients do
+// not keep out clients that send requests. It takes the oldest session that never had a request, or
+// otherwise the one that was idle longest. A session on which a request is arriving stays.
+func (s *Server) shedSession() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var first *Conn
-	var of waiting
+	var chosen *Conn
+	var chosenSession idleSession
 	now := time.Now()
-	for c, w := range s.spare {
-		age, least := now.Sub(w.since), lingered
-		if w.fresh {
-			least = settled
+	for c, session := range s.idleSessions {
+		age, minAge := now.Sub(session.since), minIdleAge
+		if session.unused {
+			minAge = minUnusedAge
 		}
-		sooner := first == nil || w.fresh && !of.fresh || w.fresh == of.fresh && w.since.Before(of.since)
-		if age >= least && sooner && c.between() {
-			first, of = c, w
+		preferred := chosen == nil || session.unused && !chosenSession.unused ||
+			session.unused == chosenSession.unused && session.since.Before(chosenSession.since)
+		if age >= minAge && preferred && c.idle() {
+			chosen, chosenSession = c, session
 		}
 	}
-	if first != nil && first.end() {
+	if chosen != nil && chosen.closeIfIdle() {
 		s.count.Add("session.shed")
-		delete(s.spare, first)
+		delete(s.idleSessions, chosen)
 	}
 }
 
-// linger gives the place of a session that ends free, and tells whether there is room to
-// read it out. All that are open stay within the limit and its overflow.
+// linger frees the slot of a session that closes, and reports whether it may linger. Open and
+// lingering sessions together stay within the limit plus half of the overflow.
 func (s *Server) linger() bool {
-	if s.sessions.Load()+s.lingering.Add(1) > s.most.Load()+s.overflow.Load()/2 {
+	if s.sessions.Load()+s.lingering.Add(1) > s.maxSessions.Load()+s.overflow.Load()/2 {
 		s.lingering.Add(-1)
 		return false
 	}
--- a/internal/ingress/listener.go
+++ b/internal/ingress/listener.go
@@ -8,67 +8,71 @@
 )
 
 const (
-	// settled and lingered are the least ages of an unused and of an idle session that is
-	// shed for a new one. On a younger unused one the first request may be on its way. The
-	// idle ones are what clients that ask come back to: shed sooner, a crowd of silent
-	// connections drives those clients out, and each comes back as one connection more.
-	settled  = 100 * time.Millisecond
-	lingered = 500 * time.Millisecond
-	// backlogFor is how long the listener's queue is empty before it closes: what waits in it
-	// would be reset. New ones don't keep it open for longer than backlogMost.
-	backlogFor  = 10 * time.Millisecond
-	backlogMost = 50 * time.Millisecond
+	// minUnusedAge and minIdleAge are the minimum ages at which an unused and an idle session may be
+	// shed for a new one. The first request of a younger unused session may be on its way. Active
+	// clients return to their idle sessions: if those were shed sooner, a crowd of silent
+	// connections would push the active clients out, and each would return as one more connection.
+	minUnusedAge = 100 * time.Millisecond
+	minIdleAge   = 500 * time.Millisecond
+	// backlogQuietTime is how long the accept queue must be empty before the listener closes, since
+	// closing resets the connections in the queue. New connections keep it open for no longer than
+	// maxBacklogTime.
+	backlogQuietTime = 10 * time.Millisecond
+	maxBacklogTime   = 50 * time.Millisecond
 )
 
-// limited holds the connections of clients to a limit. For each over MaxSessions
-// one that waits without a request is shed; where there is none, those beyond the
-// overflow wait unaccepted.
-type limited struct {
+// limitedListener limits the connections of clients. For each connection beyond MaxSessions one
+// session without a request is shed. If there is none, connections beyond the overflow stay in the
+// accept queue.
+type limitedListener struct {
 	net.Listener
 	server *Server
-	until  time.Time // when the last one is taken, once the listener is to close
+	until  time.Time // when the last connection is accepted, once the listener is to close
 }
 
-func (l *limited) Accept() (net.Conn, error) {
-	// Silent sessions must not hold up all that come later.
-	for l.server.sessions.Load()+l.server.lingering.Load() >= l.server.most.Load()+l.server.overflow.Load() {
-		l.server.shed()
-		time.Sleep(settled / 10)
-		l.until = time.Time{} // who waited meanwhile is taken
+// Accept implements net.Listener.
+func (l *limitedListener) Accept() (net.Conn, error) {
+	// Sessions without a request must not block all later connections.
+	for l.server.sessions.Load()+l.server.lingering.Load() >= l.server.maxSessions.Load()+l.server.overflow.Load() {
+		l.server.shedSession()
+		time.Sleep(minUnusedAge / 10)
+		l.until = time.Time{} // connections that waited meanwhile are accepted
 	}
-	if l.server.last.Load() {
+	if l.server.listenerClosing.Load() {
 		if l.until.IsZero() {
-			l.until = time.Now().Add(backlogMost)
+			l.until = time.Now().Add(maxBacklogTime)
 		}
-		l.wake(l.until)
+		l.setAcceptDeadline(l.until)
 	}
 	c, err := l.Listener.Accept()
 	if err != nil {
-		if l.server.last.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
+		if l.server.listenerClosing.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
 			l.Listener.Close()
 			return nil, net.ErrClosed
 		}
 		return nil, err
 	}
-	if l.server.sessions.Add(1) > l.server.most.Load() {
-		l.server.shed()
+	if l.server.sessions.Add(1) > l.server.maxSessions.Load() {
+		l.server.shedSession()
 	}
 	return newConn(c, l.server), nil
 }
 
-// close has the listener close once nobody waits at it: what has connected is taken first.
-func (l *limited) close() {
-	l.server.last.Store(true)
-	l.wake(time.Now().Add(backlogFor))
+// close makes the listener close once its accept queue is empty, so that established connections
+// are accepted first.
+func (l *limitedListener) close() {
+	l.server.listenerClosing.Store(true)
+	l.setAcceptDeadline(time.Now().Add(backlogQuietTime))
 }
 
-// wake bounds how long Accept waits for one more, and by when it takes the last.
-func (l *limited) wake(until time.Time) {
-	at := time.Now().Add(backlogFor)
-	if until.Before(at) {
-		at = until
+// setAcceptDeadline limits how long Accept waits for one more connection: backlogQuietTime, and no
+// longer than until.
+func (l *limitedListener) setAcceptDeadline(until time.Time) {
+	deadline := time.Now().Add(backlogQuietTime)
+	if until.Before(deadline) {
+		deadline = until
 	}
-	if d, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); !ok || d.SetDeadline(at) != nil {
+	if d, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); !ok || d.SetDeadline(deadline) != nil {
 		l.Listener.Close()
 	}
 }
--- a/internal/ingress/response.go
+++ b/internal/ingress/response.go
@@ -8,80 +8,83 @@
 	"pipitmux/internal/relay"
 )
 
-// answer is how a handler without a bound on its time answers. It is told at its first byte
-// whether its session ends, and each write has a bound of its own.
-type answer struct {
+// responseWriter is the response writer of a handler without a response timeout. At the first byte
+// it decides whether the response closes its session. Each write has its own deadline.
+type responseWriter struct {
 	http.ResponseWriter
 	server *Server
-	begun  bool
+	begun  bool // the first byte has been written
 }
 
-// begin settles whether the session ends, unless the head has gone.
-func (a *answer) begin() {
+// beginResponse decides whether the response closes its session, unless the head is already
+// written.
+func (a *responseWriter) beginResponse() {
 	if a.begun {
 		return
 	}
 	a.begun = true
-	if a.server.closes() {
+	if a.server.closesSessions() {
 		a.Header().Set("Connection", "close")
 	}
-	a.bound()
+	a.extendDeadline()
 }
 
-// bound gives what is written next its time.
-func (a *answer) bound() {
+// extendDeadline sets the deadline of the next write.
+func (a *responseWriter) extendDeadline() {
 	http.NewResponseController(a.ResponseWriter).SetWriteDeadline(time.Now().Add(a.server.opt.WriteTimeout))
 }
 
-// WriteHeader writes the answer's head.
-func (a *answer) WriteHeader(status int) {
+// WriteHeader implements http.ResponseWriter.
+func (a *responseWriter) WriteHeader(status int) {
 	if status >= http.StatusOK || status == http.StatusSwitchingProtocols {
-		a.begin()
+		a.beginResponse()
 	}
 	a.ResponseWriter.WriteHeader(status)
 }
 
-// Write writes a part of the answer's body.
-func (a *answer) Write(b []byte) (int, error) {
-	a.begin()
-	a.bound()
+// Write implements http.ResponseWriter.
+func (a *responseWriter) Write(b []byte) (int, error) {
+	a.beginResponse()
+	a.extendDeadline()
 	return a.ResponseWriter.Write(b)
 }
 
-// FlushError sends what has been written.
-func (a *answer) FlushError() error {
-	a.begin()
-	a.bound()
+// FlushError sends buffered data to the client. http.ResponseController uses it.
+func (a *responseWriter) FlushError() error {
+	a.beginResponse()
+	a.extendDeadline()
 	return http.NewResponseController(a.ResponseWriter).Flush()
 }
 
-// Unwrap is for http.ResponseController.
-func (a *answer) Unwrap() http.ResponseWriter { return a.ResponseWriter }
+// Unwrap returns the underlying writer for http.ResponseController.
+func (a *responseWriter) Unwrap() http.ResponseWriter { return a.ResponseWriter }
 
-// unwrapped is net/http's own writer, which http.MaxBytesReader tells of what is too long.
-func unwrapped(w http.ResponseWriter) http.ResponseWriter {
-	if a, ok := w.(*answer); ok {
+// unwrapWriter returns the writer of net/http, which http.MaxBytesReader notifies of a body that is
+// too long.
+func unwrapWriter(w http.ResponseWriter) http.ResponseWriter {
+	if a, ok := w.(*responseWriter); ok {
 		return a.ResponseWriter
 	}
 	return w
 }
 
-// Relay passes a long answer on as it comes, its first part and then the rest, with a flush a
-// piece; the client may take nothing of a piece for WriteWithin. It returns nil at the
-// answer's end, and else which side broke. Once any of it is out nothing else can be answered:
-// where it breaks, the handler has to panic with http.ErrAbortHandler, net/http's way to end a
-// session short of its answer, so that the client sees it.
-func (s *Server) Relay(w http.ResponseWriter, first []byte, rest io.Reader) (toClient, fromSource error) {
-	control := http.NewResponseController(w)
-	put := func(b []byte) error {
-		control.SetWriteDeadline(time.Now().Add(s.opt.WriteTimeout))
+// Relay streams a long response to the client: its first part and then the rest as it arrives. It
+// flushes each piece, which the client has to accept within WriteTimeout. It returns nil errors at
+// the end of the response, and otherwise the error of the side that failed. After the first byte no
+// other response is possible. If Relay fails, the handler must panic with http.ErrAbortHandler,
+// which makes net/http close the connection before the end of the response, so that the client
+// notices.
+func (s *Server) Relay(w http.ResponseWriter, first []byte, rest io.Reader) (clientErr, sourceErr error) {
+	controller := http.NewResponseController(w)
+	write := func(b []byte) error {
+		controller.SetWriteDeadline(time.Now().Add(s.opt.WriteTimeout))
 		if _, err := w.Write(b); err != nil {
 			return err
 		}
-		return control.Flush()
+		return controller.Flush()
 	}
-	if err := put(first); err != nil {
+	if err := write(first); err != nil {
 		return err, nil
 	}
-	return relay.Copy(put, rest)
+	return relay.Copy(write, rest)
 }
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,6 +1,6 @@
-// Package message holds the forms of a req and of a reply as front and backends hand
-// them to each other through the core, and the budget of bytes that their bodies take.
-// It must not know who reads or writes them.
+// Package message defines the requests and replies that pass between the client side and the
+// upstream side through package core, and the memory budget of their bodies. It must not depend on
+// the packages that read or write them.
 package message
 
 import (
@@ -10,38 +10,42 @@
 )
 
 const (
-	// MaxBuffered is the longest body that is held whole, and so may be sent again.
+	// MaxBuffered is the longest body, in bytes, that is buffered completely and can be retried.
 	MaxBuffered = 64 << 10
-	// MaxBodyBytes is the longest body, either way.
+	// MaxBodyBytes is the longest body of a request or reply, in bytes.
 	MaxBodyBytes = 32 << 20
-	// UnknownLength is a length that is not stated.
+	// UnknownLength is the length of a body that does not state it.
 	UnknownLength = -1
 )
 
-// Call is a req in the bytes that came from the client.
+// Call is a request as it was received from the client.
 type Call struct {
-	Method, Target, Host string
-	ID, Key, ContentType string
-	Header               http.Header // further header to hand on, nil: none
-	Body                 []byte      // whole, or where there is a Rest its first part
-	Length               int64       // of the whole body, or Unknown
-	Rest                 *Stream     // what follows Body, nil: nothing
-	ClientGone           func() bool // tells whether the client has left by now, nil: not known
+	Method      string
+	Target      string
+	Host        string
+	ID          string
+	Key         string // idempotency key
+	ContentType string
+	Header      http.Header // further header fields to pass on; nil: none
+	Body        []byte      // complete, or the first part if there is a Rest
+	Length      int64       // of the complete body, or UnknownLength
+	Rest        *Stream     // what follows Body; nil: nothing
+	ClientGone  func() bool // reports whether the client has closed its connection; nil: unknown
 }
 
-// Reply is a server's answer.
+// Reply is a server's response.
 type Reply struct {
-	Status      int         // 0: 200
-	Header      http.Header // as the server gave it, framing and connection included; nil: nothing is handed on
+	Status      int         // 0 means 200
+	Header      http.Header // as received, including framing and connection fields; nil: no header is passed on
 	ContentType string
-	Body        []byte        // whole, or where there is a Rest its first part
-	Length      int64         // of the whole body, or Unknown
-	Rest        io.ReadCloser // what follows Body, nil: nothing
-	Release     func()        // gives back what Body takes of the budget, nil: nothing
+	Body        []byte        // complete, or the first part if there is a Rest
+	Length      int64         // of the complete body, or UnknownLength
+	Rest        io.ReadCloser // what follows Body; nil: nothing
+	Release     func()        // returns the bytes of Body to the budget; nil: none are acquired
 }
 
-// Close ends the reply. Who gets one closes it once. The Rest of a streamed answer may be
-// closed besides, at any time and from any goroutine.
+// Close releases the resources of the reply. Its receiver must call it exactly once. The Rest of a
+// streamed reply may in addition be closed at any time and from any goroutine.
 func (r *Reply) Close() error {
 	if r.Release != nil {
 		r.Release()
@@ -52,52 +56,58 @@
 	return nil
 }
 
-// Stream is the part of a req's body that has not come yet. One attempt may read it.
+// Stream is the part of a request body that has not arrived yet. Only one attempt may read it.
 type Stream struct {
-	src   io.Reader
-	whole func() // called with the last byte
-	used  atomic.Bool
+	source     io.Reader
+	onComplete func() // called at the end of the body
+	claimed    atomic.Bool
 }
 
-// NewStream returns a Stream of what a reader brings. It calls whole with the end.
-func NewStream(src io.Reader, whole func()) *Stream { return &Stream{src: src, whole: whole} }
+// NewStream returns a Stream that reads from source and calls onComplete at its end.
+func NewStream(source io.Reader, onComplete func()) *Stream {
+	return &Stream{source: source, onComplete: onComplete}
+}
 
-// Claim gives the stream to an attempt, unless another has it.
-func (s *Stream) Claim() bool { return s.used.CompareAndSwap(false, true) }
+// Claim assigns the stream to the calling attempt. It returns false if another attempt has it.
+func (s *Stream) Claim() bool { return s.claimed.CompareAndSwap(false, true) }
 
-// Claimed tells whether an attempt has it: no other can send the body.
-func (s *Stream) Claimed() bool { return s.used.Load() }
+// Claimed reports whether an attempt has claimed the stream. No other attempt can send the body.
+func (s *Stream) Claimed() bool { return s.claimed.Load() }
 
-// Read reads what the client sends. Who has claimed the stream reads it to its first error.
+// Read reads from the client. The attempt that has claimed the stream must read up to the first
+// error.
 func (s *Stream) Read(b []byte) (int, error) {
-	n, err := s.src.Read(b)
+	n, err := s.source.Read(b)
 	if err == io.EOF {
-		s.whole()
+		s.onComplete()
 	}
 	return n, err
 }
 
-// Budget is how many bytes bodies may take in a process.
-type Budget struct{ left, most atomic.Int64 }
+// Budget limits the memory, in bytes, that the bodies in a process may take.
+type Budget struct {
+	available atomic.Int64
+	limit     atomic.Int64
+}
 
-// NewBudget returns a budget of so many bytes.
-func NewBudget(most int64) *Budget {
+// NewBudget returns a budget of limit bytes.
+func NewBudget(limit int64) *Budget {
 	b := &Budget{}
-	b.SetLimit(most)
+	b.SetLimit(limit)
 	return b
 }
 
-// SetLimit changes the budget. What is taken stays taken.
-func (b *Budget) SetLimit(most int64) { b.left.Add(most - b.most.Swap(most)) }
+// SetLimit changes the size of the budget. Bytes that are acquired stay acquired.
+func (b *Budget) SetLimit(limit int64) { b.available.Add(limit - b.limit.Swap(limit)) }
 
-// TryAcquire takes bytes, or none and returns false where they don't fit.
+// TryAcquire acquires n bytes and reports whether they were available. If not, it acquires none.
 func (b *Budget) TryAcquire(n int64) bool {
-	if b.left.Add(-n) < 0 {
-		b.left.Add(n)
+	if b.available.Add(-n) < 0 {
+		b.available.Add(n)
 		return false
 	}
 	return true
 }
 
-// Release gives bytes back.
-func (b *Budget) Release(n int64) { b.left.Add(n) }
+// Release returns n bytes to the budget.
+func (b *Budget) Release(n int64) { b.available.Add(n) }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,4 +1,4 @@
-// Package relay passes bodies on piece by piece. It must not know what they are part of.
+// Package relay copies bodies piece by piece. It must not depend on what they belong to.
 package relay
 
 import (
@@ -6,20 +6,20 @@
 	"sync"
 )
 
-// bufferSize is what a body passes through.
+// bufferSize is the size of the copy buffer of a body, in bytes.
 const bufferSize = 32 << 10
 
 var buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
 
-// Copy hands each piece of a body to put as it comes, through a buffer of its own. It
-// returns nil at the body's end, and else which side broke.
-func Copy(put func([]byte) error, from io.Reader) (putErr, fromErr error) {
+// Copy reads source piece by piece and passes each piece to write as it arrives. It returns nil
+// errors at the end of the body, and otherwise the error of the side that failed.
+func Copy(write func([]byte) error, source io.Reader) (writeErr, sourceErr error) {
 	buf := buffers.Get().(*[bufferSize]byte)
 	defer buffers.Put(buf)
 	for {
-		n, err := from.Read(buf[:])
+		n, err := source.Read(buf[:])
 		if n > 0 {
-			if err := put(buf[:n]); err != nil {
+			if err := write(buf[:n]); err != nil {
 				return err, nil
 			}
 		}
