--- a/internal/barograph/node/node.go
+++ b/internal/barograph/node/node.go
@@ -25,12 +25,12 @@
 // message what is committed; news of the configuration go out at once.
 func Timing(class protocol.Class) replica.Timing {
 	return replica.Timing{
-		Heartbeat: 100 * time.Millisecond,
-		Election:  400 * time.Millisecond,
-		Spread:    150 * time.Millisecond,
-		Lease:     300 * time.Millisecond,
-		Silent:    Silent,
-		Lazy:      class == protocol.Storage,
+		HeartbeatInterval: 100 * time.Millisecond,
+		ElectionTimeout:   400 * time.Millisecond,
+		ElectionJitter:    150 * time.Millisecond,
+		LeaseDuration:     300 * time.Millisecond,
+		LostAfter:         Silent,
+		LazyCommit:        class == protocol.Storage,
 	}
 }
 
@@ -98,7 +98,7 @@
 	n.Addresses.Learn(n.Self)
 	n.Pool, n.bulk = link.NewPool(link.Options{}), link.NewPool(link.Options{Stale: bulkStale})
 	n.Host, err = host.New(host.Options{
-		Self: id, Timing: Timing(o.Class), Store: disk, Now: n.Now, Seed: rand.Uint64(), Unknown: o.Unknown,
+		Self: id, Timing: Timing(o.Class), Store: disk, Now: n.Now, Seed: rand.Uint64(), OnUnknownGroup: o.Unknown,
 		Transport: &transport{addresses: n.Addresses, prompt: lane{pool: n.Pool}, bulk: lane{pool: n.bulk}},
 	})
 	if err != nil {
--- a/internal/ingress/close_race_test.go
+++ b/internal/ingress/close_race_test.go
@@ -34,18 +34,18 @@
 	gone     chan string
 }
 
-func (o recordingOwner) Submit(r core.Request) error    { o.requests <- r; return nil }
-func (o recordingOwner) Whole(string, core.Session)     {}
-func (o recordingOwner) Gone(id string, _ core.Session) { o.gone <- id }
-func (o recordingOwner) Ready() bool                    { return true }
+func (o recordingOwner) Submit(r core.Request) error          { o.requests <- r; return nil }
+func (o recordingOwner) BodyComplete(string, core.Session)    {}
+func (o recordingOwner) ClientGone(id string, _ core.Session) { o.gone <- id }
+func (o recordingOwner) Ready() bool                          { return true }
 
 // front starts a front that serves on real sockets until the test ends.
-func front(t *testing.T, sessions int) (*session.Front, recordingOwner, string) {
+func front(t *testing.T, sessions int) (*session.Frontend, recordingOwner, string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	o := recordingOwner{make(chan core.Request, 1000), make(chan string, 1000)}
 	f := session.New(session.Options{Classes: []logic.Class{{Name: "lookup", Deadline: time.Minute}}, MaxSessions: sessions, MaxRequests: 1000,
-		HeadWithin: time.Minute, BodyWithin: time.Minute, IdleFor: time.Minute,
+		HeadTimeout: time.Minute, BodyTimeout: time.Minute, IdleTimeout: time.Minute,
 		Figures: figures.New(nil), Budget: message.NewBudget(1 << 20)}, l, o, counters.New())
 	f.SetLingerTime(testTimeout) // long, so that the test does not depend on the speed of the machine
 	go f.Serve()
@@ -96,7 +96,7 @@
 }
 
 // idleClient connects a client whose session is idle after its first response.
-func idleClient(t *testing.T, f *session.Front, o recordingOwner, addr string) (*net.TCPConn, *ingress.Conn) {
+func idleClient(t *testing.T, f *session.Frontend, o recordingOwner, addr string) (*net.TCPConn, *ingress.Conn) {
 	c := dial(t, addr)
 	write(t, c, get("first"))
 	wait(t, o.requests, "the first request").Session.Answer(served("one"))
@@ -333,7 +333,7 @@
 // are in use at that time.
 func TestShutdownAcceptsTheQueueFirst(t *testing.T) {
 	f, o, addr := front(t, 1)
-	f.Limit(1, 0, 100)
+	f.SetLimits(1, 0, 100)
 	c := dial(t, addr)
 	write(t, c, get("first"))
 	first := wait(t, o.requests, "the first request")
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -26,10 +26,10 @@
 
 // Start begins an attempt in its own goroutine and does not block. With a streamed response the
 // goroutine runs until the stream is closed.
-func (p *Pool) Start(a core.Attempt, done func(core.Ended)) (cancel func()) {
+func (p *Pool) Start(a core.Attempt, done func(core.AttemptResult)) (cancel func()) {
 	ctx, cancelWith := context.WithCancelCause(context.Background())
-	left := time.Until(a.Until)
-	if a.Until.IsZero() {
+	left := time.Until(a.Deadline)
+	if a.Deadline.IsZero() {
 		left = time.Hour // for the upload of the body, which ends sooner or fails; then Within applies
 	}
 	timer := time.AfterFunc(left, func() { cancelWith(context.DeadlineExceeded) })
@@ -48,16 +48,16 @@
 
 // run makes an attempt and always returns its end, or the stream that it has begun. It recovers
 // a panic and reports it as a reset connection, since the request may have run.
-func (p *Pool) run(ctx context.Context, a core.Attempt, timer *time.Timer, pending *pendingAttempt) (end core.Ended, s *stream) {
+func (p *Pool) run(ctx context.Context, a core.Attempt, timer *time.Timer, pending *pendingAttempt) (end core.AttemptResult, s *stream) {
 	defer p.unregisterPending(pending)
 	defer func() {
 		if v := recover(); v != nil {
-			p.log.Error("upstream: panic", logging.Backend, a.Place.ID, logging.Cause, v, "stack", string(debug.Stack()))
-			end, s = core.Ended{Result: logic.Reset, At: time.Now()}, nil
+			p.log.Error("upstream: panic", logging.Backend, a.Instance.ID, logging.Cause, v, "stack", string(debug.Stack()))
+			end, s = core.AttemptResult{Result: logic.Reset, At: time.Now()}, nil
 		}
 	}()
 	end, s, err := p.exchange(ctx, a, timer, pending)
-	end.At, end.Left = time.Now(), errors.Is(err, errClientGone)
+	end.At, end.ClientGone = time.Now(), errors.Is(err, errClientGone)
 	var broken *Error
 	if errors.As(err, &broken) {
 		end.Result = p.countBroken(broken)
@@ -73,13 +73,13 @@
 
 // exchange writes the request and reads the response on one connection. It never retries: the
 // decision module decides on that.
-func (p *Pool) exchange(ctx context.Context, a core.Attempt, timer *time.Timer, pending *pendingAttempt) (end core.Ended, s *stream, err error) {
+func (p *Pool) exchange(ctx context.Context, a core.Attempt, timer *time.Timer, pending *pendingAttempt) (end core.AttemptResult, s *stream, err error) {
 	call := a.Call.(*message.Call)
 	if call.Rest != nil && call.Rest.Claimed() {
-		end.Result = logic.Moot // another attempt has claimed the rest of the body
+		end.Result = logic.NotSent // another attempt has claimed the rest of the body
 		return end, nil, nil
 	}
-	c, err := p.acquire(ctx, a.Place)
+	c, err := p.acquire(ctx, a.Instance)
 	if err != nil {
 		return end, nil, &Error{NotConnected, withCause(ctx, err)}
 	}
@@ -98,12 +98,12 @@
 	written := time.Now()
 	up := &upload{pool: p, conn: c, call: call}
 	if call.Rest == nil {
-		if broken := up.writeBuffered(time.Until(a.Until)); broken != nil {
+		if broken := up.writeBuffered(time.Until(a.Deadline)); broken != nil {
 			p.recordBreak(c, broken.Err, time.Since(written))
 			return end, nil, &Error{broken.Stage, withCause(ctx, broken.Err)}
 		}
 	} else {
-		go up.writeStreaming(a.Within, timer)
+		go up.writeStreaming(a.Timeout, timer)
 	}
 	res, verdict, err := p.readResponse(c, call)
 	if err != nil {
@@ -115,12 +115,12 @@
 	c.readLimit = maxHeadBytes + message.MaxBuffered
 	// The body is not closed, because Close would first read an endless response to its end. The
 	// connection is closed instead if the body was not read completely.
-	end.Result, end.Report = verdict.Result, verdict.Report
+	end.Result, end.LoadReport = verdict.Result, verdict.Report
 	sized := res.ContentLength >= 0 || len(res.TransferEncoding) > 0
 	keepConn := !early && !res.Close && sized && !c.gotMisrouted
 	switch {
 	case verdict.Result == logic.OK && verdict.Stream && res.ContentLength <= message.MaxBodyBytes:
-		streaming, end.Begun = true, true
+		streaming, end.Streaming = true, true
 		s = p.stream(ctx, up, res, stopWake, keepConn)
 		end.Reply = p.withHead(&message.Reply{Length: res.ContentLength, Rest: s}, res)
 		return end, s, nil
@@ -129,7 +129,7 @@
 		if r, streaming, err = p.readReply(ctx, c, res, stopWake, keepConn); err != nil {
 			return end, nil, &Error{ResponseBegun, withCause(ctx, err)}
 		}
-		end.Reply, end.Pass = p.withHead(r, res), verdict.Result != logic.OK
+		end.Reply, end.PassThrough = p.withHead(r, res), verdict.Result != logic.OK
 	default:
 		if err := discardBody(res.Body, message.MaxBuffered); err != nil {
 			return end, nil, &Error{ResponseBegun, withCause(ctx, err)}
--- a/internal/upstream/error.go
+++ b/internal/upstream/error.go
@@ -38,7 +38,7 @@
 func (e *Error) result() logic.Result {
 	switch {
 	case errors.Is(e.Err, errWithdrawn), errors.Is(e.Err, errClientGone), errors.Is(e.Err, errDedupWindowOver):
-		return logic.Moot
+		return logic.NotSent
 	case errors.Is(e.Err, context.Canceled), errors.Is(e.Err, errClientBody):
 		return logic.Canceled
 	case e.Stage < FullyWritten:
--- a/internal/upstream/idle_limits.go
+++ b/internal/upstream/idle_limits.go
@@ -39,9 +39,9 @@
 // them. It does no I/O and is not safe for concurrent use.
 type idleLimits struct {
 	max         time.Duration // upper limit of all idle limits
-	places      map[core.Place]idleLimit
-	freshResets map[core.Place]time.Time // when a place last reset a new connection
-	global      idleLimit                // for all places, once several have dropped connections
+	places      map[core.Instance]idleLimit
+	freshResets map[core.Instance]time.Time // when a place last reset a new connection
+	global      idleLimit                   // for all places, once several have dropped connections
 }
 
 // idleLimit is a limit and the time at which it was learned. The zero value is no limit.
@@ -52,7 +52,7 @@
 
 // newIdleLimits returns idle limits that are at most upperLimit.
 func newIdleLimits(upperLimit time.Duration) *idleLimits {
-	return &idleLimits{max: upperLimit, places: map[core.Place]idleLimit{}, freshResets: map[core.Place]time.Time{}}
+	return &idleLimits{max: upperLimit, places: map[core.Instance]idleLimit{}, freshResets: map[core.Instance]time.Time{}}
 }
 
 // effective returns the limit that applies at the given time. It doubles every
@@ -69,14 +69,14 @@
 }
 
 // maxIdle returns how long a connection to a place may have been idle and still be used.
-func (l *idleLimits) maxIdle(at core.Place, now time.Time) time.Duration {
+func (l *idleLimits) maxIdle(at core.Instance, now time.Time) time.Duration {
 	return min(l.places[at].effective(now, l.max), l.global.effective(now, l.max))
 }
 
 // recordStaleReset records that a place reset a connection after the given idle time, and limits
 // its idle time to half of that. If enough other places did so recently, the lowest limit applies
 // to all places.
-func (l *idleLimits) recordStaleReset(at core.Place, idleTime time.Duration, now time.Time) {
+func (l *idleLimits) recordStaleReset(at core.Instance, idleTime time.Duration, now time.Time) {
 	l.expire(now)
 	if _, unreliable := l.freshResets[at]; unreliable {
 		return
@@ -94,7 +94,7 @@
 
 // recordFreshReset records that a place reset a new connection. Its resets then tell nothing about
 // idle time.
-func (l *idleLimits) recordFreshReset(at core.Place, now time.Time) {
+func (l *idleLimits) recordFreshReset(at core.Instance, now time.Time) {
 	l.expire(now)
 	l.freshResets[at] = now
 	delete(l.places, at)
@@ -105,8 +105,8 @@
 
 // expire deletes limits and resets that no longer have an effect.
 func (l *idleLimits) expire(now time.Time) {
-	maps.DeleteFunc(l.places, func(_ core.Place, limit idleLimit) bool { return limit.effective(now, l.max) >= l.max })
-	maps.DeleteFunc(l.freshResets, func(_ core.Place, at time.Time) bool { return now.Sub(at) >= freshResetMemory })
+	maps.DeleteFunc(l.places, func(_ core.Instance, limit idleLimit) bool { return limit.effective(now, l.max) >= l.max })
+	maps.DeleteFunc(l.freshResets, func(_ core.Instance, at time.Time) bool { return now.Sub(at) >= freshResetMemory })
 }
 
 // keepAliveTimeout returns how long a server states in a Keep-Alive field that it keeps an idle
--- a/internal/upstream/idle_limits_test.go
+++ b/internal/upstream/idle_limits_test.go
@@ -18,7 +18,7 @@
 // A place that drops an idle connection is limited to half of its idle time.
 func TestIdleLimitOfAPlaceThatDropsConnections(t *testing.T) {
 	l := newIdleLimits(30 * time.Second)
-	a, b := core.Place{ID: "a"}, core.Place{ID: "b"}
+	a, b := core.Instance{ID: "a"}, core.Instance{ID: "b"}
 	assert.Equal(t, 30*time.Second, l.maxIdle(a, start))
 	l.recordStaleReset(a, 800*time.Millisecond, start)
 	assert.Equal(t, 400*time.Millisecond, l.maxIdle(a, start))
@@ -34,25 +34,25 @@
 // The limit applies to all places once three of them drop idle connections.
 func TestGlobalIdleLimit(t *testing.T) {
 	l := newIdleLimits(30 * time.Second)
-	l.recordStaleReset(core.Place{ID: "a"}, 2*time.Second, start)
-	l.recordStaleReset(core.Place{ID: "b"}, time.Second, start.Add(time.Second))
-	assert.Equal(t, 30*time.Second, l.maxIdle(core.Place{ID: "d"}, start.Add(time.Second)))
-	l.recordStaleReset(core.Place{ID: "c"}, 3*time.Second, start.Add(time.Second))
-	assert.Equal(t, 500*time.Millisecond, l.maxIdle(core.Place{ID: "d"}, start.Add(time.Second)))
+	l.recordStaleReset(core.Instance{ID: "a"}, 2*time.Second, start)
+	l.recordStaleReset(core.Instance{ID: "b"}, time.Second, start.Add(time.Second))
+	assert.Equal(t, 30*time.Second, l.maxIdle(core.Instance{ID: "d"}, start.Add(time.Second)))
+	l.recordStaleReset(core.Instance{ID: "c"}, 3*time.Second, start.Add(time.Second))
+	assert.Equal(t, 500*time.Millisecond, l.maxIdle(core.Instance{ID: "d"}, start.Add(time.Second)))
 }
 
 // A server that also resets new connections is faulty. Its resets must not count as evidence of how
 // long connections to others may be idle.
 func TestPlacesThatResetNewConnectionsDoNotLimitOthers(t *testing.T) {
 	l := newIdleLimits(30 * time.Second)
-	a, b, c := core.Place{ID: "a"}, core.Place{ID: "b"}, core.Place{ID: "c"}
+	a, b, c := core.Instance{ID: "a"}, core.Instance{ID: "b"}, core.Instance{ID: "c"}
 	l.recordStaleReset(a, time.Second, start)
 	l.recordStaleReset(b, time.Second, start)
 	l.recordStaleReset(c, time.Second, start)
-	assert.Equal(t, 500*time.Millisecond, l.maxIdle(core.Place{ID: "d"}, start))
+	assert.Equal(t, 500*time.Millisecond, l.maxIdle(core.Instance{ID: "d"}, start))
 	l.recordFreshReset(a, start)
 	assert.Equal(t, 30*time.Second, l.maxIdle(a, start))
-	assert.Equal(t, 30*time.Second, l.maxIdle(core.Place{ID: "d"}, start), "two places are not enough for a global limit")
+	assert.Equal(t, 30*time.Second, l.maxIdle(core.Instance{ID: "d"}, start), "two places are not enough for a global limit")
 	assert.Equal(t, 500*time.Millisecond, l.maxIdle(b, start))
 	l.recordStaleReset(a, time.Second, start.Add(freshResetMemory/2))
 	assert.Equal(t, 30*time.Second, l.maxIdle(a, start.Add(freshResetMemory/2)))
@@ -63,7 +63,7 @@
 // A learned limit doubles with time until it has no effect.
 func TestIdleLimitsExpire(t *testing.T) {
 	l := newIdleLimits(30 * time.Second)
-	a, b := core.Place{ID: "a"}, core.Place{ID: "b"}
+	a, b := core.Instance{ID: "a"}, core.Instance{ID: "b"}
 	l.recordStaleReset(a, time.Second, start)
 	assert.Equal(t, time.Second, l.maxIdle(a, start.Add(idleLimitDoublingTime)))
 	assert.Equal(t, 8*time.Second, l.maxIdle(a, start.Add(4*idleLimitDoublingTime)))
@@ -102,6 +102,6 @@
 	assert.Equal(t, 500*time.Millisecond, p.maxIdleTime(&conn{keepAlive: time.Second}, start), "half of a short timeout")
 	assert.Equal(t, 30*time.Second, p.maxIdleTime(&conn{keepAlive: time.Minute}, start))
 	p.idleLimits = newIdleLimits(30 * time.Second)
-	p.idleLimits.recordStaleReset(core.Place{ID: "a"}, time.Second, start)
-	assert.Equal(t, 500*time.Millisecond, p.maxIdleTime(&conn{place: core.Place{ID: "a"}, keepAlive: 5 * time.Second}, start))
+	p.idleLimits.recordStaleReset(core.Instance{ID: "a"}, time.Second, start)
+	assert.Equal(t, 500*time.Millisecond, p.maxIdleTime(&conn{place: core.Instance{ID: "a"}, keepAlive: 5 * time.Second}, start))
 }
--- a/internal/upstream/pending.go
+++ b/internal/upstream/pending.go
@@ -28,10 +28,10 @@
 	pending := &pendingAttempt{a, cancel}
 	p.pendingMu.Lock()
 	defer p.pendingMu.Unlock()
-	ofPlace := p.pending[a.Place]
+	ofPlace := p.pending[a.Instance]
 	if ofPlace == nil {
 		ofPlace = map[*pendingAttempt]struct{}{}
-		p.pending[a.Place] = ofPlace
+		p.pending[a.Instance] = ofPlace
 	}
 	ofPlace[pending] = struct{}{}
 	return pending
@@ -39,7 +39,7 @@
 
 // Withdraw cancels the attempts to a place that have not begun. It does not block. None of them
 // begins after it returns.
-func (p *Pool) Withdraw(at core.Place) {
+func (p *Pool) Withdraw(at core.Instance) {
 	p.pendingMu.Lock()
 	defer p.pendingMu.Unlock()
 	for pending := range p.pending[at] {
@@ -60,7 +60,7 @@
 	if cause := context.Cause(ctx); cause != nil {
 		return cause // withdrawn, canceled or timed out
 	}
-	if before := pending.attempt.Before; !before.IsZero() && !time.Now().Before(before) {
+	if before := pending.attempt.StartBefore; !before.IsZero() && !time.Now().Before(before) {
 		return errDedupWindowOver
 	}
 	return nil
@@ -75,8 +75,8 @@
 
 // unregisterPendingLocked is unregisterPending for a caller that holds pendingMu.
 func (p *Pool) unregisterPendingLocked(pending *pendingAttempt) {
-	ofPlace := p.pending[pending.attempt.Place]
+	ofPlace := p.pending[pending.attempt.Instance]
 	if delete(ofPlace, pending); len(ofPlace) == 0 {
-		delete(p.pending, pending.attempt.Place)
+		delete(p.pending, pending.attempt.Instance)
 	}
 }
--- a/internal/upstream/pending_test.go
+++ b/internal/upstream/pending_test.go
@@ -31,25 +31,25 @@
 func TestNothingIsWrittenIfConditionsChangeWhileConnecting(t *testing.T) {
 	for name, tt := range map[string]struct {
 		before time.Duration // latest begin of the attempt, from now; 0: none
-		event  func(p *Pool, at core.Place, cancel func(), left *atomic.Bool)
+		event  func(p *Pool, at core.Instance, cancel func(), left *atomic.Bool)
 		want   logic.Result
 		left   bool // the end must say that the client has left
 		kept   bool // the connection must be kept
 	}{
-		"nothing":                             {0, func(*Pool, core.Place, func(), *atomic.Bool) {}, logic.OK, false, true},
-		"server is removed":                   {0, func(p *Pool, at core.Place, _ func(), _ *atomic.Bool) { p.Withdraw(at) }, logic.Moot, false, false},
-		"another server is removed":           {0, func(p *Pool, at core.Place, _ func(), _ *atomic.Bool) { at.Born++; p.Withdraw(at) }, logic.OK, false, true},
-		"client leaves":                       {0, func(_ *Pool, _ core.Place, _ func(), left *atomic.Bool) { left.Store(true) }, logic.Moot, true, true},
-		"canceled":                            {0, func(_ *Pool, _ core.Place, cancel func(), _ *atomic.Bool) { cancel() }, logic.Canceled, false, true},
-		"window is over":                      {-1, func(*Pool, core.Place, func(), *atomic.Bool) {}, logic.Moot, false, true},
-		"window is open":                      {time.Hour, func(*Pool, core.Place, func(), *atomic.Bool) {}, logic.OK, false, true},
-		"client leaves and server is removed": {0, func(p *Pool, at core.Place, _ func(), left *atomic.Bool) { left.Store(true); p.Withdraw(at) }, logic.Moot, false, false},
+		"nothing":                             {0, func(*Pool, core.Instance, func(), *atomic.Bool) {}, logic.OK, false, true},
+		"server is removed":                   {0, func(p *Pool, at core.Instance, _ func(), _ *atomic.Bool) { p.Withdraw(at) }, logic.NotSent, false, false},
+		"another server is removed":           {0, func(p *Pool, at core.Instance, _ func(), _ *atomic.Bool) { at.Started++; p.Withdraw(at) }, logic.OK, false, true},
+		"client leaves":                       {0, func(_ *Pool, _ core.Instance, _ func(), left *atomic.Bool) { left.Store(true) }, logic.NotSent, true, true},
+		"canceled":                            {0, func(_ *Pool, _ core.Instance, cancel func(), _ *atomic.Bool) { cancel() }, logic.Canceled, false, true},
+		"window is over":                      {-1, func(*Pool, core.Instance, func(), *atomic.Bool) {}, logic.NotSent, false, true},
+		"window is open":                      {time.Hour, func(*Pool, core.Instance, func(), *atomic.Bool) {}, logic.OK, false, true},
+		"client leaves and server is removed": {0, func(p *Pool, at core.Instance, _ func(), left *atomic.Bool) { left.Store(true); p.Withdraw(at) }, logic.NotSent, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, err := standin.NewBackend(standin.OK)
 			require.NoError(t, err)
 			defer b.Close()
-			at := core.Place{ID: "b", Endpoint: b.Addr}
+			at := core.Instance{ID: "b", Endpoint: b.Addr}
 			p := poolOf(2)
 			dialing := make(chan struct{})
 			connect := make(chan struct{})
@@ -61,18 +61,18 @@
 			}
 			var left atomic.Bool
 			call := &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i", ClientGone: left.Load}
-			a := core.Attempt{Call: call, Place: at, Until: time.Now().Add(20 * time.Second)}
+			a := core.Attempt{Call: call, Instance: at, Deadline: time.Now().Add(20 * time.Second)}
 			if tt.before != 0 {
-				a.Before = time.Now().Add(tt.before)
+				a.StartBefore = time.Now().Add(tt.before)
 			}
-			ends := make(chan core.Ended, 2)
-			cancel := p.Start(a, func(e core.Ended) { ends <- e })
+			ends := make(chan core.AttemptResult, 2)
+			cancel := p.Start(a, func(e core.AttemptResult) { ends <- e })
 			<-dialing
 			tt.event(p, at, cancel, &left)
 			close(connect)
 			end := <-ends
 			assert.Equal(t, tt.want, end.Result)
-			assert.Equal(t, tt.left, end.Left)
+			assert.Equal(t, tt.left, end.ClientGone)
 			sent := 0
 			if tt.want == logic.OK {
 				sent = 1
@@ -93,13 +93,13 @@
 	for range 20 {
 		b, err := standin.NewBackend(standin.OK)
 		require.NoError(t, err)
-		at := core.Place{ID: "b", Endpoint: b.Addr}
+		at := core.Instance{ID: "b", Endpoint: b.Addr}
 		p := poolOf(100)
 		const attempts = 50
-		ends := make(chan core.Ended, attempts)
+		ends := make(chan core.AttemptResult, attempts)
 		for range attempts {
-			p.Start(core.Attempt{Call: &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i"}, Place: at,
-				Until: time.Now().Add(20 * time.Second)}, func(e core.Ended) { ends <- e })
+			p.Start(core.Attempt{Call: &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i"}, Instance: at,
+				Deadline: time.Now().Add(20 * time.Second)}, func(e core.AttemptResult) { ends <- e })
 		}
 		p.Withdraw(at)
 		p.pendingMu.Lock()
@@ -110,7 +110,7 @@
 			switch e := <-ends; e.Result {
 			case logic.OK:
 				served++
-			case logic.Moot:
+			case logic.NotSent:
 			default:
 				assert.Fail(t, "the attempt was neither written nor withdrawn", "%v", e.Result)
 			}
@@ -145,9 +145,9 @@
 	p := poolOf(10)
 	assert.Equal(t, reuseDelay, p.reuseDelay)
 	ask := func(path string) string {
-		ends := make(chan core.Ended, 1)
-		p.Start(core.Attempt{Call: &message.Call{Method: "GET", Target: path, Host: "h", ID: "i"}, Place: core.Place{ID: "b", Endpoint: b.Addr},
-			Until: time.Now().Add(20 * time.Second)}, func(e core.Ended) { ends <- e })
+		ends := make(chan core.AttemptResult, 1)
+		p.Start(core.Attempt{Call: &message.Call{Method: "GET", Target: path, Host: "h", ID: "i"}, Instance: core.Instance{ID: "b", Endpoint: b.Addr},
+			Deadline: time.Now().Add(20 * time.Second)}, func(e core.AttemptResult) { ends <- e })
 		e := <-ends
 		require.Equal(t, logic.OK, e.Result)
 		return string(e.Reply.(*message.Reply).Body)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -20,7 +20,7 @@
 // response is detected before the next request is written, and is not taken for its response.
 const reuseDelay = 10 * time.Millisecond
 
-// Pool holds the connections to all servers. Idle connections are kept by core.Place, which
+// Pool holds the connections to all servers. Idle connections are kept by core.Instance, which
 // identifies a server process, so that a connection to an earlier process of a server is never
 // used for its successor.
 type Pool struct {
@@ -33,13 +33,13 @@
 	reuseDelay time.Duration // the constant, unless a test changes it
 
 	mu         sync.Mutex
-	open       int                    // connections open or being opened
-	idle       map[core.Place][]*conn // ordered by last use, the most recent last
-	idleLimits *idleLimits            // nil: idle limits are not learned
-	connCounts map[core.Place]int     // connections open or being opened, by place
+	open       int                       // connections open or being opened
+	idle       map[core.Instance][]*conn // ordered by last use, the most recent last
+	idleLimits *idleLimits               // nil: idle limits are not learned
+	connCounts map[core.Instance]int     // connections open or being opened, by place
 
 	pendingMu sync.Mutex
-	pending   map[core.Place]map[*pendingAttempt]struct{} // attempts that have not been written yet
+	pending   map[core.Instance]map[*pendingAttempt]struct{} // attempts that have not been written yet
 }
 
 // conn is a connection to a server.
@@ -47,7 +47,7 @@
 	net.Conn
 	reader    *bufio.Reader
 	readLimit int // bytes that may still be read for the present response
-	place     core.Place
+	place     core.Instance
 	idleSince time.Time
 
 	dialTime     time.Duration // how long connecting took
@@ -69,7 +69,7 @@
 var errConnLimit = errors.New("connection limit reached")
 
 // acquire returns an idle connection to a place, or a new one.
-func (p *Pool) acquire(ctx context.Context, at core.Place) (*conn, error) {
+func (p *Pool) acquire(ctx context.Context, at core.Instance) (*conn, error) {
 	for {
 		c, usable := p.popIdle(at)
 		if c == nil {
@@ -130,7 +130,7 @@
 // used. As long as there is no sign that servers drop idle connections, it takes the one that was
 // idle longest, so that all connections of a past burst stay in use. Otherwise it takes the one
 // that was used last.
-func (p *Pool) popIdle(at core.Place) (c *conn, usable bool) {
+func (p *Pool) popIdle(at core.Instance) (c *conn, usable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list, now := p.idle[at], time.Now()
@@ -154,7 +154,7 @@
 // reserveSlot reserves a slot for a new connection to a place and reports whether there is one. If
 // a limit is reached, the connection that was idle longest is closed to make room: one to the same
 // place if the limit is that of the place.
-func (p *Pool) reserveSlot(at core.Place) bool {
+func (p *Pool) reserveSlot(at core.Instance) bool {
 	p.mu.Lock()
 	oldest, reserved := (*conn)(nil), true
 	switch {
@@ -183,7 +183,7 @@
 }
 
 // atPlaceLimit reports whether a place has reached its connection limit. The caller holds p.mu.
-func (p *Pool) atPlaceLimit(at core.Place) bool {
+func (p *Pool) atPlaceLimit(at core.Instance) bool {
 	if p.opt.MaxConnsPerPlace == nil {
 		return false
 	}
@@ -223,7 +223,7 @@
 }
 
 // popOldestOf removes the connection to a place that was idle longest. The caller holds p.mu.
-func (p *Pool) popOldestOf(at core.Place) *conn {
+func (p *Pool) popOldestOf(at core.Instance) *conn {
 	list := p.idle[at]
 	if len(list) == 0 {
 		return nil
@@ -233,14 +233,14 @@
 }
 
 // releaseSlot returns the slot of a connection to a place.
-func (p *Pool) releaseSlot(at core.Place) {
+func (p *Pool) releaseSlot(at core.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.freeSlotLocked(at)
 }
 
 // freeSlotLocked returns the slot of a connection to a place. The caller holds p.mu.
-func (p *Pool) freeSlotLocked(at core.Place) {
+func (p *Pool) freeSlotLocked(at core.Instance) {
 	p.open--
 	if p.connCounts[at]--; p.connCounts[at] == 0 {
 		delete(p.connCounts, at)
@@ -262,7 +262,7 @@
 }
 
 // CloseIdle closes the idle connections to a place without blocking.
-func (p *Pool) CloseIdle(at core.Place) {
+func (p *Pool) CloseIdle(at core.Instance) {
 	p.mu.Lock()
 	list := p.idle[at]
 	delete(p.idle, at)
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -118,14 +118,14 @@
 
 // waitClosed returns the end of the attempt once the stream is closed. If the deadline passes or
 // the attempt is canceled first, it closes the connection at once, so that the server stops.
-func (s *stream) waitClosed() core.Ended {
+func (s *stream) waitClosed() core.AttemptResult {
 	select {
 	case <-s.done:
 	case <-s.ctx.Done():
 		s.abort()
 		<-s.done
 	}
-	return core.Ended{Result: s.result, At: time.Now()}
+	return core.AttemptResult{Result: s.result, At: time.Now()}
 }
 
 // abort closes the connection of a stream that its reader has not closed yet, unless the body is
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -36,7 +36,7 @@
 
 // streamingServer is a server that streams a response step by step.
 type streamingServer struct {
-	place  core.Place
+	place  core.Instance
 	steps  chan func(c *net.TCPConn) bool // the response goes on while a step returns true
 	closed chan error                     // the error with which the connection ended
 	server *standin.Backend
@@ -54,7 +54,7 @@
 	})
 	assert.NilError(t, err)
 	t.Cleanup(func() { close(s.steps); b.Close() })
-	s.server, s.place = b, core.Place{ID: "b", Endpoint: b.Addr}
+	s.server, s.place = b, core.Instance{ID: "b", Endpoint: b.Addr}
 	return s
 }
 
@@ -83,14 +83,14 @@
 }
 
 // start begins an attempt, lets the server write the head and the first event, and reads them.
-func (s *streamingServer) start(t *testing.T, p *Pool, f eventFraming, until time.Time) (io.ReadCloser, chan core.Ended, func()) {
+func (s *streamingServer) start(t *testing.T, p *Pool, f eventFraming, until time.Time) (io.ReadCloser, chan core.AttemptResult, func()) {
 	t.Helper()
-	ends := make(chan core.Ended, 3)
+	ends := make(chan core.AttemptResult, 3)
 	call := &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i"}
-	cancel := p.Start(core.Attempt{Call: call, Place: s.place, Until: until}, func(e core.Ended) { ends <- e })
+	cancel := p.Start(core.Attempt{Call: call, Instance: s.place, Deadline: until}, func(e core.AttemptResult) { ends <- e })
 	s.write("HTTP/1.1 200 OK\r\nStream: 1\r\nContent-Type: text/event-stream\r\n" + f.head + "\r\n")
 	e := wait(t, ends) // before any byte of the body is written
-	assert.Check(t, e.Begun)
+	assert.Check(t, e.Streaming)
 	assert.Equal(t, e.Result, logic.OK)
 	reply := e.Reply.(*message.Reply)
 	assert.Equal(t, reply.ContentType, "text/event-stream")
@@ -121,12 +121,12 @@
 }
 
 // closeTwice closes a stream twice and returns its result. It checks that there is only one.
-func closeTwice(t *testing.T, replyRest io.Closer, ends chan core.Ended) logic.Result {
+func closeTwice(t *testing.T, replyRest io.Closer, ends chan core.AttemptResult) logic.Result {
 	t.Helper()
 	replyRest.Close()
 	replyRest.Close()
 	e := wait(t, ends)
-	assert.Check(t, !e.Begun)
+	assert.Check(t, !e.Streaming)
 	assert.Equal(t, len(ends), 0)
 	return e.Result
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -23,7 +23,7 @@
 	// WriteHead writes the head of a request, including the empty line that ends it. left is the
 	// time that remains until the deadline of the attempt. WriteBodyFraming writes the header
 	// field that frames the body.
-	WriteHead(dst *bytes.Buffer, call *message.Call, at core.Place, left time.Duration)
+	WriteHead(dst *bytes.Buffer, call *message.Call, at core.Instance, left time.Duration)
 	// Classify interprets a response by its head. It may change the header, which a Reply passes
 	// on, and must not read the body.
 	Classify(call *message.Call, res *http.Response) Classification
@@ -41,13 +41,13 @@
 // Options configures a Pool.
 type Options struct {
 	ConnectTimeout   time.Duration
-	TCPUserTimeout   time.Duration        // TCP_USER_TIMEOUT: how long sent data may stay unacknowledged; 0: not set
-	IdleTimeout      time.Duration        // longest time that a connection is kept idle
-	LearnIdleLimits  bool                 // shorten the idle timeout where servers drop idle connections sooner
-	MaxConns         int                  // limit of connections open or being opened, over all servers
-	MaxConnsPerPlace func(core.Place) int // limit for one server process, 0: none; a nil function: no limits. It must not block
-	OmitHeader       bool                 // leave Status and Header of replies empty
-	OnRequestWritten func()               // called for each attempt whose request was fully written
+	TCPUserTimeout   time.Duration           // TCP_USER_TIMEOUT: how long sent data may stay unacknowledged; 0: not set
+	IdleTimeout      time.Duration           // longest time that a connection is kept idle
+	LearnIdleLimits  bool                    // shorten the idle timeout where servers drop idle connections sooner
+	MaxConns         int                     // limit of connections open or being opened, over all servers
+	MaxConnsPerPlace func(core.Instance) int // limit for one server process, 0: none; a nil function: no limits. It must not block
+	OmitHeader       bool                    // leave Status and Header of replies empty
+	OnRequestWritten func()                  // called for each attempt whose request was fully written
 	Budget           *message.Budget
 }
 
@@ -61,7 +61,7 @@
 	return d
 }
 
-var _ core.Backends = (*Pool)(nil)
+var _ core.Transport = (*Pool)(nil)
 
 // New returns a Pool without open connections.
 func New(codec Codec, opt Options, count *counters.Set, log *slog.Logger) *Pool {
@@ -70,7 +70,7 @@
 	}
 	d := opt.dialer()
 	p := &Pool{codec: codec, opt: opt, count: count, log: log, dial: d.DialContext, reuseDelay: reuseDelay,
-		idle: map[core.Place][]*conn{}, connCounts: map[core.Place]int{}, pending: map[core.Place]map[*pendingAttempt]struct{}{}}
+		idle: map[core.Instance][]*conn{}, connCounts: map[core.Instance]int{}, pending: map[core.Instance]map[*pendingAttempt]struct{}{}}
 	if opt.LearnIdleLimits {
 		p.idleLimits = newIdleLimits(opt.IdleTimeout)
 	}
--- a/internal/wire/print.go
+++ b/internal/wire/print.go
@@ -14,11 +14,11 @@
 	case logic.Send:
 		dst = appendHead(dst, "FORWARD", node, string(a.ID))
 		dst = append(append(dst, ' '), a.Server...)
-		dst = appendMicros(dst, max(a.Within, time.Microsecond))
+		dst = appendMicros(dst, max(a.Timeout, time.Microsecond))
 	case logic.Cancel:
 		dst = appendHead(dst, "ABANDON", node, string(a.ID))
 		dst = strconv.AppendInt(append(dst, ' '), int64(a.Attempt), 10)
-	case logic.Refuse:
+	case logic.Reject:
 		dst = appendHead(dst, "REJECT", node, string(a.ID))
 		dst = appendMicros(dst, a.RetryAfter)
 	case logic.Fail:
