--- a/internal/wire/list.go
+++ b/internal/wire/list.go
@@ -10,14 +10,14 @@
 )
 
 // readServerList reads the server lines that follow a REGISTER line and stores the list.
-func (r *Reader) readServerList(f []string) error {
-	number, err := parseListNumber(f[1])
+func (r *Reader) readServerList(fields []string) error {
+	number, err := parseListNumber(fields[1])
 	if err != nil {
 		return fmt.Errorf("REGISTER: %w", err)
 	}
-	count, err := strconv.Atoi(f[2])
+	count, err := strconv.Atoi(fields[2])
 	if err != nil || count < 0 || count > maxListedServers {
-		return fmt.Errorf("REGISTER: count %q", clip(f[2]))
+		return fmt.Errorf("REGISTER: invalid count %q", clip(fields[2]))
 	}
 	list := make([]logic.Server, 0, min(count, 4096))
 	for i := 0; i < count; i++ {
@@ -39,42 +39,44 @@
 	return nil
 }
 
+// parseListNumber parses the number of a server list.
 func parseListNumber(s string) (int, error) {
 	number, err := strconv.Atoi(s)
 	if err != nil || number < 0 || number >= maxLists {
-		return 0, fmt.Errorf("list number %q", clip(s))
+		return 0, fmt.Errorf("invalid list number %q", clip(s))
 	}
 	return number, nil
 }
 
+// states maps the states of M lines to their values.
 var states = map[string]logic.ServerState{
 	"SERVING": logic.Serving, "DRAINING": logic.Draining, "DELETED": logic.Gone,
 }
 
 // parseServer parses the fields of an M line: capacity, state, start time, kind, zone, server
 // id and cell.
-func parseServer(f []string) (s logic.Server, err error) {
-	if f[0] != "M" || len(f) != 8 {
+func parseServer(fields []string) (s logic.Server, err error) {
+	if fields[0] != "M" || len(fields) != 8 {
 		return s, errors.New("expected an M line with 7 values")
 	}
 	s.Capacity = 1
-	if f[1] != "-" {
-		if s.Capacity, err = strconv.ParseFloat(f[1], 64); err != nil || !(s.Capacity >= 0) || s.Capacity > 1e12 {
-			return s, fmt.Errorf("capacity %q", clip(f[1]))
+	if fields[1] != "-" {
+		if s.Capacity, err = strconv.ParseFloat(fields[1], 64); err != nil || !(s.Capacity >= 0) || s.Capacity > 1e12 {
+			return s, fmt.Errorf("invalid capacity %q", clip(fields[1]))
 		}
 	}
-	state, ok := states[f[2]]
+	state, ok := states[fields[2]]
 	if !ok {
-		return s, fmt.Errorf("state %q", clip(f[2]))
+		return s, fmt.Errorf("invalid state %q", clip(fields[2]))
 	}
-	if s.StartedAt, err = microsOr0(f[3]); err != nil {
-		return s, fmt.Errorf("born: %w", err)
+	if s.StartedAt, err = microsOr0(fields[3]); err != nil {
+		return s, fmt.Errorf("start time: %w", err)
 	}
-	if f[7] != "-" {
-		if s.Cell, err = strconv.Atoi(f[7]); err != nil {
-			return s, fmt.Errorf("cell %q", clip(f[7]))
+	if fields[7] != "-" {
+		if s.Cell, err = strconv.Atoi(fields[7]); err != nil {
+			return s, fmt.Errorf("invalid cell %q", clip(fields[7]))
 		}
 	}
-	s.State, s.Kind, s.Zone, s.ID = state, orEmpty(f[4]), orEmpty(f[5]), logic.ServerID(f[6])
-	return s, nonEmpty("server", f[6])
+	s.State, s.Kind, s.Zone, s.ID = state, orEmpty(fields[4]), orEmpty(fields[5]), logic.ServerID(fields[6])
+	return s, nonEmpty("server", fields[6])
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -75,9 +75,11 @@
 	return s, f.err
 }
 
+// effects maps the names of effects in settings to their values.
 var effects = map[string]logic.Effect{"safe": logic.Safe, "keyed": logic.Keyed, "unsafe": logic.Unsafe}
 
-var groups = map[string]logic.DedupScope{"": logic.DedupAll, "all": logic.DedupAll, "zone": logic.DedupZone, "cell": logic.DedupCell}
+// dedupScopes maps the names of deduplication groups in settings to their values.
+var dedupScopes = map[string]logic.DedupScope{"": logic.DedupAll, "all": logic.DedupAll, "zone": logic.DedupZone, "cell": logic.DedupCell}
 
 // class reads the request class whose keys start with prefix.
 func (f *settingsParser) class(prefix string) logic.Class {
@@ -85,7 +87,7 @@
 	if !ok {
 		f.fail(prefix+"effect", f.text(prefix+"effect"))
 	}
-	group, ok := groups[f.text(prefix+"group")]
+	group, ok := dedupScopes[f.text(prefix+"group")]
 	if !ok && effect == logic.Keyed {
 		f.fail(prefix+"group", f.text(prefix+"group"))
 	}
@@ -106,6 +108,7 @@
 // text returns the value of a setting, and "" where it is absent or "-".
 func (f *settingsParser) text(key string) string { return orEmpty(f.values[key]) }
 
+// number returns the value of a numeric setting, and 0 where it is absent.
 func (f *settingsParser) number(key string) float64 {
 	v := f.text(key)
 	if v == "" {
@@ -119,6 +122,7 @@
 	return n
 }
 
+// time returns the value of a setting in microseconds, and 0 where it is absent.
 func (f *settingsParser) time(key string) time.Duration {
 	v := f.text(key)
 	if v == "" {
@@ -131,6 +135,7 @@
 	return d
 }
 
+// count returns the length of a list of objects, and 0 where it is absent.
 func (f *settingsParser) count(key string) int {
 	n := f.number(key)
 	if n < 0 || n > maxObjects || n != float64(int(n)) {
@@ -140,6 +145,7 @@
 	return int(n)
 }
 
+// flag returns the value of a boolean setting, and false where it is absent.
 func (f *settingsParser) flag(key string) bool {
 	switch v := f.text(key); v {
 	case "true", "1":
@@ -161,7 +167,7 @@
 	for _, c := range s.Classes {
 		classes = append(classes, map[string]any{
 			"name": c.Name, "slo-us": us(c.Aim), "aim-stretch": c.AimStretch, "deadline-us": us(c.Deadline), "worth": c.Worth,
-			"late-worth": c.LateWorth, "effect": nameOf(effects, c.Effect), "group": nameOf(groups, c.Group),
+			"late-worth": c.LateWorth, "effect": nameOf(effects, c.Effect), "group": nameOf(dedupScopes, c.Group),
 			"window-us": us(c.Window), "stream": c.Stream,
 		})
 	}
@@ -171,11 +177,11 @@
 	}
 	reportMode := "none"
 	fields := make([]any, 0, len(s.ReportFields))
-	for _, f := range s.ReportFields {
-		if reportMode = "answers"; f == logic.ReportInFlight {
-			f = "busy_reqs"
+	for _, field := range s.ReportFields {
+		if reportMode = "answers"; field == logic.ReportInFlight {
+			field = "busy_reqs"
 		}
-		fields = append(fields, f)
+		fields = append(fields, field)
 	}
 	out := map[string]any{
 		"classes": classes, "locality": s.Zone, "replicas-of-me": s.Nodes, "ordinal": s.Number, "over-share-worth": s.OverShareWorth,
--- a/internal/wire/value.go
+++ b/internal/wire/value.go
@@ -19,7 +19,7 @@
 		if part != "-" {
 			var err error
 			if v, err = strconv.ParseFloat(part, 64); err != nil {
-				return nil, fmt.Errorf("load report %q", clip(s))
+				return nil, fmt.Errorf("invalid load report %q", clip(s))
 			}
 		}
 		out = append(out, v)
@@ -31,7 +31,7 @@
 func parseAttempt(s string) (int, error) {
 	n, err := strconv.Atoi(s)
 	if err != nil || n < 0 {
-		return 0, fmt.Errorf("attempt %q", clip(s))
+		return 0, fmt.Errorf("invalid attempt %q", clip(s))
 	}
 	return n, nil
 }
@@ -54,7 +54,7 @@
 func micros(s string) (time.Duration, error) {
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || n > maxMicros || n < -maxMicros {
-		return 0, fmt.Errorf("time %q", clip(s))
+		return 0, fmt.Errorf("invalid time %q", clip(s))
 	}
 	return time.Duration(n) * time.Microsecond, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -86,21 +86,21 @@
 	if err != nil {
 		return nil, r.withLine(err)
 	}
-	f := r.split(text, 3)
-	if f[0] != "CLOCK" {
-		return nil, r.withLine(fmt.Errorf("expected CLOCK, found %q", clip(f[0])))
+	fields := r.split(text, 3)
+	if fields[0] != "CLOCK" {
+		return nil, r.withLine(fmt.Errorf("expected CLOCK, found %q", clip(fields[0])))
 	}
-	if len(f) != 3 {
+	if len(fields) != 3 {
 		return nil, r.withLine(errors.New("CLOCK: expected 2 values"))
 	}
-	now, err := micros(f[1])
+	now, err := micros(fields[1])
 	if err != nil {
 		return nil, r.withLine(fmt.Errorf("CLOCK: %w", err))
 	}
-	if _, err := strconv.ParseUint(f[2], 10, 64); err != nil {
-		return nil, r.withLine(fmt.Errorf("CLOCK: batch number %q", clip(f[2])))
+	if _, err := strconv.ParseUint(fields[2], 10, 64); err != nil {
+		return nil, r.withLine(fmt.Errorf("CLOCK: invalid batch number %q", clip(fields[2])))
 	}
-	b := &Batch{Now: now, Seq: f[2]}
+	b := &Batch{Now: now, Seq: fields[2]}
 	return b, r.readItems(b)
 }
 
