--- a/internal/upstream/codec_test.go
+++ b/internal/upstream/codec_test.go
@@ -14,8 +14,8 @@
 // testCodec is a protocol in which header fields of a response state its Classification.
 type testCodec struct{}
 
-func (testCodec) WriteHead(dst *bytes.Buffer, call *message.Call, at core.Instance, _ time.Duration) {
-	fmt.Fprintf(dst, "%s %s HTTP/1.1\r\nHost: %s\r\nTo: %s\r\n", call.Method, call.Target, call.Host, at.ID)
+func (testCodec) WriteHead(dst *bytes.Buffer, call *message.Call, instance core.Instance, _ time.Duration) {
+	fmt.Fprintf(dst, "%s %s HTTP/1.1\r\nHost: %s\r\nTo: %s\r\n", call.Method, call.Target, call.Host, instance.ID)
 	WriteBodyFraming(dst, call)
 	dst.WriteString("\r\n")
 }
--- a/internal/upstream/idle_limits.go
+++ b/internal/upstream/idle_limits.go
@@ -22,10 +22,10 @@
 	// idleLimitDoublingTime is the time in which a learned limit doubles, since the cause that made
 	// servers drop connections passes.
 	idleLimitDoublingTime = 4 * time.Second
-	// minPlacesForGlobalLimit is how many places have to drop idle connections until the limit
-	// applies to all places.
-	minPlacesForGlobalLimit = 3
-	// freshResetMemory is how long a place that reset a new connection immediately is not used for
+	// minInstancesForGlobalLimit is how many instances have to drop idle connections until the limit
+	// applies to all instances.
+	minInstancesForGlobalLimit = 3
+	// freshResetMemory is how long an instance that reset a new connection immediately is not used for
 	// learning: it resets every connection, idle or not.
 	freshResetMemory = 10 * time.Second
 	// maxResetRoundTrips and resetSlack bound the time from a request to its reset if the server
@@ -39,9 +39,9 @@
 // them. It does no I/O and is not safe for concurrent use.
 type idleLimits struct {
 	max         time.Duration // upper limit of all idle limits
-	places      map[core.Instance]idleLimit
-	freshResets map[core.Instance]time.Time // when a place last reset a new connection
-	global      idleLimit                   // for all places, once several have dropped connections
+	instances   map[core.Instance]idleLimit
+	freshResets map[core.Instance]time.Time // when an instance last reset a new connection
+	global      idleLimit                   // for all instances, once several have dropped connections
 }
 
 // idleLimit is a limit and the time at which it was learned. The zero value is no limit.
@@ -52,7 +52,7 @@
 
 // newIdleLimits returns idle limits that are at most upperLimit.
 func newIdleLimits(upperLimit time.Duration) *idleLimits {
-	return &idleLimits{max: upperLimit, places: map[core.Instance]idleLimit{}, freshResets: map[core.Instance]time.Time{}}
+	return &idleLimits{max: upperLimit, instances: map[core.Instance]idleLimit{}, freshResets: map[core.Instance]time.Time{}}
 }
 
 // effective returns the limit that applies at the given time. It doubles every
@@ -68,45 +68,45 @@
 	return min(limit, upperLimit)
 }
 
-// maxIdle returns how long a connection to a place may have been idle and still be used.
-func (l *idleLimits) maxIdle(at core.Instance, now time.Time) time.Duration {
-	return min(l.places[at].effective(now, l.max), l.global.effective(now, l.max))
+// maxIdle returns how long a connection to an instance may have been idle and still be used.
+func (l *idleLimits) maxIdle(instance core.Instance, now time.Time) time.Duration {
+	return min(l.instances[instance].effective(now, l.max), l.global.effective(now, l.max))
 }
 
-// recordStaleReset records that a place reset a connection after the given idle time, and limits
-// its idle time to half of that. If enough other places did so recently, the lowest limit applies
-// to all places.
-func (l *idleLimits) recordStaleReset(at core.Instance, idleTime time.Duration, now time.Time) {
+// recordStaleReset records that an instance reset a connection after the given idle time, and limits
+// its idle time to half of that. If enough other instances did so recently, the lowest limit applies
+// to all instances.
+func (l *idleLimits) recordStaleReset(instance core.Instance, idleTime time.Duration, now time.Time) {
 	l.expire(now)
-	if _, unreliable := l.freshResets[at]; unreliable {
+	if _, unreliable := l.freshResets[instance]; unreliable {
 		return
 	}
-	l.places[at] = idleLimit{max(min(idleTime/2, l.maxIdle(at, now)), minIdleLimit), now}
-	if len(l.places) < minPlacesForGlobalLimit {
+	l.instances[instance] = idleLimit{max(min(idleTime/2, l.maxIdle(instance, now)), minIdleLimit), now}
+	if len(l.instances) < minInstancesForGlobalLimit {
 		return
 	}
 	lowest := l.max
-	for _, limit := range l.places {
+	for _, limit := range l.instances {
 		lowest = min(lowest, limit.effective(now, l.max))
 	}
 	l.global = idleLimit{lowest, now}
 }
 
-// recordFreshReset records that a place reset a new connection. Its resets then tell nothing about
+// recordFreshReset records that an instance reset a new connection. Its resets then tell nothing about
 // idle time.
-func (l *idleLimits) recordFreshReset(at core.Instance, now time.Time) {
+func (l *idleLimits) recordFreshReset(instance core.Instance, now time.Time) {
 	l.expire(now)
-	l.freshResets[at] = now
-	delete(l.places, at)
-	if len(l.places) < minPlacesForGlobalLimit {
+	l.freshResets[instance] = now
+	delete(l.instances, instance)
+	if len(l.instances) < minInstancesForGlobalLimit {
 		l.global = idleLimit{}
 	}
 }
 
 // expire deletes limits and resets that no longer have an effect.
 func (l *idleLimits) expire(now time.Time) {
-	maps.DeleteFunc(l.places, func(_ core.Instance, limit idleLimit) bool { return limit.effective(now, l.max) >= l.max })
-	maps.DeleteFunc(l.freshResets, func(_ core.Instance, at time.Time) bool { return now.Sub(at) >= freshResetMemory })
+	maps.DeleteFunc(l.instances, func(_ core.Instance, limit idleLimit) bool { return limit.effective(now, l.max) >= l.max })
+	maps.DeleteFunc(l.freshResets, func(_ core.Instance, resetAt time.Time) bool { return now.Sub(resetAt) >= freshResetMemory })
 }
 
 // keepAliveTimeout returns how long a server states in a Keep-Alive field that it keeps an idle
--- a/internal/upstream/idle_limits_test.go
+++ b/internal/upstream/idle_limits_test.go
@@ -15,14 +15,14 @@
 
 var start = time.Unix(1000, 0)
 
-// A place that drops an idle connection is limited to half of its idle time.
-func TestIdleLimitOfAPlaceThatDropsConnections(t *testing.T) {
+// An instance that drops an idle connection is limited to half of its idle time.
+func TestIdleLimitOfAnInstanceThatDropsConnections(t *testing.T) {
 	l := newIdleLimits(30 * time.Second)
 	a, b := core.Instance{ID: "a"}, core.Instance{ID: "b"}
 	assert.Equal(t, 30*time.Second, l.maxIdle(a, start))
 	l.recordStaleReset(a, 800*time.Millisecond, start)
 	assert.Equal(t, 400*time.Millisecond, l.maxIdle(a, start))
-	assert.Equal(t, 30*time.Second, l.maxIdle(b, start), "one place that drops connections does not limit others")
+	assert.Equal(t, 30*time.Second, l.maxIdle(b, start), "one instance that drops connections does not limit others")
 	l.recordStaleReset(a, 300*time.Millisecond, start)
 	assert.Equal(t, 150*time.Millisecond, l.maxIdle(a, start))
 	l.recordStaleReset(a, 5*time.Second, start)
@@ -31,7 +31,7 @@
 	assert.Equal(t, minIdleLimit, l.maxIdle(a, start))
 }
 
-// The limit applies to all places once three of them drop idle connections.
+// The limit applies to all instances once three of them drop idle connections.
 func TestGlobalIdleLimit(t *testing.T) {
 	l := newIdleLimits(30 * time.Second)
 	l.recordStaleReset(core.Instance{ID: "a"}, 2*time.Second, start)
@@ -43,7 +43,7 @@
 
 // A server that also resets new connections is faulty. Its resets must not count as evidence of how
 // long connections to others may be idle.
-func TestPlacesThatResetNewConnectionsDoNotLimitOthers(t *testing.T) {
+func TestInstancesThatResetNewConnectionsDoNotLimitOthers(t *testing.T) {
 	l := newIdleLimits(30 * time.Second)
 	a, b, c := core.Instance{ID: "a"}, core.Instance{ID: "b"}, core.Instance{ID: "c"}
 	l.recordStaleReset(a, time.Second, start)
@@ -52,7 +52,7 @@
 	assert.Equal(t, 500*time.Millisecond, l.maxIdle(core.Instance{ID: "d"}, start))
 	l.recordFreshReset(a, start)
 	assert.Equal(t, 30*time.Second, l.maxIdle(a, start))
-	assert.Equal(t, 30*time.Second, l.maxIdle(core.Instance{ID: "d"}, start), "two places are not enough for a global limit")
+	assert.Equal(t, 30*time.Second, l.maxIdle(core.Instance{ID: "d"}, start), "two instances are not enough for a global limit")
 	assert.Equal(t, 500*time.Millisecond, l.maxIdle(b, start))
 	l.recordStaleReset(a, time.Second, start.Add(freshResetMemory/2))
 	assert.Equal(t, 30*time.Second, l.maxIdle(a, start.Add(freshResetMemory/2)))
@@ -69,7 +69,7 @@
 	assert.Equal(t, 8*time.Second, l.maxIdle(a, start.Add(4*idleLimitDoublingTime)))
 	assert.Equal(t, 30*time.Second, l.maxIdle(a, start.Add(time.Hour)))
 	l.recordStaleReset(b, time.Second, start.Add(time.Hour))
-	assert.Len(t, l.places, 1, "the expired limit of the first place is deleted")
+	assert.Len(t, l.instances, 1, "the expired limit of the first instance is deleted")
 }
 
 // Invalid timeouts in a Keep-Alive field are ignored.
@@ -103,5 +103,5 @@
 	assert.Equal(t, 30*time.Second, p.maxIdleTime(&conn{keepAlive: time.Minute}, start))
 	p.idleLimits = newIdleLimits(30 * time.Second)
 	p.idleLimits.recordStaleReset(core.Instance{ID: "a"}, time.Second, start)
-	assert.Equal(t, 500*time.Millisecond, p.maxIdleTime(&conn{place: core.Instance{ID: "a"}, keepAlive: 5 * time.Second}, start))
+	assert.Equal(t, 500*time.Millisecond, p.maxIdleTime(&conn{instance: core.Instance{ID: "a"}, keepAlive: 5 * time.Second}, start))
 }
--- a/internal/upstream/pending.go
+++ b/internal/upstream/pending.go
@@ -28,25 +28,25 @@
 	pending := &pendingAttempt{a, cancel}
 	p.pendingMu.Lock()
 	defer p.pendingMu.Unlock()
-	ofPlace := p.pending[a.Instance]
-	if ofPlace == nil {
-		ofPlace = map[*pendingAttempt]struct{}{}
-		p.pending[a.Instance] = ofPlace
+	ofInstance := p.pending[a.Instance]
+	if ofInstance == nil {
+		ofInstance = map[*pendingAttempt]struct{}{}
+		p.pending[a.Instance] = ofInstance
 	}
-	ofPlace[pending] = struct{}{}
+	ofInstance[pending] = struct{}{}
 	return pending
 }
 
-// Withdraw cancels the attempts to a place that have not begun. It does not block. None of them
+// Withdraw cancels the attempts to an instance that have not begun. It does not block. None of them
 // begins after it returns.
-func (p *Pool) Withdraw(at core.Instance) {
+func (p *Pool) Withdraw(instance core.Instance) {
 	p.pendingMu.Lock()
 	defer p.pendingMu.Unlock()
-	for pending := range p.pending[at] {
+	for pending := range p.pending[instance] {
 		pending.cancel(errWithdrawn)
 		p.count.Add("attempt.withdrawn")
 	}
-	delete(p.pending, at)
+	delete(p.pending, instance)
 }
 
 // confirmBegin marks an attempt as begun, or returns the reason why it must not begin.
@@ -75,8 +75,8 @@
 
 // unregisterPendingLocked is unregisterPending for a caller that holds pendingMu.
 func (p *Pool) unregisterPendingLocked(pending *pendingAttempt) {
-	ofPlace := p.pending[pending.attempt.Instance]
-	if delete(ofPlace, pending); len(ofPlace) == 0 {
+	ofInstance := p.pending[pending.attempt.Instance]
+	if delete(ofInstance, pending); len(ofInstance) == 0 {
 		delete(p.pending, pending.attempt.Instance)
 	}
 }
--- a/internal/upstream/pending_test.go
+++ b/internal/upstream/pending_test.go
@@ -31,25 +31,31 @@
 func TestNothingIsWrittenIfConditionsChangeWhileConnecting(t *testing.T) {
 	for name, tt := range map[string]struct {
 		before time.Duration // latest begin of the attempt, from now; 0: none
-		event  func(p *Pool, at core.Instance, cancel func(), left *atomic.Bool)
+		event  func(p *Pool, instance core.Instance, cancel func(), left *atomic.Bool)
 		want   logic.Result
 		left   bool // the end must say that the client has left
 		kept   bool // the connection must be kept
 	}{
-		"nothing":                             {0, func(*Pool, core.Instance, func(), *atomic.Bool) {}, logic.OK, false, true},
-		"server is removed":                   {0, func(p *Pool, at core.Instance, _ func(), _ *atomic.Bool) { p.Withdraw(at) }, logic.NotSent, false, false},
-		"another server is removed":           {0, func(p *Pool, at core.Instance, _ func(), _ *atomic.Bool) { at.Started++; p.Withdraw(at) }, logic.OK, false, true},
-		"client leaves":                       {0, func(_ *Pool, _ core.Instance, _ func(), left *atomic.Bool) { left.Store(true) }, logic.NotSent, true, true},
-		"canceled":                            {0, func(_ *Pool, _ core.Instance, cancel func(), _ *atomic.Bool) { cancel() }, logic.Canceled, false, true},
-		"window is over":                      {-1, func(*Pool, core.Instance, func(), *atomic.Bool) {}, logic.NotSent, false, true},
-		"window is open":                      {time.Hour, func(*Pool, core.Instance, func(), *atomic.Bool) {}, logic.OK, false, true},
-		"client leaves and server is removed": {0, func(p *Pool, at core.Instance, _ func(), left *atomic.Bool) { left.Store(true); p.Withdraw(at) }, logic.NotSent, false, false},
+		"nothing":           {0, func(*Pool, core.Instance, func(), *atomic.Bool) {}, logic.OK, false, true},
+		"server is removed": {0, func(p *Pool, instance core.Instance, _ func(), _ *atomic.Bool) { p.Withdraw(instance) }, logic.NotSent, false, false},
+		"another server is removed": {0, func(p *Pool, instance core.Instance, _ func(), _ *atomic.Bool) {
+			instance.Started++
+			p.Withdraw(instance)
+		}, logic.OK, false, true},
+		"client leaves":  {0, func(_ *Pool, _ core.Instance, _ func(), left *atomic.Bool) { left.Store(true) }, logic.NotSent, true, true},
+		"canceled":       {0, func(_ *Pool, _ core.Instance, cancel func(), _ *atomic.Bool) { cancel() }, logic.Canceled, false, true},
+		"window is over": {-1, func(*Pool, core.Instance, func(), *atomic.Bool) {}, logic.NotSent, false, true},
+		"window is open": {time.Hour, func(*Pool, core.Instance, func(), *atomic.Bool) {}, logic.OK, false, true},
+		"client leaves and server is removed": {0, func(p *Pool, instance core.Instance, _ func(), left *atomic.Bool) {
+			left.Store(true)
+			p.Withdraw(instance)
+		}, logic.NotSent, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, err := standin.NewBackend(standin.OK)
 			require.NoError(t, err)
 			defer b.Close()
-			at := core.Instance{ID: "b", Endpoint: b.Addr}
+			instance := core.Instance{ID: "b", Endpoint: b.Addr}
 			p := poolOf(2)
 			dialing := make(chan struct{})
 			connect := make(chan struct{})
@@ -61,14 +67,14 @@
 			}
 			var left atomic.Bool
 			call := &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i", ClientGone: left.Load}
-			a := core.Attempt{Call: call, Instance: at, Deadline: time.Now().Add(20 * time.Second)}
+			a := core.Attempt{Call: call, Instance: instance, Deadline: time.Now().Add(20 * time.Second)}
 			if tt.before != 0 {
 				a.StartBefore = time.Now().Add(tt.before)
 			}
 			ends := make(chan core.AttemptResult, 2)
 			cancel := p.Start(a, func(e core.AttemptResult) { ends <- e })
 			<-dialing
-			tt.event(p, at, cancel, &left)
+			tt.event(p, instance, cancel, &left)
 			close(connect)
 			end := <-ends
 			assert.Equal(t, tt.want, end.Result)
@@ -82,7 +88,7 @@
 
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			assert.Equal(t, tt.kept, len(p.idle[at]) == 1, "the first connection is idle in the pool")
+			assert.Equal(t, tt.kept, len(p.idle[instance]) == 1, "the first connection is idle in the pool")
 		})
 	}
 }
@@ -93,17 +99,17 @@
 	for range 20 {
 		b, err := standin.NewBackend(standin.OK)
 		require.NoError(t, err)
-		at := core.Instance{ID: "b", Endpoint: b.Addr}
+		instance := core.Instance{ID: "b", Endpoint: b.Addr}
 		p := poolOf(100)
 		const attempts = 50
 		ends := make(chan core.AttemptResult, attempts)
 		for range attempts {
-			p.Start(core.Attempt{Call: &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i"}, Instance: at,
+			p.Start(core.Attempt{Call: &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i"}, Instance: instance,
 				Deadline: time.Now().Add(20 * time.Second)}, func(e core.AttemptResult) { ends <- e })
 		}
-		p.Withdraw(at)
+		p.Withdraw(instance)
 		p.pendingMu.Lock()
-		assert.Empty(t, p.pending[at], "an attempt that has not begun by now must never begin")
+		assert.Empty(t, p.pending[instance], "an attempt that has not begun by now must never begin")
 		p.pendingMu.Unlock()
 		served := 0
 		for range attempts {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -36,7 +36,7 @@
 	open       int                       // connections open or being opened
 	idle       map[core.Instance][]*conn // ordered by last use, the most recent last
 	idleLimits *idleLimits               // nil: idle limits are not learned
-	connCounts map[core.Instance]int     // connections open or being opened, by place
+	connCounts map[core.Instance]int     // connections open or being opened, by instance
 
 	pendingMu sync.Mutex
 	pending   map[core.Instance]map[*pendingAttempt]struct{} // attempts that have not been written yet
@@ -47,7 +47,7 @@
 	net.Conn
 	reader    *bufio.Reader
 	readLimit int // bytes that may still be read for the present response
-	place     core.Instance
+	instance  core.Instance
 	idleSince time.Time
 
 	dialTime     time.Duration // how long connecting took
@@ -68,10 +68,10 @@
 
 var errConnLimit = errors.New("connection limit reached")
 
-// acquire returns an idle connection to a place, or a new one.
-func (p *Pool) acquire(ctx context.Context, at core.Instance) (*conn, error) {
+// acquire returns an idle connection to an instance, or a new one.
+func (p *Pool) acquire(ctx context.Context, instance core.Instance) (*conn, error) {
 	for {
-		c, usable := p.popIdle(at)
+		c, usable := p.popIdle(instance)
 		if c == nil {
 			break
 		}
@@ -83,17 +83,17 @@
 		}
 		p.put(c, false)
 	}
-	if !p.reserveSlot(at) {
+	if !p.reserveSlot(instance) {
 		return nil, errConnLimit
 	}
 	began := time.Now()
-	nc, err := p.dial(ctx, "tcp", at.Endpoint)
+	nc, err := p.dial(ctx, "tcp", instance.Endpoint)
 	if err != nil {
-		p.releaseSlot(at)
+		p.releaseSlot(instance)
 		return nil, err
 	}
 	p.count.Add("conn.opened")
-	c := &conn{Conn: nc, place: at, dialTime: time.Since(began)}
+	c := &conn{Conn: nc, instance: instance, dialTime: time.Since(began)}
 	c.reader = bufio.NewReaderSize(c, 4096)
 	return c, nil
 }
@@ -107,7 +107,7 @@
 	if p.idleLimits == nil {
 		return limit
 	}
-	return min(limit, p.idleLimits.maxIdle(c.place, now))
+	return min(limit, p.idleLimits.maxIdle(c.instance, now))
 }
 
 // recordBreak learns from an attempt that failed with err on c, the given time after its request
@@ -119,21 +119,21 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.idleTime == 0 {
-		p.idleLimits.recordFreshReset(c.place, time.Now())
+		p.idleLimits.recordFreshReset(c.instance, time.Now())
 		return
 	}
 	p.count.Add("conn.forgotten")
-	p.idleLimits.recordStaleReset(c.place, c.idleTime, time.Now())
+	p.idleLimits.recordStaleReset(c.instance, c.idleTime, time.Now())
 }
 
-// popIdle removes an idle connection to a place from the pool and reports whether it may still be
+// popIdle removes an idle connection to an instance from the pool and reports whether it may still be
 // used. As long as there is no sign that servers drop idle connections, it takes the one that was
 // idle longest, so that all connections of a past burst stay in use. Otherwise it takes the one
 // that was used last.
-func (p *Pool) popIdle(at core.Instance) (c *conn, usable bool) {
+func (p *Pool) popIdle(instance core.Instance) (c *conn, usable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list, now := p.idle[at], time.Now()
+	list, now := p.idle[instance], time.Now()
 	ready := slices.IndexFunc(list, func(c *conn) bool { return now.Sub(c.idleSince) < p.reuseDelay })
 	if ready < 0 {
 		ready = len(list) // all have been idle for the reuse delay
@@ -142,35 +142,35 @@
 		return nil, false
 	}
 	i := ready - 1
-	if p.idleLimits != nil && p.idleLimits.maxIdle(at, now) >= p.opt.IdleTimeout {
+	if p.idleLimits != nil && p.idleLimits.maxIdle(instance, now) >= p.opt.IdleTimeout {
 		i = 0
 	}
 	c = list[i]
-	p.idle[at] = slices.Delete(list, i, i+1)
+	p.idle[instance] = slices.Delete(list, i, i+1)
 	c.idleTime = now.Sub(c.idleSince)
 	return c, c.idleTime < p.maxIdleTime(c, now)
 }
 
-// reserveSlot reserves a slot for a new connection to a place and reports whether there is one. If
+// reserveSlot reserves a slot for a new connection to an instance and reports whether there is one. If
 // a limit is reached, the connection that was idle longest is closed to make room: one to the same
-// place if the limit is that of the place.
-func (p *Pool) reserveSlot(at core.Instance) bool {
+// instance if the limit is that of the instance.
+func (p *Pool) reserveSlot(instance core.Instance) bool {
 	p.mu.Lock()
 	oldest, reserved := (*conn)(nil), true
 	switch {
-	case p.atPlaceLimit(at):
-		oldest = p.popOldestOf(at)
+	case p.atInstanceLimit(instance):
+		oldest = p.popOldestOf(instance)
 		reserved = oldest != nil
 	case p.open >= p.opt.MaxConns:
 		oldest = p.popOldest()
 		reserved = oldest != nil
 	}
 	if oldest != nil {
-		p.freeSlotLocked(oldest.place) // the new connection takes its slot
+		p.freeSlotLocked(oldest.instance) // the new connection takes its slot
 	}
 	if reserved {
 		p.open++
-		p.connCounts[at]++
+		p.connCounts[instance]++
 	}
 	p.mu.Unlock()
 	if oldest != nil {
@@ -182,13 +182,13 @@
 	return reserved
 }
 
-// atPlaceLimit reports whether a place has reached its connection limit. The caller holds p.mu.
-func (p *Pool) atPlaceLimit(at core.Instance) bool {
-	if p.opt.MaxConnsPerPlace == nil {
+// atInstanceLimit reports whether an instance has reached its connection limit. The caller holds p.mu.
+func (p *Pool) atInstanceLimit(instance core.Instance) bool {
+	if p.opt.MaxConnsPerInstance == nil {
 		return false
 	}
-	limit := p.opt.MaxConnsPerPlace(at)
-	return limit > 0 && p.connCounts[at] >= limit
+	limit := p.opt.MaxConnsPerInstance(instance)
+	return limit > 0 && p.connCounts[instance] >= limit
 }
 
 // SetMaxConns changes the limit of open connections. It closes idle connections beyond the limit,
@@ -219,31 +219,31 @@
 	if oldest == nil {
 		return nil
 	}
-	return p.popOldestOf(oldest.place)
+	return p.popOldestOf(oldest.instance)
 }
 
-// popOldestOf removes the connection to a place that was idle longest. The caller holds p.mu.
-func (p *Pool) popOldestOf(at core.Instance) *conn {
-	list := p.idle[at]
+// popOldestOf removes the connection to an instance that was idle longest. The caller holds p.mu.
+func (p *Pool) popOldestOf(instance core.Instance) *conn {
+	list := p.idle[instance]
 	if len(list) == 0 {
 		return nil
 	}
-	p.idle[at] = list[1:]
+	p.idle[instance] = list[1:]
 	return list[0]
 }
 
-// releaseSlot returns the slot of a connection to a place.
-func (p *Pool) releaseSlot(at core.Instance) {
+// releaseSlot returns the slot of a connection to an instance.
+func (p *Pool) releaseSlot(instance core.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.freeSlotLocked(at)
+	p.freeSlotLocked(instance)
 }
 
-// freeSlotLocked returns the slot of a connection to a place. The caller holds p.mu.
-func (p *Pool) freeSlotLocked(at core.Instance) {
+// freeSlotLocked returns the slot of a connection to an instance. The caller holds p.mu.
+func (p *Pool) freeSlotLocked(instance core.Instance) {
 	p.open--
-	if p.connCounts[at]--; p.connCounts[at] == 0 {
-		delete(p.connCounts, at)
+	if p.connCounts[instance]--; p.connCounts[instance] == 0 {
+		delete(p.connCounts, instance)
 	}
 }
 
@@ -251,21 +251,21 @@
 func (p *Pool) put(c *conn, reusable bool) {
 	if !reusable {
 		c.Close()
-		p.releaseSlot(c.place)
+		p.releaseSlot(c.instance)
 		return
 	}
 	c.SetDeadline(time.Time{}) // remove the deadlines of a long body
 	c.idleSince = time.Now()
 	p.mu.Lock()
-	p.idle[c.place] = append(p.idle[c.place], c)
+	p.idle[c.instance] = append(p.idle[c.instance], c)
 	p.mu.Unlock()
 }
 
-// CloseIdle closes the idle connections to a place without blocking.
-func (p *Pool) CloseIdle(at core.Instance) {
+// CloseIdle closes the idle connections to an instance without blocking.
+func (p *Pool) CloseIdle(instance core.Instance) {
 	p.mu.Lock()
-	list := p.idle[at]
-	delete(p.idle, at)
+	list := p.idle[instance]
+	delete(p.idle, instance)
 	p.mu.Unlock()
 	if len(list) > 0 {
 		go p.closeAll(list)
@@ -297,7 +297,7 @@
 func (p *Pool) removeExpired(now time.Time) (expired []*conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for at, list := range p.idle {
+	for instance, list := range p.idle {
 		kept := list[:0:0]
 		for _, c := range list {
 			if now.Sub(c.idleSince) >= p.maxIdleTime(c, now) {
@@ -306,8 +306,8 @@
 				kept = append(kept, c)
 			}
 		}
-		if p.idle[at] = kept; len(kept) == 0 {
-			delete(p.idle, at)
+		if p.idle[instance] = kept; len(kept) == 0 {
+			delete(p.idle, instance)
 		}
 	}
 	return expired
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -20,12 +20,12 @@
 	"pipitmux/logic"
 )
 
-// ask makes one attempt at a place and returns its end. It checks that there is only one.
-func ask(t *testing.T, p *Pool, at core.Instance, path string) core.AttemptResult {
+// ask makes one attempt at an instance and returns its end. It checks that there is only one.
+func ask(t *testing.T, p *Pool, instance core.Instance, path string) core.AttemptResult {
 	t.Helper()
 	ends := make(chan core.AttemptResult, 2)
 	call := &message.Call{Method: "GET", Target: path, Host: "h", ID: "i"}
-	p.Start(core.Attempt{Call: call, Instance: at, Deadline: time.Now().Add(testTimeout)}, func(e core.AttemptResult) { ends <- e })
+	p.Start(core.Attempt{Call: call, Instance: instance, Deadline: time.Now().Add(testTimeout)}, func(e core.AttemptResult) { ends <- e })
 	e := wait(t, ends)
 	assert.Equal(t, len(ends), 0)
 	return e
@@ -49,10 +49,10 @@
 			})
 			assert.NilError(t, err)
 			defer b.Close()
-			p, at := poolOf(2), core.Instance{ID: "b", Endpoint: b.Addr}
+			p, instance := poolOf(2), core.Instance{ID: "b", Endpoint: b.Addr}
 			p.reuseDelay = 0
 			for round := range 2 {
-				e := ask(t, p, at, "/")
+				e := ask(t, p, instance, "/")
 				assert.Equal(t, e.Result, want)
 				if want == logic.OK {
 					assert.Equal(t, string(e.Reply.(*message.Reply).Body), "own")
@@ -79,10 +79,10 @@
 	})
 	assert.NilError(t, err)
 	defer b.Close()
-	p, at := poolOf(2), core.Instance{ID: "b", Endpoint: b.Addr}
+	p, instance := poolOf(2), core.Instance{ID: "b", Endpoint: b.Addr}
 	for _, omitHeader := range []bool{false, true} {
 		p.opt.OmitHeader = omitHeader
-		e := ask(t, p, at, "/pass")
+		e := ask(t, p, instance, "/pass")
 		assert.Equal(t, e.Result, logic.Failed)
 		assert.Check(t, e.PassThrough)
 		r := e.Reply.(*message.Reply)
@@ -95,15 +95,15 @@
 			assert.Equal(t, r.Status, http.StatusInsufficientStorage)
 			assert.Equal(t, r.Header.Get("Hint"), "full")
 		}
-		e = ask(t, p, at, "/drop")
+		e = ask(t, p, instance, "/drop")
 		assert.Equal(t, e.Result, logic.Failed)
 		assert.Check(t, !e.PassThrough && e.Reply == nil)
 	}
 }
 
-// A place at its connection limit gets no further connection while all are in use. An idle
-// connection is closed to make room. The limit does not affect other places.
-func TestConnectionLimitOfAPlace(t *testing.T) {
+// An instance at its connection limit gets no further connection while all are in use. An idle
+// connection is closed to make room. The limit does not affect other instances.
+func TestConnectionLimitOfAnInstance(t *testing.T) {
 	arrived, release := make(chan struct{}), make(chan struct{})
 	script := func(c *net.TCPConn, r standin.Request) bool {
 		if r.URL.Path == "/wait" {
@@ -121,8 +121,8 @@
 	first, other := core.Instance{ID: "1", Endpoint: one.Addr}, core.Instance{ID: "2", Endpoint: two.Addr}
 	p := poolOf(10)
 	p.reuseDelay = time.Hour // long, so that no idle connection is used again
-	p.opt.MaxConnsPerPlace = func(at core.Instance) int {
-		if at == first {
+	p.opt.MaxConnsPerInstance = func(instance core.Instance) int {
+		if instance == first {
 			return 1
 		}
 		return 0
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -36,10 +36,10 @@
 
 // streamingServer is a server that streams a response step by step.
 type streamingServer struct {
-	place  core.Instance
-	steps  chan func(c *net.TCPConn) bool // the response goes on while a step returns true
-	closed chan error                     // the error with which the connection ended
-	server *standin.Backend
+	instance core.Instance
+	steps    chan func(c *net.TCPConn) bool // the response goes on while a step returns true
+	closed   chan error                     // the error with which the connection ended
+	server   *standin.Backend
 }
 
 func newStreamingServer(t *testing.T) *streamingServer {
@@ -54,7 +54,7 @@
 	})
 	assert.NilError(t, err)
 	t.Cleanup(func() { close(s.steps); b.Close() })
-	s.server, s.place = b, core.Instance{ID: "b", Endpoint: b.Addr}
+	s.server, s.instance = b, core.Instance{ID: "b", Endpoint: b.Addr}
 	return s
 }
 
@@ -87,7 +87,7 @@
 	t.Helper()
 	ends := make(chan core.AttemptResult, 3)
 	call := &message.Call{Method: "GET", Target: "/", Host: "h", ID: "i"}
-	cancel := p.Start(core.Attempt{Call: call, Instance: s.place, Deadline: until}, func(e core.AttemptResult) { ends <- e })
+	cancel := p.Start(core.Attempt{Call: call, Instance: s.instance, Deadline: until}, func(e core.AttemptResult) { ends <- e })
 	s.write("HTTP/1.1 200 OK\r\nStream: 1\r\nContent-Type: text/event-stream\r\n" + f.head + "\r\n")
 	e := wait(t, ends) // before any byte of the body is written
 	assert.Check(t, e.Streaming)
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -50,7 +50,7 @@
 func (u *upload) head(left time.Duration, bodyBytes int) *bytes.Buffer {
 	out := &bytes.Buffer{}
 	out.Grow(headBufferBytes + bodyBytes)
-	u.pool.codec.WriteHead(out, u.call, u.conn.place, left)
+	u.pool.codec.WriteHead(out, u.call, u.conn.instance, left)
 	return out
 }
 
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -23,7 +23,7 @@
 	// WriteHead writes the head of a request, including the empty line that ends it. left is the
 	// time that remains until the deadline of the attempt. WriteBodyFraming writes the header
 	// field that frames the body.
-	WriteHead(dst *bytes.Buffer, call *message.Call, at core.Instance, left time.Duration)
+	WriteHead(dst *bytes.Buffer, call *message.Call, instance core.Instance, left time.Duration)
 	// Classify interprets a response by its head. It may change the header, which a Reply passes
 	// on, and must not read the body.
 	Classify(call *message.Call, res *http.Response) Classification
@@ -40,15 +40,15 @@
 
 // Options configures a Pool.
 type Options struct {
-	ConnectTimeout   time.Duration
-	TCPUserTimeout   time.Duration           // TCP_USER_TIMEOUT: how long sent data may stay unacknowledged; 0: not set
-	IdleTimeout      time.Duration           // longest time that a connection is kept idle
-	LearnIdleLimits  bool                    // shorten the idle timeout where servers drop idle connections sooner
-	MaxConns         int                     // limit of connections open or being opened, over all servers
-	MaxConnsPerPlace func(core.Instance) int // limit for one server process, 0: none; a nil function: no limits. It must not block
-	OmitHeader       bool                    // leave Status and Header of replies empty
-	OnRequestWritten func()                  // called for each attempt whose request was fully written
-	Budget           *message.Budget
+	ConnectTimeout      time.Duration
+	TCPUserTimeout      time.Duration           // TCP_USER_TIMEOUT: how long sent data may stay unacknowledged; 0: not set
+	IdleTimeout         time.Duration           // longest time that a connection is kept idle
+	LearnIdleLimits     bool                    // shorten the idle timeout where servers drop idle connections sooner
+	MaxConns            int                     // limit of connections open or being opened, over all servers
+	MaxConnsPerInstance func(core.Instance) int // limit for one server process, 0: none; a nil function: no limits. It must not block
+	OmitHeader          bool                    // leave Status and Header of replies empty
+	OnRequestWritten    func()                  // called for each attempt whose request was fully written
+	Budget              *message.Budget
 }
 
 // dialer returns the dialer of the pool. It sends no TCP keep-alives, because the timeout of an
