--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -14,11 +14,13 @@
 	"pipitmux/logic"
 )
 
+// settings are the settings of an INIT message.
 const settings = "classes.count=2 classes.0.name=get classes.0.effect=safe classes.0.slo-us=100000 " +
 	"classes.0.deadline-us=400000 classes.0.worth=2.0 classes.1.name=pay classes.1.effect=unsafe " +
 	"classes.1.slo-us=100000 classes.1.deadline-us=400000 tick-us=1000 a.new.key=7 limits.second-copies=true " +
 	"limits.cancelling=true rules.answer-slack-us=5000 replicas-of-me=2 locality=east"
 
+// start starts instance 0 with two servers.
 const start = "CLOCK 1000 1\nINIT 0 5 " + settings + "\nREGISTER 0 2\nM 1 SERVING - k east backend.a 0\n" +
 	"M 1.5 SERVING 0 k west backend.b 1\nSYNC 0 C 1 0\nEND\n"
 
@@ -29,6 +31,7 @@
 	return out.String(), err
 }
 
+// Valid input must give exactly the expected lines.
 func TestReplies(t *testing.T) {
 	for _, tt := range []struct{ name, input, want string }{
 		{"no input", "", "^$"},
@@ -43,7 +46,7 @@
 		{"list number reused in a batch", start + "CLOCK 2000 2\nREGISTER 0 1\nM 1 DELETED - k east backend.a 0\nSYNC 0 D 2 0\n" +
 			"REGISTER 0 1\nM 1 DELETED - k west backend.b 0\nSYNC 0 D 3 0\nKNOCK 0 r1 0 get 0 - 300000 - -\nEND\n", `REJECT 0 r1 0\nFINISHED 2\n$`},
 		{"no classes", "CLOCK 1 1\nINIT 0 5 tick-us=1000\nEND\n", `^BUG 0 settings: no classes\nFINISHED 1\n$`},
-		{"impossible setting", "CLOCK 1 1\nINIT 0 5 " + strings.Replace(settings, "safe", "odd", 1) + "\nSYNC 0 X 1 -\nEND\n", `^BUG 0 .*effect.*odd.*\nFINISHED 1\n$`},
+		{"invalid setting", "CLOCK 1 1\nINIT 0 5 " + strings.Replace(settings, "safe", "odd", 1) + "\nSYNC 0 X 1 -\nEND\n", `^BUG 0 .*effect.*odd.*\nFINISHED 1\n$`},
 		{"peer message and probe", start + "CLOCK 2000 2\nDATAGRAM 0 1 6869\nPONG 0 backend.a Ok 900 1.5,-\nEND\n", "FINISHED 2\n$"},
 	} {
 		got, err := runInput(tt.input)
@@ -56,19 +59,20 @@
 	}
 }
 
+// badInputs are invalid inputs and the line that the error must name.
 var badInputs = []struct {
 	name, input string
 	line        int
 }{
 	{"not a clock", "END\n", 1},
 	{"bad time", "CLOCK x 1\nEND\n", 1},
-	{"cut in a batch", "CLOCK 1 1\n", 2},
-	{"cut in a line", "CLOCK 1 1\nEN", 2},
+	{"input ends in a batch", "CLOCK 1 1\n", 2},
+	{"input ends in a line", "CLOCK 1 1\nEN", 2},
 	{"unknown message", "CLOCK 1 1\nHELLO 0\nEND\n", 2},
 	{"too few values", "CLOCK 1 1\nWAKE 0\nEND\n", 2},
 	{"too many values", "CLOCK 1 1\nWAKE 0 1 2\nEND\n", 2},
 	{"never started", "CLOCK 1 1\nWAKE 3 1\nEND\n", 2},
-	{"list never given", start + "CLOCK 2 2\nSYNC 0 F 1 4\nEND\n", 9},
+	{"list never defined", start + "CLOCK 2 2\nSYNC 0 F 1 4\nEND\n", 9},
 	{"wrong count", "CLOCK 1 1\nREGISTER 0 2\nM 1 SERVING - k z a 0\nEND\n", 4},
 	{"count too large", "CLOCK 1 1\nREGISTER 0 99999999999\nEND\n", 2},
 	{"list number", "CLOCK 1 1\nREGISTER 16 0\nEND\n", 2},
@@ -80,6 +84,7 @@
 	{"blank line", "CLOCK 1 1\n\nEND\n", 2},
 }
 
+// Invalid input must give an error of one line with the right line number, and no output for its batch.
 func TestBadInput(t *testing.T) {
 	for _, tt := range badInputs {
 		out, err := runInput(tt.input)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -30,7 +30,7 @@
 	ctx, cancelWith := context.WithCancelCause(context.Background())
 	left := time.Until(a.Deadline)
 	if a.Deadline.IsZero() {
-		left = time.Hour // for the upload of the body, which ends sooner or fails; then Within applies
+		left = time.Hour // for the upload of the body, which ends sooner or fails; then Timeout applies
 	}
 	timer := time.AfterFunc(left, func() { cancelWith(context.DeadlineExceeded) })
 	pending := p.registerPending(a, cancelWith)
