--- a/cmd/anemometer/main.go
+++ b/cmd/anemometer/main.go
@@ -15,17 +15,17 @@
 	"pipitmux/internal/station/settings"
 )
 
-// version is what the version command prints.
+// version is printed by the version command.
 const version = "0.1"
 
 type commands struct {
-	Serve   serveCommand   `cmd:"" help:"Serve clients until told to end (SIGTERM)."`
-	Check   checkCommand   `cmd:"" help:"Check a settings file and say what is wrong with it."`
+	Serve   serveCommand   `cmd:"" help:"Serve clients until SIGTERM."`
+	Check   checkCommand   `cmd:"" help:"Check a settings file and print its errors."`
 	Version versionCommand `cmd:"" help:"Print the version."`
 }
 
 type serveCommand struct {
-	LogLevel slog.Level `default:"info" help:"Least level of log lines: debug, info, warn or error."`
+	LogLevel slog.Level `default:"info" help:"Minimum level of log lines: debug, info, warn or error."`
 }
 
 // Run implements the command.
--- a/internal/anemometer/dispatch/capacity_test.go
+++ b/internal/anemometer/dispatch/capacity_test.go
@@ -17,16 +17,16 @@
 
 func newDispatcher(b *testing.B) *Dispatcher {
 	d := New(Options{
-		Zone: "region-0-zone-0", Conns: 100, Budget: message.NewBudget(1 << 20), Count: counters.New(),
+		Zone: "region-0-zone-0", MaxConns: 100, Budget: message.NewBudget(1 << 20), Counters: counters.New(),
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	b.Cleanup(d.Close)
 	return d
 }
 
-// BenchmarkPrefer is the choice of the servers that a program's turn keeps to, by the number
-// of servers of its service: once for each turn. docs/CAPACITY.md.
-func BenchmarkPrefer(b *testing.B) {
+// BenchmarkPreferredServers measures the choice of the servers that a program's turn sticks to,
+// by the number of servers of its service. It runs once per turn. See docs/CAPACITY.md.
+func BenchmarkPreferredServers(b *testing.B) {
 	for _, count := range []int{10, 100, 780, 3900} {
 		b.Run(fmt.Sprintf("servers=%d", count), func(b *testing.B) {
 			d := newDispatcher(b)
@@ -34,31 +34,31 @@
 			b.Cleanup(func() { clear(d.services) })
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				assert.Equal(b, len(d.Prefer(scaletest.Service(0), fmt.Sprint(i))), min(preferred, count))
+				assert.Equal(b, len(d.PreferredServers(scaletest.Service(0), fmt.Sprint(i))), min(maxPreferred, count))
 			}
 		})
 	}
 }
 
-// BenchmarkTake is what an edge does with the news of one change: of a configuration by its
-// routes, of servers by their number in all.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkApplyUpdate measures what an edge node does with one update: a configuration by its
+// number of routes, and server lists by their total number of servers.
+func BenchmarkApplyUpdate(b *testing.B) {
 	for _, routes := range []int{15, 1000, 6700} {
 		configuration, err := routing.Parse(scaletest.Configuration(9, routes))
 		assert.NilError(b, err)
 		b.Run(fmt.Sprintf("classes/routes=%d", routes), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				assert.Equal(b, len(classesOf(configuration)), scaletest.Models)
+				assert.Equal(b, len(classesByService(configuration)), scaletest.Models)
 			}
 		})
 	}
 	for _, count := range []int{100, 1000, 3900} {
-		b.Run(fmt.Sprintf("list/servers=%d", count), func(b *testing.B) { benchmarkList(b, count) })
+		b.Run(fmt.Sprintf("list/servers=%d", count), func(b *testing.B) { benchmarkServerLists(b, count) })
 	}
 }
 
-func benchmarkList(b *testing.B, count int) {
+func benchmarkServerLists(b *testing.B, count int) {
 	d := newDispatcher(b)
 	configuration, err := routing.Parse(scaletest.Configuration(9, 15))
 	assert.NilError(b, err)
@@ -71,7 +71,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		for partition, lists := range partitions {
-			d.Servers(partition, lists)
+			d.UpdateServers(partition, lists)
 		}
 	}
 }
--- a/internal/anemometer/dispatch/classes.go
+++ b/internal/anemometer/dispatch/classes.go
@@ -8,24 +8,27 @@
 )
 
 const (
-	// worthMost is the worth of a request of the highest priority and usual size, the
-	// paper's example figure; each further rank is worth rankShare of the one before.
-	worthMost = 20.0
-	rankShare = 0.6
-	// usualShare is how many usual answers fit in a route's target, until answers tell.
-	usualShare = 2
-	// promptTimes is how many targets an answer that may be sent for again is given to come from
-	// either of two servers.
-	promptTimes = 2
-	// defaultClass is what a service without a route is given: the module needs a class.
+	// highestPriorityWorth is the worth of a request of the highest priority and of typical size.
+	// It is the example figure of the paper. Each lower priority is worth rankDecay times the one
+	// above it.
+	highestPriorityWorth = 20.0
+	rankDecay            = 0.6
+	// typicalsPerTarget is how many typical answers fit into a route's latency target. It is the
+	// estimate until answers have been measured.
+	typicalsPerTarget = 2
+	// promptTargets: for requests that may be sent to a second server, timeouts are chosen so that
+	// one of the two servers answers within this many latency targets.
+	promptTargets = 2
+	// defaultClass names the class of a service that no route leads to. The decision module needs
+	// at least one class.
 	defaultClass = "none"
 )
 
-// classesOf makes a class of each route for each service that it may go to.
-func classesOf(c *routing.Configuration) map[string][]logic.Class {
+// classesByService returns, for each service, one class per route that may lead to it.
+func classesByService(c *routing.Configuration) map[string][]logic.Class {
 	classes := map[string][]logic.Class{}
 	for i := range c.Routes {
-		class := classOf(&c.Routes[i])
+		class := classFromRoute(&c.Routes[i])
 		for _, w := range c.Routes[i].Weights {
 			if w.Ratio > 0 {
 				classes[w.Pool] = append(classes[w.Pool], class)
@@ -40,9 +43,9 @@
 	return classes
 }
 
-func classOf(r *routing.Route) logic.Class {
+func classFromRoute(r *routing.Route) logic.Class {
 	class := logic.Class{
-		Name: r.Name, Aim: r.Timeout, Deadline: r.Timeout, Prompt: promptTimes * r.TargetLatency, Usual: r.TargetLatency / usualShare, Worth: worthOf(r.Priority),
+		Name: r.Name, Aim: r.Timeout, Deadline: r.Timeout, Prompt: promptTargets * r.TargetLatency, Usual: r.TargetLatency / typicalsPerTarget, Worth: priorityWorth(r.Priority),
 		Effect: logic.Unsafe, MaxAttempts: max(r.RetryLimit, 1), Stream: r.Class == routing.Streaming,
 	}
 	class.Resumable = class.Stream && r.SessionResume
@@ -52,11 +55,11 @@
 	return class
 }
 
-// worthOf is the worth of a usual request of a rank, 0 being the highest.
-func worthOf(rank int) float64 {
-	worth := worthMost
-	for range min(max(rank, 0), 9) {
-		worth *= rankShare
+// priorityWorth returns the worth of a typical request of a priority. 0 is the highest priority.
+func priorityWorth(priority int) float64 {
+	worth := highestPriorityWorth
+	for range min(max(priority, 0), 9) {
+		worth *= rankDecay
 	}
 	return worth
 }
--- a/internal/anemometer/dispatch/codec.go
+++ b/internal/anemometer/dispatch/codec.go
@@ -14,7 +14,7 @@
 	"pipitmux/logic"
 )
 
-// Header names that servers and clients use.
+// HTTP header names shared with servers and clients.
 const (
 	AttemptHeader     = "Oakseam-Attempt-Id"
 	TimeBudgetHeader  = "Oakseam-Time-Budget"
@@ -25,18 +25,18 @@
 	LastEventHeader   = "Last-Event-Id"
 )
 
-// StreamType is the media type of a stream of events.
+// StreamType is the media type of a stream of server-sent events.
 const StreamType = "text/event-stream"
 
-// codec is what model servers and tools speak.
+// codec writes requests to model and tool servers and classifies their responses.
 type codec struct{}
 
 var _ upstream.Codec = codec{}
 
 // WriteHead implements upstream.Codec.
-func (codec) WriteHead(dst *bytes.Buffer, call *message.Call, at core.Instance, left time.Duration) {
+func (codec) WriteHead(dst *bytes.Buffer, call *message.Call, server core.Instance, timeLeft time.Duration) {
 	fmt.Fprintf(dst, "%s %s HTTP/1.1\r\nHost: %s\r\n", call.Method, call.Target, call.Host)
-	fmt.Fprintf(dst, "%s: %s\r\n%s: %d\r\n%s: %s\r\n", AttemptHeader, call.ID, TimeBudgetHeader, max(left.Milliseconds(), 1), TargetHeader, at.ID)
+	fmt.Fprintf(dst, "%s: %s\r\n%s: %d\r\n%s: %s\r\n", AttemptHeader, call.ID, TimeBudgetHeader, max(timeLeft.Milliseconds(), 1), TargetHeader, server.ID)
 	for name, values := range call.Header {
 		for _, v := range values {
 			dst.WriteString(name)
@@ -49,43 +49,44 @@
 	dst.WriteString("\r\n")
 }
 
-// Classify implements upstream.Codec. Every answer of a server names the try that it is for. One
-// that names another, or none, proves nothing about this one: neither a success, nor the
-// promise that it never ran.
+// Classify implements upstream.Codec. Every response names the attempt that it answers. A response
+// that names another attempt, or none, proves nothing about this one: neither that it succeeded
+// nor that it never ran.
 func (codec) Classify(call *message.Call, response *http.Response) upstream.Classification {
-	v := upstream.Classification{Report: report(response.Header.Get(LoadHeader))}
+	classification := upstream.Classification{Report: parseLoadReport(response.Header.Get(LoadHeader))}
 	if response.Header.Get(AttemptHeader) != call.ID {
-		v.Misrouted = true
-		return v
+		classification.Misrouted = true
+		return classification
 	}
 	switch status := response.StatusCode; {
 	case status == http.StatusMisdirectedRequest:
-		v.Result = logic.ConnectFailed // another server has the address: it did not run there
+		classification.Result = logic.ConnectFailed // another server now has the address, so the request did not run
 	case response.Header.Get(NotExecutedHeader) != "":
-		v.Result = logic.QueueFull
+		classification.Result = logic.QueueFull
 	case status >= 200 && status < 300:
-		v.Result = logic.OK
-		v.Stream = strings.HasPrefix(response.Header.Get("Content-Type"), StreamType)
+		classification.Result = logic.OK
+		classification.Stream = strings.HasPrefix(response.Header.Get("Content-Type"), StreamType)
 	default:
-		v.Result, v.PassThrough = logic.Failed, true
+		classification.Result, classification.PassThrough = logic.Failed, true
 	}
-	return v
+	return classification
 }
 
-// report reads the count of requests that a server holds, running and waiting.
-func report(text string) []float64 {
+// parseLoadReport returns the number of requests at a server, running plus waiting. It returns nil
+// for a malformed header.
+func parseLoadReport(text string) []float64 {
 	running, rest, ok := strings.Cut(text, ",")
 	if !ok {
 		return nil
 	}
 	waiting, _, _ := strings.Cut(rest, ",")
-	r, err := strconv.ParseFloat(strings.TrimSpace(running), 64)
-	if err != nil || !(r >= 0) {
+	runningCount, err := strconv.ParseFloat(strings.TrimSpace(running), 64)
+	if err != nil || !(runningCount >= 0) {
 		return nil
 	}
-	w, err := strconv.ParseFloat(strings.TrimSpace(waiting), 64)
-	if err != nil || !(w >= 0) {
+	waitingCount, err := strconv.ParseFloat(strings.TrimSpace(waiting), 64)
+	if err != nil || !(waitingCount >= 0) {
 		return nil
 	}
-	return []float64{r + w}
+	return []float64{runningCount + waitingCount}
 }
--- a/internal/anemometer/dispatch/codec_test.go
+++ b/internal/anemometer/dispatch/codec_test.go
@@ -10,7 +10,7 @@
 	"pipitmux/logic"
 )
 
-func TestOnlyAnAnswerThatNamesTheTryProvesAnything(t *testing.T) {
+func TestClassifyIgnoresResponseToAnotherAttempt(t *testing.T) {
 	call := &message.Call{ID: "a1"}
 	for _, test := range []struct {
 		status      int
@@ -30,10 +30,10 @@
 			if test.notExecuted != "" {
 				response.Header.Set(NotExecutedHeader, test.notExecuted)
 			}
-			verdict := codec{}.Classify(call, response)
-			assert.Equal(t, verdict.Misrouted, id != call.ID, "status %d, id %q", test.status, id)
-			if !verdict.Misrouted {
-				assert.Equal(t, verdict.Result, test.result, "status %d", test.status)
+			classification := codec{}.Classify(call, response)
+			assert.Equal(t, classification.Misrouted, id != call.ID, "status %d, id %q", test.status, id)
+			if !classification.Misrouted {
+				assert.Equal(t, classification.Result, test.result, "status %d", test.status)
 			}
 		}
 	}
--- a/internal/anemometer/dispatch/dispatch.go
+++ b/internal/anemometer/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch sends requests to the servers of services. Each service has an owner
-// of the decision module, which chooses the server, the time-out and the retry; the
-// connections to servers are shared.
+// Package dispatch sends requests to the servers of services. Each service has its own event loop
+// with a decision module that chooses the server, the timeout and the retries. All services share
+// one pool of server connections.
 package dispatch
 
 import (
@@ -23,32 +23,32 @@
 )
 
 const (
-	// crossCharge and connectCharge are the prices of a send into another zone and of a new
-	// connection, as parts of a usual request's worth.
-	crossCharge   = 0.03
-	connectCharge = 0.01
-	// retryAfter is what refused clients are told.
-	retryAfter = 300 * time.Millisecond
-	// idleFor is how long a connection to a server rests before it is closed, connectWithin
-	// how long one may take to come up, and userTimeout how long a dark server's lasts.
-	idleFor       = 30 * time.Second
-	connectWithin = 700 * time.Millisecond
-	userTimeout   = 3 * time.Second
-	// resizeEvery is how often it is looked whether fewer servers would do.
-	resizeEvery = time.Second
+	// crossZoneCharge and connectCharge are the costs of sending into another zone and of opening a
+	// connection, as fractions of the worth of a typical request.
+	crossZoneCharge = 0.03
+	connectCharge   = 0.01
+	// maxRetryAfter bounds the Retry-After that rejected clients receive.
+	maxRetryAfter = 300 * time.Millisecond
+	// connIdleTimeout closes an idle connection to a server. connectTimeout bounds opening one.
+	// tcpUserTimeout ends a connection to a server that no longer acknowledges data.
+	connIdleTimeout = 30 * time.Second
+	connectTimeout  = 700 * time.Millisecond
+	tcpUserTimeout  = 3 * time.Second
+	// resizeInterval is how often the subset sizes are adapted to the current demand.
+	resizeInterval = time.Second
 )
 
-// Options are what a Dispatcher needs.
+// Options configures a Dispatcher.
 type Options struct {
-	Zone   string
-	Name   string // this node's: it draws servers by it
-	Conns  int    // to servers, open at most
-	Budget *message.Budget
-	Count  *counters.Set
-	Log    *slog.Logger
+	Zone     string
+	Name     string // of this node; its subset of servers is chosen by rendezvous hashing of this name
+	MaxConns int    // bound on open connections to servers
+	Budget   *message.Budget
+	Counters *counters.Set
+	Log      *slog.Logger
 }
 
-// Dispatcher sends requests to servers.
+// Dispatcher sends requests to servers and keeps the list of servers of each service.
 type Dispatcher struct {
 	opt  Options
 	pool *upstream.Pool
@@ -60,104 +60,106 @@
 	lists    map[string][]protocol.Server
 }
 
-// service is one service's owner and servers.
+// service is the event loop and the servers of one service.
 type service struct {
-	core    *core.EventLoop
-	all     []protocol.Server
-	wanted  int           // servers that this node sends to, where none is avoided
-	size    int           // and with those that are
-	servers []candidate   // of the subset, that take requests
-	listed  chan struct{} // closed once it has had one
-	known   bool          // listed is closed
-	demand  demand
-	avoided atomic.Int64 // servers of the subset that get nothing now, draining ones among them
-	drained int          // draining ones
+	loop       *core.EventLoop
+	allServers []protocol.Server
+	wanted     int           // subset size before servers that the module avoids are replaced
+	size       int           // subset size including replacements for avoided servers
+	servers    []candidate   // of the subset, without draining ones
+	hasServers chan struct{} // closed once the service has had a server that accepts requests
+	hadServer  bool          // hasServers is closed
+	demand     demand
+	avoided    atomic.Int64 // servers of the subset that currently get no requests, including draining ones
+	draining   int          // number of draining servers
 }
 
 // New returns a Dispatcher without services.
 func New(o Options) *Dispatcher {
 	d := &Dispatcher{opt: o, quit: make(chan struct{}), services: map[string]*service{}, classes: map[string][]logic.Class{}, lists: map[string][]protocol.Server{}}
 	d.pool = upstream.New(codec{}, upstream.Options{
-		ConnectTimeout: connectWithin, IdleTimeout: idleFor, LearnIdleLimits: true, MaxConns: o.Conns, TCPUserTimeout: userTimeout, Budget: o.Budget,
-	}, o.Count, o.Log)
+		ConnectTimeout: connectTimeout, IdleTimeout: connIdleTimeout, LearnIdleLimits: true, MaxConns: o.MaxConns, TCPUserTimeout: tcpUserTimeout, Budget: o.Budget,
+	}, o.Counters, o.Log)
 	go d.pool.ReapIdle(d.quit)
-	go d.resize()
+	go d.resizeLoop()
 	return d
 }
 
-// Close ends all owners.
+// Close stops the event loops of all services.
 func (d *Dispatcher) Close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	close(d.quit)
 	for _, s := range d.services {
-		s.core.Stop()
+		s.loop.Stop()
 	}
 	d.services = map[string]*service{}
 }
 
-// Configure takes a configuration on: requests that come later follow it.
+// Configure applies a configuration to requests that arrive later.
 func (d *Dispatcher) Configure(c *routing.Configuration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.classes = classesOf(c)
+	d.classes = classesByService(c)
 	for name, classes := range d.classes {
 		if s := d.services[name]; s != nil {
-			s.core.Reconfigure(classes)
+			s.loop.Reconfigure(classes)
 			continue
 		}
-		d.open(name, classes)
+		d.openService(name, classes)
 	}
 }
 
-// open starts the owner of a service; d.mu is held.
-func (d *Dispatcher) open(name string, classes []logic.Class) {
+// openService starts the event loop of a service. The caller holds d.mu.
+func (d *Dispatcher) openService(name string, classes []logic.Class) {
 	settings := logic.Settings{
 		Zone: d.opt.Zone, Classes: classes, ReportFields: []string{logic.ReportInFlight}, Slots: true,
-		SecondCopies: true, CanCancel: true, MaxRetryAfter: retryAfter,
-		ConnIdle: idleFor, CrossCharge: crossCharge, ConnectCharge: connectCharge,
+		SecondCopies: true, CanCancel: true, MaxRetryAfter: maxRetryAfter,
+		ConnIdle: connIdleTimeout, CrossCharge: crossZoneCharge, ConnectCharge: connectCharge,
 	}
-	owner, err := core.NewEventLoop(settings, rand.Uint64(), d.opt.Count, d.opt.Log)
+	loop, err := core.NewEventLoop(settings, rand.Uint64(), d.opt.Counters, d.opt.Log)
 	if err != nil {
-		klog.ErrorS(err, "A service can't be served", "service", name)
+		klog.ErrorS(err, "Cannot start the event loop of a service", "service", name)
 		return
 	}
-	s := &service{core: owner, listed: make(chan struct{})}
+	s := &service{loop: loop, hasServers: make(chan struct{})}
 	d.services[name] = s
-	owner.ObserveBackendCounts(func(_, avoided int) { s.avoided.Store(int64(avoided)) })
-	go owner.Run(d.pool, nil)
-	d.list(s, d.lists[name])
+	loop.ObserveBackendCounts(func(_, avoided int) { s.avoided.Store(int64(avoided)) })
+	go loop.Run(d.pool, nil)
+	d.updateBackends(s, d.lists[name])
 }
 
-// Servers takes on the servers of all services of a partition.
-func (d *Dispatcher) Servers(partition int, lists []protocol.ServerList) {
+// UpdateServers replaces the server lists of all services of a partition. A service that is
+// missing from lists loses its servers.
+func (d *Dispatcher) UpdateServers(partition int, lists []protocol.ServerList) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	told := map[string]bool{}
+	listed := map[string]bool{}
 	for _, l := range lists {
-		told[l.Service] = true
-		d.put(l.Service, l.Servers)
+		listed[l.Service] = true
+		d.setServers(l.Service, l.Servers)
 	}
 	for name := range d.lists {
-		if !told[name] && protocol.ServicePartition(name) == partition {
-			d.put(name, nil)
+		if !listed[name] && protocol.ServicePartition(name) == partition {
+			d.setServers(name, nil)
 		}
 	}
 }
 
-func (d *Dispatcher) put(name string, servers []protocol.Server) {
+// setServers stores the servers of a service. The caller holds d.mu.
+func (d *Dispatcher) setServers(name string, servers []protocol.Server) {
 	if len(servers) == 0 {
 		delete(d.lists, name)
 	} else {
 		d.lists[name] = servers
 	}
 	if s := d.services[name]; s != nil {
-		d.list(s, servers)
+		d.updateBackends(s, servers)
 	}
 }
 
-// Begin notes that a request of a service goes out, until the returned function is called.
-func (d *Dispatcher) Begin(name string) (end func()) {
+// BeginRequest counts a request of a service as in flight until the returned function is called.
+func (d *Dispatcher) BeginRequest(name string) (end func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.services[name]
@@ -165,8 +167,8 @@
 		return func() {}
 	}
 	s.demand.begin(time.Now())
-	if float64(s.wanted) < busyTimes*s.demand.most && s.size < len(s.all) {
-		d.list(s, s.all)
+	if float64(s.wanted) < serversPerRequest*s.demand.peak && s.size < len(s.allServers) {
+		d.updateBackends(s, s.allServers)
 	}
 	return func() {
 		d.mu.Lock()
@@ -175,9 +177,9 @@
 	}
 }
 
-// resize fits the subsets to what goes out and to the servers that get nothing, until Close.
-func (d *Dispatcher) resize() {
-	tick := time.NewTicker(resizeEvery)
+// resizeLoop adapts the subsets to the demand and to the number of avoided servers, until Close.
+func (d *Dispatcher) resizeLoop() {
+	tick := time.NewTicker(resizeInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -187,52 +189,53 @@
 		}
 		d.mu.Lock()
 		for _, s := range d.services {
-			if _, size := s.sizes(); size != s.size {
-				d.list(s, s.all)
+			if _, size := s.subsetSizes(); size != s.size {
+				d.updateBackends(s, s.allServers)
 			}
 		}
 		d.mu.Unlock()
 	}
 }
 
-// sizes is how many of the servers this node is to send to: without those that are avoided, and
-// with them.
-func (s *service) sizes() (wanted, size int) {
-	wanted = min(subsetSize(s.wanted, s.demand.now(time.Now())), len(s.all))
-	aside := max(int(s.avoided.Load())-s.drained, 0)
-	return wanted, min(wanted+aside, len(s.all))
+// subsetSizes returns how many servers this node should send to: first without replacements for
+// avoided servers, then with them.
+func (s *service) subsetSizes() (wanted, size int) {
+	wanted = min(subsetSize(s.wanted, s.demand.decayedPeak(time.Now())), len(s.allServers))
+	replacements := max(int(s.avoided.Load())-s.draining, 0)
+	return wanted, min(wanted+replacements, len(s.allServers))
 }
 
-// list hands a service's servers to its owner: those that this node sends to.
-func (d *Dispatcher) list(s *service, servers []protocol.Server) {
-	s.all, s.drained = servers, 0
+// updateBackends hands this node's subset of a service's servers to the service's event loop. The
+// caller holds d.mu.
+func (d *Dispatcher) updateBackends(s *service, servers []protocol.Server) {
+	s.allServers, s.draining = servers, 0
 	for _, x := range servers {
 		if x.Draining {
-			s.drained++
+			s.draining++
 		}
 	}
-	s.wanted, s.size = s.sizes()
+	s.wanted, s.size = s.subsetSizes()
 	servers = subset(servers, d.opt.Name, d.opt.Zone, s.size)
 	s.servers = candidates(servers, d.opt.Zone)
-	if len(s.servers) > 0 && !s.known {
-		s.known = true
-		defer close(s.listed) // once the owner has them
+	if len(s.servers) > 0 && !s.hadServer {
+		s.hadServer = true
+		defer close(s.hasServers) // only after the event loop has received the list
 	}
-	entries := make([]core.Backend, 0, len(servers))
+	backends := make([]core.Backend, 0, len(servers))
 	for _, x := range servers {
 		state := logic.Serving
 		if x.Draining {
 			state = logic.Draining
 		}
-		entries = append(entries, core.Backend{
+		backends = append(backends, core.Backend{
 			Server:   logic.Server{ID: logic.ServerID(x.ID), Capacity: float64(max(x.Capacity, 1)), State: state, Zone: x.Zone},
 			Endpoint: x.Address,
 		})
 	}
-	s.core.UpdateBackends(logic.ListFull, entries)
+	s.loop.UpdateBackends(logic.ListFull, backends)
 }
 
-// Ready tells whether some service has a server.
+// Ready reports whether any service has a server that accepts requests.
 func (d *Dispatcher) Ready() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -244,10 +247,10 @@
 	return false
 }
 
-// Owner returns what requests of a service are submitted to, nil where there is none. It
-// waits until the service has had a server, or ctx ends: after a start the list comes a
-// moment behind the configuration.
-func (d *Dispatcher) Owner(ctx context.Context, name string) *core.EventLoop {
+// EventLoop returns the event loop that requests of a service are submitted to, or nil for an
+// unknown service. It waits until the service has had a server or ctx ends, because after a start
+// the server list arrives slightly later than the configuration.
+func (d *Dispatcher) EventLoop(ctx context.Context, name string) *core.EventLoop {
 	d.mu.Lock()
 	s := d.services[name]
 	d.mu.Unlock()
@@ -255,8 +258,8 @@
 		return nil
 	}
 	select {
-	case <-s.listed:
+	case <-s.hasServers:
 	case <-ctx.Done():
 	}
-	return s.core
+	return s.loop
 }
--- a/internal/anemometer/dispatch/prefer.go
+++ b/internal/anemometer/dispatch/prefer.go
@@ -8,73 +8,73 @@
 	"pipitmux/logic"
 )
 
-// preferred is how many servers a line of turns keeps to, best first.
-const preferred = 3
+// maxPreferred is how many servers a sequence of turns sticks to, best first.
+const maxPreferred = 3
 
-// candidate is a server that a program's turns may keep to.
+// candidate is a server that a program's turns may stick to.
 type candidate struct {
-	id   logic.ServerID
-	hash uint64
-	near bool // in this node's zone
+	id       logic.ServerID
+	hash     uint64
+	sameZone bool // as this node
 }
 
-// Prefer lists the servers to which the requests of one key keep: those of this node's
-// zone first, in the key's own order.
-func (d *Dispatcher) Prefer(name, key string) []logic.ServerID {
+// PreferredServers returns the servers that the requests of one key stick to: first those of this
+// node's zone, in the rendezvous order of the key.
+func (d *Dispatcher) PreferredServers(name, key string) []logic.ServerID {
 	d.mu.Lock()
 	var servers []candidate
 	if s := d.services[name]; s != nil {
-		servers = s.servers // replaced as a whole, never changed
+		servers = s.servers // the slice is replaced, never modified, so it may be read without the lock
 	}
 	d.mu.Unlock()
 	if key == "" {
 		return nil
 	}
-	return best(servers, key)
+	return topRanked(servers, key)
 }
 
-// candidates are the servers that take requests, as a node of the zone sees them.
+// candidates returns the servers that accept requests, seen from a node of the zone.
 func candidates(servers []protocol.Server, zone string) []candidate {
-	taking := make([]candidate, 0, len(servers))
+	accepting := make([]candidate, 0, len(servers))
 	for _, x := range servers {
 		if !x.Draining {
-			taking = append(taking, candidate{logic.ServerID(x.ID), hashing.Sum64(x.ID), x.Zone == zone})
+			accepting = append(accepting, candidate{logic.ServerID(x.ID), hashing.Sum64(x.ID), x.Zone == zone})
 		}
 	}
-	return taking
+	return accepting
 }
 
-// ranked is a candidate with what it draws for a key.
+// ranked is a candidate with its rendezvous weight for a key.
 type ranked struct {
 	candidate
 	weight uint64
 }
 
-// before tells whether a server goes before another.
-func (r ranked) before(o ranked) bool {
-	if r.near != o.near {
-		return r.near
+// before reports whether r is preferred to other.
+func (r ranked) before(other ranked) bool {
+	if r.sameZone != other.sameZone {
+		return r.sameZone
 	}
-	return r.weight > o.weight
+	return r.weight > other.weight
 }
 
-// best returns the first few servers in a key's order, in one pass.
-func best(servers []candidate, key string) []logic.ServerID {
-	first := make([]ranked, 0, preferred+1)
+// topRanked returns the maxPreferred best servers in the order of a key, in one pass.
+func topRanked(servers []candidate, key string) []logic.ServerID {
+	top := make([]ranked, 0, maxPreferred+1)
 	for _, s := range servers {
 		r := ranked{s, hashing.Weight(key, s.hash)}
-		if len(first) == preferred && first[preferred-1].before(r) {
+		if len(top) == maxPreferred && top[maxPreferred-1].before(r) {
 			continue
 		}
-		at := len(first)
-		for at > 0 && r.before(first[at-1]) {
+		at := len(top)
+		for at > 0 && r.before(top[at-1]) {
 			at--
 		}
-		first = slices.Insert(first, at, r)
-		first = first[:min(len(first), preferred)]
+		top = slices.Insert(top, at, r)
+		top = top[:min(len(top), maxPreferred)]
 	}
-	ids := make([]logic.ServerID, 0, len(first))
-	for _, r := range first {
+	ids := make([]logic.ServerID, 0, len(top))
+	for _, r := range top {
 		ids = append(ids, r.id)
 	}
 	return ids
--- a/internal/anemometer/dispatch/prefer_test.go
+++ b/internal/anemometer/dispatch/prefer_test.go
@@ -11,7 +11,7 @@
 	"pipitmux/logic"
 )
 
-func TestBestIsTheHeadOfTheWholeOrder(t *testing.T) {
+func TestTopRankedEqualsStartOfFullOrder(t *testing.T) {
 	var servers []candidate
 	for i := range 40 {
 		id := fmt.Sprint("i-", i)
@@ -27,11 +27,11 @@
 			return 1
 		})
 		var want []logic.ServerID
-		for _, s := range order[:preferred] {
+		for _, s := range order[:maxPreferred] {
 			want = append(want, s.id)
 		}
-		assert.DeepEqual(t, best(servers, key), want)
+		assert.DeepEqual(t, topRanked(servers, key), want)
 	}
-	assert.Equal(t, len(best(servers[:2], "k")), 2)
-	assert.Equal(t, len(best(nil, "k")), 0)
+	assert.Equal(t, len(topRanked(servers[:2], "k")), 2)
+	assert.Equal(t, len(topRanked(nil, "k")), 0)
 }
--- a/internal/anemometer/dispatch/subset_test.go
+++ b/internal/anemometer/dispatch/subset_test.go
@@ -14,15 +14,15 @@
 	"pipitmux/internal/station/routing"
 )
 
-// fleet is so many servers in each of three zones.
-func fleet(each int) (servers []protocol.Server) {
-	for i := range 3 * each {
+// serversInThreeZones returns perZone servers in each of three zones.
+func serversInThreeZones(perZone int) (servers []protocol.Server) {
+	for i := range 3 * perZone {
 		servers = append(servers, protocol.Server{ID: fmt.Sprint("i-", i), Zone: fmt.Sprint("z", i%3)})
 	}
 	return servers
 }
 
-func ids(servers []protocol.Server) map[string]bool {
+func idSet(servers []protocol.Server) map[string]bool {
 	set := map[string]bool{}
 	for _, s := range servers {
 		set[s.ID] = true
@@ -31,30 +31,30 @@
 }
 
 func TestSubsetsCoverAllServersEvenly(t *testing.T) {
-	servers, nodes, size := fleet(15), 69, 8
-	by := map[string]int{}
+	servers, nodes, size := serversInThreeZones(15), 69, 8
+	nodesByServer := map[string]int{}
 	for n := range nodes {
 		chosen := subset(servers, fmt.Sprint("edge-", n), fmt.Sprint("z", n%3), size)
 		assert.Equal(t, len(chosen), size)
 		for _, s := range chosen {
-			assert.Equal(t, s.Zone, fmt.Sprint("z", n%3), "a zone with enough servers is left by nobody")
-			by[s.ID]++
+			assert.Equal(t, s.Zone, fmt.Sprint("z", n%3), "a node whose zone has enough servers stays in its zone")
+			nodesByServer[s.ID]++
 		}
 	}
-	assert.Equal(t, len(by), len(servers), "each server has nodes")
+	assert.Equal(t, len(nodesByServer), len(servers), "every server is in the subset of some node")
 	mean := float64(nodes*size) / float64(len(servers))
-	for id, count := range by {
-		assert.Assert(t, float64(count) < 2*mean, "%s has %d nodes, %.1f in the mean", id, count, mean)
+	for id, count := range nodesByServer {
+		assert.Assert(t, float64(count) < 2*mean, "server %s is in the subsets of %d nodes, the mean is %.1f", id, count, mean)
 	}
 }
 
-func TestAServerThatGoesChangesLittle(t *testing.T) {
-	servers, size := fleet(15), 8
+func TestRemovedServerChangesEachSubsetByAtMostOne(t *testing.T) {
+	servers, size := serversInThreeZones(15), 8
 	moved := 0
 	for n := range 100 {
 		node := fmt.Sprint("edge-", n)
-		before := ids(subset(servers, node, "z0", size))
-		after := ids(subset(servers[1:], node, "z0", size))
+		before := idSet(subset(servers, node, "z0", size))
+		after := idSet(subset(servers[1:], node, "z0", size))
 		for id := range after {
 			if !before[id] {
 				moved++
@@ -64,11 +64,11 @@
 			assert.DeepEqual(t, before, after)
 		}
 	}
-	assert.Assert(t, moved > 0 && moved <= 100, "one server each at most: %d", moved)
+	assert.Assert(t, moved > 0 && moved <= 100, "each subset changes by at most one server: %d changes", moved)
 }
 
-func TestSubsetsTakeOtherZonesInWhereTheirOwnHasTooFew(t *testing.T) {
-	servers := fleet(3)
+func TestSubsetsUseOtherZonesWhenOwnZoneIsTooSmall(t *testing.T) {
+	servers := serversInThreeZones(3)
 	chosen := subset(servers, "edge-1", "z1", 8)
 	assert.Equal(t, len(chosen), 8)
 	own := 0
@@ -78,50 +78,51 @@
 		}
 	}
 	assert.Equal(t, own, 3)
-	assert.Equal(t, len(subset(servers, "edge-1", "z9", 8)), 8, "and where it has none")
+	assert.Equal(t, len(subset(servers, "edge-1", "z9", 8)), 8, "a zone without servers")
 	assert.Equal(t, len(subset(servers, "edge-1", "z1", 9)), 9)
 	assert.Equal(t, len(subset(nil, "edge-1", "z1", 8)), 0)
 }
 
-func TestSubsetsKeepDrainingServers(t *testing.T) {
-	servers := fleet(15)
+func TestSubsetsIncludeAllDrainingServers(t *testing.T) {
+	servers := serversInThreeZones(15)
 	for i := range 30 {
 		servers[i].Draining = true
 	}
 	chosen := subset(servers, "edge-1", "z1", 8)
-	taking := 0
+	accepting := 0
 	for _, s := range chosen {
 		if !s.Draining {
-			taking++
+			accepting++
 		}
 	}
 	assert.Equal(t, len(chosen), 38)
-	assert.Equal(t, taking, 8)
+	assert.Equal(t, accepting, 8)
 }
 
-func TestSubsetsGrowWithDemandAndShrinkLate(t *testing.T) {
+func TestSubsetsGrowWithDemandAndShrinkSlowly(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var d demand
-	assert.Equal(t, subsetSize(0, d.now(now)), subsetLeast)
+	assert.Equal(t, subsetSize(0, d.decayedPeak(now)), minSubsetSize)
 	for range 20 {
 		d.begin(now)
 	}
-	size := subsetSize(subsetLeast, d.now(now))
+	size := subsetSize(minSubsetSize, d.decayedPeak(now))
 	assert.Equal(t, size, 40)
 	for range 20 {
 		d.end()
 	}
-	assert.Equal(t, subsetSize(size, d.now(now.Add(busyHalfLife/2))), size, "connections are kept for a while")
-	assert.Equal(t, subsetSize(size, d.now(now.Add(2*busyHalfLife))), 10)
-	assert.Equal(t, subsetSize(size, d.now(now.Add(10*busyHalfLife))), subsetLeast)
-	d.begin(now.Add(10 * busyHalfLife))
-	assert.Equal(t, d.most, 1.0, "what was long ago is forgotten")
+	assert.Equal(t, subsetSize(size, d.decayedPeak(now.Add(demandHalfLife/2))), size, "a subset must not shrink at once, which would close connections")
+	assert.Equal(t, subsetSize(size, d.decayedPeak(now.Add(2*demandHalfLife))), 10)
+	assert.Equal(t, subsetSize(size, d.decayedPeak(now.Add(10*demandHalfLife))), minSubsetSize)
+	d.begin(now.Add(10 * demandHalfLife))
+	assert.Equal(t, d.peak, 1.0, "an old peak must decay")
 }
 
-// A node's subset grows as soon as more goes out at once, and is kept when the list changes.
-func TestDispatcherFitsTheSubsetToDemand(t *testing.T) {
+// A node's subset must grow as soon as more requests are in flight, and must not shrink when the
+// server list changes.
+func TestDispatcherGrowsSubsetWithDemandAndKeepsItOnListChange(t *testing.T) {
 	d := New(Options{
-		Zone: "z0", Name: "edge-1", Conns: 100, Budget: message.NewBudget(1 << 20), Count: counters.New(),
+		Zone: "z0", Name: "edge-1", MaxConns: 100, Budget: message.NewBudget(1 << 20), Counters: counters.New(),
 		Log: slog.New(slog.DiscardHandler),
 	})
 	t.Cleanup(d.Close)
@@ -130,28 +131,28 @@
 "pools":[{"name":"tools"}]}`))
 	assert.NilError(t, err)
 	d.Configure(configuration)
-	tell := func(servers []protocol.Server) {
-		d.Servers(protocol.ServicePartition("tools"), []protocol.ServerList{{Service: "tools", Version: 1, Servers: servers}})
+	updateServers := func(servers []protocol.Server) {
+		d.UpdateServers(protocol.ServicePartition("tools"), []protocol.ServerList{{Service: "tools", Version: 1, Servers: servers}})
 	}
-	sentTo := func() int {
+	subsetLen := func() int {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return len(d.services["tools"].servers)
 	}
-	tell(fleet(15))
-	assert.Equal(t, sentTo(), subsetLeast)
+	updateServers(serversInThreeZones(15))
+	assert.Equal(t, subsetLen(), minSubsetSize)
 	var ends []func()
 	for range 10 {
-		ends = append(ends, d.Begin("tools"))
+		ends = append(ends, d.BeginRequest("tools"))
 	}
-	assert.Equal(t, sentTo(), busyTimes*10)
+	assert.Equal(t, subsetLen(), serversPerRequest*10)
 	for _, end := range ends {
 		end()
 	}
-	tell(fleet(15)[1:])
-	assert.Equal(t, sentTo(), busyTimes*10, "connections are kept")
+	updateServers(serversInThreeZones(15)[1:])
+	assert.Equal(t, subsetLen(), serversPerRequest*10, "the subset size is kept when the list changes")
 	d.services["tools"].avoided.Store(3)
-	tell(fleet(15))
-	assert.Equal(t, sentTo(), busyTimes*10+3, "others stand in for those that are set aside")
-	d.Begin("unknown")()
+	updateServers(serversInThreeZones(15))
+	assert.Equal(t, subsetLen(), serversPerRequest*10+3, "avoided servers are replaced by others")
+	d.BeginRequest("unknown")()
 }
--- a/internal/anemometer/edge/edge.go
+++ b/internal/anemometer/edge/edge.go
@@ -1,5 +1,5 @@
-// Package edge is a node of the data plane: it takes clients' connections, follows the
-// control plane, and says whether it is ready for more.
+// Package edge runs a node of the data plane. It accepts client connections, follows the control
+// plane and reports whether it is ready for more clients.
 package edge
 
 import (
@@ -29,30 +29,30 @@
 )
 
 const (
-	// Of the descriptors some are kept spare for files and the control plane; of the rest
-	// these parts go to clients and to servers.
+	// spareDescriptors file descriptors are reserved for files and the control plane. The rest is
+	// divided between client and server connections by these shares.
 	spareDescriptors = 300
 	clientShare      = 0.5
 	serverShare      = 0.45
-	// overflow is how many connections beyond the limit are taken while others are shed.
+	// overflow is how many connections beyond the limit are accepted while others are shed.
 	overflow = 32
-	// bodyShare is the part of the memory that bodies may take.
+	// bodyShare is the fraction of the memory that bodies may take.
 	bodyShare = 0.35
-	// openMost bounds the requests that are open at once.
-	openMost = 1500
-	// writeWithin is how long a client may take nothing of its answer.
-	writeWithin = 15 * time.Second
-	// answerBy is how long before its end a node answers what is open.
-	answerBy = 150 * time.Millisecond
-	// graceSlack is kept of the grace period for the exit.
-	graceSlack = 500 * time.Millisecond
-	// aloneAfter is how old what core nodes vouch for may be before this node asks the platform
-	// itself, every aloneEvery.
-	aloneAfter = 2500 * time.Millisecond
-	aloneEvery = 2 * time.Second
+	// maxOpenRequests bounds the requests that are open at once.
+	maxOpenRequests = 1500
+	// writeTimeout is how long a client may read nothing of its response.
+	writeTimeout = 15 * time.Second
+	// respondMargin is how long before its end a node answers the requests that are still open.
+	respondMargin = 150 * time.Millisecond
+	// exitMargin is the part of the grace period that is reserved for the exit of the process.
+	exitMargin = 500 * time.Millisecond
+	// standaloneAfter is the age of the control plane's state from which this node lists the servers
+	// from the platform itself, once per standaloneInterval.
+	standaloneAfter    = 2500 * time.Millisecond
+	standaloneInterval = 2 * time.Second
 )
 
-// Node is a node of the data plane.
+// Node is one node of the data plane.
 type Node struct {
 	settings   *settings.Settings
 	dispatcher *dispatch.Dispatcher
@@ -62,87 +62,88 @@
 	platform   *platform.Client
 	server     *ingress.Server
 	listener   net.Listener
-	count      *counters.Set
+	counters   *counters.Set
 
-	mu     sync.Mutex
-	ending bool
+	mu           sync.Mutex
+	shuttingDown bool
 }
 
-// New listens for clients and makes the node ready to run.
+// New opens the client listener and returns a node that is ready to run.
 func New(s *settings.Settings, seeds []string, log *slog.Logger) (*Node, error) {
 	l, err := net.Listen("tcp", s.BindAddresses.Front)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for clients")
 	}
-	n := &Node{settings: s, listener: l, count: counters.New(), platform: platform.New(s.CloudAPI.Address)}
+	n := &Node{settings: s, listener: l, counters: counters.New(), platform: platform.New(s.CloudAPI.Address)}
 	descriptors := float64(max(s.Limits.FileDescriptors-spareDescriptors, 128))
 	budget := message.NewBudget(int64(bodyShare * float64(max(s.Limits.MemoryMB, 64)) * (1 << 20)))
 	pool := link.NewPool(link.Options{})
-	n.dispatcher = dispatch.New(dispatch.Options{Zone: s.Zone, Name: s.NodeName, Conns: int(serverShare * descriptors), Budget: budget, Count: n.count, Log: log})
+	n.dispatcher = dispatch.New(dispatch.Options{Zone: s.Zone, Name: s.NodeName, MaxConns: int(serverShare * descriptors), Budget: budget, Counters: n.counters, Log: log})
 	n.turns = turnclient.New(pool)
-	n.gateway = gateway.New(gateway.Options{Dispatcher: n.dispatcher, Turns: n.turns, Budget: budget, Count: n.count, MaxOpen: openMost, Current: n.current})
-	n.follower = follow.New(follow.Options{Name: s.NodeName, Seeds: seeds, Slots: s.FaultTolerance.MachineLosses + 1, Pool: pool, Told: n.told})
+	n.gateway = gateway.New(gateway.Options{Dispatcher: n.dispatcher, Turns: n.turns, Budget: budget, Counters: n.counters, MaxOpenRequests: maxOpenRequests, Current: n.current})
+	n.follower = follow.New(follow.Options{Name: s.NodeName, Seeds: seeds, Slots: s.FaultTolerance.MachineLosses + 1, Pool: pool, Told: n.handleUpdate})
 	n.server = ingress.New(ingress.Options{
-		Handler: n.gateway.Handle, RejectAmbiguous: doubtful,
+		Handler: n.gateway.Handle, RejectAmbiguous: rejectAmbiguous,
 		MaxSessions: int(clientShare * descriptors), Overflow: overflow,
 		HeaderTimeout: routing.DefaultHeaderTimeout, BodyTimeout: routing.DefaultHeaderTimeout, IdleTimeout: routing.DefaultIdleTimeout,
-		WriteTimeout: writeWithin, RespondNowMargin: answerBy, MaxHeaderBytes: 4 * routing.DefaultMaxHeaderBytes, Lifecycle: lifecycle.TierTiming,
-	}, l, n.count)
+		WriteTimeout: writeTimeout, RespondNowMargin: respondMargin, MaxHeaderBytes: 4 * routing.DefaultMaxHeaderBytes, Lifecycle: lifecycle.TierTiming,
+	}, l, n.counters)
 	return n, nil
 }
 
-func doubtful(w http.ResponseWriter) {
+// rejectAmbiguous answers a request whose end cannot be determined safely.
+func rejectAmbiguous(w http.ResponseWriter) {
 	http.Error(w, "it is in doubt where the request ends", http.StatusBadRequest)
 }
 
-// Run serves until ctx ends, then answers what was taken and returns.
+// Run serves until ctx ends, then answers the accepted requests and returns.
 func (n *Node) Run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer n.dispatcher.Close()
 	ready, err := net.Listen("tcp", n.settings.BindAddresses.Readiness)
 	if err != nil {
-		return errors.Wrap(err, "listen for the readiness question")
+		return errors.Wrap(err, "listen for readiness checks")
 	}
-	go n.answerReadiness(ready)
+	go n.serveReadiness(ready)
 	go n.follower.Run(background)
-	go n.lookAlone(background)
+	go n.pollPlatform(background)
 	served := make(chan error, 1)
 	go func() { served <- n.server.Serve() }()
-	klog.InfoS("Serves clients", "address", n.settings.BindAddresses.Front)
+	klog.InfoS("Serving clients", "address", n.settings.BindAddresses.Front)
 	select {
 	case err := <-served:
 		return err
 	case <-ctx.Done():
 	}
 	n.mu.Lock()
-	n.ending = true
+	n.shuttingDown = true
 	n.mu.Unlock()
-	klog.InfoS("Ends: clients are sent to other nodes")
-	err = n.server.Shutdown(max(n.settings.Bounds.Grace-graceSlack, n.settings.Bounds.Grace/2))
-	klog.InfoS("Ended", "cause", err)
+	klog.InfoS("Shutting down, clients are sent to other nodes")
+	err = n.server.Shutdown(max(n.settings.Bounds.Grace-exitMargin, n.settings.Bounds.Grace/2))
+	klog.InfoS("Shut down", "cause", err)
 	return nil
 }
 
-// told takes news of the control plane.
-func (n *Node) told(news follow.News) {
+// handleUpdate applies an update from the control plane.
+func (n *Node) handleUpdate(news follow.News) {
 	switch {
 	case news.Configuration != nil:
 		n.configure(news.Configuration)
 	case news.Directory != nil:
-		n.turns.Learn(*news.Directory)
+		n.turns.SetDirectory(*news.Directory)
 	default:
-		n.dispatcher.Servers(news.Partition, news.Lists)
+		n.dispatcher.UpdateServers(news.Partition, news.Lists)
 	}
 }
 
 func (n *Node) configure(body []byte) {
 	c, err := routing.Parse(body)
 	if err != nil {
-		klog.ErrorS(err, "A configuration that was taken can't be read")
+		klog.ErrorS(err, "Cannot parse a configuration from the control plane")
 		return
 	}
-	// Services first: a route must not lead to one that isn't open yet.
+	// Services first: a route must not lead to a service that has no event loop yet.
 	n.dispatcher.Configure(c)
 	n.gateway.Configure(c)
 	n.server.SetTimeouts(c.Limits.HeaderTimeout, c.Limits.IdleTimeout)
@@ -150,8 +151,8 @@
 	klog.InfoS("Configuration in force", "revision", c.Revision, "routes", len(c.Routes))
 }
 
-// answerReadiness answers the balancer's question whether this node takes clients.
-func (n *Node) answerReadiness(l net.Listener) {
+// serveReadiness answers the load balancer's check whether this node accepts clients.
+func (n *Node) serveReadiness(l net.Listener) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/readiness", func(w http.ResponseWriter, _ *http.Request) {
 		if !n.ready() {
@@ -160,22 +161,22 @@
 	})
 	server := http.Server{Handler: mux, ReadTimeout: 5 * time.Second, IdleTimeout: time.Minute}
 	if err := server.Serve(l); err != nil {
-		klog.ErrorS(err, "The readiness question is answered no more")
+		klog.ErrorS(err, "Readiness checks are no longer answered")
 	}
 }
 
 func (n *Node) ready() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.ending && n.gateway.Configured() && n.dispatcher.Ready() && n.turns.Ready()
+	return !n.shuttingDown && n.gateway.Configured() && n.dispatcher.Ready() && n.turns.Ready()
 }
 
-// current tells whether the configuration is recent enough to say of a route that there is none.
+// current reports whether the configuration is recent enough to say that a route does not exist.
 func (n *Node) current() bool { return n.follower.Age() <= n.settings.Bounds.ConfigApply }
 
-// lookAlone asks the platform for the servers while no core node vouches for its lists.
-func (n *Node) lookAlone(ctx context.Context) {
-	tick := time.NewTicker(aloneEvery)
+// pollPlatform lists the servers from the platform while no core node vouches for its lists.
+func (n *Node) pollPlatform(ctx context.Context) {
+	tick := time.NewTicker(standaloneInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -183,26 +184,28 @@
 		case <-ctx.Done():
 			return
 		}
-		if n.follower.Age() < aloneAfter {
+		if n.follower.Age() < standaloneAfter {
 			continue
 		}
 		lists, err := n.platform.List(ctx)
 		if err != nil {
-			klog.V(1).InfoS("Neither the core nodes nor the platform can tell the servers", "cause", err)
+			klog.V(1).InfoS("Cannot list the servers, neither from the core nodes nor from the platform", "cause", err)
 			continue
 		}
-		n.takeAlone(lists)
+		n.applyPlatformLists(lists)
 	}
 }
 
-func (n *Node) takeAlone(lists map[string][]protocol.Server) {
+// applyPlatformLists applies the platform's lists. The follower forgets its own lists, so that the
+// core nodes send them in full again.
+func (n *Node) applyPlatformLists(lists map[string][]protocol.Server) {
 	var partitions [protocol.ServicePartitions][]protocol.ServerList
 	for name, servers := range lists {
 		p := protocol.ServicePartition(name)
 		partitions[p] = append(partitions[p], protocol.ServerList{Service: name, Servers: servers})
 	}
 	for p, l := range partitions {
-		n.dispatcher.Servers(p, l)
+		n.dispatcher.UpdateServers(p, l)
 	}
 	n.follower.ForgetLists()
 }
--- a/internal/anemometer/events/capacity_test.go
+++ b/internal/anemometer/events/capacity_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// BenchmarkGatherer is one event of a usual size of a stream of so many, in a Gatherer of
-// its own for each stream, as a turn has it: docs/CAPACITY.md.
-func BenchmarkGatherer(b *testing.B) {
+// BenchmarkCollector measures one event of typical size, by the number of events per stream. Each
+// stream has its own Collector, as in a turn. See docs/CAPACITY.md.
+func BenchmarkCollector(b *testing.B) {
 	event := []byte("id: 117\ndata: {\"choices\":[{\"delta\":{\"content\":\" weather\"}}]}\n\n")
 	for _, length := range []int{1, 10, 100, 1000} {
 		b.Run(fmt.Sprintf("events=%d", length), func(b *testing.B) {
 			b.ReportAllocs()
-			var g Gatherer
+			var g Collector
 			for i := 0; b.Loop(); i++ {
 				if i%length == 0 {
-					g = Gatherer{}
+					g = Collector{}
 				}
 				g.Write(event)
 			}
@@ -23,7 +23,7 @@
 		})
 	}
 	b.Run("steady", func(b *testing.B) {
-		g := Gatherer{output: make([]byte, 0, 1<<20)}
+		g := Collector{output: make([]byte, 0, 1<<20)}
 		g.Write(event)
 		b.ReportAllocs()
 		for b.Loop() {
--- a/internal/anemometer/events/events.go
+++ b/internal/anemometer/events/events.go
@@ -1,17 +1,18 @@
-// Package events follows a stream of server-sent events as its bytes pass, and gathers
-// what they say. See the HTML standard's section on server-sent events.
+// Package events parses streams of server-sent events as their bytes pass. Collector collects the
+// data of the events, Splitter finds the whole events. See the HTML standard's section on
+// server-sent events.
 package events
 
 import "bytes"
 
-// lineMost bounds one line of a stream, in bytes. A longer one is cut: streams are passed
-// on as they are, only what is gathered of them is bounded.
-const lineMost = 1 << 20
+// maxLineBytes bounds one collected line. Longer lines are truncated. This bounds only the memory of
+// what is collected; the stream itself is forwarded unchanged.
+const maxLineBytes = 1 << 20
 
 var dataField = []byte("data")
 
-// Gatherer follows one stream. The zero value is ready to use.
-type Gatherer struct {
+// Collector collects the data of one stream. The zero value is ready to use.
+type Collector struct {
 	line    []byte
 	data    []byte
 	hasData bool
@@ -19,29 +20,29 @@
 	count   uint64
 }
 
-// Write follows the next bytes of the stream. It never fails.
-func (g *Gatherer) Write(text []byte) (int, error) {
+// Write parses the next bytes of the stream. It never fails.
+func (g *Collector) Write(text []byte) (int, error) {
 	length := len(text)
 	for len(text) > 0 {
 		end := bytes.IndexByte(text, '\n')
 		if end < 0 {
-			g.keep(text)
+			g.appendLine(text)
 			break
 		}
-		g.keep(text[:end])
+		g.appendLine(text[:end])
 		g.endLine()
 		text = text[end+1:]
 	}
 	return length, nil
 }
 
-func (g *Gatherer) keep(part []byte) {
-	room := max(lineMost-len(g.line), 0)
-	g.line = append(g.line, part[:min(len(part), room)]...)
+func (g *Collector) appendLine(part []byte) {
+	remaining := max(maxLineBytes-len(g.line), 0)
+	g.line = append(g.line, part[:min(len(part), remaining)]...)
 }
 
-// endLine takes a whole line: a field, or the empty one that ends an event.
-func (g *Gatherer) endLine() {
+// endLine handles a whole line: a field, or the empty line that ends an event.
+func (g *Collector) endLine() {
 	line := bytes.TrimSuffix(g.line, []byte{'\r'})
 	g.line = g.line[:0]
 	if len(line) == 0 {
@@ -59,7 +60,7 @@
 	g.hasData = true
 }
 
-func (g *Gatherer) endEvent() {
+func (g *Collector) endEvent() {
 	if !g.hasData {
 		return
 	}
@@ -70,15 +71,15 @@
 	g.hasData = false
 }
 
-// Output is the data of each whole event so far, a line feed behind each.
-func (g *Gatherer) Output() []byte { return g.output }
+// Output returns the data of all whole events so far, each followed by a line feed.
+func (g *Collector) Output() []byte { return g.output }
 
-// Count is how many whole events have passed.
-func (g *Gatherer) Count() uint64 { return g.count }
+// Count returns the number of whole events so far.
+func (g *Collector) Count() uint64 { return g.count }
 
-// Begun is how many events have passed at least in part: what a broken stream has handed
-// out at most.
-func (g *Gatherer) Begun() uint64 {
+// Started returns the number of events received at least in part. It is the most that a broken
+// stream can have delivered.
+func (g *Collector) Started() uint64 {
 	if g.hasData || len(g.line) > 0 {
 		return g.count + 1
 	}
--- a/internal/anemometer/events/events_test.go
+++ b/internal/anemometer/events/events_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-func TestGathersDataOfWholeEvents(t *testing.T) {
+func TestCollectorKeepsDataOfWholeEventsOnly(t *testing.T) {
 	for _, tt := range []struct {
 		name, stream, output string
-		count, begun         uint64
+		count, started       uint64
 	}{
 		{"none", "", "", 0, 0},
 		{"two", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "a\nb\n", 2, 2},
@@ -25,20 +25,20 @@
 		{"empty data", "data:\n\n", "\n", 1, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			var g Gatherer
+			var g Collector
 			g.Write([]byte(tt.stream))
 			assert.Equal(t, string(g.Output()), tt.output)
 			assert.Equal(t, g.Count(), tt.count)
-			assert.Equal(t, g.Begun(), tt.begun)
+			assert.Equal(t, g.Started(), tt.started)
 		})
 	}
 }
 
-// However a stream is cut into reads, the same is gathered.
-func TestPiecesMakeNoDifference(t *testing.T) {
+// However a stream is divided into writes, the Collector must collect the same.
+func TestCollectorResultIndependentOfWriteSizes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stream := rapid.SliceOf(rapid.SampledFrom([]byte("ad:\r\n t"))).Draw(t, "stream")
-		var whole, pieces Gatherer
+		var whole, pieces Collector
 		whole.Write(stream)
 		for rest := stream; len(rest) > 0; {
 			n := rapid.IntRange(1, len(rest)).Draw(t, "piece")
@@ -46,6 +46,6 @@
 			rest = rest[n:]
 		}
 		assert.Equal(t, string(pieces.Output()), string(whole.Output()))
-		assert.Equal(t, pieces.Begun(), whole.Begun())
+		assert.Equal(t, pieces.Started(), whole.Started())
 	})
 }
--- a/internal/anemometer/events/cutter_test.go
+++ b/internal/anemometer/events/splitter_test.go
@@ -9,12 +9,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// However a stream comes in pieces and wherever it is cut, what is returned is its whole
-// events, and the last id is that of the last one.
-func TestCutterReturnsWholeEvents(t *testing.T) {
+// However a stream is divided into writes and wherever it breaks off, the Splitter must return
+// exactly its whole events, and LastID must be the id of the last of them.
+func TestSplitterReturnsExactlyTheWholeEvents(t *testing.T) {
 	for _, end := range []string{"\n", "\r\n"} {
 		var text string
-		wholeAt := map[int]string{0: ""} // ids by where an event ends
+		wholeAt := map[int]string{0: ""} // event ids by the offset where the event ends
 		var ends []int
 		for i := range 5 {
 			text += fmt.Sprintf("id: %d%sdata: some%sdata: more%s%s", i+1, end, end, end, end)
@@ -23,7 +23,7 @@
 		}
 		random := rand.New(rand.NewPCG(1, 2))
 		for cut := range len(text) + 1 {
-			var c Cutter
+			var c Splitter
 			var got strings.Builder
 			for at := 0; at < cut; {
 				next := min(at+1+random.IntN(20), cut)
@@ -38,16 +38,16 @@
 			}
 			assert.Equal(t, got.String(), text[:whole])
 			assert.Equal(t, c.LastID(), wholeAt[whole])
-			assert.Equal(t, string(c.Rest()), text[whole:cut])
-			c.Drop()
-			assert.Equal(t, string(c.Write([]byte("id: 9\n\n"))), "id: 9\n\n", "what was not whole is forgotten")
+			assert.Equal(t, string(c.Partial()), text[whole:cut])
+			c.DropPartial()
+			assert.Equal(t, string(c.Write([]byte("id: 9\n\n"))), "id: 9\n\n", "a dropped partial event must not be returned")
 			assert.Equal(t, c.LastID(), "9")
 		}
 	}
 }
 
-func TestCutterKeepsTheLastIDBehindEventsWithoutOne(t *testing.T) {
-	var c Cutter
+func TestSplitterKeepsLastIDAfterEventWithoutID(t *testing.T) {
+	var c Splitter
 	c.Write([]byte("id: 7\ndata: a\n\ndata: b\n\nid: 8\n"))
 	assert.Equal(t, c.LastID(), "7")
 }
--- a/internal/anemometer/gateway/answer.go
+++ b/internal/anemometer/gateway/answer.go
@@ -15,149 +15,151 @@
 	"pipitmux/logic"
 )
 
-// copySize is what a stream passes through.
+// copySize is the size of the buffer that a streamed response passes through.
 const copySize = 8 << 10
 
 var copyBuffers = sync.Pool{New: func() any { return new([copySize]byte) }}
 
-// waiter waits for the one final answer of a request.
+// waiter waits for the final answer of one request.
 type waiter struct {
 	answer chan core.Answer
 
-	mu   sync.Mutex
-	left bool
+	mu        sync.Mutex
+	abandoned bool // nobody waits any more
 }
 
-// Answer implements core.Session. What nobody waits for any more is closed.
+// Answer implements core.Session. An answer that nobody waits for any more is closed.
 func (w *waiter) Answer(a core.Answer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.left {
-		discard(a)
+	if w.abandoned {
+		closeReply(a)
 		return
 	}
 	w.answer <- a
 }
 
-// leave ends the wait.
-func (w *waiter) leave() {
+// abandon ends the wait.
+func (w *waiter) abandon() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.left = true
+	w.abandoned = true
 	select {
 	case a := <-w.answer:
-		discard(a)
+		closeReply(a)
 	default:
 	}
 }
 
-func discard(a core.Answer) {
+func closeReply(a core.Answer) {
 	if c, ok := a.Reply.(io.Closer); ok {
 		c.Close()
 	}
 }
 
-// overdue is how long after the deadline an answer of the owner is waited for: it keeps
-// the deadline itself.
-const overdue = 300 * time.Millisecond
+// answerGrace is how long after the deadline the gateway still waits for the event loop's answer.
+// The event loop enforces the deadline itself; this is only a safeguard.
+const answerGrace = 300 * time.Millisecond
 
-// submission is what an exchange hands to its service's owner.
+// submission is what an exchange submits to the event loop of its service.
 type submission struct {
 	body        []byte
-	affinity    string  // line of turns that keeps to the same servers, empty: to none
-	worth       float64 // 0: its class's
-	maxAttempts int     // 0: its class's
+	affinity    string  // key of requests that stick to the same servers, empty: none
+	worth       float64 // 0: that of the class
+	maxAttempts int     // 0: that of the class
 
-	again     int            // how many submissions' streams broke off before
-	lastEvent string         // of those streams, empty: none has come
-	avoid     logic.ServerID // the server of the last of them
+	resumptions   int            // number of earlier submissions whose streams broke off
+	lastEventID   string         // last event received from those streams, empty: none
+	avoidedServer logic.ServerID // server of the last of those streams
 }
 
-// resumedPrefix sets the id of a further submission apart from earlier ones', which may not
-// have been forgotten yet. No client's id holds such a byte.
-const resumedPrefix = "\x00"
+// resumptionPrefix makes the id of a resumption differ from those of earlier submissions, which the
+// event loop may not have forgotten yet. An HTTP header cannot contain this byte, so no client's id
+// does.
+const resumptionPrefix = "\x00"
 
-// id names the submission to the owner; servers see the client's id.
+// id returns the request id for the event loop. Servers see the client's own attempt id.
 func (s submission) id(attempt string) string {
-	return strings.Repeat(resumedPrefix, s.again) + attempt
+	return strings.Repeat(resumptionPrefix, s.resumptions) + attempt
 }
 
-// dispatch has the request carried out by its service's servers.
+// dispatch has the request executed by a server of its service, and resumes its stream if needed.
 func (x *exchange) dispatch(s submission) core.Answer {
 	return x.resumable(x.submit(s), s)
 }
 
-// submit hands the request to its service's owner and waits for the answer. A client that
-// leaves ends it.
+// submit submits the request to the event loop of its service and waits for the answer. The request
+// is cancelled when the client disconnects.
 func (x *exchange) submit(s submission) core.Answer {
-	starting, cancel := context.WithDeadline(x.request.Context(), x.arrived.Add(startingWait))
-	owner := x.gateway.opt.Dispatcher.Owner(starting, x.service)
+	startup, cancel := context.WithDeadline(x.request.Context(), x.arrived.Add(startupWait))
+	loop := x.gateway.opt.Dispatcher.EventLoop(startup, x.service)
 	cancel()
-	left := time.Until(x.deadline)
-	if owner == nil || left <= 0 {
-		return core.Answer{Kind: core.Rejected, RetryAfter: pressedRetryAfter}
+	timeLeft := time.Until(x.deadline)
+	if loop == nil || timeLeft <= 0 {
+		return core.Answer{Kind: core.Rejected, RetryAfter: overloadRetryAfter}
 	}
-	if x.ended == nil {
-		x.ended = x.gateway.opt.Dispatcher.Begin(x.service)
+	if x.endRequest == nil {
+		x.endRequest = x.gateway.opt.Dispatcher.BeginRequest(x.service)
 	}
 	w := &waiter{answer: make(chan core.Answer, 1)}
-	defer w.leave()
+	defer w.abandon()
 	id := s.id(x.attempt)
 	request := core.Request{
-		ID: id, Class: x.route.Name, Arrived: time.Now(), Timeout: left, Call: withLastEvent(x.call(s.body), s.lastEvent), Session: w,
-		Worth: s.worth, MaxAttempts: s.maxAttempts, AvoidedServer: s.avoid,
+		ID: id, Class: x.route.Name, Arrived: time.Now(), Timeout: timeLeft, Call: withLastEvent(x.upstreamCall(s.body), s.lastEventID), Session: w,
+		Worth: s.worth, MaxAttempts: s.maxAttempts, AvoidedServer: s.avoidedServer,
 	}
 	if x.route.Persistence || s.affinity != "" && x.route.Class == routing.Streaming {
-		request.PreferredServers = x.gateway.opt.Dispatcher.Prefer(x.service, s.affinity)
+		request.PreferredServers = x.gateway.opt.Dispatcher.PreferredServers(x.service, s.affinity)
 	}
-	if err := owner.Submit(request); err != nil {
-		return core.Answer{Kind: core.Rejected, RetryAfter: pressedRetryAfter}
+	if err := loop.Submit(request); err != nil {
+		return core.Answer{Kind: core.Rejected, RetryAfter: overloadRetryAfter}
 	}
-	late := time.NewTimer(left + overdue)
+	late := time.NewTimer(timeLeft + answerGrace)
 	defer late.Stop()
 	select {
 	case a := <-w.answer:
 		return a
 	case <-late.C:
-		owner.ClientGone(id, w)
+		loop.ClientGone(id, w)
 		return core.Answer{Kind: core.Failed}
 	case <-x.request.Context().Done():
-		owner.ClientGone(id, w)
-		return core.Answer{Kind: gone}
+		loop.ClientGone(id, w)
+		return core.Answer{Kind: clientGone}
 	}
 }
 
-// gone is the kind of answer to a client that has left.
-const gone core.AnswerKind = 255
+// clientGone is the kind of answer to a client that has disconnected. It is not a value of package core.
+const clientGone core.AnswerKind = 255
 
-// answer gives the final answer. Before the end of a whole stream, kept is asked where it
-// is not nil: without its consent the answer breaks off.
-func (x *exchange) answer(a core.Answer, kept func() bool) {
-	count := x.gateway.opt.Count
+// respond sends the final answer to the client. If persist is not nil it is called before the end
+// of a complete stream, and the response breaks off unless it returns true.
+func (x *exchange) respond(a core.Answer, persist func() bool) {
+	count := x.gateway.opt.Counters
 	reply, _ := a.Reply.(*message.Reply)
 	switch {
-	case a.Kind == gone:
+	case a.Kind == clientGone:
 		count.Add("client.gone")
 		panic(http.ErrAbortHandler)
 	case reply != nil:
 		defer reply.Close()
-		x.pass(reply, kept)
+		x.forward(reply, persist)
 	case a.Kind == core.Rejected && !a.MayHaveRun:
-		x.gateway.refuse(x.writer, max(a.RetryAfter, pressedRetryAfter), "answer.refused")
+		x.gateway.reject(x.writer, max(a.RetryAfter, overloadRetryAfter), "answer.refused")
 	case a.Kind == core.Duplicate:
-		x.gateway.count("answer.duplicate")
+		x.gateway.countUnserved("answer.duplicate")
 		http.Error(x.writer, "the id is in use", http.StatusConflict)
 	case time.Now().Before(x.deadline):
-		x.gateway.count("answer.failed")
+		x.gateway.countUnserved("answer.failed")
 		http.Error(x.writer, "no server answered", http.StatusBadGateway)
 	default:
-		x.gateway.count("answer.late")
+		x.gateway.countUnserved("answer.late")
 		http.Error(x.writer, "no server answered in time", http.StatusGatewayTimeout)
 	}
 }
 
-// pass hands a server's answer on, unchanged but for what concerns the connection.
-func (x *exchange) pass(reply *message.Reply, kept func() bool) {
+// forward sends a server's response to the client, unchanged except for headers that concern one
+// connection only.
+func (x *exchange) forward(reply *message.Reply, persist func() bool) {
 	h := x.writer.Header()
 	for name, values := range reply.Header {
 		if !connectionHeaders[name] {
@@ -165,32 +167,33 @@
 		}
 	}
 	if h.Get("Content-Type") == "" {
-		h["Content-Type"] = nil // nothing is guessed about a server's bytes
+		h["Content-Type"] = nil // keeps net/http from guessing a type
 	}
 	if _, dated := reply.Header["Date"]; !dated {
 		h["Date"] = nil
 	}
-	if reply.Length != message.UnknownLength && kept == nil {
+	if reply.Length != message.UnknownLength && persist == nil {
 		h.Set("Content-Length", strconv.FormatInt(reply.Length, 10))
 	}
 	x.writer.WriteHeader(max(reply.Status, http.StatusOK))
 	if reply.Rest == nil {
 		x.writer.Write(reply.Body)
-	} else if !x.passStream(reply) {
-		x.gateway.count("answer.broken")
-		panic(http.ErrAbortHandler) // net/http's way to end a session short of its answer
+	} else if !x.forwardStream(reply) {
+		x.gateway.countUnserved("answer.broken")
+		panic(http.ErrAbortHandler) // makes net/http close the connection before the response is complete
 	}
-	if kept != nil && !kept() {
-		x.gateway.count("answer.not-kept")
+	if persist != nil && !persist() {
+		x.gateway.countUnserved("answer.not-kept")
 		panic(http.ErrAbortHandler)
 	}
-	x.gateway.opt.Count.Add("answer.served")
+	x.gateway.opt.Counters.Add("answer.served")
 }
 
-// passStream passes a long answer on, each piece as it comes, and tells whether it was whole.
-func (x *exchange) passStream(reply *message.Reply) bool {
+// forwardStream forwards a streamed response piece by piece as it arrives, and reports whether it
+// was complete.
+func (x *exchange) forwardStream(reply *message.Reply) bool {
 	control := http.NewResponseController(x.writer)
-	stop := closeWhenGone(x.request, reply)
+	stop := closeOnClientGone(x.request, reply)
 	defer stop()
 	buffer := copyBuffers.Get().(*[copySize]byte)
 	defer copyBuffers.Put(buffer)
@@ -215,15 +218,15 @@
 	}
 }
 
-// closeWhenGone ends a server's answer when its client leaves.
-func closeWhenGone(r *http.Request, reply *message.Reply) (stop func()) {
-	over := make(chan struct{})
+// closeOnClientGone closes a server's response when the client disconnects, until stop is called.
+func closeOnClientGone(r *http.Request, reply *message.Reply) (stop func()) {
+	done := make(chan struct{})
 	go func() {
 		select {
 		case <-r.Context().Done():
 			reply.Rest.Close()
-		case <-over:
+		case <-done:
 		}
 	}()
-	return func() { close(over) }
+	return func() { close(done) }
 }
--- a/internal/anemometer/gateway/capacity_test.go
+++ b/internal/anemometer/gateway/capacity_test.go
@@ -35,23 +35,23 @@
 )
 
 const (
-	streamEvents = 20
-	betweenEvent = time.Millisecond
-	promptBytes  = 2000
-	host         = "tenant-00000.example"
-	bodyMemory   = 1 << 28
+	eventsPerStream = 20
+	eventInterval   = time.Millisecond
+	promptBytes     = 2000
+	tenantHost      = "tenant-00000.example"
+	bodyBudgetBytes = 1 << 28
 )
 
-// began is what the stamps in events count from.
-var began = time.Now()
+// startTime is the zero of the timestamps in events.
+var startTime = time.Now()
 
-// BenchmarkStream is one stream of 20 events, 1 ms apart, by the way that it takes to a
-// server: "direct"; by a "plain" reverse proxy of the standard library; by the "gateway" as
-// a request without a program; and by it as a "turn", whose storage node grants at once.
-// "first" counts from the request to the first event, "later" from the writing of an event
-// at the server to its reading at the client. docs/CAPACITY.md.
+// BenchmarkStream measures one stream of 20 events, 1 ms apart, by its path to the server:
+// "direct"; through a "plain" reverse proxy of the standard library; through the "gateway" as a
+// request without a program; and through the gateway as a "turn", whose storage node grants it at
+// once. "first" is the time from the request to the first event. "later" is the time from writing
+// an event at the server to reading it at the client. See docs/CAPACITY.md.
 func BenchmarkStream(b *testing.B) {
-	server := httptest.NewServer(http.HandlerFunc(speak))
+	server := httptest.NewServer(http.HandlerFunc(serveTimestamps))
 	b.Cleanup(server.Close)
 	target, err := url.Parse(server.URL)
 	assert.NilError(b, err)
@@ -59,7 +59,8 @@
 	proxy.FlushInterval = -1
 	proxy.Transport = &http.Transport{MaxIdleConnsPerHost: 100}
 	plain := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// Else the answer's first byte ends a body that is still under way.
+		// Without full duplex, net/http stops reading the request body at the first byte of the
+		// response.
 		assert.Check(b, http.NewResponseController(w).EnableFullDuplex() == nil)
 		proxy.ServeHTTP(w, r)
 	}))
@@ -76,52 +77,52 @@
 	}
 }
 
-// speak answers as a model server does, with the time in each event.
-func speak(w http.ResponseWriter, r *http.Request) {
+// serveTimestamps streams events as a model server does, with the current time in each event.
+func serveTimestamps(w http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	w.Header().Set("Content-Type", dispatch.StreamType)
 	w.Header().Set(dispatch.AttemptHeader, r.Header.Get(dispatch.AttemptHeader))
 	control := http.NewResponseController(w)
-	tick := time.NewTicker(betweenEvent)
+	tick := time.NewTicker(eventInterval)
 	defer tick.Stop()
-	for i := range streamEvents {
+	for i := range eventsPerStream {
 		if i > 0 {
 			<-tick.C
 		}
-		fmt.Fprintf(w, "id: %d\ndata: %d\n\n", i, time.Since(began).Nanoseconds())
+		fmt.Fprintf(w, "id: %d\ndata: %d\n\n", i, time.Since(startTime).Nanoseconds())
 		control.Flush()
 	}
 }
 
-// turnCalls grants all that is asked of a storage node.
-type turnCalls struct{}
+// grantingTurns is a storage node that grants every call.
+type grantingTurns struct{}
 
 // Admit grants a turn.
-func (turnCalls) Admit(_ *protocol.AdmitArgs, reply *protocol.AdmitReply) error {
+func (grantingTurns) Admit(_ *protocol.AdmitArgs, reply *protocol.AdmitReply) error {
 	reply.Outcome = protocol.TurnGranted
 	return nil
 }
 
-// Finish keeps a turn.
-func (turnCalls) Finish(_ *protocol.FinishArgs, reply *protocol.FinishReply) error {
+// Finish accepts a turn.
+func (grantingTurns) Finish(_ *protocol.FinishArgs, reply *protocol.FinishReply) error {
 	reply.Outcome = protocol.TurnGranted
 	return nil
 }
 
-// startGateway serves clients by a gateway that knows one server, and gives its address.
+// startGateway starts a gateway that knows one server, and returns the gateway's address.
 func startGateway(b *testing.B, server string) string {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	count := counters.New()
-	budget := message.NewBudget(bodyMemory)
-	dispatcher := dispatch.New(dispatch.Options{Zone: "z", Conns: 100, Budget: budget, Count: count, Log: log})
+	budget := message.NewBudget(bodyBudgetBytes)
+	dispatcher := dispatch.New(dispatch.Options{Zone: "z", MaxConns: 100, Budget: budget, Counters: count, Log: log})
 	b.Cleanup(dispatcher.Close)
-	g := New(Options{Dispatcher: dispatcher, Turns: startTurns(b), Budget: budget, Count: count, MaxOpen: 100})
+	g := New(Options{Dispatcher: dispatcher, Turns: startTurns(b), Budget: budget, Counters: count, MaxOpenRequests: 100})
 	configuration, err := routing.Parse(scaletest.Configuration(9, 15))
 	assert.NilError(b, err)
 	dispatcher.Configure(configuration)
 	service := scaletest.Service(0)
 	servers := []protocol.Server{{ID: "s", Address: server, Zone: "z", Capacity: 100}}
-	dispatcher.Servers(protocol.ServicePartition(service), []protocol.ServerList{{Service: service, Version: 1, Servers: servers}})
+	dispatcher.UpdateServers(protocol.ServicePartition(service), []protocol.ServerList{{Service: service, Version: 1, Servers: servers}})
 	g.Configure(configuration)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
@@ -134,9 +135,9 @@
 	return l.Addr().String()
 }
 
-// startTurns gives a client of one storage node.
+// startTurns starts one storage node and returns a client of it.
 func startTurns(b *testing.B) *turnclient.Client {
-	server, err := link.NewServer(map[string]any{"Turns": turnCalls{}})
+	server, err := link.NewServer(map[string]any{"Turns": grantingTurns{}})
 	assert.NilError(b, err)
 	l, err := link.Listen("127.0.0.1:0")
 	assert.NilError(b, err)
@@ -146,15 +147,15 @@
 	b.Cleanup(pool.Close)
 	client := turnclient.New(pool)
 	const id = replica.NodeID(1)
-	client.Learn(protocol.Directory{
+	client.SetDirectory(protocol.Directory{
 		Version: 1, Nodes: []protocol.Node{{ID: id, Name: "s", Class: protocol.Storage, Address: l.Addr().String()}},
 		Partitions: []protocol.PartitionMembers{{Voters: []replica.NodeID{id}}},
 	})
 	return client
 }
 
-// seen are the times of events.
-type seen struct {
+// eventLatencies collects the latencies of first and later events.
+type eventLatencies struct {
 	mu           sync.Mutex
 	first, later []time.Duration
 }
@@ -162,15 +163,15 @@
 func benchmarkStream(b *testing.B, address, program string, streams int) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: streams}}
 	defer client.CloseIdleConnections()
-	var all seen
+	var all eventLatencies
 	var next atomic.Int64
-	before := processorTime()
+	before := processCPUTime()
 	b.ResetTimer()
 	var group sync.WaitGroup
 	for range streams {
 		group.Go(func() {
 			for number := next.Add(1); number <= int64(b.N); number = next.Add(1) {
-				if err := follow(client, address, program, fmt.Sprintf("%s-%d-%d", b.Name(), b.N, number), &all); err != nil {
+				if err := readStream(client, address, program, fmt.Sprintf("%s-%d-%d", b.Name(), b.N, number), &all); err != nil {
 					b.Error(err)
 					return
 				}
@@ -179,14 +180,14 @@
 	}
 	group.Wait()
 	b.StopTimer()
-	used := processorTime() - before
-	b.ReportMetric(float64(used.Nanoseconds())/1000/float64(b.N*streamEvents), "cpu-µs/event")
-	report(b, all.first, "first")
-	report(b, all.later, "later")
+	used := processCPUTime() - before
+	b.ReportMetric(float64(used.Nanoseconds())/1000/float64(b.N*eventsPerStream), "cpu-µs/event")
+	reportPercentiles(b, all.first, "first")
+	reportPercentiles(b, all.later, "later")
 }
 
-// processorTime is what this process has used of the processors.
-func processorTime() time.Duration {
+// processCPUTime returns the CPU time that this process has used.
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -194,7 +195,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func report(b *testing.B, times []time.Duration, name string) {
+func reportPercentiles(b *testing.B, times []time.Duration, name string) {
 	slices.Sort(times)
 	if len(times) == 0 {
 		return
@@ -203,19 +204,19 @@
 	b.ReportMetric(float64(times[len(times)*99/100].Nanoseconds())/1000, name+"-p99-µs")
 }
 
-// follow makes one request and reads its stream.
-func follow(client *http.Client, address, program, id string, all *seen) error {
+// readStream makes one request and reads its stream.
+func readStream(client *http.Client, address, program, id string, all *eventLatencies) error {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/chat", bytes.NewReader(make([]byte, promptBytes)))
 	if err != nil {
 		return err
 	}
-	request.Host = host
+	request.Host = tenantHost
 	request.Header.Set(dispatch.AttemptHeader, id)
 	request.Header.Set(tokensHeader, "500,20")
 	if program != "" {
 		request.Header.Set(programHeader, program+id)
 	}
-	start := time.Since(began)
+	start := time.Since(startTime)
 	response, err := client.Do(request)
 	if err != nil {
 		return err
@@ -229,7 +230,7 @@
 		if !is {
 			continue
 		}
-		now := time.Since(began)
+		now := time.Since(startTime)
 		written, err := strconv.ParseInt(string(stamp), 10, 64)
 		if err != nil {
 			return err
@@ -240,7 +241,7 @@
 		}
 		later = append(later, now-time.Duration(written))
 	}
-	if len(later) != streamEvents-1 {
+	if len(later) != eventsPerStream-1 {
 		return fmt.Errorf("status %d, %d later events: %w", response.StatusCode, len(later), lines.Err())
 	}
 	all.mu.Lock()
--- a/internal/anemometer/gateway/gateway.go
+++ b/internal/anemometer/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway answers clients: it finds a request's route, has it sent to a server of
-// the route's service and passes the answer on. Turns of programs go by way of the
-// storage nodes that keep them.
+// Package gateway answers clients. It finds the route of a request, has the request sent to a
+// server of the route's service and forwards the response. Turns of programs are admitted and
+// stored by storage nodes.
 package gateway
 
 import (
@@ -24,24 +24,24 @@
 )
 
 const (
-	// bodyWithin is how long a client may take for a body, and perByte how much longer for
-	// each byte that has come.
-	bodyWithin = 3 * time.Second
-	perByte    = time.Second / 48000
-	// startingWait is how long a request waits for the first configuration after a start, and
-	// startingRetryAfter what is told then. pressedRetryAfter is told where this node is at a
-	// limit of its own.
-	startingRetryAfter = 500 * time.Millisecond
-	startingWait       = 1500 * time.Millisecond
-	pressedRetryAfter  = 300 * time.Millisecond
-	// identifierMost is the longest id of a try, in bytes.
-	identifierMost = 256
-	// historyBytes is how much of what was said lately is kept in memory.
-	historyBytes = 12 << 20
+	// bodyTimeout is how long a client may take to send a body. bodyTimePerByte is added for each
+	// byte received.
+	bodyTimeout     = 3 * time.Second
+	bodyTimePerByte = time.Second / 48000
+	// startupWait is how long a request waits for the first configuration after a start. After that it
+	// is rejected with startupRetryAfter. overloadRetryAfter is the Retry-After where this node is at
+	// one of its own limits.
+	startupRetryAfter  = 500 * time.Millisecond
+	startupWait        = 1500 * time.Millisecond
+	overloadRetryAfter = 300 * time.Millisecond
+	// maxAttemptIDBytes bounds the length of an attempt id.
+	maxAttemptIDBytes = 256
+	// maxHistoryBytes bounds the memory for the texts of recent turns.
+	maxHistoryBytes = 12 << 20
 )
 
-// Turns keeps what was said and what programs may still put out. *turnclient.Client is
-// the one that reaches the storage nodes.
+// Turns stores turns and the token budgets of programs. *turnclient.Client implements it with the
+// storage nodes.
 type Turns interface {
 	Admit(context.Context, protocol.AdmitArgs) (protocol.AdmitReply, error)
 	Finish(context.Context, protocol.FinishArgs) (protocol.TurnOutcome, error)
@@ -50,99 +50,99 @@
 
 var _ Turns = (*turnclient.Client)(nil)
 
-// Options are what a Gateway needs.
+// Options configures a Gateway.
 type Options struct {
-	Dispatcher *dispatch.Dispatcher
-	Turns      Turns
-	Budget     *message.Budget
-	Count      *counters.Set
-	MaxOpen    int // requests that may be open at once
-	// Current tells whether the configuration is surely recent; nil: it always is. A route that
-	// an older one lacks may be in force by now.
+	Dispatcher      *dispatch.Dispatcher
+	Turns           Turns
+	Budget          *message.Budget
+	Counters        *counters.Set
+	MaxOpenRequests int // bound on requests open at once
+	// Current reports whether the configuration is surely recent. Nil means that it always is. A route
+	// that an outdated configuration lacks may already be in force.
 	Current func() bool
 }
 
-// Gateway answers clients' requests.
+// Gateway answers the requests of clients.
 type Gateway struct {
-	opt   Options
-	table atomic.Pointer[tables]
-	open  atomic.Int64
+	opt    Options
+	active atomic.Pointer[activeConfiguration]
+	open   atomic.Int64
 
 	history    *history.Cache
-	configured chan struct{} // closed once a configuration is known
+	configured chan struct{} // closed once the first configuration has arrived
 }
 
-// tables are what a configuration says.
-type tables struct {
-	configuration *routing.Configuration
-	routes        *routing.Table
-	strides       map[string]uint64 // tokens in each event, by service
+// activeConfiguration is a configuration with the tables derived from it.
+type activeConfiguration struct {
+	configuration  *routing.Configuration
+	routes         *routing.Table
+	tokensPerEvent map[string]uint64 // by service
 }
 
-// New returns a Gateway that knows no configuration yet.
+// New returns a Gateway that has no configuration yet.
 func New(o Options) *Gateway {
-	return &Gateway{opt: o, history: history.New(historyBytes), configured: make(chan struct{})}
+	return &Gateway{opt: o, history: history.New(maxHistoryBytes), configured: make(chan struct{})}
 }
 
-// Configure takes a configuration on: requests that come later follow it.
+// Configure applies a configuration to requests that arrive later.
 func (g *Gateway) Configure(c *routing.Configuration) {
-	t := &tables{configuration: c, routes: routing.NewTable(c), strides: map[string]uint64{}}
+	t := &activeConfiguration{configuration: c, routes: routing.NewTable(c), tokensPerEvent: map[string]uint64{}}
 	for i := range c.Pools {
 		if e := c.Pools[i].Engine; e != nil {
-			t.strides[c.Pools[i].Name] = uint64(max(e.StreamChunk, 1))
+			t.tokensPerEvent[c.Pools[i].Name] = uint64(max(e.StreamChunk, 1))
 		}
 	}
-	if g.table.Swap(t) == nil {
+	if g.active.Swap(t) == nil {
 		close(g.configured)
 	}
 }
 
-// Configured tells whether a configuration is known.
-func (g *Gateway) Configured() bool { return g.table.Load() != nil }
+// Configured reports whether a configuration has arrived.
+func (g *Gateway) Configured() bool { return g.active.Load() != nil }
 
-// exchange is one request on its way.
+// exchange is one client request and its response.
 type exchange struct {
-	gateway  *Gateway
-	writer   http.ResponseWriter
-	request  *http.Request
-	conn     *ingress.Conn
-	route    *routing.Route
-	tables   *tables
-	service  string
-	attempt  string
-	body     []byte
-	arrived  time.Time
-	deadline time.Time // the final answer goes out by then
-	ended    func()    // tells the dispatcher that the request no longer goes out, nil: it didn't yet
+	gateway    *Gateway
+	writer     http.ResponseWriter
+	request    *http.Request
+	conn       *ingress.Conn
+	route      *routing.Route
+	active     *activeConfiguration
+	service    string
+	attempt    string
+	body       []byte
+	arrived    time.Time
+	deadline   time.Time // of the final answer
+	endRequest func()    // tells the dispatcher that the request has ended, nil: it was not submitted yet
 }
 
-// Handle answers a request. It is for ingress.Options.Handler.
+// Handle answers a request. It is used as ingress.Options.Handler.
 func (g *Gateway) Handle(w http.ResponseWriter, r *http.Request, c *ingress.Conn) {
 	arrived := time.Now()
 	defer g.open.Add(-1)
-	over := g.open.Add(1) > int64(g.opt.MaxOpen)
-	if over {
-		g.refuse(w, pressedRetryAfter, "answer.pressed")
+	overLimit := g.open.Add(1) > int64(g.opt.MaxOpenRequests)
+	if overLimit {
+		g.reject(w, overloadRetryAfter, "answer.pressed")
 		return
 	}
-	t := g.known(r)
+	t := g.awaitConfiguration(r)
 	if t == nil {
-		g.refuse(w, startingRetryAfter, "answer.starting")
+		g.reject(w, startupRetryAfter, "answer.starting")
 		return
 	}
 	route, ok := t.routes.Match(r.Host, r.URL.EscapedPath())
 	if !ok {
-		g.refuseRoute(w)
+		g.rejectUnrouted(w)
 		return
 	}
-	x := &exchange{gateway: g, writer: w, request: r, conn: c, route: route, tables: t, arrived: arrived}
+	x := &exchange{gateway: g, writer: w, request: r, conn: c, route: route, active: t, arrived: arrived}
 	if fault := x.read(); fault != nil {
 		if fault.Status == http.StatusServiceUnavailable {
 			w.Header().Set("Connection", "close")
-			g.refuse(w, pressedRetryAfter, "answer.no-room")
+			g.reject(w, overloadRetryAfter, "answer.no-room")
 			return
 		}
-		g.opt.Count.Add("answer.malformed")
+		g.opt.Counters.Add("answer.malformed")
 		w.Header().Set("Connection", "close")
 		http.Error(w, fault.Error(), fault.Status)
 		return
@@ -151,54 +151,55 @@
 	x.serve()
 }
 
-// known returns what the configuration says. A process that has just started waits a while
-// for its first one: what it needs is on its way, and the client's tries are few.
-func (g *Gateway) known(r *http.Request) *tables {
-	if t := g.table.Load(); t != nil {
+// awaitConfiguration returns the configuration. A process that has just started waits a while for
+// its first one: it arrives soon, and rejecting would use up one of the client's few attempts.
+func (g *Gateway) awaitConfiguration(r *http.Request) *activeConfiguration {
+	if t := g.active.Load(); t != nil {
 		return t
 	}
-	wait := time.NewTimer(startingWait)
+	wait := time.NewTimer(startupWait)
 	defer wait.Stop()
 	select {
 	case <-g.configured:
 	case <-wait.C:
 	case <-r.Context().Done():
 	}
-	return g.table.Load()
+	return g.active.Load()
 }
 
-// refuseRoute answers a request that no route leads on: finally, if the configuration is recent.
-func (g *Gateway) refuseRoute(w http.ResponseWriter) {
+// rejectUnrouted answers a request that matches no route: with a final 404 if the configuration is
+// recent, else with a rejection that the client retries.
+func (g *Gateway) rejectUnrouted(w http.ResponseWriter) {
 	if g.opt.Current != nil && !g.opt.Current() {
-		g.refuse(w, startingRetryAfter, "answer.out-of-touch")
+		g.reject(w, startupRetryAfter, "answer.out-of-touch")
 		return
 	}
-	g.opt.Count.Add("answer.no-route")
+	g.opt.Counters.Add("answer.no-route")
 	http.Error(w, "no route", http.StatusNotFound)
 }
 
-func (g *Gateway) refuse(w http.ResponseWriter, after time.Duration, why string) {
-	g.count(why)
+func (g *Gateway) reject(w http.ResponseWriter, after time.Duration, reason string) {
+	g.countUnserved(reason)
 	w.Header().Set("Retry-After", seconds(after))
 	http.Error(w, "try again", http.StatusServiceUnavailable)
 }
 
-// logEvery is how often a line tells of requests that ended for one and the same reason.
-const logEvery = time.Second
+// logInterval bounds the log to one line per interval for requests that ended for the same reason.
+const logInterval = time.Second
 
-// count counts the end of a request that wasn't served, and says so in the log now and then.
-func (g *Gateway) count(why string) {
-	g.opt.Count.Add(why)
-	if skipped, ok := journal.Every(why, logEvery); ok {
-		klog.InfoS("A request is not served", "cause", why, "alike", skipped)
+// countUnserved counts a request that was not served, and logs it at most once per logInterval.
+func (g *Gateway) countUnserved(reason string) {
+	g.opt.Counters.Add(reason)
+	if skipped, ok := journal.Every(reason, logInterval); ok {
+		klog.InfoS("Request not served", "cause", reason, "alike", skipped)
 	}
 }
 
-// serve has a request that came whole carried out and answered.
+// serve executes a completely received request and answers it.
 func (x *exchange) serve() {
 	defer func() {
-		if x.ended != nil {
-			x.ended()
+		if x.endRequest != nil {
+			x.endRequest()
 		}
 	}()
 	if x.isTurn() {
@@ -206,5 +207,5 @@
 		return
 	}
 	a := x.dispatch(submission{body: x.body, affinity: x.request.Header.Get(sessionHeader)})
-	x.answer(a, nil)
+	x.respond(a, nil)
 }
--- a/internal/anemometer/gateway/gateway_test.go
+++ b/internal/anemometer/gateway/gateway_test.go
@@ -19,14 +19,14 @@
 
 var turnHeaders = []string{programHeader, "p", sessionHeader, "s", budgetHeader, "500", tokensHeader, "100,20"}
 
-func TestAnswerIsPassedOnUnchanged(t *testing.T) {
-	r := newRig(t, true, func(w http.ResponseWriter, _ *http.Request) {
+func TestResponseIsForwardedUnchanged(t *testing.T) {
+	r := newTestGateway(t, true, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Oakseam-Server-Seal", "seal")
 		w.Header().Set("Content-Type", "application/x-own")
 		w.WriteHeader(http.StatusCreated)
 		io.WriteString(w, "body")
 	})
-	response := r.ask(t, "POST", "/orders/x?q=1", "input", "X-Own", "v", "Connection", "X-Hop", "X-Hop", "gone", dispatch.TimeBudgetHeader, "900")
+	response := r.do(t, "POST", "/orders/x?q=1", "input", "X-Own", "v", "Connection", "X-Hop", "X-Hop", "gone", dispatch.TimeBudgetHeader, "900")
 	text, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, response.StatusCode, http.StatusCreated)
@@ -38,39 +38,39 @@
 	assert.Equal(t, got.Host, "h")
 	assert.Equal(t, r.body[0], "input")
 	assert.Equal(t, got.Header.Get("X-Own"), "v")
-	assert.Equal(t, got.Header.Get("X-Hop"), "", "what concerns the connection stays behind")
+	assert.Equal(t, got.Header.Get("X-Hop"), "", "headers listed in Connection must not be forwarded")
 	assert.Equal(t, got.Header.Get(dispatch.TargetHeader), "i-tools")
 	assert.Equal(t, got.Header.Get(dispatch.AttemptHeader), "a1")
 	assert.Assert(t, got.Header.Get(dispatch.TimeBudgetHeader) <= "900")
 }
 
-func TestServersFailureIsPassedOn(t *testing.T) {
-	r := newRig(t, true, func(w http.ResponseWriter, _ *http.Request) {
+func TestServerErrorIsForwardedWithoutRetry(t *testing.T) {
+	r := newTestGateway(t, true, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Oakseam-Server-Seal", "seal")
 		w.WriteHeader(http.StatusInternalServerError)
 		io.WriteString(w, "own words")
 	})
-	response := r.ask(t, "POST", "/orders/x", "")
+	response := r.do(t, "POST", "/orders/x", "")
 	text, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, response.StatusCode, http.StatusInternalServerError)
 	assert.Equal(t, string(text), "own words")
 	assert.Equal(t, response.Header.Get("Oakseam-Server-Seal"), "seal")
-	assert.Equal(t, len(r.seen), 1, "it ran: no second try")
+	assert.Equal(t, len(r.seen), 1, "a request that ran must not be retried")
 }
 
-func TestWhatNeverRanIsRefused(t *testing.T) {
-	r := newRig(t, true, func(w http.ResponseWriter, _ *http.Request) {
+func TestRequestThatNeverRanIsRejectedWithRetryAfter(t *testing.T) {
+	r := newTestGateway(t, true, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(dispatch.NotExecutedHeader, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	response := r.ask(t, "POST", "/orders/x", "")
+	response := r.do(t, "POST", "/orders/x", "")
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 	assert.Assert(t, response.Header.Get("Retry-After") != "")
 }
 
-func TestOwnAnswers(t *testing.T) {
-	r := newRig(t, true, func(w http.ResponseWriter, _ *http.Request) { t.Error("a server was asked") })
+func TestInvalidRequestIsNotSentToServer(t *testing.T) {
+	r := newTestGateway(t, true, func(w http.ResponseWriter, _ *http.Request) { t.Error("a server was asked") })
 	for _, tt := range []struct {
 		name, path, body string
 		status           int
@@ -82,51 +82,51 @@
 		{"too long", "/orders/", strings.Repeat("x", 1001), http.StatusRequestEntityTooLarge, nil},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			assert.Equal(t, r.ask(t, "POST", tt.path, tt.body, tt.headers...).StatusCode, tt.status)
+			assert.Equal(t, r.do(t, "POST", tt.path, tt.body, tt.headers...).StatusCode, tt.status)
 		})
 	}
 }
 
-func TestTurnBringsTheWholeLineAndIsKeptBeforeItsEnd(t *testing.T) {
-	r := newRig(t, true, stream("one", "two"))
+func TestTurnSendsWholeHistoryAndIsStoredBeforeItsEnd(t *testing.T) {
+	r := newTestGateway(t, true, stream("one", "two"))
 	r.turns.admit = func(a protocol.AdmitArgs) (protocol.AdmitReply, error) {
 		assert.Equal(t, a.Previous, "a0")
 		assert.Equal(t, a.Most, uint64(20))
 		assert.Equal(t, a.Budget, uint64(500))
 		return protocol.AdmitReply{Outcome: protocol.TurnGranted, History: []byte("before\n")}, nil
 	}
-	kept := make(chan struct{})
+	stored := make(chan struct{})
 	r.turns.finish = func(protocol.FinishArgs) (protocol.TurnOutcome, error) {
-		<-kept
+		<-stored
 		return protocol.TurnGranted, nil
 	}
-	response := r.ask(t, "POST", "/turns/x", "input", append([]string{previousHeader, "a0"}, turnHeaders...)...)
+	response := r.do(t, "POST", "/turns/x", "input", append([]string{previousHeader, "a0"}, turnHeaders...)...)
 	lines := bufio.NewReader(response.Body)
 	for range 6 {
 		_, err := lines.ReadString('\n')
 		assert.NilError(t, err)
 	}
-	end := <-r.turns.ends // both events are out, the end of the stream is not
+	end := <-r.turns.ends // both events have been delivered, the end of the stream has not
 	assert.Assert(t, end.Whole)
 	assert.Equal(t, string(end.Input), "input")
 	assert.Equal(t, string(end.Output), "one\ntwo\n")
 	assert.Equal(t, end.Tokens, uint64(4))
 	assert.Equal(t, end.Previous, "a0")
-	close(kept)
+	close(stored)
 	_, err := lines.ReadString('\n')
 	assert.Equal(t, err, io.EOF)
 	assert.Equal(t, r.body[0], "before\ninput")
 	assert.Equal(t, r.seen[0].Header.Get(dispatch.PriorityHeader), "1")
 }
 
-func TestTurnThatCannotBeKeptDoesNotLookWhole(t *testing.T) {
-	r := newRig(t, true, stream("one"))
+func TestTurnThatCannotBeStoredBreaksOff(t *testing.T) {
+	r := newTestGateway(t, true, stream("one"))
 	r.turns.finish = func(protocol.FinishArgs) (protocol.TurnOutcome, error) { return 0, turnclient.ErrUnavailable }
-	response := r.ask(t, "POST", "/turns/x", "input", turnHeaders...)
+	response := r.do(t, "POST", "/turns/x", "input", turnHeaders...)
 	_, err := io.ReadAll(response.Body)
 	assert.Equal(t, err, io.ErrUnexpectedEOF)
 	<-r.turns.ends
-	assert.Assert(t, !(<-r.turns.ends).Whole, "what was handed out is settled")
+	assert.Assert(t, !(<-r.turns.ends).Whole, "the delivered tokens must be reported")
 }
 
 func TestTurnIsNotSentWithoutAdmission(t *testing.T) {
@@ -138,25 +138,25 @@
 		status int
 	}{
 		{"spent", protocol.AdmitReply{Outcome: protocol.TurnSpent}, nil, nil, http.StatusPaymentRequired},
-		{"nobody answers", protocol.AdmitReply{}, turnclient.ErrUnavailable, nil, http.StatusServiceUnavailable},
+		{"no partition leader answers", protocol.AdmitReply{}, turnclient.ErrUnavailable, nil, http.StatusServiceUnavailable},
 		{"closed", protocol.AdmitReply{Outcome: protocol.TurnClosed}, nil, nil, http.StatusServiceUnavailable},
-		{"surely missing", protocol.AdmitReply{Outcome: protocol.TurnMissing}, nil, nil, http.StatusNotFound},
-		{"perhaps missing", protocol.AdmitReply{Outcome: protocol.TurnMissing}, nil, func(string) ([]byte, bool, error) {
+		{"missing in all partitions", protocol.AdmitReply{Outcome: protocol.TurnMissing}, nil, nil, http.StatusNotFound},
+		{"missing, but not all partitions asked", protocol.AdmitReply{Outcome: protocol.TurnMissing}, nil, func(string) ([]byte, bool, error) {
 			return nil, false, turnclient.ErrUnsure
 		}, http.StatusServiceUnavailable},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newRig(t, true, func(w http.ResponseWriter, _ *http.Request) { t.Error("a server was asked") })
+			r := newTestGateway(t, true, func(w http.ResponseWriter, _ *http.Request) { t.Error("a server was asked") })
 			r.turns.admit = func(protocol.AdmitArgs) (protocol.AdmitReply, error) { return tt.reply, tt.err }
 			r.turns.find = tt.find
-			response := r.ask(t, "POST", "/turns/x", "input", append([]string{previousHeader, "a0"}, turnHeaders...)...)
+			response := r.do(t, "POST", "/turns/x", "input", append([]string{previousHeader, "a0"}, turnHeaders...)...)
 			assert.Equal(t, response.StatusCode, tt.status)
 		})
 	}
 }
 
-func TestTurnGoesOnFromAnotherPartition(t *testing.T) {
-	r := newRig(t, true, stream("one"))
+func TestTurnContinuesHistoryOfAnotherPartition(t *testing.T) {
+	r := newTestGateway(t, true, stream("one"))
 	r.turns.admit = func(a protocol.AdmitArgs) (protocol.AdmitReply, error) {
 		if !a.Imported {
 			return protocol.AdmitReply{Outcome: protocol.TurnMissing}, nil
@@ -164,36 +164,36 @@
 		return protocol.AdmitReply{Outcome: protocol.TurnGranted}, nil
 	}
 	r.turns.find = func(string) ([]byte, bool, error) { return []byte("far\n"), true, nil }
-	response := r.ask(t, "POST", "/turns/x", "input", append([]string{previousHeader, "a0"}, turnHeaders...)...)
+	response := r.do(t, "POST", "/turns/x", "input", append([]string{previousHeader, "a0"}, turnHeaders...)...)
 	_, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, r.body[0], "far\ninput")
-	assert.Equal(t, string((<-r.turns.ends).Imported), "far\n", "and takes that along")
+	assert.Equal(t, string((<-r.turns.ends).Imported), "far\n", "the history must be imported into the program's partition")
 }
 
-func TestClientThatLeavesFreesItsServer(t *testing.T) {
-	freed := make(chan struct{})
-	r := newRig(t, true, func(w http.ResponseWriter, request *http.Request) {
+func TestClientDisconnectCancelsRequestAtServer(t *testing.T) {
+	cancelled := make(chan struct{})
+	r := newTestGateway(t, true, func(w http.ResponseWriter, request *http.Request) {
 		w.Header().Set("Content-Type", dispatch.StreamType)
-		event(w, 1, "one")
+		writeEvent(w, 1, "one")
 		<-request.Context().Done()
-		close(freed)
+		close(cancelled)
 	})
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	response, err := http.DefaultClient.Do(r.request(t, ctx, "POST", "/turns/x", "input", turnHeaders...))
 	assert.NilError(t, err)
 	defer response.Body.Close()
 	_, err = bufio.NewReader(response.Body).ReadString('\n')
 	assert.NilError(t, err)
-	leave()
-	<-freed
+	disconnect()
+	<-cancelled
 	end := <-r.turns.ends
 	assert.Assert(t, !end.Whole)
-	assert.Equal(t, end.Tokens, uint64(2), "the event that went out counts")
+	assert.Equal(t, end.Tokens, uint64(2), "the tokens of a delivered event must be counted")
 }
 
-func TestRequestWaitsForTheFirstConfiguration(t *testing.T) {
-	r := newRig(t, false, stream())
+func TestRequestWaitsForFirstConfiguration(t *testing.T) {
+	r := newTestGateway(t, false, stream())
 	waiting := make(chan int)
 	go func() {
 		response, err := http.DefaultClient.Do(r.request(t, context.Background(), "POST", "/other/", ""))
@@ -205,19 +205,20 @@
 		response.Body.Close()
 		waiting <- response.StatusCode
 	}()
-	r.gateway.Configure(parsed(t))
+	r.gateway.Configure(parsedConfiguration(t))
 	assert.Equal(t, <-waiting, http.StatusNotFound)
 }
 
-// A node that is out of touch can't know of a route that was added meanwhile.
-func TestNoRouteIsFinalOnlyWhereTheConfigurationIsRecent(t *testing.T) {
-	r := newRig(t, true, func(http.ResponseWriter, *http.Request) {})
+// A node without contact to the control plane must not answer 404, because a route may have been
+// added meanwhile.
+func TestNoRouteIsFinalOnlyWithRecentConfiguration(t *testing.T) {
+	r := newTestGateway(t, true, func(http.ResponseWriter, *http.Request) {})
 	for current, status := range map[bool]int{true: http.StatusNotFound, false: http.StatusServiceUnavailable} {
 		r.gateway.opt.Current = func() bool { return current }
-		response := r.ask(t, "POST", "/nowhere/x", "")
+		response := r.do(t, "POST", "/nowhere/x", "")
 		assert.Equal(t, response.StatusCode, status)
 		assert.Equal(t, response.Header.Get("Retry-After") != "", !current)
 	}
 	r.gateway.opt.Current = func() bool { return false }
-	assert.Equal(t, r.ask(t, "POST", "/orders/x", "").StatusCode, http.StatusOK, "routes that are known are served on")
+	assert.Equal(t, r.do(t, "POST", "/orders/x", "").StatusCode, http.StatusOK, "known routes must still be served")
 }
--- a/internal/anemometer/gateway/standin_test.go
+++ b/internal/anemometer/gateway/harness_test.go
@@ -23,8 +23,8 @@
 	"pipitmux/internal/station/routing"
 )
 
-// configuration has a route for turns, one for reads and one for orders.
-const configuration = `{"configRevision":1,"virtualServers":[
+// testConfiguration has routes for turns, for resumable streams, for reads and for orders.
+const testConfiguration = `{"configRevision":1,"virtualServers":[
 {"name":"turns","hostHeader":"h","pathPrefix":"/turns/","trafficClass":"streaming","timeoutMs":5000,"targetLatencyMs":250,"priority":1,"poolName":"llm","retryLimit":2,"retained":true,"retentionS":60,"persistence":true},
 {"name":"resumable","hostHeader":"h","pathPrefix":"/resumable/","trafficClass":"streaming","timeoutMs":5000,"targetLatencyMs":250,"priority":1,"poolName":"llm","retryLimit":2,"sessionResume":true},
 {"name":"often","hostHeader":"h","pathPrefix":"/often/","trafficClass":"streaming","timeoutMs":5000,"targetLatencyMs":250,"priority":1,"poolName":"llm","retryLimit":3,"sessionResume":true},
@@ -32,22 +32,22 @@
 {"name":"orders","hostHeader":"h","pathPrefix":"/orders/","trafficClass":"non_idempotent","timeoutMs":5000,"targetLatencyMs":250,"poolName":"tools","retryLimit":2}],
 "pools":[{"name":"llm","engine":{"streamChunk":2}},{"name":"tools"}],"limits":{"maxBodyBytes":1000}}`
 
-// turnsStandin records what the gateway tells the keepers of turns.
-type turnsStandin struct {
+// fakeTurns records what the gateway reports to the storage nodes.
+type fakeTurns struct {
 	admit  func(protocol.AdmitArgs) (protocol.AdmitReply, error)
 	finish func(protocol.FinishArgs) (protocol.TurnOutcome, error)
 	find   func(string) ([]byte, bool, error)
 	ends   chan protocol.FinishArgs
 }
 
-func (s *turnsStandin) Admit(_ context.Context, a protocol.AdmitArgs) (protocol.AdmitReply, error) {
+func (s *fakeTurns) Admit(_ context.Context, a protocol.AdmitArgs) (protocol.AdmitReply, error) {
 	if s.admit == nil {
 		return protocol.AdmitReply{Outcome: protocol.TurnGranted}, nil
 	}
 	return s.admit(a)
 }
 
-func (s *turnsStandin) Finish(_ context.Context, a protocol.FinishArgs) (protocol.TurnOutcome, error) {
+func (s *fakeTurns) Finish(_ context.Context, a protocol.FinishArgs) (protocol.TurnOutcome, error) {
 	s.ends <- a
 	if s.finish == nil {
 		return protocol.TurnGranted, nil
@@ -55,17 +55,17 @@
 	return s.finish(a)
 }
 
-func (s *turnsStandin) Find(_ context.Context, attempt string) ([]byte, bool, error) {
+func (s *fakeTurns) Find(_ context.Context, attempt string) ([]byte, bool, error) {
 	if s.find == nil {
 		return nil, false, nil
 	}
 	return s.find(attempt)
 }
 
-// rig is a gateway before one server of each service.
-type rig struct {
+// testGateway is a gateway in front of one server per service.
+type testGateway struct {
 	gateway *Gateway
-	turns   *turnsStandin
+	turns   *fakeTurns
 	address string
 
 	mu   sync.Mutex
@@ -73,10 +73,10 @@
 	body []string
 }
 
-// newRig starts the gateway on loopback; serve is what the servers do.
-func newRig(t *testing.T, configured bool, serve http.HandlerFunc) *rig {
+// newTestGateway starts the gateway on loopback. serve is the handler of the servers.
+func newTestGateway(t *testing.T, configured bool, serve http.HandlerFunc) *testGateway {
 	t.Helper()
-	r := &rig{turns: &turnsStandin{ends: make(chan protocol.FinishArgs, 16)}}
+	r := &testGateway{turns: &fakeTurns{ends: make(chan protocol.FinishArgs, 16)}}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		text, err := io.ReadAll(request.Body)
 		if err != nil {
@@ -91,16 +91,16 @@
 	}))
 	t.Cleanup(server.Close)
 	budget := message.NewBudget(1 << 20)
-	d := dispatch.New(dispatch.Options{Zone: "z", Conns: 10, Budget: budget, Count: counters.New(), Log: slog.New(slog.DiscardHandler)})
+	d := dispatch.New(dispatch.Options{Zone: "z", MaxConns: 10, Budget: budget, Counters: counters.New(), Log: slog.New(slog.DiscardHandler)})
 	t.Cleanup(d.Close)
-	r.gateway = New(Options{Dispatcher: d, Turns: r.turns, Budget: budget, Count: counters.New(), MaxOpen: 10})
+	r.gateway = New(Options{Dispatcher: d, Turns: r.turns, Budget: budget, Counters: counters.New(), MaxOpenRequests: 10})
 	if configured {
-		c, err := routing.Parse([]byte(configuration))
+		c, err := routing.Parse([]byte(testConfiguration))
 		assert.NilError(t, err)
 		d.Configure(c)
 		for _, name := range []string{"llm", "tools"} {
 			one := protocol.Server{ID: "i-" + name, Address: server.Listener.Addr().String(), Zone: "z", Capacity: 8}
-			d.Servers(protocol.ServicePartition(name), append(othersOf(name, one), protocol.ServerList{Service: name, Version: 1, Servers: []protocol.Server{one}}))
+			d.UpdateServers(protocol.ServicePartition(name), append(listsSharingPartition(name, one), protocol.ServerList{Service: name, Version: 1, Servers: []protocol.Server{one}}))
 		}
 		r.gateway.Configure(c)
 	}
@@ -117,8 +117,9 @@
 	return r
 }
 
-// othersOf keeps the list of the service that shares the partition.
-func othersOf(name string, one protocol.Server) []protocol.ServerList {
+// listsSharingPartition returns the list of the other service if both services share a partition: an update
+// replaces the lists of the whole partition.
+func listsSharingPartition(name string, one protocol.Server) []protocol.ServerList {
 	if name == "tools" && protocol.ServicePartition("llm") == protocol.ServicePartition("tools") {
 		one.ID = "i-llm"
 		return []protocol.ServerList{{Service: "llm", Version: 1, Servers: []protocol.Server{one}}}
@@ -126,8 +127,8 @@
 	return nil
 }
 
-// ask makes a request with headers given by name and value in turn.
-func (r *rig) ask(t *testing.T, method, path, body string, headers ...string) *http.Response {
+// do makes a request. headers are alternating names and values.
+func (r *testGateway) do(t *testing.T, method, path, body string, headers ...string) *http.Response {
 	t.Helper()
 	response, err := http.DefaultClient.Do(r.request(t, context.Background(), method, path, body, headers...))
 	assert.NilError(t, err)
@@ -135,7 +136,7 @@
 	return response
 }
 
-func (r *rig) request(t *testing.T, ctx context.Context, method, path, body string, headers ...string) *http.Request {
+func (r *testGateway) request(t *testing.T, ctx context.Context, method, path, body string, headers ...string) *http.Request {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, method, r.address+path, stringReader(body))
 	assert.NilError(t, err)
@@ -147,8 +148,8 @@
 	return request
 }
 
-// event writes one event of a stream.
-func event(w http.ResponseWriter, id int, data string) {
+// writeEvent writes one event of a stream.
+func writeEvent(w http.ResponseWriter, id int, data string) {
 	fmt.Fprintf(w, "id: %d\ndata: %s\n\n", id, data)
 	http.NewResponseController(w).Flush()
 }
@@ -158,14 +159,14 @@
 		w.Header().Set("Content-Type", dispatch.StreamType)
 		w.Header().Set("Oakseam-Server-Seal", "seal")
 		for i, e := range events {
-			event(w, i+1, e)
+			writeEvent(w, i+1, e)
 		}
 	}
 }
 
-func parsed(t *testing.T) *routing.Configuration {
+func parsedConfiguration(t *testing.T) *routing.Configuration {
 	t.Helper()
-	c, err := routing.Parse([]byte(configuration))
+	c, err := routing.Parse([]byte(testConfiguration))
 	assert.NilError(t, err)
 	return c
 }
--- a/internal/anemometer/gateway/request.go
+++ b/internal/anemometer/gateway/request.go
@@ -14,7 +14,7 @@
 	"pipitmux/internal/station/routing"
 )
 
-// Header names of programs and prompts.
+// HTTP header names of programs and prompts.
 const (
 	programHeader  = "Program"
 	sessionHeader  = "Session"
@@ -23,13 +23,13 @@
 	tokensHeader   = "Oakseam-Token-Count"
 )
 
-// connectionHeaders concern one connection only and are not handed on, either way.
+// connectionHeaders concern one connection only. They are not forwarded in either direction.
 var connectionHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Host": true, "Expect": true,
 }
 
-// RequestError is a request that can't be carried out as it came.
+// RequestError describes a malformed request and the HTTP status that answers it.
 type RequestError struct {
 	Status int
 	Reason string
@@ -37,38 +37,38 @@
 
 func (e *RequestError) Error() string { return e.Reason }
 
-// read takes the request's head apart and reads its body whole.
+// read parses the head of the request and reads its whole body.
 func (x *exchange) read() *RequestError {
 	h := x.request.Header
 	x.attempt = h.Get(dispatch.AttemptHeader)
-	if x.attempt == "" || len(x.attempt) > identifierMost || len(h[dispatch.AttemptHeader]) > 1 {
+	if x.attempt == "" || len(x.attempt) > maxAttemptIDBytes || len(h[dispatch.AttemptHeader]) > 1 {
 		return &RequestError{http.StatusBadRequest, dispatch.AttemptHeader + ": missing, too long or given more than once"}
 	}
-	within := x.route.Timeout
+	timeout := x.route.Timeout
 	if text := h.Get(dispatch.TimeBudgetHeader); text != "" {
 		ms, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(ms > 0) {
 			return &RequestError{http.StatusBadRequest, dispatch.TimeBudgetHeader + ": no time above 0 in milliseconds"}
 		}
-		within = min(within, time.Duration(min(ms, 1e9)*float64(time.Millisecond)))
+		timeout = min(timeout, time.Duration(min(ms, 1e9)*float64(time.Millisecond)))
 	}
-	x.deadline = x.arrived.Add(within)
+	x.deadline = x.arrived.Add(timeout)
 	return x.readBody()
 }
 
 func (x *exchange) readBody() *RequestError {
-	longest := int64(x.tables.configuration.Limits.MaxBodyBytes)
-	if x.request.ContentLength > longest {
+	maxBytes := int64(x.active.configuration.Limits.MaxBodyBytes)
+	if x.request.ContentLength > maxBytes {
 		return &RequestError{http.StatusRequestEntityTooLarge, "the body is too long"}
 	}
 	body := ingress.NewBody(x.writer, x.request, ingress.BodyLimits{
-		Timeout: bodyWithin, TimeoutPerByte: perByte, MaxBuffered: longest, MaxBytes: longest, Budget: x.gateway.opt.Budget,
+		Timeout: bodyTimeout, TimeoutPerByte: bodyTimePerByte, MaxBuffered: maxBytes, MaxBytes: maxBytes, Budget: x.gateway.opt.Budget,
 	})
 	defer body.Close()
-	text, long, err := body.ReadPrefix(x.request.ContentLength)
-	var large *http.MaxBytesError
+	text, tooLong, err := body.ReadPrefix(x.request.ContentLength)
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large) || long:
+	case errors.As(err, &tooLarge) || tooLong:
 		return &RequestError{http.StatusRequestEntityTooLarge, "the body is too long"}
 	case errors.Is(err, ingress.ErrBudgetExhausted):
 		return &RequestError{http.StatusServiceUnavailable, "no room for the body"}
@@ -79,28 +79,28 @@
 	return nil
 }
 
-// header is what is handed on to a server of the request's head.
-func (x *exchange) header() http.Header {
-	handed := make(http.Header, len(x.request.Header))
-	listed := x.request.Header.Values("Connection")
+// forwardedHeader returns the headers of the request that are forwarded to a server.
+func (x *exchange) forwardedHeader() http.Header {
+	forwarded := make(http.Header, len(x.request.Header))
+	connectionOptions := x.request.Header.Values("Connection")
 	for name, values := range x.request.Header {
 		switch {
-		case connectionHeaders[name], named(listed, name):
+		case connectionHeaders[name], listsHeader(connectionOptions, name):
 		case name == dispatch.AttemptHeader, name == dispatch.TimeBudgetHeader, name == dispatch.TargetHeader:
 		default:
-			handed[name] = values
+			forwarded[name] = values
 		}
 	}
-	if x.route.Class == routing.Streaming && handed.Get(dispatch.PriorityHeader) == "" {
-		handed.Set(dispatch.PriorityHeader, strconv.Itoa(min(max(x.route.Priority, 0), 9)))
+	if x.route.Class == routing.Streaming && forwarded.Get(dispatch.PriorityHeader) == "" {
+		forwarded.Set(dispatch.PriorityHeader, strconv.Itoa(min(max(x.route.Priority, 0), 9)))
 	}
-	return handed
+	return forwarded
 }
 
-// named tells whether a Connection header names another one.
-func named(listed []string, name string) bool {
-	for _, l := range listed {
-		for part := range strings.SplitSeq(l, ",") {
+// listsHeader reports whether Connection header values list a header name.
+func listsHeader(connectionOptions []string, name string) bool {
+	for _, option := range connectionOptions {
+		for part := range strings.SplitSeq(option, ",") {
 			if strings.EqualFold(strings.TrimSpace(part), name) {
 				return true
 			}
@@ -109,19 +109,19 @@
 	return false
 }
 
-// call is the request as a server gets it, with another body in place of the client's.
-func (x *exchange) call(body []byte) *message.Call {
+// upstreamCall returns the request as a server receives it, with body instead of the client's body.
+func (x *exchange) upstreamCall(body []byte) *message.Call {
 	target := x.request.RequestURI
 	if !strings.HasPrefix(target, "/") {
 		target = x.request.URL.RequestURI()
 	}
 	return &message.Call{
 		Method: x.request.Method, Target: target, Host: x.request.Host, ID: x.attempt,
-		Header: x.header(), Body: body, Length: int64(len(body)), ClientGone: x.conn.ClientClosed,
+		Header: x.forwardedHeader(), Body: body, Length: int64(len(body)), ClientGone: x.conn.ClientClosed,
 	}
 }
 
-// tokens reads the prompt's tokens and the most that may be put out.
+// tokens returns the token count of the prompt and the maximum number of output tokens.
 func (x *exchange) tokens() (in, out uint64) {
 	first, second, _ := strings.Cut(x.request.Header.Get(tokensHeader), ",")
 	in, _ = strconv.ParseUint(strings.TrimSpace(first), 10, 40)
--- a/internal/anemometer/gateway/resume_test.go
+++ b/internal/anemometer/gateway/resume_test.go
@@ -16,20 +16,20 @@
 	"pipitmux/internal/station/protocol"
 )
 
-const eventsInAll = 5
+const eventCount = 5
 
-// eventText is one event as servers send it.
+// eventText returns one event as servers send it.
 func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: e%d\n\n", id, id) }
 
-// breaking serves a stream from the event behind Last-Event-Id on. The first few answers break
-// off after so many bytes of it.
-func breaking(breaks int, after int) (http.HandlerFunc, *atomic.Int64) {
+// breakingServer streams the events after Last-Event-Id. Its first `breaks` responses break off
+// after so many bytes. It also returns the number of requests so far.
+func breakingServer(breaks int, after int) (http.HandlerFunc, *atomic.Int64) {
 	var asked atomic.Int64
 	return func(w http.ResponseWriter, r *http.Request) {
 		n := asked.Add(1)
 		from, _ := strconv.Atoi(r.Header.Get(dispatch.LastEventHeader))
 		var text strings.Builder
-		for id := from + 1; id <= eventsInAll; id++ {
+		for id := from + 1; id <= eventCount; id++ {
 			text.WriteString(eventText(id))
 		}
 		w.Header().Set("Content-Type", dispatch.StreamType)
@@ -46,31 +46,31 @@
 	}, &asked
 }
 
-func wholeStream() (text string) {
-	for id := range eventsInAll {
+func completeStream() (text string) {
+	for id := range eventCount {
 		text += eventText(id + 1)
 	}
 	return text
 }
 
-// A stream that may be taken up again is whole for its client wherever its server broke off:
-// no event is missing or comes twice, and the head stays the first server's.
-func TestBrokenStreamGoesOnAtAnotherServer(t *testing.T) {
-	for after := range len(wholeStream()) + 1 {
-		serve, asked := breaking(1, after)
-		r := newRig(t, true, serve)
-		response := r.ask(t, "POST", "/resumable/x", "input", turnHeaders...)
+// Wherever its server breaks off, a resumable stream must be complete for the client: no event is
+// missing or repeated, and the headers stay those of the first server.
+func TestBrokenStreamResumesAtAnotherServer(t *testing.T) {
+	for after := range len(completeStream()) + 1 {
+		serve, asked := breakingServer(1, after)
+		r := newTestGateway(t, true, serve)
+		response := r.do(t, "POST", "/resumable/x", "input", turnHeaders...)
 		text, err := io.ReadAll(response.Body)
 		assert.NilError(t, err)
-		assert.Equal(t, string(text), wholeStream(), "broken after %d bytes", after)
+		assert.Equal(t, string(text), completeStream(), "broken after %d bytes", after)
 		assert.Equal(t, response.Header.Get("Oakseam-Server-Seal"), "seal-1")
 		assert.Equal(t, asked.Load(), int64(2))
 		r.mu.Lock()
-		assert.Equal(t, r.seen[1].Header.Get(dispatch.AttemptHeader), "a1", "the client's try")
+		assert.Equal(t, r.seen[1].Header.Get(dispatch.AttemptHeader), "a1", "servers must see the client's attempt id")
 		assert.Equal(t, r.body[1], "input")
 		r.mu.Unlock()
 		end := <-r.turns.ends
-		assert.Equal(t, end.Tokens, uint64(2*eventsInAll), "each event is counted once")
+		assert.Equal(t, end.Tokens, uint64(2*eventCount), "each event must be counted once")
 		select {
 		case <-r.turns.ends:
 			t.Fatal("the turn ended twice")
@@ -79,11 +79,12 @@
 	}
 }
 
-// No try goes to more servers than its route says: then the answer breaks off, behind a whole event.
-func TestResumptionsKeepToTheRetryLimit(t *testing.T) {
-	serve, asked := breaking(99, len(eventText(1))+3)
-	r := newRig(t, true, serve)
-	response := r.ask(t, "POST", "/resumable/x", "input", turnHeaders...)
+// An attempt must not go to more servers than its route allows. After that the response breaks
+// off, after a whole event.
+func TestResumptionsRespectTheRetryLimit(t *testing.T) {
+	serve, asked := breakingServer(99, len(eventText(1))+3)
+	r := newTestGateway(t, true, serve)
+	response := r.do(t, "POST", "/resumable/x", "input", turnHeaders...)
 	text, err := io.ReadAll(response.Body)
 	assert.Equal(t, err, io.ErrUnexpectedEOF)
 	assert.Equal(t, string(text), eventText(1)+eventText(2))
@@ -91,12 +92,12 @@
 	assert.Equal(t, (<-r.turns.ends).Tokens, uint64(4))
 }
 
-// A stream that may not be taken up again runs once, wherever it breaks.
-func TestOtherStreamsAreNotTakenUp(t *testing.T) {
-	for _, after := range []int{0, 3, len(wholeStream())} {
-		serve, asked := breaking(1, after)
-		r := newRig(t, true, serve)
-		response := r.ask(t, "POST", "/turns/x", "input", turnHeaders...)
+// A stream whose route does not allow resumption must run once, wherever it breaks.
+func TestStreamWithoutSessionResumeIsNotResumed(t *testing.T) {
+	for _, after := range []int{0, 3, len(completeStream())} {
+		serve, asked := breakingServer(1, after)
+		r := newTestGateway(t, true, serve)
+		response := r.do(t, "POST", "/turns/x", "input", turnHeaders...)
 		_, err := io.ReadAll(response.Body)
 		assert.Equal(t, err, io.ErrUnexpectedEOF)
 		assert.Equal(t, asked.Load(), int64(1))
@@ -104,47 +105,49 @@
 	}
 }
 
-// A client that lost its connection names the last event that it has; the server goes on there.
-func TestClientsOwnResumptionIsHandedOn(t *testing.T) {
+// A client that lost its connection names the last event that it received; the server must
+// continue after it.
+func TestClientResumptionIsForwarded(t *testing.T) {
 	for id, want := range map[string]string{"3": eventText(4) + eventText(5), "5": ""} {
-		serve, _ := breaking(0, 0)
-		r := newRig(t, true, serve)
-		response := r.ask(t, "POST", "/resumable/x", "input", append([]string{dispatch.LastEventHeader, id}, turnHeaders...)...)
+		serve, _ := breakingServer(0, 0)
+		r := newTestGateway(t, true, serve)
+		response := r.do(t, "POST", "/resumable/x", "input", append([]string{dispatch.LastEventHeader, id}, turnHeaders...)...)
 		text, err := io.ReadAll(response.Body)
 		assert.NilError(t, err)
 		assert.Equal(t, string(text), want)
 	}
 }
 
-// A resumption that breaks before its first event goes on from where the client's began.
-func TestClientsOwnResumptionThatBreaksBeforeAnEvent(t *testing.T) {
-	serve, _ := breaking(1, 0)
-	r := newRig(t, true, serve)
-	response := r.ask(t, "POST", "/resumable/x", "input", append([]string{dispatch.LastEventHeader, "3"}, turnHeaders...)...)
+// If a client's resumption breaks before its first event, the next server must continue from the
+// event that the client named.
+func TestClientResumptionThatBreaksBeforeFirstEvent(t *testing.T) {
+	serve, _ := breakingServer(1, 0)
+	r := newTestGateway(t, true, serve)
+	response := r.do(t, "POST", "/resumable/x", "input", append([]string{dispatch.LastEventHeader, "3"}, turnHeaders...)...)
 	text, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, string(text), eventText(4)+eventText(5))
 }
 
-// A turn of a resumed stream that can't be settled doesn't look whole.
-func TestResumedTurnThatCannotBeKeptDoesNotLookWhole(t *testing.T) {
-	serve, _ := breaking(1, 3)
-	r := newRig(t, true, serve)
+// A resumed turn that cannot be stored must break off instead of ending normally.
+func TestResumedTurnThatCannotBeStoredBreaksOff(t *testing.T) {
+	serve, _ := breakingServer(1, 3)
+	r := newTestGateway(t, true, serve)
 	r.turns.finish = func(protocol.FinishArgs) (protocol.TurnOutcome, error) { return 0, turnclient.ErrUnavailable }
-	response := r.ask(t, "POST", "/resumable/x", "input", turnHeaders...)
+	response := r.do(t, "POST", "/resumable/x", "input", turnHeaders...)
 	_, err := io.ReadAll(response.Body)
 	assert.Equal(t, err, io.ErrUnexpectedEOF)
 	<-r.turns.ends
 	<-r.turns.ends
 }
 
-// A route that allows more servers has a stream go on more than once.
-func TestStreamGoesOnAsOftenAsItsRouteAllows(t *testing.T) {
-	serve, asked := breaking(2, len(eventText(1))+3)
-	r := newRig(t, true, serve)
-	response := r.ask(t, "POST", "/often/x", "input", turnHeaders...)
+// A stream must resume more than once if its route allows more servers.
+func TestStreamResumesAsOftenAsItsRouteAllows(t *testing.T) {
+	serve, asked := breakingServer(2, len(eventText(1))+3)
+	r := newTestGateway(t, true, serve)
+	response := r.do(t, "POST", "/often/x", "input", turnHeaders...)
 	text, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
-	assert.Equal(t, string(text), wholeStream())
+	assert.Equal(t, string(text), completeStream())
 	assert.Equal(t, asked.Load(), int64(3))
 }
--- a/internal/anemometer/gateway/turn.go
+++ b/internal/anemometer/gateway/turn.go
@@ -18,36 +18,37 @@
 )
 
 const (
-	// admitWithin is how long a turn waits for its partition: longer than an owner's
-	// succession takes.
-	admitWithin = 2 * time.Second
-	// keepWithin is how long the end of a stream waits until its turn is kept.
-	keepWithin = 3 * time.Second
-	// settleWithin is how long a try that brought nothing is told to its partition.
-	settleWithin = 20 * time.Second
-	// turnRetryAfter is told where a turn's partition has no owner for the moment.
+	// admitTimeout is how long a turn waits for its partition. It is longer than the election of a
+	// new leader takes.
+	admitTimeout = 2 * time.Second
+	// persistTimeout is how long the end of a stream waits until its turn is stored.
+	persistTimeout = 3 * time.Second
+	// settleTimeout bounds reporting an attempt without a complete answer to its partition.
+	settleTimeout = 20 * time.Second
+	// turnRetryAfter is the Retry-After while a turn's partition has no leader.
 	turnRetryAfter = 400 * time.Millisecond
-	// outputWeight is how many tokens of a prompt one token put out counts for.
+	// outputWeight is how many prompt tokens one output token counts for.
 	outputWeight = 10
-	// usualSize is the size of a usual turn, in tokens of a prompt.
-	usualSize = 4000.0
+	// typicalTurnSize is the size of a typical turn in prompt tokens.
+	typicalTurnSize = 4000.0
 )
 
-// isTurn tells whether the request is a turn of a program, which is kept and counted.
+// isTurn reports whether the request is a turn of a program, which is stored and counted against
+// the program's budget.
 func (x *exchange) isTurn() bool {
 	return x.route.Class == routing.Streaming && (x.route.Retained || x.request.Header.Get(budgetHeader) != "") &&
 		x.request.Header.Get(programHeader) != ""
 }
 
-// turn is a turn on its way.
+// turn is an exchange that is a turn of a program.
 type turn struct {
 	*exchange
-	program  string
-	previous string
-	most     uint64
-	imported []byte // what was said before, where another partition keeps it
-	token    uint64 // drawn here: another node with the same try has another
-	gathered events.Gatherer
+	program         string
+	previous        string
+	maxTokens       uint64
+	importedHistory []byte // text of the earlier turns, if another partition stores it
+	token           uint64 // random; tells this node apart from another one with the same attempt
+	output          events.Collector
 }
 
 func (x *exchange) serveTurn() {
@@ -55,7 +56,7 @@
 	if x.route.Retained {
 		t.previous = x.request.Header.Get(previousHeader)
 	}
-	_, t.most = x.tokens()
+	_, t.maxTokens = x.tokens()
 	history, ok := t.admit()
 	if !ok {
 		return
@@ -68,37 +69,37 @@
 	t.finish(a, history)
 }
 
-// worth grows with the turn's size, the rank being the route's.
+// worth grows with the size of the turn. The priority is that of the route.
 func (t *turn) worth() float64 {
 	in, out := t.tokens()
-	return 0.3 + 0.7*float64(in+outputWeight*out)/usualSize
+	return 0.3 + 0.7*float64(in+outputWeight*out)/typicalTurnSize
 }
 
-// admit has the turn's tokens reserved and brings what was said before. Where it is false
-// the request has been answered.
+// admit reserves the turn's tokens and returns the text of the earlier turns. If it returns false
+// the request has already been answered.
 func (t *turn) admit() ([]byte, bool) {
-	ctx, cancel := context.WithTimeout(t.request.Context(), min(admitWithin, time.Until(t.deadline)))
+	ctx, cancel := context.WithTimeout(t.request.Context(), min(admitTimeout, time.Until(t.deadline)))
 	defer cancel()
 	args := protocol.AdmitArgs{
-		Program: t.program, Attempt: t.attempt, Previous: t.previous, Most: t.most, Budget: t.budget(), Keep: t.route.Retention, Token: t.token,
+		Program: t.program, Attempt: t.attempt, Previous: t.previous, Most: t.maxTokens, Budget: t.budget(), Keep: t.route.Retention, Token: t.token,
 	}
-	var known []byte
-	known, args.Known = t.gateway.history.Get(t.previous)
+	var cached []byte
+	cached, args.Known = t.gateway.history.Get(t.previous)
 	reply, err := t.gateway.opt.Turns.Admit(ctx, args)
 	if args.Known {
-		reply.History = known
+		reply.History = cached
 	}
 	if err == nil && reply.Outcome == protocol.TurnMissing {
-		history, found, unsure := t.gateway.opt.Turns.Find(ctx, t.previous)
+		history, found, findErr := t.gateway.opt.Turns.Find(ctx, t.previous)
 		switch {
-		case unsure != nil:
-			err = unsure
+		case findErr != nil:
+			err = findErr
 		case !found:
-			t.gateway.opt.Count.Add("answer.no-turn")
+			t.gateway.opt.Counters.Add("answer.no-turn")
 			http.Error(t.writer, "no such turn", http.StatusNotFound)
 			return nil, false
 		default:
-			t.imported, args.Imported = history, true
+			t.importedHistory, args.Imported = history, true
 			reply, err = t.gateway.opt.Turns.Admit(ctx, args)
 			reply.History = history
 		}
@@ -106,21 +107,21 @@
 	switch {
 	case err != nil:
 		t.settle(0) // a reservation may have been made
-		t.gateway.refuse(t.writer, turnRetryAfter, "answer.no-partition")
+		t.gateway.reject(t.writer, turnRetryAfter, "answer.no-partition")
 		return nil, false
 	case reply.Outcome == protocol.TurnSpent:
-		t.gateway.opt.Count.Add("answer.spent")
+		t.gateway.opt.Counters.Add("answer.spent")
 		http.Error(t.writer, "the budget is spent", http.StatusPaymentRequired)
 		return nil, false
 	case reply.Outcome != protocol.TurnGranted:
-		t.gateway.refuse(t.writer, turnRetryAfter, "answer.closed")
+		t.gateway.reject(t.writer, turnRetryAfter, "answer.closed")
 		return nil, false
 	}
 	return reply.History, true
 }
 
-// budget is what the program's turns may put out together. Without a word of it there is
-// no bound.
+// budget returns how many tokens all turns of the program may output together. Without a valid
+// header there is no bound.
 func (t *turn) budget() uint64 {
 	n, err := strconv.ParseUint(t.request.Header.Get(budgetHeader), 10, 62)
 	if err != nil {
@@ -129,72 +130,72 @@
 	return n
 }
 
-// finish passes the answer on and ends the try: what was handed out is counted, and a
-// whole turn is kept before the client learns that it is whole.
+// finish forwards the answer and ends the attempt. Delivered tokens are counted, and a complete turn
+// is stored before the client learns that it is complete.
 func (t *turn) finish(a core.Answer, before []byte) {
 	reply, _ := a.Reply.(*message.Reply)
 	if reply == nil || reply.Rest == nil || a.Kind != core.Served {
 		t.settle(0)
-		t.answer(a, nil)
+		t.respond(a, nil)
 		return
 	}
-	ended := false
+	stored := false
 	defer func() {
-		if !ended {
-			t.settle(t.handedOut())
+		if !stored {
+			t.settle(t.deliveredTokens())
 		}
 	}()
-	reply.Rest = &tee{ReadCloser: reply.Rest, to: &t.gathered}
-	t.answer(a, func() bool {
-		if ended = t.keep(); ended && t.route.Retained {
-			t.gateway.history.Put(t.attempt, before, t.body, t.gathered.Output())
+	reply.Rest = &tee{ReadCloser: reply.Rest, to: &t.output}
+	t.respond(a, func() bool {
+		if stored = t.persist(); stored && t.route.Retained {
+			t.gateway.history.Put(t.attempt, before, t.body, t.output.Output())
 		}
-		return ended
+		return stored
 	})
 }
 
-// handedOut is how many tokens the client may have got.
-func (t *turn) handedOut() uint64 {
-	stride := max(t.tables.strides[t.service], 1)
-	return t.gathered.Begun() * stride
+// deliveredTokens returns the maximum number of tokens that the client may have received.
+func (t *turn) deliveredTokens() uint64 {
+	tokensPerEvent := max(t.active.tokensPerEvent[t.service], 1)
+	return t.output.Started() * tokensPerEvent
 }
 
-// keep makes a whole turn durable.
-func (t *turn) keep() bool {
-	ctx, cancel := context.WithTimeout(context.Background(), keepWithin)
+// persist stores a complete turn durably and reports whether that succeeded.
+func (t *turn) persist() bool {
+	ctx, cancel := context.WithTimeout(context.Background(), persistTimeout)
 	defer cancel()
-	args := t.ending(t.handedOut())
+	args := t.finishArgs(t.deliveredTokens())
 	if t.route.Retained {
-		args.Whole, args.Previous, args.Imported, args.Input, args.Output = true, t.previous, t.imported, t.body, t.gathered.Output()
+		args.Whole, args.Previous, args.Imported, args.Input, args.Output = true, t.previous, t.importedHistory, t.body, t.output.Output()
 	}
 	outcome, err := t.gateway.opt.Turns.Finish(ctx, args)
 	if err != nil || outcome != protocol.TurnGranted {
-		klog.V(1).InfoS("A turn could not be kept", "attempt", t.attempt, "cause", err)
+		klog.V(1).InfoS("A turn could not be stored", "attempt", t.attempt, "cause", err)
 		return false
 	}
 	return true
 }
 
-func (t *turn) ending(tokens uint64) protocol.FinishArgs {
+func (t *turn) finishArgs(tokens uint64) protocol.FinishArgs {
 	return protocol.FinishArgs{Program: t.program, Attempt: t.attempt, Tokens: tokens, Keep: t.route.Retention, Token: t.token}
 }
 
-// settle tells the partition, in its own time, what a try without a whole answer has
-// handed out: the rest of its reservation is free again.
+// settle reports, in the background, how many tokens an attempt without a complete answer has
+// delivered. The partition then releases the rest of the reservation.
 func (t *turn) settle(tokens uint64) {
-	args := t.ending(tokens)
+	args := t.finishArgs(tokens)
 	client := t.gateway.opt.Turns
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), settleWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 		defer cancel()
 		client.Finish(ctx, args)
 	}()
 }
 
-// tee shows what is read to another.
+// tee also writes what is read to a Collector.
 type tee struct {
 	io.ReadCloser
-	to *events.Gatherer
+	to *events.Collector
 }
 
 func (t *tee) Read(b []byte) (int, error) {
--- a/internal/anemometer/history/history.go
+++ b/internal/anemometer/history/history.go
@@ -1,6 +1,6 @@
-// Package history keeps, in memory, what was said in lines of turns that passed through
-// this node lately, so that the text need not come from another zone for the next turn.
-// It is a help only: whether a turn may go on from another is the partition's to say.
+// Package history caches the texts of turns that recently passed through this node, so that the
+// next turn of a program need not load them from another zone. It is only an optimization: the
+// partition decides whether a turn may continue another one.
 package history
 
 import (
@@ -9,28 +9,27 @@
 	"github.com/gammazero/deque"
 )
 
-// Cache holds texts by the id of the turn that they end with, the newest up to a bound in
-// bytes.
+// Cache holds texts by the id of their last turn. It evicts the oldest texts beyond a bound in bytes.
 type Cache struct {
-	most int
+	maxBytes int
 
-	mu    sync.Mutex
-	held  int
-	texts map[string][]byte
-	order deque.Deque[string] // oldest first
+	mu         sync.Mutex
+	totalBytes int
+	texts      map[string][]byte
+	order      deque.Deque[string] // oldest first
 }
 
-// New returns an empty Cache of so many bytes.
-func New(most int) *Cache { return &Cache{most: most, texts: map[string][]byte{}} }
+// New returns an empty Cache that holds at most maxBytes.
+func New(maxBytes int) *Cache { return &Cache{maxBytes: maxBytes, texts: map[string][]byte{}} }
 
-// Put keeps the text up to the end of a turn: the parts one behind the other. The parts
-// are not kept.
+// Put stores the text up to the end of a turn, which is the concatenation of parts. It copies the
+// parts. A text that is already stored stays.
 func (c *Cache) Put(turn string, parts ...[]byte) {
 	size := 0
 	for _, p := range parts {
 		size += len(p)
 	}
-	if size > c.most {
+	if size > c.maxBytes {
 		return
 	}
 	text := make([]byte, 0, size)
@@ -44,14 +43,14 @@
 	}
 	c.texts[turn] = text
 	c.order.PushBack(turn)
-	for c.held += size; c.held > c.most; {
+	for c.totalBytes += size; c.totalBytes > c.maxBytes; {
 		oldest := c.order.PopFront()
-		c.held -= len(c.texts[oldest])
+		c.totalBytes -= len(c.texts[oldest])
 		delete(c.texts, oldest)
 	}
 }
 
-// Get returns the text up to the end of a turn. It must not be changed.
+// Get returns the text up to the end of a turn. The caller must not modify it.
 func (c *Cache) Get(turn string) ([]byte, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/anemometer/turnclient/turnclient.go
+++ b/internal/anemometer/turnclient/turnclient.go
@@ -1,5 +1,5 @@
-// Package turnclient reaches the storage nodes that keep turns and budgets: it finds the
-// owner of a program's partition and goes on to the next one where ownership moves.
+// Package turnclient calls the storage nodes that store turns and token budgets. It finds the leader
+// of a program's partition and tries other nodes when leadership moves.
 package turnclient
 
 import (
@@ -19,55 +19,55 @@
 )
 
 const (
-	// tryWithin bounds one call. An owner that froze says nothing; another may have been
-	// elected by then.
-	tryWithin = 450 * time.Millisecond
-	// tryPause is the pause where no owner is known.
-	tryPause = 20 * time.Millisecond
-	// avoidFor is how long a node that didn't answer is asked after all others.
-	avoidFor = 700 * time.Millisecond
+	// callTimeout bounds one call. A frozen leader does not answer, and another node may have been
+	// elected within this time.
+	callTimeout = 450 * time.Millisecond
+	// retryPause is the pause between calls while no leader is known.
+	retryPause = 20 * time.Millisecond
+	// unresponsiveFor is how long a node that did not answer is tried only after all others.
+	unresponsiveFor = 700 * time.Millisecond
 )
 
-// ErrUnavailable tells that no owner answered in time. What was asked may have been done.
-var ErrUnavailable = errors.New("the program's partition can't be reached")
+// ErrUnavailable means that no leader answered in time. The call may nevertheless have taken effect.
+var ErrUnavailable = errors.New("the leader of the program's partition did not answer in time")
 
-// ErrUnsure tells that not every partition could be asked.
-var ErrUnsure = errors.New("it isn't sure whether the turn is kept")
+// ErrUnsure means that not every partition could be asked for a turn.
+var ErrUnsure = errors.New("not all partitions answered whether they store the turn")
 
 // Client calls storage nodes.
 type Client struct {
 	pool *link.Pool
 
-	mu        sync.Mutex
-	directory protocol.Directory
-	owners    map[int]replica.NodeID       // of partitions, as last seen
-	silent    map[replica.NodeID]time.Time // when a node last didn't answer
+	mu                sync.Mutex
+	directory         protocol.Directory
+	leaders           map[int]replica.NodeID       // last known leader by partition
+	unresponsiveSince map[replica.NodeID]time.Time // when a node last failed to answer
 }
 
-// New returns a Client that knows no node yet.
+// New returns a Client without a directory.
 func New(pool *link.Pool) *Client {
-	return &Client{pool: pool, owners: map[int]replica.NodeID{}, silent: map[replica.NodeID]time.Time{}}
+	return &Client{pool: pool, leaders: map[int]replica.NodeID{}, unresponsiveSince: map[replica.NodeID]time.Time{}}
 }
 
-// Learn takes a directory on.
-func (c *Client) Learn(d protocol.Directory) {
+// SetDirectory replaces the directory of nodes and partitions.
+func (c *Client) SetDirectory(d protocol.Directory) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.directory = d
-	maps.DeleteFunc(c.silent, func(id replica.NodeID, _ time.Time) bool {
+	maps.DeleteFunc(c.unresponsiveSince, func(id replica.NodeID, _ time.Time) bool {
 		_, known := follow.NodeAddress(&d, id)
 		return !known
 	})
 }
 
-// Ready tells whether the partitions of the turns are known.
+// Ready reports whether the partitions of turns are known.
 func (c *Client) Ready() bool { return c.partitions() > 0 }
 
-// Admit reserves a turn's tokens and brings what was said before. It tries until ctx ends.
+// Admit reserves a turn's tokens and returns the text of the earlier turns. It retries until ctx ends.
 func (c *Client) Admit(ctx context.Context, args protocol.AdmitArgs) (protocol.AdmitReply, error) {
 	var last protocol.AdmitReply
-	args.Within = tryWithin
-	err := c.try(ctx, args.Program, func(ctx context.Context, partition int, address string) (protocol.TurnOutcome, replica.NodeID) {
+	args.Within = callTimeout
+	err := c.callLeader(ctx, args.Program, func(ctx context.Context, partition int, address string) (protocol.TurnOutcome, replica.NodeID) {
 		args.Partition = partition
 		var reply protocol.AdmitReply
 		if err := c.pool.Call(ctx, address, "Turns.Admit", &args, &reply); err != nil {
@@ -79,11 +79,11 @@
 	return last, err
 }
 
-// Finish ends a try. It tries until ctx ends.
+// Finish ends an attempt. It retries until ctx ends.
 func (c *Client) Finish(ctx context.Context, args protocol.FinishArgs) (protocol.TurnOutcome, error) {
 	var last protocol.TurnOutcome
-	args.Within = tryWithin
-	err := c.try(ctx, args.Program, func(ctx context.Context, partition int, address string) (protocol.TurnOutcome, replica.NodeID) {
+	args.Within = callTimeout
+	err := c.callLeader(ctx, args.Program, func(ctx context.Context, partition int, address string) (protocol.TurnOutcome, replica.NodeID) {
 		args.Partition = partition
 		var reply protocol.FinishReply
 		if err := c.pool.Call(ctx, address, "Turns.Finish", &args, &reply); err != nil {
@@ -95,54 +95,55 @@
 	return last, err
 }
 
-// caller makes one call at an address about a partition.
-type caller func(ctx context.Context, partition int, address string) (protocol.TurnOutcome, replica.NodeID)
+// partitionCall makes one call about a partition to an address. It returns the outcome and the leader
+// that the node names.
+type partitionCall func(ctx context.Context, partition int, address string) (protocol.TurnOutcome, replica.NodeID)
 
-// try calls the owner of the program's partition, whoever that turns out to be, until the
-// call is answered by it or ctx ends.
-func (c *Client) try(ctx context.Context, program string, call caller) error {
-	for turn := 0; ; turn++ {
-		partition, at, address, ok := c.target(program, turn)
+// callLeader calls the leader of the program's partition until the leader answers or ctx ends. Nodes
+// that are not the leader point to it.
+func (c *Client) callLeader(ctx context.Context, program string, call partitionCall) error {
+	for round := 0; ; round++ {
+		partition, node, address, ok := c.target(program, round)
 		if !ok {
-			if !wait.For(ctx, tryPause) {
+			if !wait.For(ctx, retryPause) {
 				return ErrUnavailable
 			}
 			continue
 		}
-		one, cancel := context.WithTimeout(ctx, tryWithin)
-		outcome, owner := call(one, partition, address)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		outcome, leader := call(callCtx, partition, address)
 		cancel()
 		switch outcome {
 		case protocol.TurnGranted, protocol.TurnSpent, protocol.TurnMissing, protocol.TurnClosed:
-			c.owned(partition, at)
+			c.setLeader(partition, node)
 			return nil
 		}
 		if outcome == protocol.TurnUnknown {
-			c.avoid(at)
+			c.markUnresponsive(node)
 		}
-		c.owned(partition, owner)
-		if owner != 0 && owner != at && ctx.Err() == nil && !c.avoided(owner) {
+		c.setLeader(partition, leader)
+		if leader != 0 && leader != node && ctx.Err() == nil && !c.isUnresponsive(leader) {
 			continue
 		}
-		if !wait.For(ctx, tryPause) {
+		if !wait.For(ctx, retryPause) {
 			return ErrUnavailable
 		}
 	}
 }
 
-// target is the owner of the program's partition as last seen, or one of its members in
-// turn.
-func (c *Client) target(program string, turn int) (partition int, at replica.NodeID, address string, ok bool) {
+// target returns the last known leader of the program's partition, or else one of its voters in
+// rotation. Unresponsive nodes come last.
+func (c *Client) target(program string, round int) (partition int, node replica.NodeID, address string, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if partition = c.directory.TurnPartition(program); partition < 0 {
 		return partition, 0, "", false
 	}
-	order := append([]replica.NodeID{c.owners[partition]}, rotated(c.directory.Partitions[partition].Voters, turn)...)
-	for _, mayBeSilent := range []bool{false, true} {
+	order := append([]replica.NodeID{c.leaders[partition]}, rotate(c.directory.Partitions[partition].Voters, round)...)
+	for _, allowUnresponsive := range []bool{false, true} {
 		for _, id := range order {
 			n, known := follow.NodeAddress(&c.directory, id)
-			if known && (mayBeSilent || time.Since(c.silent[id]) >= avoidFor) {
+			if known && (allowUnresponsive || time.Since(c.unresponsiveSince[id]) >= unresponsiveFor) {
 				return partition, n.ID, n.Address, true
 			}
 		}
@@ -150,43 +151,44 @@
 	return partition, 0, "", false
 }
 
-// rotated returns the nodes from the one at a turn on.
-func rotated(nodes []replica.NodeID, turn int) []replica.NodeID {
+// rotate returns the nodes rotated left by round.
+func rotate(nodes []replica.NodeID, round int) []replica.NodeID {
 	if len(nodes) == 0 {
 		return nil
 	}
-	from := turn % len(nodes)
+	from := round % len(nodes)
 	return slices.Concat(nodes[from:], nodes[:from])
 }
 
-// avoid notes that a node didn't answer.
-func (c *Client) avoid(id replica.NodeID) {
+// markUnresponsive records that a node did not answer.
+func (c *Client) markUnresponsive(id replica.NodeID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silent[id] = time.Now()
+	c.unresponsiveSince[id] = time.Now()
 }
 
-func (c *Client) avoided(id replica.NodeID) bool {
+func (c *Client) isUnresponsive(id replica.NodeID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Since(c.silent[id]) < avoidFor
+	return time.Since(c.unresponsiveSince[id]) < unresponsiveFor
 }
 
-func (c *Client) owned(partition int, owner replica.NodeID) {
+func (c *Client) setLeader(partition int, leader replica.NodeID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.owners[partition] = owner
+	c.leaders[partition] = leader
 }
 
-// Find looks for a turn in all partitions. It is false without an error only where each
-// partition's owner has said so.
+// Find searches all partitions for a turn. It returns false without an error only if the leader of
+// every partition has said that it does not store the turn.
 func (c *Client) Find(ctx context.Context, attempt string) (history []byte, found bool, err error) {
 	without := map[int]bool{}
 	for {
-		nodes, partitions := c.storages(), c.partitions()
-		one, cancel := context.WithTimeout(ctx, tryWithin)
-		replies := c.ask(one, nodes, attempt)
-		// A node that is lost says nothing: as soon as the others are sure, so is the answer.
+		nodes, partitions := c.storageNodes(), c.partitions()
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		replies := c.findOnAll(callCtx, nodes, attempt)
+		// A lost node does not answer, so the search ends as soon as the others have covered all
+		// partitions.
 		for range nodes {
 			reply := <-replies
 			if reply.Found {
@@ -202,18 +204,18 @@
 			}
 		}
 		cancel()
-		if !wait.For(ctx, tryPause) {
+		if !wait.For(ctx, retryPause) {
 			return nil, false, ErrUnsure
 		}
 	}
 }
 
-// ask asks all storage nodes at once. Each gives one reply, an empty one where it fails.
-func (c *Client) ask(ctx context.Context, nodes []protocol.Node, attempt string) <-chan protocol.FindReply {
+// findOnAll asks all storage nodes at once. Each gives one reply, an empty one if the call fails.
+func (c *Client) findOnAll(ctx context.Context, nodes []protocol.Node, attempt string) <-chan protocol.FindReply {
 	replies := make(chan protocol.FindReply, len(nodes))
 	for _, n := range nodes {
 		go func() {
-			args := protocol.FindArgs{Attempt: attempt, Within: tryWithin}
+			args := protocol.FindArgs{Attempt: attempt, Within: callTimeout}
 			var reply protocol.FindReply
 			if c.pool.Call(ctx, n.Address, "Turns.Find", &args, &reply) != nil {
 				reply = protocol.FindReply{}
@@ -230,7 +232,7 @@
 	return len(c.directory.Partitions)
 }
 
-func (c *Client) storages() []protocol.Node {
+func (c *Client) storageNodes() []protocol.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(c.directory.Nodes), func(n protocol.Node) bool { return n.Class != protocol.Storage })
--- a/internal/anemometer/turnclient/turnclient_test.go
+++ b/internal/anemometer/turnclient/turnclient_test.go
@@ -14,11 +14,11 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// testWithin bounds each wait of a test that should not wait.
-const testWithin = 20 * time.Second
+// testTimeout bounds each wait of a test that should not have to wait.
+const testTimeout = 20 * time.Second
 
-// storage is a storage node that answers as the test has it.
-type storage struct {
+// fakeStorage is a storage node whose answers the test provides.
+type fakeStorage struct {
 	id      replica.NodeID
 	address string
 
@@ -29,45 +29,46 @@
 	find   func(call int) protocol.FindReply
 }
 
-// Admit answers as the test has it.
-func (s *storage) Admit(args *protocol.AdmitArgs, reply *protocol.AdmitReply) error {
+// Admit implements the call Turns.Admit.
+func (s *fakeStorage) Admit(args *protocol.AdmitArgs, reply *protocol.AdmitReply) error {
 	*reply = s.admit(s.count(), *args)
 	return nil
 }
 
-// Finish answers as the test has it.
-func (s *storage) Finish(args *protocol.FinishArgs, reply *protocol.FinishReply) error {
+// Finish implements the call Turns.Finish.
+func (s *fakeStorage) Finish(args *protocol.FinishArgs, reply *protocol.FinishReply) error {
 	*reply = s.finish(s.count(), *args)
 	return nil
 }
 
-// Find answers as the test has it.
-func (s *storage) Find(_ *protocol.FindArgs, reply *protocol.FindReply) error {
+// Find implements the call Turns.Find.
+func (s *fakeStorage) Find(_ *protocol.FindArgs, reply *protocol.FindReply) error {
 	*reply = s.find(s.count())
 	return nil
 }
 
-func (s *storage) count() int {
+func (s *fakeStorage) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 	return s.calls
 }
 
-func (s *storage) called() int {
+func (s *fakeStorage) called() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// start starts so many nodes, and a Client that knows them as members of all partitions.
-func start(t *testing.T, count int) (*Client, []*storage) {
+// startNodes starts storage nodes and returns them with a Client whose directory has them as voters
+// of all partitions.
+func startNodes(t *testing.T, count int) (*Client, []*fakeStorage) {
 	t.Helper()
 	pool := link.NewPool(link.Options{})
 	t.Cleanup(pool.Close)
-	var nodes []*storage
+	var nodes []*fakeStorage
 	for i := range count {
-		s := &storage{id: replica.NodeID(i + 1)}
+		s := &fakeStorage{id: replica.NodeID(i + 1)}
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
 		s.address = listener.Addr().String()
@@ -78,11 +79,11 @@
 		nodes = append(nodes, s)
 	}
 	c := New(pool)
-	c.Learn(directoryOf(nodes, 2))
+	c.SetDirectory(directoryOf(nodes, 2))
 	return c, nodes
 }
 
-func directoryOf(nodes []*storage, partitions int) protocol.Directory {
+func directoryOf(nodes []*fakeStorage, partitions int) protocol.Directory {
 	d := protocol.Directory{Version: 1}
 	var voters []replica.NodeID
 	for _, s := range nodes {
@@ -96,16 +97,16 @@
 	return d
 }
 
-func patient(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(t.Context(), testWithin)
+func longContext(t *testing.T) context.Context {
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// elsewhere answers that another node is the owner.
-func elsewhere(owner replica.NodeID) func(int, protocol.AdmitArgs) protocol.AdmitReply {
+// redirectTo answers that another node is the leader.
+func redirectTo(leader replica.NodeID) func(int, protocol.AdmitArgs) protocol.AdmitReply {
 	return func(int, protocol.AdmitArgs) protocol.AdmitReply {
-		return protocol.AdmitReply{Outcome: protocol.TurnNotOwner, Owner: owner}
+		return protocol.AdmitReply{Outcome: protocol.TurnNotOwner, Owner: leader}
 	}
 }
 
@@ -113,7 +114,7 @@
 	return func(int, protocol.AdmitArgs) protocol.AdmitReply { return protocol.AdmitReply{Outcome: outcome} }
 }
 
-func TestNothingIsReachedWithoutADirectory(t *testing.T) {
+func TestCallsFailWithoutDirectory(t *testing.T) {
 	pool := link.NewPool(link.Options{})
 	defer pool.Close()
 	c := New(pool)
@@ -128,67 +129,69 @@
 	assert.ErrorIs(t, err, ErrUnsure)
 }
 
-func TestOwnerIsFollowedAndRemembered(t *testing.T) {
-	c, nodes := start(t, 3)
+func TestLeaderIsFollowedAndRemembered(t *testing.T) {
+	c, nodes := startNodes(t, 3)
 	d := directoryOf(nodes, 2)
-	nodes[0].admit, nodes[2].admit = elsewhere(2), elsewhere(2)
+	nodes[0].admit, nodes[2].admit = redirectTo(2), redirectTo(2)
 	nodes[1].admit = func(_ int, args protocol.AdmitArgs) protocol.AdmitReply {
-		if args.Partition != d.TurnPartition("p") || args.Within != tryWithin || args.Attempt != "a" {
-			t.Errorf("asked with %+v", args)
+		if args.Partition != d.TurnPartition("p") || args.Within != callTimeout || args.Attempt != "a" {
+			t.Errorf("unexpected arguments: %+v", args)
 		}
 		return protocol.AdmitReply{Outcome: protocol.TurnGranted, History: []byte("before")}
 	}
 	for range 3 {
-		reply, err := c.Admit(patient(t), protocol.AdmitArgs{Program: "p", Attempt: "a"})
+		reply, err := c.Admit(longContext(t), protocol.AdmitArgs{Program: "p", Attempt: "a"})
 		assert.NilError(t, err)
 		assert.Equal(t, reply.Outcome, protocol.TurnGranted)
 		assert.Equal(t, string(reply.History), "before")
 	}
-	assert.Assert(t, nodes[0].called()+nodes[2].called() <= 1, "the owner is known after the first call")
+	assert.Assert(t, nodes[0].called()+nodes[2].called() <= 1, "the leader must be remembered after the first call")
 	assert.Equal(t, nodes[1].called(), 3)
 }
 
-func TestWhatTheOwnerSaysIsFinal(t *testing.T) {
+func TestAnswerOfLeaderIsFinal(t *testing.T) {
 	for _, outcome := range []protocol.TurnOutcome{protocol.TurnSpent, protocol.TurnMissing, protocol.TurnClosed} {
-		c, nodes := start(t, 1)
+		c, nodes := startNodes(t, 1)
 		nodes[0].admit = always(outcome)
-		reply, err := c.Admit(patient(t), protocol.AdmitArgs{Program: "p"})
+		reply, err := c.Admit(longContext(t), protocol.AdmitArgs{Program: "p"})
 		assert.NilError(t, err)
 		assert.Equal(t, reply.Outcome, outcome)
 		assert.Equal(t, nodes[0].called(), 1)
 	}
 }
 
-// What may have been done, or was not, is asked for again until an owner answers.
-func TestCallsAreMadeAgainUntilTheOwnerAnswers(t *testing.T) {
-	c, nodes := start(t, 1)
+// A call that failed, or that may or may not have taken effect, must be repeated until a leader
+// answers.
+func TestCallIsRepeatedUntilLeaderAnswers(t *testing.T) {
+	c, nodes := startNodes(t, 1)
 	nodes[0].finish = func(call int, _ protocol.FinishArgs) protocol.FinishReply {
 		outcomes := []protocol.TurnOutcome{protocol.TurnUnknown, protocol.TurnUnavailable, protocol.TurnNotOwner, protocol.TurnGranted}
 		return protocol.FinishReply{Outcome: outcomes[call-1]}
 	}
-	outcome, err := c.Finish(patient(t), protocol.FinishArgs{Program: "p", Attempt: "a", Tokens: 3})
+	outcome, err := c.Finish(longContext(t), protocol.FinishArgs{Program: "p", Attempt: "a", Tokens: 3})
 	assert.NilError(t, err)
 	assert.Equal(t, outcome, protocol.TurnGranted)
 	assert.Equal(t, nodes[0].called(), 4)
 }
 
-func TestNodeThatIsDownIsPassedOver(t *testing.T) {
-	c, nodes := start(t, 2)
+func TestNodeThatIsDownIsSkipped(t *testing.T) {
+	c, nodes := startNodes(t, 2)
 	d := directoryOf(nodes, 2)
 	down, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	d.Nodes[0].Address = down.Addr().String()
 	assert.NilError(t, down.Close())
-	c.Learn(d)
+	c.SetDirectory(d)
 	nodes[1].admit = always(protocol.TurnGranted)
-	reply, err := c.Admit(patient(t), protocol.AdmitArgs{Program: "p"})
+	reply, err := c.Admit(longContext(t), protocol.AdmitArgs{Program: "p"})
 	assert.NilError(t, err)
 	assert.Equal(t, reply.Outcome, protocol.TurnGranted)
 }
 
-// An owner that froze is left after one try, and not asked first again at once.
-func TestFrozenOwnerIsLeft(t *testing.T) {
-	c, nodes := start(t, 2)
+// A frozen leader must be left after one call, and must not be the first choice again at once, even
+// if another node still names it as the leader.
+func TestFrozenLeaderIsCalledOnlyOnce(t *testing.T) {
+	c, nodes := startNodes(t, 2)
 	frozen := make(chan struct{})
 	t.Cleanup(func() { close(frozen) })
 	nodes[0].admit = func(int, protocol.AdmitArgs) protocol.AdmitReply {
@@ -202,15 +205,15 @@
 		return protocol.AdmitReply{Outcome: protocol.TurnGranted}
 	}
 	d := directoryOf(nodes, 2)
-	c.owned(d.TurnPartition("p"), 1)
-	reply, err := c.Admit(patient(t), protocol.AdmitArgs{Program: "p"})
+	c.setLeader(d.TurnPartition("p"), 1)
+	reply, err := c.Admit(longContext(t), protocol.AdmitArgs{Program: "p"})
 	assert.NilError(t, err)
 	assert.Equal(t, reply.Outcome, protocol.TurnGranted)
 	assert.Equal(t, nodes[0].called(), 1)
 }
 
-func TestAdmissionEndsWithItsContext(t *testing.T) {
-	c, nodes := start(t, 1)
+func TestAdmitEndsWithItsContext(t *testing.T) {
+	c, nodes := startNodes(t, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	nodes[0].admit = func(call int, _ protocol.AdmitArgs) protocol.AdmitReply {
 		if call == 3 {
@@ -222,34 +225,34 @@
 	assert.ErrorIs(t, err, ErrUnavailable)
 }
 
-func TestTurnIsMissingOnlyWhereEachPartitionIsWithoutIt(t *testing.T) {
-	c, nodes := start(t, 2)
+func TestTurnIsMissingOnlyIfEveryPartitionLacksIt(t *testing.T) {
+	c, nodes := startNodes(t, 2)
 	nodes[0].find = func(int) protocol.FindReply { return protocol.FindReply{Without: []int{0}} }
 	nodes[1].find = func(call int) protocol.FindReply {
-		if call < 3 { // its owner is being elected
+		if call < 3 { // its leader is being elected
 			return protocol.FindReply{}
 		}
 		return protocol.FindReply{Without: []int{1}}
 	}
-	_, found, err := c.Find(patient(t), "a")
+	_, found, err := c.Find(longContext(t), "a")
 	assert.NilError(t, err)
 	assert.Assert(t, !found)
 	assert.Equal(t, nodes[1].called(), 3)
 }
 
-func TestFoundTurnCountsWhateverOthersSay(t *testing.T) {
-	c, nodes := start(t, 2)
+func TestFindReturnsTurnThatOnePartitionStores(t *testing.T) {
+	c, nodes := startNodes(t, 2)
 	nodes[0].find = func(int) protocol.FindReply { return protocol.FindReply{Without: []int{0}} }
 	nodes[1].find = func(int) protocol.FindReply { return protocol.FindReply{Found: true, History: []byte("said")} }
-	history, found, err := c.Find(patient(t), "a")
+	history, found, err := c.Find(longContext(t), "a")
 	assert.NilError(t, err)
 	assert.Assert(t, found)
 	assert.Equal(t, string(history), "said")
 }
 
-// Partitions that nobody speaks for leave it unsure, however long the others say no.
-func TestPartitionWithoutAnOwnerLeavesItUnsure(t *testing.T) {
-	c, nodes := start(t, 2)
+// If nobody answers for a partition, Find must stay unsure however often the others answer no.
+func TestFindIsUnsureWhilePartitionHasNoLeader(t *testing.T) {
+	c, nodes := startNodes(t, 2)
 	ctx, cancel := context.WithCancel(t.Context())
 	nodes[0].find = func(call int) protocol.FindReply {
 		if call == 3 {
@@ -263,13 +266,13 @@
 	assert.Assert(t, !found)
 }
 
-func TestNodesThatLeftTheDirectoryAreForgotten(t *testing.T) {
-	c, nodes := start(t, 2)
-	c.avoid(1)
-	c.avoid(2)
+func TestNodesRemovedFromDirectoryAreForgotten(t *testing.T) {
+	c, nodes := startNodes(t, 2)
+	c.markUnresponsive(1)
+	c.markUnresponsive(2)
 	d := directoryOf(nodes, 2)
 	d.Nodes = d.Nodes[1:]
-	c.Learn(d)
-	assert.Equal(t, len(c.silent), 1)
-	assert.Assert(t, c.avoided(2))
+	c.SetDirectory(d)
+	assert.Equal(t, len(c.unresponsiveSince), 1)
+	assert.Assert(t, c.isUnresponsive(2))
 }
