--- a/cmd/oaklab/tier_test.go
+++ b/cmd/oaklab/tier_test.go
@@ -43,17 +43,17 @@
 	require.NoError(t, err)
 	assert.Empty(t, r.Crashed)
 	for _, v := range r.Report.Verdicts {
-		assert.Zero(t, v.Broken, "%s: %v", v.Rule, v.Why)
+		assert.Zero(t, v.Broken, "%s: %v", v.Rule, v.Violations)
 		assert.Positive(t, v.Checked, "%s", v.Rule)
 	}
-	for _, kind := range []audit.Kind{audit.Read, audit.Order, audit.Turn} {
+	for _, kind := range []audit.Kind{audit.ToolRead, audit.ToolOrder, audit.Turn} {
 		c := r.Report.Kinds[kind]
-		assert.Greater(t, c.Asked, 50, "%s", kind)
-		assert.Greater(t, c.Served, c.Asked*3/4, "%s", kind)
+		assert.Greater(t, c.Sent, 50, "%s", kind)
+		assert.Greater(t, c.Served, c.Sent*3/4, "%s", kind)
 	}
-	assert.Positive(t, r.Report.Spent, "programs with a small budget")
-	assert.Greater(t, r.Report.Taken, 3, "configurations")
-	assert.Len(t, r.Report.Kills, 8)
+	assert.Positive(t, r.Report.BudgetExhausted, "programs with a small budget")
+	assert.Greater(t, r.Report.Acknowledged, 3, "configurations")
+	assert.Len(t, r.Report.Faults, 8)
 }
 
 // A program that isn't there, and one that ends at once, are told.
--- a/internal/anemometer/events/events.go
+++ b/internal/anemometer/events/events.go
@@ -21,67 +21,67 @@
 }
 
 // Write parses the next bytes of the stream. It never fails.
-func (g *Collector) Write(text []byte) (int, error) {
+func (c *Collector) Write(text []byte) (int, error) {
 	length := len(text)
 	for len(text) > 0 {
 		end := bytes.IndexByte(text, '\n')
 		if end < 0 {
-			g.appendLine(text)
+			c.appendLine(text)
 			break
 		}
-		g.appendLine(text[:end])
-		g.endLine()
+		c.appendLine(text[:end])
+		c.endLine()
 		text = text[end+1:]
 	}
 	return length, nil
 }
 
-func (g *Collector) appendLine(part []byte) {
-	remaining := max(maxLineBytes-len(g.line), 0)
-	g.line = append(g.line, part[:min(len(part), remaining)]...)
+func (c *Collector) appendLine(part []byte) {
+	remaining := max(maxLineBytes-len(c.line), 0)
+	c.line = append(c.line, part[:min(len(part), remaining)]...)
 }
 
 // endLine handles a whole line: a field, or the empty line that ends an event.
-func (g *Collector) endLine() {
-	line := bytes.TrimSuffix(g.line, []byte{'\r'})
-	g.line = g.line[:0]
+func (c *Collector) endLine() {
+	line := bytes.TrimSuffix(c.line, []byte{'\r'})
+	c.line = c.line[:0]
 	if len(line) == 0 {
-		g.endEvent()
+		c.endEvent()
 		return
 	}
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	if !bytes.Equal(name, dataField) {
 		return
 	}
-	if g.hasData {
-		g.data = append(g.data, '\n')
+	if c.hasData {
+		c.data = append(c.data, '\n')
 	}
-	g.data = append(g.data, bytes.TrimPrefix(value, []byte{' '})...)
-	g.hasData = true
+	c.data = append(c.data, bytes.TrimPrefix(value, []byte{' '})...)
+	c.hasData = true
 }
 
-func (g *Collector) endEvent() {
-	if !g.hasData {
+func (c *Collector) endEvent() {
+	if !c.hasData {
 		return
 	}
-	g.count++
-	g.output = append(g.output, g.data...)
-	g.output = append(g.output, '\n')
-	g.data = g.data[:0]
-	g.hasData = false
+	c.count++
+	c.output = append(c.output, c.data...)
+	c.output = append(c.output, '\n')
+	c.data = c.data[:0]
+	c.hasData = false
 }
 
 // Output returns the data of all whole events so far, each followed by a line feed.
-func (g *Collector) Output() []byte { return g.output }
+func (c *Collector) Output() []byte { return c.output }
 
 // Count returns the number of whole events so far.
-func (g *Collector) Count() uint64 { return g.count }
+func (c *Collector) Count() uint64 { return c.count }
 
 // Started returns the number of events received at least in part. It is the most that a broken
 // stream can have delivered.
-func (g *Collector) Started() uint64 {
-	if g.hasData || len(g.line) > 0 {
-		return g.count + 1
+func (c *Collector) Started() uint64 {
+	if c.hasData || len(c.line) > 0 {
+		return c.count + 1
 	}
-	return g.count
+	return c.count
 }
--- a/internal/anemometer/events/splitter.go
+++ b/internal/anemometer/events/splitter.go
@@ -15,44 +15,44 @@
 
 // Write adds the next bytes of the stream and returns the events that are whole now. They are valid
 // until the next call.
-func (c *Splitter) Write(text []byte) []byte {
-	c.pending = append(c.pending, text...)
+func (s *Splitter) Write(text []byte) []byte {
+	s.pending = append(s.pending, text...)
 	whole := 0
 	for {
-		length := bytes.IndexByte(c.pending[c.scanned:], '\n')
+		length := bytes.IndexByte(s.pending[s.scanned:], '\n')
 		if length < 0 {
 			break
 		}
-		line := bytes.TrimSuffix(c.pending[c.scanned:c.scanned+length], []byte{'\r'})
-		c.scanned += length + 1
+		line := bytes.TrimSuffix(s.pending[s.scanned:s.scanned+length], []byte{'\r'})
+		s.scanned += length + 1
 		if len(line) > 0 {
-			c.parseField(line)
+			s.parseField(line)
 			continue
 		}
-		whole = c.scanned
-		if len(c.id) > 0 {
-			c.lastID = string(c.id)
+		whole = s.scanned
+		if len(s.id) > 0 {
+			s.lastID = string(s.id)
 		}
-		c.id = nil
+		s.id = nil
 	}
-	events := bytes.Clone(c.pending[:whole])
-	c.pending = c.pending[:copy(c.pending, c.pending[whole:])]
-	c.scanned -= whole
+	events := bytes.Clone(s.pending[:whole])
+	s.pending = s.pending[:copy(s.pending, s.pending[whole:])]
+	s.scanned -= whole
 	return events
 }
 
-func (c *Splitter) parseField(line []byte) {
+func (s *Splitter) parseField(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	if bytes.Equal(name, idField) {
-		c.id = bytes.Clone(bytes.TrimPrefix(value, []byte{' '}))
+		s.id = bytes.Clone(bytes.TrimPrefix(value, []byte{' '}))
 	}
 }
 
 // LastID returns the id of the last whole event that had one, or "" if none had.
-func (c *Splitter) LastID() string { return c.lastID }
+func (s *Splitter) LastID() string { return s.lastID }
 
 // DropPartial discards the bytes received after the last whole event.
-func (c *Splitter) DropPartial() { c.pending, c.scanned, c.id = c.pending[:0], 0, nil }
+func (s *Splitter) DropPartial() { s.pending, s.scanned, s.id = s.pending[:0], 0, nil }
 
 // Partial returns the bytes received after the last whole event.
-func (c *Splitter) Partial() []byte { return c.pending }
+func (s *Splitter) Partial() []byte { return s.pending }
--- a/internal/audit/tier/history.go
+++ b/internal/audit/tier/history.go
@@ -1,6 +1,7 @@
-// Package tier judges from the outside whether the serving tier keeps its rules: by what
-// clients, servers, the platform's callers and the operator saw of it. It knows nothing
-// of how the tier works, does no I/O and reads no clock. All times count from one moment.
+// Package tier checks from the outside whether the serving tier keeps its rules, by what clients,
+// servers, the platform's callers and the operator saw of it. It depends on nothing of the tier's
+// implementation, does no I/O and reads no clock except in Recorder. All times count from the start
+// of a Recorder.
 package tier
 
 import (
@@ -10,36 +11,36 @@
 	"time"
 )
 
-// Kind is what a request wants.
+// Kind is the kind of a request.
 type Kind uint8
 
 // The kinds of requests.
 const (
-	Read  Kind = iota // of a tool, may be carried out more than once
-	Order             // to a tool, must not
-	Turn              // of a program, is answered by events
+	ToolRead  Kind = iota // idempotent tool call, may run more than once
+	ToolOrder             // tool call with an effect, must run at most once
+	Turn                  // turn of a program, answered with a stream of events
 )
 
 var kindNames = [...]string{"tool read", "tool order", "turn"}
 
-// String names the kind.
+// String returns the name of the kind.
 func (k Kind) String() string { return kindNames[k] }
 
 // Event is one event of a stream.
 type Event struct{ ID, Data string }
 
-// Answer is what a client got. The zero value is none.
+// Answer is the response that a client received. The zero value means none.
 type Answer struct {
-	At     time.Duration // when it ended, whole or not
-	First  time.Duration // when its first byte came
-	Status int           // 0: no head came whole
-	Seal   string        // of the server that gave it, empty where the tier answered itself
-	Whole  bool          // the body came to its stated end
+	At     time.Duration // when it ended, complete or not
+	First  time.Duration // when its first byte arrived
+	Status int           // 0: no complete status line and headers arrived
+	Seal   string        // identifies the run at a server, empty: the tier itself answered
+	Whole  bool          // the body arrived completely
 	Body   string        // not of streams
 	Events []Event       // of streams
 }
 
-// Request is one try of a client's, with an attempt id of its own.
+// Request is one attempt of a client, with its own attempt id.
 type Request struct {
 	Attempt string
 	Kind    Kind
@@ -49,64 +50,65 @@
 	Sent    time.Duration
 	Answer  Answer
 
-	Program  string // of turns, as are the following
-	Previous string // the attempt that it goes on from, empty: none
-	Budget   uint64 // tokens that the program may be handed
-	Most     uint64 // tokens that this turn may put out
+	Program  string // this field and the following are set for turns only
+	Previous string // attempt id of the turn that this one continues, empty: none
+	Budget   uint64 // tokens that all turns of the program may output
+	Most     uint64 // tokens that this turn may output
 }
 
-// Arrival is a request as it came to a server.
+// Arrival is a request as it arrived at a server.
 type Arrival struct {
 	Attempt string
 	Server  string
 	Service string
 	At      time.Duration
 	Path    string
-	Seal    string // names the run; empty: the server turned the request away and did nothing
+	Seal    string // identifies the run; empty: the server rejected the request without running it
 	Input   string // the body
-	Body    string // of the answer that it gave, not of streams
+	Body    string // of the server's answer, unless it is a stream
 	Events  []Event
-	Whole   bool // the server wrote its answer to the end
-	// Misdirected tells that it was meant for an earlier server at the address, and was turned
-	// away for that.
+	Whole   bool // the server completed its answer
+	// Misdirected means that the request was meant for an earlier server at the same address, and
+	// was rejected for that reason.
 	Misdirected bool
 }
 
-// Allowed tells to which services a route may lead.
-type Allowed struct {
+// AllowedRoute lists the services that a route may lead to.
+type AllowedRoute struct {
 	Host, Prefix string
 	Services     []string
 }
 
-// Configuration is what an operator ordered.
+// Configuration is a configuration that an operator sent.
 type Configuration struct {
 	Revision     uint64
 	Base         uint64
 	Body         string
-	Routes       []Allowed
+	Routes       []AllowedRoute
 	Sent         time.Duration
 	Acknowledged time.Duration // 0: never
 	Refused      bool
 	Tries        int
 }
 
-// Shown is a configuration as it was read back.
-type Shown struct {
+// ConfigurationRead is a configuration as it was read back.
+type ConfigurationRead struct {
 	Asked, At time.Duration
 	Body      string
 }
 
-// History is all that was seen.
+// History is everything that was observed in a run. It is written as JSON, so the field names are
+// part of that format.
 type History struct {
 	Requests       []Request
 	Arrivals       []Arrival
 	Configurations []Configuration // in the order in which they were first sent
-	Shown          []Shown
-	Draining       map[string]time.Duration // when the platform first listed a server as draining
-	Kills          []string                 // in words
+	Shown          []ConfigurationRead
+	Draining       map[string]time.Duration // when the platform first listed a server as draining, by server
+	Kills          []string                 // descriptions of the injected faults
 }
 
-// Recorder gathers a History. It is safe for concurrent use.
+// Recorder collects a History. It is safe for concurrent use.
 type Recorder struct {
 	start time.Time
 
@@ -114,69 +116,69 @@
 	history History
 }
 
-// NewRecorder returns one whose times count from now.
+// NewRecorder returns a Recorder whose times count from now.
 func NewRecorder() *Recorder {
 	return &Recorder{start: time.Now(), history: History{Draining: map[string]time.Duration{}}}
 }
 
-// Now is the time since the start.
+// Now returns the time since the start.
 func (r *Recorder) Now() time.Duration { return time.Since(r.start) }
 
-// Requested tells of a request that has ended.
-func (r *Recorder) Requested(q Request) {
+// RecordRequest records a request that has ended.
+func (r *Recorder) RecordRequest(q Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Requests = append(r.history.Requests, q)
 }
 
-// Arrived tells of a request at a server, which then has it in hand, and returns its number.
-func (r *Recorder) Arrived(a Arrival) int {
+// RecordArrival records a request that arrived at a server, and returns its number.
+func (r *Recorder) RecordArrival(a Arrival) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Arrivals = append(r.history.Arrivals, a)
 	return len(r.history.Arrivals) - 1
 }
 
-// Wrote tells of the next event that a server writes in answer to an arrival.
-func (r *Recorder) Wrote(arrival int, e Event) {
+// RecordEvent records the next event that a server writes in answer to an arrival.
+func (r *Recorder) RecordEvent(arrival int, e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a := &r.history.Arrivals[arrival]
 	a.Events = append(a.Events, e)
 }
 
-// Finished tells that a server has written its answer to an arrival to the end.
-func (r *Recorder) Finished(arrival int) {
+// RecordFinished records that a server has completed its answer to an arrival.
+func (r *Recorder) RecordFinished(arrival int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Arrivals[arrival].Whole = true
 }
 
-// Ordered tells of a configuration that is about to be sent, and returns its number.
-func (r *Recorder) Ordered(c Configuration) int {
+// RecordOrder records a configuration that is about to be sent, and returns its number.
+func (r *Recorder) RecordOrder(c Configuration) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Configurations = append(r.history.Configurations, c)
 	return len(r.history.Configurations) - 1
 }
 
-// Decided tells how an order ended; acknowledged 0: it was not.
-func (r *Recorder) Decided(order int, acknowledged time.Duration, refused bool, tries int) {
+// RecordOrderResult records the outcome of an order. acknowledged is 0 if it was not acknowledged.
+func (r *Recorder) RecordOrderResult(order int, acknowledged time.Duration, refused bool, tries int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := &r.history.Configurations[order]
 	c.Acknowledged, c.Refused, c.Tries = acknowledged, refused, tries
 }
 
-// ReadBack tells of a configuration that was read.
-func (r *Recorder) ReadBack(s Shown) {
+// RecordReadBack records a configuration that was read.
+func (r *Recorder) RecordReadBack(read ConfigurationRead) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.history.Shown = append(r.history.Shown, s)
+	r.history.Shown = append(r.history.Shown, read)
 }
 
-// ListedDraining tells that the platform has listed a server as draining.
-func (r *Recorder) ListedDraining(server string) {
+// RecordDraining records that the platform has listed a server as draining. The first time counts.
+func (r *Recorder) RecordDraining(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, known := r.history.Draining[server]; !known {
@@ -184,14 +186,14 @@
 	}
 }
 
-// Killed tells of a trouble, in words.
-func (r *Recorder) Killed(what string) {
+// RecordFault records the description of an injected fault.
+func (r *Recorder) RecordFault(description string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.history.Kills = append(r.history.Kills, what)
+	r.history.Kills = append(r.history.Kills, description)
 }
 
-// Counts are how many requests have ended, and how many of them were served.
+// Counts returns how many requests have ended, and how many of them were served.
 func (r *Recorder) Counts() (ended, served int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -203,7 +205,7 @@
 	return len(r.history.Requests), served
 }
 
-// History returns what was gathered so far.
+// History returns a copy of what was recorded so far.
 func (r *Recorder) History() *History {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/audit/tier/orders.go
+++ b/internal/audit/tier/orders.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// program sums up what the turns of one program were handed.
+// program is what the turns of one program delivered together.
 type program struct {
-	name    string
-	budget  uint64
-	most    uint64 // of one turn
-	handed  uint64
-	refused []*Request // with 402
-	turns   []*Request
+	name      string
+	budget    uint64
+	maxTurn   uint64     // largest maximum of a single turn
+	delivered uint64     // tokens
+	rejected  []*Request // turns answered with status 402
+	turns     []*Request
 }
 
-func (j *judge) programs() []*program {
+func (c *checker) programs() []*program {
 	byName := map[string]*program{}
 	var all []*program
-	for i := range j.history.Requests {
-		q := &j.history.Requests[i]
+	for i := range c.history.Requests {
+		q := &c.history.Requests[i]
 		if q.Kind != Turn || q.Budget == 0 {
 			continue
 		}
@@ -31,35 +31,36 @@
 			byName[q.Program] = p
 			all = append(all, p)
 		}
-		p.most = max(p.most, q.Most)
-		p.handed += uint64(len(q.Answer.Events))
+		p.maxTurn = max(p.maxTurn, q.Most)
+		p.delivered += uint64(len(q.Answer.Events))
 		p.turns = append(p.turns, q)
 		if q.Answer.Status == http.StatusPaymentRequired {
-			p.refused = append(p.refused, q)
+			p.rejected = append(p.rejected, q)
 		}
 	}
 	return all
 }
 
-func (j *judge) budgets() {
-	for _, p := range j.programs() {
-		j.check(BudgetKept, p.handed <= p.budget+p.most, "program %s was handed %d tokens: its budget is %d, and no turn's most is above %d",
-			p.name, p.handed, p.budget, p.most)
-		for _, q := range p.refused {
-			used := p.usedAtMost(q)
-			j.check(BudgetGiven, used+q.Most > p.budget, "%s was answered 402: at most %d of %d tokens could be used or reserved, and it asked for %d",
+func (c *checker) checkBudgets() {
+	for _, p := range c.programs() {
+		c.check(BudgetRespected, p.delivered <= p.budget+p.maxTurn, "program %s received %d tokens: its budget is %d, and no turn may output more than %d",
+			p.name, p.delivered, p.budget, p.maxTurn)
+		for _, q := range p.rejected {
+			used := p.maxUsed(q)
+			c.check(BudgetRejectionJustified, used+q.Most > p.budget, "%s was answered with status 402: at most %d of %d tokens could be used or reserved, and it asked for %d",
 				q.describe(), used, p.budget, q.Most)
 		}
 	}
 }
 
-// usedAtMost is what may have been put out or reserved for the program while a request
-// was open: a turn that did not end whole, or not before, may count at its most.
-func (p *program) usedAtMost(by *Request) uint64 {
+// maxUsed returns the most tokens that may have been output or reserved for the program while a
+// request was open. A turn that was not answered completely before the request may count with its
+// maximum.
+func (p *program) maxUsed(by *Request) uint64 {
 	var used uint64
 	for _, q := range p.turns {
 		switch {
-		case q == by || q.Sent > by.Answer.At || q.Refused():
+		case q == by || q.Sent > by.Answer.At || q.Rejected():
 		case q.Served() && q.Answer.At < by.Sent:
 			used += uint64(len(q.Answer.Events))
 		default:
@@ -69,61 +70,61 @@
 	return used
 }
 
-// orders holds what was read back against what was acknowledged. An order whose outcome
-// the operator never learned may be in force or not.
-func (j *judge) orders() {
-	order := j.history.Configurations
-	for _, shown := range j.history.Shown {
-		newest := -1 // of those that were acknowledged before the question
-		for i, c := range order {
-			if c.Acknowledged != 0 && c.Acknowledged <= shown.Asked {
+// checkConfigurations compares what was read back with what was acknowledged. An order with an
+// unknown outcome may or may not be in force.
+func (c *checker) checkConfigurations() {
+	orders := c.history.Configurations
+	for _, shown := range c.history.Shown {
+		newest := -1 // of those acknowledged before the read began
+		for i, order := range orders {
+			if order.Acknowledged != 0 && order.Acknowledged <= shown.Asked {
 				newest = i
 			}
 		}
-		got := slices.IndexFunc(order, func(c Configuration) bool { return c.Body == shown.Body })
+		got := slices.IndexFunc(orders, func(order Configuration) bool { return order.Body == shown.Body })
 		switch {
 		case got < 0:
-			j.check(OrderKept, newest < 0 && shown.Body == "", "at %s %d bytes were read that nobody sent", at(shown.At), len(shown.Body))
-		case order[got].Sent > shown.At || order[got].Refused:
-			j.check(OrderKept, false, "at %s revision %d was read, which was not sent yet or was refused", at(shown.At), order[got].Revision)
+			c.check(ConfigurationDurable, newest < 0 && shown.Body == "", "at %s a configuration of %d bytes was read that nobody sent", formatTime(shown.At), len(shown.Body))
+		case orders[got].Sent > shown.At || orders[got].Refused:
+			c.check(ConfigurationDurable, false, "at %s revision %d was read, which had not been sent yet or had been rejected", formatTime(shown.At), orders[got].Revision)
 		default:
-			j.check(OrderKept, got >= newest, "at %s revision %d was read, after revision %d was acknowledged at %s", at(shown.At),
-				order[got].Revision, order[max(newest, 0)].Revision, at(order[max(newest, 0)].Acknowledged))
+			c.check(ConfigurationDurable, got >= newest, "at %s revision %d was read, after revision %d was acknowledged at %s", formatTime(shown.At),
+				orders[got].Revision, orders[max(newest, 0)].Revision, formatTime(orders[max(newest, 0)].Acknowledged))
 		}
 	}
 }
 
-// allowed looks whether, at some moment between a client's sending and the arrival, a
-// configuration was or may have been in force that sends the request there.
-func (j *judge) allowed(a *Arrival) {
-	q := j.requests[a.Attempt]
+// checkRoute checks whether some configuration leads the request to the server, and was or may have
+// been in force at a moment between the client's sending and the arrival.
+func (c *checker) checkRoute(a *Arrival) {
+	q := c.requests[a.Attempt]
 	if q == nil {
-		j.check(RouteAllowed, false, "%s came to %s, and no client sent it", a.Attempt, a.Server)
+		c.check(RouteAllowed, false, "%s arrived at %s, but no client sent it", a.Attempt, a.Server)
 		return
 	}
 	holds := false
-	for i := range j.history.Configurations {
-		c := &j.history.Configurations[i]
-		holds = holds || c.Sent <= a.At && j.until(i) >= q.Sent && c.leads(q.Host, q.Path, a.Service)
+	for i := range c.history.Configurations {
+		configuration := &c.history.Configurations[i]
+		holds = holds || configuration.Sent <= a.At && c.inForceUntil(i) >= q.Sent && configuration.leadsTo(q.Host, q.Path, a.Service)
 	}
-	j.check(RouteAllowed, holds, "%s came to %s of %s at %s: no configuration leads there", q.describe(), a.Server, a.Service, at(a.At))
+	c.check(RouteAllowed, holds, "%s arrived at %s of %s at %s: no configuration leads there", q.describe(), a.Server, a.Service, formatTime(a.At))
 }
 
-// forever is after each history's end.
+// forever is after the end of every history.
 const forever = time.Duration(1<<63 - 1)
 
-// until is when a configuration can be in force at the latest.
-func (j *judge) until(number int) time.Duration {
-	for _, c := range j.history.Configurations[number+1:] {
-		if c.Acknowledged != 0 {
-			return c.Acknowledged + j.bounds.Apply
+// inForceUntil returns the latest time at which a configuration can be in force.
+func (c *checker) inForceUntil(number int) time.Duration {
+	for _, next := range c.history.Configurations[number+1:] {
+		if next.Acknowledged != 0 {
+			return next.Acknowledged + c.bounds.Apply
 		}
 	}
 	return forever
 }
 
-// leads tells whether the route of the longest prefix may lead to a service.
-func (c *Configuration) leads(host, path, service string) bool {
+// leadsTo reports whether the matching route with the longest prefix may lead to a service.
+func (c *Configuration) leadsTo(host, path, service string) bool {
 	best := -1
 	for i, r := range c.Routes {
 		if r.Host == host && strings.HasPrefix(path, r.Prefix) && (best < 0 || len(r.Prefix) > len(c.Routes[best].Prefix)) {
--- a/internal/audit/tier/report.go
+++ b/internal/audit/tier/report.go
@@ -12,41 +12,44 @@
 	"pipitmux/internal/latency"
 )
 
-// Count sums the requests of a kind up.
-type Count struct {
-	Asked, Served, Refused, Failed int
-	Latency                        latency.Quantiles // of what was served, to the answer's end
+// KindCounts are the request counts of one kind.
+type KindCounts struct {
+	Sent     int
+	Served   int
+	Rejected int
+	Failed   int
+	Latency  latency.Quantiles // of served requests, to the end of the answer
 }
 
-// Report is what a run came to.
+// Report summarizes a run.
 type Report struct {
-	Kinds    [len(kindNames)]Count
-	Statuses [len(kindNames)]map[int]int // answers by status, 0: none; 200s that broke off count as 0
-	First    latency.Quantiles           // of turns, to the first byte
-	Programs int
-	Spent    int // programs that were answered 402
-	GoneOn   int // turns that went on from another
-	Orders   int
-	Taken    int // orders that were acknowledged
-	Tries    int // sends of all orders together
-	Kills    []string
-	Verdicts []Verdict
+	Kinds                 [len(kindNames)]KindCounts
+	Statuses              [len(kindNames)]map[int]int // answers by status; 0: no complete answer, also a 200 that broke off
+	First                 latency.Quantiles           // of turns, to the first byte
+	Programs              int
+	BudgetExhausted       int // programs with a turn answered with status 402
+	ContinuedTurns        int // served turns that continue another one
+	Configurations        int // sent
+	Acknowledged          int // configurations
+	ConfigurationAttempts int // of all configurations together
+	Faults                []string
+	Verdicts              []Verdict
 }
 
-// longest is the longest latency that is told apart, in microseconds.
-const longest = int64(10 * time.Minute / time.Microsecond)
+// maxLatencyMicroseconds is the largest latency of the histograms; larger ones are not recorded.
+const maxLatencyMicroseconds = int64(10 * time.Minute / time.Microsecond)
 
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest, 3) }
+func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicroseconds, 3) }
 
-// Sum judges a history and counts it.
-func Sum(h *History, b Bounds) *Report {
-	r := &Report{Kills: h.Kills, Verdicts: Judge(h, b)}
+// Summarize checks a history against all rules and counts its requests.
+func Summarize(h *History, b Bounds) *Report {
+	r := &Report{Faults: h.Kills, Verdicts: Check(h, b)}
 	var whole [len(kindNames)]*hdrhistogram.Histogram
 	for k := range whole {
 		whole[k], r.Statuses[k] = histogram(), map[int]int{}
 	}
 	first := histogram()
-	programs, spent := map[string]bool{}, map[string]bool{}
+	programs, exhausted := map[string]bool{}, map[string]bool{}
 	for i := range h.Requests {
 		q := &h.Requests[i]
 		r.count(q)
@@ -61,21 +64,21 @@
 		}
 		programs[q.Program] = true
 		if q.Answer.Status == http.StatusPaymentRequired {
-			spent[q.Program] = true
+			exhausted[q.Program] = true
 		}
 		if q.Previous != "" && q.Served() {
-			r.GoneOn++
+			r.ContinuedTurns++
 		}
 	}
 	for k := range whole {
 		r.Kinds[k].Latency = latency.Of(whole[k])
 	}
-	r.First, r.Programs, r.Spent = latency.Of(first), len(programs), len(spent)
+	r.First, r.Programs, r.BudgetExhausted = latency.Of(first), len(programs), len(exhausted)
 	for _, c := range h.Configurations {
-		r.Orders++
-		r.Tries += c.Tries
+		r.Configurations++
+		r.ConfigurationAttempts += c.Tries
 		if c.Acknowledged != 0 {
-			r.Taken++
+			r.Acknowledged++
 		}
 	}
 	return r
@@ -83,13 +86,13 @@
 
 func (r *Report) count(q *Request) {
 	c := &r.Kinds[q.Kind]
-	c.Asked++
+	c.Sent++
 	status := q.Answer.Status
 	switch {
 	case q.Served():
 		c.Served++
-	case q.Refused():
-		c.Refused++
+	case q.Rejected():
+		c.Rejected++
 	default:
 		c.Failed++
 		if status == http.StatusOK {
@@ -99,7 +102,7 @@
 	r.Statuses[q.Kind][status]++
 }
 
-// Clean tells that no rule was broken.
+// Clean reports whether all rules were kept.
 func (r *Report) Clean() bool {
 	for _, v := range r.Verdicts {
 		if v.Broken > 0 {
@@ -114,17 +117,17 @@
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "requests\tasked\tserved\trefused\tfailed\tp50 ms\tp99 ms\tmax ms\t")
 	for k, c := range r.Kinds {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t\n", Kind(k), c.Asked, c.Served, c.Refused, c.Failed, c.Latency.P50, c.Latency.P99, c.Latency.Max)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t\n", Kind(k), c.Sent, c.Served, c.Rejected, c.Failed, c.Latency.P50, c.Latency.P99, c.Latency.Max)
 	}
 	w.Flush()
 	for k, statuses := range r.Statuses {
 		fmt.Fprintf(to, "%s by status (0: no whole answer): %v\n", Kind(k), statuses)
 	}
 	fmt.Fprintf(to, "turns: %d programs, %d of them spent their budget, %d turns went on from another; first byte p50 %.1f ms, p99 %.1f ms\n",
-		r.Programs, r.Spent, r.GoneOn, r.First.P50, r.First.P99)
-	fmt.Fprintf(to, "configurations: %d ordered in %d sends, %d acknowledged\n", r.Orders, r.Tries, r.Taken)
-	for _, k := range r.Kills {
-		fmt.Fprintf(to, "trouble: %s\n", k)
+		r.Programs, r.BudgetExhausted, r.ContinuedTurns, r.First.P50, r.First.P99)
+	fmt.Fprintf(to, "configurations: %d ordered in %d sends, %d acknowledged\n", r.Configurations, r.ConfigurationAttempts, r.Acknowledged)
+	for _, fault := range r.Faults {
+		fmt.Fprintf(to, "trouble: %s\n", fault)
 	}
 	w = tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "rule\tchecked\tbroken")
@@ -133,8 +136,8 @@
 	}
 	w.Flush()
 	for _, v := range r.Verdicts {
-		for _, why := range v.Why {
-			fmt.Fprintf(to, "broken: %s: %s\n", v.Rule, why)
+		for _, violation := range v.Violations {
+			fmt.Fprintf(to, "broken: %s: %s\n", v.Rule, violation)
 		}
 	}
 }
--- a/internal/standin/tier/agent.go
+++ b/internal/standin/tier/agent.go
@@ -13,173 +13,175 @@
 	"pipitmux/internal/wait"
 )
 
-// The paths of the services, by which routes are found.
+// Path prefixes of the services; the routes match them.
 const (
 	ReadPath   = "/tools/read/"
 	OrderPath  = "/tools/order/"
 	SwitchPath = "/switch/"
 	TurnPath   = "/turns/"
-	// Host is the name under which clients reach the tier.
+	// Host is the Host header under which clients reach the tier.
 	Host = "tier.lab"
 )
 
 const (
-	// turnsMost is how many turns a line has at most, triesMost how often a step is tried.
-	turnsMost = 6
-	triesMost = 8
-	// usualBudget is more than a program's turns put out, smallBudget less; one program in
-	// smallEvery has the small one.
-	usualBudget = 100000
-	smallBudget = 40
-	smallEvery  = 5
-	// earlierEvery is how many programs there are for each that goes on from the one before.
-	earlierEvery = 3
-	// turnWithin and toolWithin are the time budgets of requests, finishWithin a program's.
-	turnWithin   = 8 * time.Second
-	toolWithin   = 3 * time.Second
-	finishWithin = 30 * time.Second
-	// pauseMost is how long an agent thinks between two steps.
-	pauseMost = 40 * time.Millisecond
-	// leastPause is the pause before a step is tried again.
-	leastPause = 100 * time.Millisecond
+	// maxTurns bounds the turns of a sequence, maxAttempts the attempts of one step.
+	maxTurns    = 6
+	maxAttempts = 8
+	// largeBudget is more tokens than a program's turns put out, smallBudget is fewer. One program in
+	// smallBudgetInterval has the small one.
+	largeBudget         = 100000
+	smallBudget         = 40
+	smallBudgetInterval = 5
+	// One program in continueInterval continues from the last turn of the previous program.
+	continueInterval = 3
+	// Time budgets: of a turn, of a tool call and of a whole program.
+	turnTimeBudget    = 8 * time.Second
+	toolTimeBudget    = 3 * time.Second
+	programTimeBudget = 30 * time.Second
+	// maxThinkTime bounds the pause of an agent between two steps.
+	maxThinkTime = 40 * time.Millisecond
+	// minRetryPause is the minimum pause before a step is retried.
+	minRetryPause = 100 * time.Millisecond
 )
 
-// Agent runs programs, one after the other. It is not safe for concurrent use.
+// Agent runs programs one after the other, as a client of the tier. It is not safe for concurrent
+// use.
 type Agent struct {
-	clients *Clients
-	number  int
-	rng     *rand.Rand
-	id      *identifiers
-	earlier string // the last turn of the program before
+	client       *Client
+	number       int
+	rng          *rand.Rand
+	attemptIDs   *attemptIDs
+	previousTurn string // the last turn of the previous program
 }
 
-// identifiers are those of an agent's requests.
-type identifiers struct {
+// attemptIDs generates the attempt ids of one agent.
+type attemptIDs struct {
 	agent int
 
 	mu   sync.Mutex
 	last int
 }
 
-func (n *identifiers) next() string {
+func (n *attemptIDs) next() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.last++
 	return fmt.Sprintf("a%d-%d", n.agent, n.last)
 }
 
-// NewAgent returns the agent of a number.
-func NewAgent(c *Clients, number int, seed uint64) *Agent {
-	return &Agent{clients: c, number: number, rng: rand.New(rand.NewPCG(seed, uint64(number))), id: &identifiers{agent: number}}
+// NewAgent returns the agent with a number. The number and the seed determine its programs.
+func NewAgent(c *Client, number int, seed uint64) *Agent {
+	return &Agent{client: c, number: number, rng: rand.New(rand.NewPCG(seed, uint64(number))), attemptIDs: &attemptIDs{agent: number}}
 }
 
-// line is a sequence of turns, each going on from the one before: the program's own, or a
-// sub-agent's.
-type line struct {
-	agent    *Agent
-	rng      *rand.Rand
-	program  string
-	budget   uint64
-	session  string
-	previous string
-	began    time.Time
+// turnSequence is a sequence of turns in which each continues the previous one. It belongs to the
+// program's main agent or to a sub-agent.
+type turnSequence struct {
+	agent     *Agent
+	rng       *rand.Rand
+	program   string
+	budget    uint64
+	session   string
+	previous  string
+	startedAt time.Time
 }
 
-// Run runs programs until ctx ends; steps under way are brought to their end.
+// Run runs programs until ctx ends. Steps under way are completed.
 func (a *Agent) Run(ctx context.Context) {
 	for n := 1; ctx.Err() == nil; n++ {
-		l := &line{agent: a, rng: a.rng, program: fmt.Sprintf("program-%d-%d", a.number, n), budget: usualBudget,
-			session: fmt.Sprintf("session-%d", a.number), began: time.Now()}
-		if (n+a.number)%smallEvery == 0 {
-			l.budget = smallBudget
+		s := &turnSequence{agent: a, rng: a.rng, program: fmt.Sprintf("program-%d-%d", a.number, n), budget: largeBudget,
+			session: fmt.Sprintf("session-%d", a.number), startedAt: time.Now()}
+		if (n+a.number)%smallBudgetInterval == 0 {
+			s.budget = smallBudget
 		}
-		if n%earlierEvery == 0 {
-			l.previous = a.earlier // another program's, which another partition may keep
+		if n%continueInterval == 0 {
+			s.previous = a.previousTurn // a turn of another program, which another partition may store
 		}
-		a.program(ctx, l)
-		a.earlier = l.previous
+		a.runProgram(ctx, s)
+		a.previousTurn = s.previous
 	}
 }
 
-// program runs a program's line, and sub-agents beside it half of the time.
-func (a *Agent) program(ctx context.Context, l *line) {
-	if !l.turn(ctx) {
+// runProgram runs the program's own sequence of turns and, with probability one half, sub-agents
+// beside it.
+func (a *Agent) runProgram(ctx context.Context, s *turnSequence) {
+	if !s.runTurn(ctx) {
 		return
 	}
 	var subs sync.WaitGroup
 	if a.rng.IntN(2) == 0 {
 		for range 1 + a.rng.IntN(2) {
-			sub := *l // goes on from the same turn
+			sub := *s // continues from the same turn
 			sub.rng = rand.New(rand.NewPCG(a.rng.Uint64(), 1))
-			subs.Go(func() { sub.run(ctx, 2) })
+			subs.Go(func() { sub.runTurns(ctx, 2) })
 		}
 	}
-	l.run(ctx, turnsMost)
+	s.runTurns(ctx, maxTurns)
 	subs.Wait()
 }
 
-// run makes turns, with calls of tools between them.
-func (l *line) run(ctx context.Context, most int) {
-	for range 1 + l.rng.IntN(most) {
-		for range l.rng.IntN(3) {
-			l.tool(ctx)
+// runTurns makes turns, with tool calls between them.
+func (s *turnSequence) runTurns(ctx context.Context, maxCount int) {
+	for range 1 + s.rng.IntN(maxCount) {
+		for range s.rng.IntN(3) {
+			s.callTool(ctx)
 		}
-		if !wait.For(ctx, time.Duration(l.rng.Int64N(int64(pauseMost)))) || !l.turn(ctx) {
+		if !wait.For(ctx, time.Duration(s.rng.Int64N(int64(maxThinkTime)))) || !s.runTurn(ctx) {
 			return
 		}
 	}
 }
 
-// turn makes one turn and tells whether the line can go on from it.
-func (l *line) turn(ctx context.Context) bool {
-	q := l.tries(ctx, Call{
-		Request: audit.Request{Kind: audit.Turn, Path: TurnPath + "chat", Program: l.program, Previous: l.previous, Budget: l.budget,
-			Most: uint64(8 + l.rng.IntN(24)), Input: l.input(1 + l.rng.IntN(60))},
-		Method: http.MethodPost, Within: turnWithin, Session: l.session,
+// runTurn makes one turn and reports whether the sequence can continue from it.
+func (s *turnSequence) runTurn(ctx context.Context) bool {
+	q := s.sendWithRetries(ctx, Call{
+		Request: audit.Request{Kind: audit.Turn, Path: TurnPath + "chat", Program: s.program, Previous: s.previous, Budget: s.budget,
+			Most: uint64(8 + s.rng.IntN(24)), Input: s.input(1 + s.rng.IntN(60))},
+		Method: http.MethodPost, TimeBudget: turnTimeBudget, Session: s.session,
 	})
 	if q == nil {
 		return false
 	}
-	l.previous = q.Attempt
+	s.previous = q.Attempt
 	return true
 }
 
-// input is a text of some words.
-func (l *line) input(words int) string {
+// input returns a text of some words.
+func (s *turnSequence) input(words int) string {
 	var text strings.Builder
 	for range words {
-		fmt.Fprintf(&text, "say %x ", l.rng.Uint32())
+		fmt.Fprintf(&text, "say %x ", s.rng.Uint32())
 	}
 	return text.String()
 }
 
-func (l *line) tool(ctx context.Context) {
-	call := Call{Request: audit.Request{Kind: audit.Read, Path: ReadPath + "look"}, Method: http.MethodGet, Within: toolWithin, Session: l.session}
-	switch l.rng.IntN(3) {
+func (s *turnSequence) callTool(ctx context.Context) {
+	call := Call{Request: audit.Request{Kind: audit.ToolRead, Path: ReadPath + "look"}, Method: http.MethodGet, TimeBudget: toolTimeBudget, Session: s.session}
+	switch s.rng.IntN(3) {
 	case 0:
-		call.Kind, call.Path, call.Method = audit.Order, OrderPath+"book", http.MethodPost
-		call.Input = l.input(20)
+		call.Kind, call.Path, call.Method = audit.ToolOrder, OrderPath+"book", http.MethodPost
+		call.Input = s.input(20)
 	case 1:
 		call.Path = SwitchPath + "look"
 	}
-	l.tries(ctx, call)
+	s.sendWithRetries(ctx, call)
 }
 
-// tries makes a step under a new id each time until it is served, which it returns, or
-// can't be, which is nil.
-func (l *line) tries(ctx context.Context, call Call) *audit.Request {
+// sendWithRetries makes a step, with a new attempt id for each attempt, until it is served. It
+// returns the served request, or nil if the step cannot be served.
+func (s *turnSequence) sendWithRetries(ctx context.Context, call Call) *audit.Request {
 	call.Host = Host
-	for range triesMost {
-		call.Attempt = l.agent.id.next()
-		call.Finish = max(finishWithin-time.Since(l.began), 0)
-		q, pause := l.agent.clients.Send(call)
+	for range maxAttempts {
+		call.Attempt = s.agent.attemptIDs.next()
+		call.ProgramTimeLeft = max(programTimeBudget-time.Since(s.startedAt), 0)
+		q, pause := s.agent.client.Send(call)
 		switch {
 		case q.Served():
 			return q
 		case q.Answer.Status == http.StatusPaymentRequired, q.Answer.Status == http.StatusNotFound:
 			return nil
 		}
-		if !wait.For(ctx, max(pause, leastPause)) {
+		if !wait.For(ctx, max(pause, minRetryPause)) {
 			return nil
 		}
 	}
--- a/internal/standin/tier/client.go
+++ b/internal/standin/tier/client.go
@@ -15,7 +15,7 @@
 	"pipitmux/internal/wait"
 )
 
-// Headers of clients' requests.
+// Headers of client requests.
 const (
 	programHeader  = "Program"
 	sessionHeader  = "Session"
@@ -25,127 +25,126 @@
 )
 
 const (
-	// lookEvery is how often the edges are asked whether they take clients, and lookWithin
-	// how long the answer may take.
-	lookEvery  = 100 * time.Millisecond
-	lookWithin = 300 * time.Millisecond
-	// beyond is how much longer than its time budget a client waits for an answer.
-	beyond = 5 * time.Second
-	// connections are those that may rest to one edge.
-	connections = 256
+	// pollInterval is how often the readiness of the edges is checked. pollTimeout bounds one check.
+	pollInterval = 100 * time.Millisecond
+	pollTimeout  = 300 * time.Millisecond
+	// answerGrace is how much longer than its time budget a client waits for an answer.
+	answerGrace = 5 * time.Second
+	// maxIdleConnections bounds the idle connections to one edge.
+	maxIdleConnections = 256
 )
 
-// Edges knows which edges take clients, as a balancer before them does.
-type Edges struct {
+// LoadBalancer knows which edges accept clients, like the load balancer in front of a real tier.
+type LoadBalancer struct {
 	readiness, fronts []string
 
 	mu    sync.Mutex
 	ready []string // fronts
 }
 
-// NewEdges returns one that has yet to Watch the machines.
-func NewEdges(machines []*Machine) *Edges {
-	e := &Edges{}
+// NewLoadBalancer returns a LoadBalancer for the machines. It knows no ready edge before Watch runs.
+func NewLoadBalancer(machines []*Machine) *LoadBalancer {
+	b := &LoadBalancer{}
 	for _, m := range machines {
-		e.readiness, e.fronts = append(e.readiness, m.Readiness()), append(e.fronts, m.Front())
+		b.readiness, b.fronts = append(b.readiness, m.Readiness()), append(b.fronts, m.Front())
 	}
-	return e
+	return b
 }
 
-// Watch asks the edges again and again until ctx ends.
-func (e *Edges) Watch(ctx context.Context) {
-	client := &http.Client{Timeout: lookWithin, Transport: &http.Transport{DisableKeepAlives: true}}
+// Watch checks the readiness of the edges periodically until ctx ends.
+func (b *LoadBalancer) Watch(ctx context.Context) {
+	client := &http.Client{Timeout: pollTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
-		e.look(ctx, client)
-		if !wait.For(ctx, lookEvery) {
+		b.poll(ctx, client)
+		if !wait.For(ctx, pollInterval) {
 			return
 		}
 	}
 }
 
-func (e *Edges) look(ctx context.Context, client *http.Client) {
-	answers := make([]bool, len(e.fronts))
+func (b *LoadBalancer) poll(ctx context.Context, client *http.Client) {
+	readyEdges := make([]bool, len(b.fronts))
 	var done sync.WaitGroup
-	for i, address := range e.readiness {
-		done.Go(func() { answers[i] = Ready(ctx, client, address) })
+	for i, address := range b.readiness {
+		done.Go(func() { readyEdges[i] = EdgeReady(ctx, client, address) })
 	}
 	done.Wait()
 	var ready []string
-	for i, ok := range answers {
+	for i, ok := range readyEdges {
 		if ok {
-			ready = append(ready, e.fronts[i])
+			ready = append(ready, b.fronts[i])
 		}
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.ready = ready
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.ready = ready
 }
 
-// Ready is how many take clients.
-func (e *Edges) Ready() int {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return len(e.ready)
+// ReadyCount returns how many edges accept clients.
+func (b *LoadBalancer) ReadyCount() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return len(b.ready)
 }
 
-// pick returns one that takes clients, or any where none does.
-func (e *Edges) pick() string {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if len(e.ready) == 0 {
-		return e.fronts[rand.IntN(len(e.fronts))]
+// pick returns a random ready edge, or any edge if none is ready.
+func (b *LoadBalancer) pick() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if len(b.ready) == 0 {
+		return b.fronts[rand.IntN(len(b.fronts))]
 	}
-	return e.ready[rand.IntN(len(e.ready))]
+	return b.ready[rand.IntN(len(b.ready))]
 }
 
-// Clients send requests. They share their connections.
-type Clients struct {
-	Edges  *Edges
-	Record *audit.Recorder
-	client http.Client
+// Client sends requests and records them. All agents share it and its connections.
+type Client struct {
+	Balancer *LoadBalancer
+	Recorder *audit.Recorder
+	client   http.Client
 }
 
-// NewClients returns some.
-func NewClients(e *Edges, record *audit.Recorder) *Clients {
-	return &Clients{Edges: e, Record: record, client: http.Client{
-		Transport: &http.Transport{MaxIdleConnsPerHost: connections, DisableCompression: true}}}
+// NewClient returns a Client that sends to the balancer's edges.
+func NewClient(balancer *LoadBalancer, recorder *audit.Recorder) *Client {
+	return &Client{Balancer: balancer, Recorder: recorder, client: http.Client{
+		Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, DisableCompression: true}}}
 }
 
-// Call is a request before it is sent, and how it is to be sent.
+// Call is a request to send and how to send it.
 type Call struct {
 	audit.Request
-	Method  string
-	Within  time.Duration
-	Session string
-	Finish  time.Duration // that the program has left
+	Method          string
+	TimeBudget      time.Duration
+	Session         string
+	ProgramTimeLeft time.Duration
 }
 
-// Send makes one try, records it, and returns it with how long to wait before another.
-func (c *Clients) Send(call Call) (*audit.Request, time.Duration) {
+// Send makes one attempt, records it, and returns it with how long to wait before the next attempt.
+func (c *Client) Send(call Call) (*audit.Request, time.Duration) {
 	q := call.Request
-	q.Sent = c.Record.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), call.Within+beyond)
+	q.Sent = c.Recorder.Now()
+	ctx, cancel := context.WithTimeout(context.Background(), call.TimeBudget+answerGrace)
 	defer cancel()
-	wait := c.exchange(ctx, &call, &q)
-	q.Answer.At = c.Record.Now()
-	c.Record.Requested(q)
-	return &q, wait
+	retryAfter := c.roundTrip(ctx, &call, &q)
+	q.Answer.At = c.Recorder.Now()
+	c.Recorder.RecordRequest(q)
+	return &q, retryAfter
 }
 
-func (c *Clients) exchange(ctx context.Context, call *Call, q *audit.Request) time.Duration {
-	r, err := http.NewRequestWithContext(ctx, call.Method, "http://"+c.Edges.pick()+q.Path, strings.NewReader(q.Input))
+func (c *Client) roundTrip(ctx context.Context, call *Call, q *audit.Request) time.Duration {
+	r, err := http.NewRequestWithContext(ctx, call.Method, "http://"+c.Balancer.pick()+q.Path, strings.NewReader(q.Input))
 	if err != nil {
 		return 0
 	}
 	r.Host = q.Host
-	call.head(r.Header)
+	call.setHeaders(r.Header)
 	response, err := c.client.Do(r)
 	if err != nil {
 		return 0
 	}
 	defer response.Body.Close()
 	a := &q.Answer
-	a.First = c.Record.Now()
+	a.First = c.Recorder.Now()
 	a.Status, a.Seal = response.StatusCode, response.Header.Get(sealHeader)
 	if strings.HasPrefix(response.Header.Get("Content-Type"), streamType) {
 		a.Events, err = readEvents(response.Body)
@@ -155,13 +154,13 @@
 		a.Body = string(body)
 	}
 	a.Whole = err == nil
-	seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // none: at once
+	seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // no header: retry at once
 	return time.Duration(seconds * float64(time.Second))
 }
 
-func (call *Call) head(h http.Header) {
+func (call *Call) setHeaders(h http.Header) {
 	h.Set(attemptHeader, call.Attempt)
-	h.Set(timeBudgetHeader, strconv.FormatInt(call.Within.Milliseconds(), 10))
+	h.Set(timeBudgetHeader, strconv.FormatInt(call.TimeBudget.Milliseconds(), 10))
 	if call.Session != "" {
 		h.Set(sessionHeader, call.Session)
 	}
@@ -170,14 +169,15 @@
 	}
 	h.Set(programHeader, call.Program)
 	h.Set(budgetHeader, strconv.FormatUint(call.Budget, 10))
-	h.Set(finishHeader, strconv.FormatInt(call.Finish.Milliseconds(), 10))
+	h.Set(finishHeader, strconv.FormatInt(call.ProgramTimeLeft.Milliseconds(), 10))
 	h.Set(tokenCountHeader, strconv.Itoa(len(call.Input))+","+strconv.FormatUint(call.Most, 10))
 	if call.Previous != "" {
 		h.Set(previousHeader, call.Previous)
 	}
 }
 
-// readEvents reads a stream to its end. What came before it broke is returned too.
+// readEvents reads a stream to its end. If the stream breaks, it returns the events before the break
+// as well.
 func readEvents(from io.Reader) (events []audit.Event, err error) {
 	var e audit.Event
 	in := bufio.NewReader(from)
--- a/internal/standin/tier/machine.go
+++ b/internal/standin/tier/machine.go
@@ -1,7 +1,7 @@
-// Package tier plays on loopback the parties that the serving tier talks to: the platform,
-// the servers of services, an operator and clients with programs of turns. It also runs
-// the tier's own programs as processes, each on a machine with an address of its own.
-// Stand-ins tell a recorder what they saw, and judge nothing.
+// Package tier provides fakes of the parties that the serving tier talks to, on loopback: the
+// platform, the servers of services, an operator, and clients that run programs of turns. It also
+// runs the tier's own programs as processes, each on a machine with its own address. The fakes
+// report what they saw to a recorder and check nothing.
 package tier
 
 import (
@@ -23,40 +23,40 @@
 	"pipitmux/internal/station/settings"
 )
 
-// The ports of each machine, which differ by their addresses alone.
+// Ports of each machine. Machines differ only by their addresses.
 const (
-	FrontPort     = 8080
-	ReadinessPort = 8081
-	ControlPort   = 8082
-	InternalPort  = 8100 // the first of the internal ports
-	internalLast  = 8149
+	FrontPort        = 8080
+	ReadinessPort    = 8081
+	ControlPort      = 8082
+	InternalPort     = 8100 // the first of the internal ports
+	lastInternalPort = 8149
 )
 
-// Limits that the processes are told to keep to.
+// Resource limits in the settings of the processes.
 const (
 	coreCount       = 1
 	memoryMB        = 192
 	fileDescriptors = 2048
 )
 
-// Machine is one machine of the tier, and how its process is started.
+// Machine is one machine of the tier and the command that starts its process.
 type Machine struct {
-	Name     string
-	Serves   settings.Service
-	Program  string // the path of anemometer or barograph
-	Command  string // of the program
-	IP       string
-	Zone     string
-	Zones    []string
-	Seeds    []string // addresses of all core machines
-	Platform string   // host:port
-	Losses   int      // machines that may be lost at once
-	Folder   string   // for its settings, its log and its disk
-	Log      io.Writer
+	Name          string
+	Serves        settings.Service
+	Program       string // the path of anemometer or barograph
+	Command       string // of the program
+	IP            string
+	Zone          string
+	Zones         []string
+	Seeds         []string // addresses of all core machines
+	Platform      string   // host:port
+	MachineLosses int      // machines that may be lost at once
+	Folder        string   // holds its settings, its log and its disk
+	Log           io.Writer
 }
 
-// file is a settings file.
-type file struct {
+// settingsFile is the content of a settings file.
+type settingsFile struct {
 	NodeName          string            `toml:"nodeName"`
 	Role              string            `toml:"role"`
 	Serves            []string          `toml:"serves"`
@@ -77,37 +77,37 @@
 	CloudAPI          map[string]string `toml:"cloudApi"`
 }
 
-// region is the one that all zones lie in.
+// region contains all zones.
 const region = "loopback"
 
-func (m *Machine) at(port int) string { return net.JoinHostPort(m.IP, strconv.Itoa(port)) }
+func (m *Machine) address(port int) string { return net.JoinHostPort(m.IP, strconv.Itoa(port)) }
 
-// Front is where clients reach an edge.
-func (m *Machine) Front() string { return m.at(FrontPort) }
+// Front is the address for clients of an edge.
+func (m *Machine) Front() string { return m.address(FrontPort) }
 
-// Readiness is where an edge is asked whether it takes clients.
-func (m *Machine) Readiness() string { return m.at(ReadinessPort) }
+// Readiness is the address of an edge's readiness check.
+func (m *Machine) Readiness() string { return m.address(ReadinessPort) }
 
-// Control is where operators reach a core machine.
-func (m *Machine) Control() string { return m.at(ControlPort) }
+// Control is the address for operators of a core machine.
+func (m *Machine) Control() string { return m.address(ControlPort) }
 
-// Internal is where other processes of the tier reach the machine.
-func (m *Machine) Internal(offset int) string { return m.at(InternalPort + offset) }
+// Internal is the address for other processes of the tier, at an offset from the first internal port.
+func (m *Machine) Internal(offset int) string { return m.address(InternalPort + offset) }
 
-// disk is the folder that is lost with the machine's disk.
+// disk is the folder that stands for the machine's disk.
 func (m *Machine) disk() string { return filepath.Join(m.Folder, "disk") }
 
-// WipeDisk loses what the machine's disk held.
+// WipeDisk deletes the content of the machine's disk.
 func (m *Machine) WipeDisk() error { return os.RemoveAll(m.disk()) }
 
-func (m *Machine) settings(bootstrap bool) *file {
-	f := &file{
+func (m *Machine) settings(bootstrap bool) *settingsFile {
+	f := &settingsFile{
 		NodeName: m.Name, Role: m.Command, Serves: []string{string(m.Serves)}, ManagementIP: m.IP, Zone: m.Zone, Region: region,
-		InternalPortRange: []int{InternalPort, internalLast}, Bootstrap: bootstrap, QuorumMember: m.Serves == settings.Control,
+		InternalPortRange: []int{InternalPort, lastInternalPort}, Bootstrap: bootstrap, QuorumMember: m.Serves == settings.Control,
 		Discovery: string(settings.CloudAPIDiscovery), EntryMode: string(settings.VIPEntry), Zones: map[string]string{},
 		BindAddresses:  map[string]string{"front": m.Front(), "readiness": m.Readiness(), "controlPlane": m.Control()},
 		Limits:         map[string]int{"coreCount": coreCount, "memoryMb": memoryMB, "fileDescriptors": fileDescriptors},
-		FaultTolerance: map[string]int{"machineLosses": m.Losses}, CloudAPI: map[string]string{"address": m.Platform},
+		FaultTolerance: map[string]int{"machineLosses": m.MachineLosses}, CloudAPI: map[string]string{"address": m.Platform},
 	}
 	for _, zone := range m.Zones {
 		f.Zones[zone] = region
@@ -121,7 +121,7 @@
 	return f
 }
 
-// Start starts the machine's process. It may not serve yet.
+// Start starts the machine's process. The process may not serve yet when Start returns.
 func (m *Machine) Start(bootstrap bool) (*standin.Node, error) {
 	if err := os.MkdirAll(m.disk(), 0o755); err != nil {
 		return nil, err
@@ -134,23 +134,23 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return nil, err
 	}
-	// env hands the process over to the program, which has the environment of its own then.
+	// env replaces itself with the program, so the process id is that of the program.
 	return standin.StartNode("env", m.Folder, struct{}{}, m.Front(), "", m.Log, settings.PathVariable+"="+path, m.Program, m.Command)
 }
 
-// Stop is how long a process may take to end.
-const Stop = 12 * time.Second
+// StopTimeout bounds the shutdown of a process.
+const StopTimeout = 12 * time.Second
 
-// End ends a process as its platform does, with SIGTERM first.
-func End(n *standin.Node) error {
+// Terminate ends a process as the platform does, with SIGTERM first.
+func Terminate(n *standin.Node) error {
 	if err := n.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	return n.Stop(Stop)
+	return n.Stop(StopTimeout)
 }
 
-// Ready asks an edge once whether it takes clients.
-func Ready(ctx context.Context, client *http.Client, address string) bool {
+// EdgeReady checks once whether an edge accepts clients.
+func EdgeReady(ctx context.Context, client *http.Client, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/api/readiness", address), nil)
 	if err != nil {
 		return false
--- a/internal/standin/tier/operator.go
+++ b/internal/standin/tier/operator.go
@@ -17,76 +17,77 @@
 )
 
 const (
-	// silentAfter is how long an operator waits for an answer before it asks another machine.
-	silentAfter = time.Second
-	// againAfter is the pause before an order whose outcome isn't known is sent again.
-	againAfter = 50 * time.Millisecond
+	// answerTimeout is how long an operator waits for an answer before it asks another machine.
+	answerTimeout = time.Second
+	// retryPause is the pause before a call with an unknown outcome is repeated.
+	retryPause = 50 * time.Millisecond
 )
 
-// ErrUndecided tells of an order whose outcome the operator never learned.
-var ErrUndecided = errors.New("no core machine gave a clear answer")
+// ErrUndecided means that the operator never learned the outcome of a call.
+var ErrUndecided = errors.New("no core machine gave a definite answer")
 
-// Operator orders configurations.
+// Operator sends configurations and other orders to the core machines, as an operator's tool does.
 type Operator struct {
-	cores  []string // host:port of the operators' API on each core machine
-	record *audit.Recorder
-	client http.Client
-	next   int
+	cores    []string // host:port of the operators' API on each core machine
+	recorder *audit.Recorder
+	client   http.Client
+	current  int // index into cores, modulo their number
 }
 
-// NewOperator returns one that knows the core machines.
-func NewOperator(cores []string, record *audit.Recorder) *Operator {
-	return &Operator{cores: cores, record: record, client: http.Client{Timeout: silentAfter,
+// NewOperator returns an Operator that calls the core machines.
+func NewOperator(cores []string, recorder *audit.Recorder) *Operator {
+	return &Operator{cores: cores, recorder: recorder, client: http.Client{Timeout: answerTimeout,
 		Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// RefusedError is a clear answer other than 200.
-type RefusedError struct {
-	What   string
-	Status int
-	Tries  int // the calls until then
+// RejectedError reports a definite answer other than 200.
+type RejectedError struct {
+	Operation string
+	Status    int
+	Attempts  int // including the rejected one
 }
 
-func (e *RefusedError) Error() string {
-	return fmt.Sprintf("%s was answered %d in try %d", e.What, e.Status, e.Tries)
+func (e *RejectedError) Error() string {
+	return fmt.Sprintf("%s was answered with status %d in attempt %d", e.Operation, e.Status, e.Attempts)
 }
 
-// Order sends a configuration until it is acknowledged, refused or ctx ends.
-func (o *Operator) Order(ctx context.Context, c audit.Configuration) error {
-	c.Sent = o.record.Now()
-	no := o.record.Ordered(c)
-	for tries := 1; ; tries++ {
+// ReplaceConfiguration sends a configuration until it is acknowledged or rejected, or ctx ends.
+func (o *Operator) ReplaceConfiguration(ctx context.Context, c audit.Configuration) error {
+	c.Sent = o.recorder.Now()
+	order := o.recorder.RecordOrder(c)
+	for attempts := 1; ; attempts++ {
 		status := o.send(ctx, &c)
 		switch status {
 		case http.StatusOK:
-			o.record.Decided(no, o.record.Now(), false, tries)
+			o.recorder.RecordOrderResult(order, o.recorder.Now(), false, attempts)
 			return nil
 		case 0, http.StatusServiceUnavailable:
-			o.next++
+			o.current++
 		default:
-			// Only a first send that is refused was surely never taken.
-			o.record.Decided(no, 0, tries == 1, tries)
-			return &RefusedError{What: fmt.Sprintf("the order of revision %d", c.Revision), Status: status, Tries: tries}
+			// Only a rejected first attempt has surely not taken effect: an earlier attempt without an
+			// answer may have.
+			o.recorder.RecordOrderResult(order, 0, attempts == 1, attempts)
+			return &RejectedError{Operation: fmt.Sprintf("configuration revision %d", c.Revision), Status: status, Attempts: attempts}
 		}
-		if !wait.For(ctx, againAfter) {
-			o.record.Decided(no, 0, false, tries)
+		if !wait.For(ctx, retryPause) {
+			o.recorder.RecordOrderResult(order, 0, false, attempts)
 			return ErrUndecided
 		}
 	}
 }
 
-func (o *Operator) at(path string) string { return "http://" + o.cores[o.next%len(o.cores)] + path }
+func (o *Operator) url(path string) string { return "http://" + o.cores[o.current%len(o.cores)] + path }
 
-// send makes one call and returns its status, 0 where there is none.
+// send makes one attempt to replace the configuration. It returns the status, 0 if there is none.
 func (o *Operator) send(ctx context.Context, c *audit.Configuration) int {
 	header := http.Header{operators.BaseRevisionHeader: {strconv.FormatUint(c.Base, 10)}}
 	status, _ := o.call(ctx, http.MethodPost, "/api/Configuration.Replace", header, c.Body)
 	return status
 }
 
-// call makes one call. A status of 0 is no whole answer.
+// call makes one call. Status 0 means that no complete answer arrived.
 func (o *Operator) call(ctx context.Context, method, path string, header http.Header, body string) (int, string) {
-	request, err := http.NewRequestWithContext(ctx, method, o.at(path), strings.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, o.url(path), strings.NewReader(body))
 	if err != nil {
 		return 0, ""
 	}
@@ -105,23 +106,23 @@
 	return response.StatusCode, string(text)
 }
 
-// ReadBack reads the configuration in force until that succeeds or ctx ends.
+// ReadBack reads and records the current configuration. It retries until that succeeds or ctx ends.
 func (o *Operator) ReadBack(ctx context.Context) error {
 	for {
-		shown := audit.Shown{Asked: o.record.Now()}
-		if body, ok := o.show(ctx); ok {
-			shown.At, shown.Body = o.record.Now(), body
-			o.record.ReadBack(shown)
+		shown := audit.ConfigurationRead{Asked: o.recorder.Now()}
+		if body, ok := o.readConfiguration(ctx); ok {
+			shown.At, shown.Body = o.recorder.Now(), body
+			o.recorder.RecordReadBack(shown)
 			return nil
 		}
-		o.next++
-		if !wait.For(ctx, againAfter) {
+		o.current++
+		if !wait.For(ctx, retryPause) {
 			return ErrUndecided
 		}
 	}
 }
 
-func (o *Operator) show(ctx context.Context) (string, bool) {
+func (o *Operator) readConfiguration(ctx context.Context) (string, bool) {
 	status, body := o.call(ctx, http.MethodGet, "/api/Configuration.Show", nil, "")
 	if status == http.StatusNotFound {
 		return "", true
@@ -129,30 +130,30 @@
 	return body, status == http.StatusOK
 }
 
-// completed is how a machine that was emptied is shown.
+// completed occurs in the answer about a machine that was drained completely.
 const completed = `"completed"`
 
-// Retire has a machine emptied, and returns when that is done.
+// Retire removes a machine from the tier, and returns once its data has been moved away.
 func (o *Operator) Retire(ctx context.Context, name string) error {
-	if err := o.clear(ctx, http.MethodPost, "/api/Retire.Begin/"+name, func(string) bool { return true }); err != nil {
+	if err := o.callUntil(ctx, http.MethodPost, "/api/Retire.Begin/"+name, func(string) bool { return true }); err != nil {
 		return err
 	}
-	return o.clear(ctx, http.MethodGet, "/api/Retire.Show/"+name, func(body string) bool { return strings.Contains(body, completed) })
+	return o.callUntil(ctx, http.MethodGet, "/api/Retire.Show/"+name, func(body string) bool { return strings.Contains(body, completed) })
 }
 
-// clear makes a call until it is answered 200 with what is wanted, refused, or ctx ends.
-func (o *Operator) clear(ctx context.Context, method, path string, wanted func(body string) bool) error {
-	for tries := 1; ; tries++ {
+// callUntil repeats a call until it is answered with 200 and a wanted body, or rejected, or ctx ends.
+func (o *Operator) callUntil(ctx context.Context, method, path string, wanted func(body string) bool) error {
+	for attempts := 1; ; attempts++ {
 		status, body := o.call(ctx, method, path, nil, "")
 		switch {
 		case status == http.StatusOK && wanted(body):
 			return nil
 		case status == 0 || status == http.StatusServiceUnavailable:
-			o.next++
+			o.current++
 		case status != http.StatusOK:
-			return &RefusedError{What: path, Status: status, Tries: tries}
+			return &RejectedError{Operation: path, Status: status, Attempts: attempts}
 		}
-		if !wait.For(ctx, againAfter) {
+		if !wait.For(ctx, retryPause) {
 			return errors.Wrap(ErrUndecided, path)
 		}
 	}
--- a/internal/standin/tier/platform.go
+++ b/internal/standin/tier/platform.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// The states in which the platform lists a server.
+// States in which the platform lists a server.
 const (
 	InService = "in_service"
 	Draining  = "draining"
 )
 
-// Member is a server as the platform lists it.
+// Member is a server as listed by the platform.
 type Member struct {
 	MemberID     string  `json:"memberId"`
 	PoolName     string  `json:"poolName"`
@@ -31,43 +31,43 @@
 	NextToken *string  `json:"nextToken"`
 }
 
-// pageSize is how many members a page of the list holds.
+// pageSize is the number of members on a page of the list.
 const pageSize = 3
 
-// Platform lists servers, some time after the fact.
+// Platform lists servers. Each change becomes visible only after a delay.
 type Platform struct {
-	Address string
-	lag     time.Duration
-	listed  func(Member)
-	server  *http.Server
+	Address  string
+	delay    time.Duration
+	onListed func(Member)
+	server   *http.Server
 
-	mu      sync.Mutex
-	members []Member // what the list says
-	changes []func() // yet to be listed, oldest first
-	asked   int
+	mu          sync.Mutex
+	members     []Member // as currently listed
+	changes     []func() // not visible yet, oldest first
+	pagesServed int
 }
 
-// NewPlatform serves at a free port of the host until Close. Each change is listed after
-// the lag; listed is told of each then.
-func NewPlatform(host string, lag time.Duration, listed func(Member)) (*Platform, error) {
+// NewPlatform serves at a free port of the host until Close. Each change becomes visible after the
+// delay; onListed is called for it then.
+func NewPlatform(host string, delay time.Duration, onListed func(Member)) (*Platform, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
-	p := &Platform{Address: l.Addr().String(), lag: lag, listed: listed}
+	p := &Platform{Address: l.Addr().String(), delay: delay, onListed: onListed}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /members", p.list)
+	mux.HandleFunc("GET /members", p.serveList)
 	p.server = &http.Server{Handler: mux}
 	go p.server.Serve(l)
 	return p, nil
 }
 
-// Close ends it.
+// Close stops the server.
 func (p *Platform) Close() { p.server.Close() }
 
-// Put lists a member, or a change of it.
+// Put adds or replaces a member after the delay.
 func (p *Platform) Put(m Member) {
-	p.later(func() {
+	p.applyLater(func() {
 		for i := range p.members {
 			if p.members[i].MemberID == m.MemberID {
 				p.members[i] = m
@@ -78,9 +78,9 @@
 	}, m)
 }
 
-// Remove lists a member no more.
+// Remove removes a member from the list after the delay.
 func (p *Platform) Remove(m Member) {
-	p.later(func() {
+	p.applyLater(func() {
 		kept := make([]Member, 0, len(p.members))
 		for _, o := range p.members {
 			if o.MemberID != m.MemberID {
@@ -91,21 +91,21 @@
 	}, Member{})
 }
 
-// later makes a change after the lag. Each timer makes the oldest change that is left, so
-// that they keep their order.
-func (p *Platform) later(change func(), about Member) {
+// applyLater applies a change after the delay. Each timer applies the oldest pending change, so that
+// changes keep their order.
+func (p *Platform) applyLater(change func(), listed Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.changes = append(p.changes, func() {
 		change()
-		if about.MemberID != "" {
-			p.listed(about)
+		if listed.MemberID != "" {
+			p.onListed(listed)
 		}
 	})
-	time.AfterFunc(p.lag, p.makeOne)
+	time.AfterFunc(p.delay, p.applyNext)
 }
 
-func (p *Platform) makeOne() {
+func (p *Platform) applyNext() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change := p.changes[0]
@@ -113,17 +113,17 @@
 	change()
 }
 
-// Asked is how many pages were asked for.
-func (p *Platform) Asked() int {
+// PagesServed returns how many pages of the list were served.
+func (p *Platform) PagesServed() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.asked
+	return p.pagesServed
 }
 
-func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
-	from, _ := strconv.Atoi(r.URL.Query().Get("pageToken")) // none: from the first
+func (p *Platform) serveList(w http.ResponseWriter, r *http.Request) {
+	from, _ := strconv.Atoi(r.URL.Query().Get("pageToken")) // no token: from the first member
 	p.mu.Lock()
-	p.asked++
+	p.pagesServed++
 	var out page
 	from = min(max(from, 0), len(p.members))
 	to := min(from+pageSize, len(p.members))
--- a/internal/standin/tier/server.go
+++ b/internal/standin/tier/server.go
@@ -16,7 +16,7 @@
 	"pipitmux/internal/wait"
 )
 
-// Headers of servers.
+// Headers between the tier and servers.
 const (
 	attemptHeader     = "Oakseam-Attempt-Id"
 	sealHeader        = "Oakseam-Server-Seal"
@@ -28,22 +28,21 @@
 	streamType        = "text/event-stream"
 )
 
-// ServerOptions are what a server does.
+// ServerOptions configures a Server.
 type ServerOptions struct {
-	Member  Member
-	Listen  string // host:port, port 0: a free one
-	Slots   int    // requests that run at once
-	Waiting int    // requests that wait beyond them; more are turned away
-	Work    time.Duration
-	Engine  bool          // answers turns with events
-	Between time.Duration // two events
-	// BreaksOne is how many runs there are for each that breaks off, its connection reset; 0:
-	// none does.
-	BreaksOne int
-	Record    *audit.Recorder
+	Member        Member
+	Listen        string // host:port, port 0 chooses a free port
+	Slots         int    // requests that run at once
+	QueueLimit    int    // requests that wait beyond them; further ones are rejected
+	ServiceTime   time.Duration
+	Engine        bool // answers turns with a stream of events
+	EventInterval time.Duration
+	// BreakOneIn: one run in this many breaks off with a connection reset. 0: none does.
+	BreakOneIn int
+	Recorder   *audit.Recorder
 }
 
-// Server is a server of a service.
+// Server is a fake server of a service.
 type Server struct {
 	Member Member
 	opt    ServerOptions
@@ -56,7 +55,7 @@
 	seals   int
 }
 
-// NewServer serves until Close.
+// NewServer starts a server that runs until Close.
 func NewServer(o ServerOptions) (*Server, error) {
 	l, err := net.Listen("tcp", o.Listen)
 	if err != nil {
@@ -69,21 +68,22 @@
 	return s, nil
 }
 
-// Close ends its process, whatever it has in hand.
+// Close ends the server like a crash: requests in flight are lost.
 func (s *Server) Close() { s.http.Close() }
 
-// Held is how many requests it has in hand.
-func (s *Server) Held() int {
+// InFlight returns how many requests are running or waiting.
+func (s *Server) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.running + s.waiting
 }
 
-// take gives a request a place, and its run a seal. The seal is empty where there is none.
-func (s *Server) take() string {
+// admit reserves a place for a request and returns the seal of its run. The seal is empty if the
+// server is full.
+func (s *Server) admit() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.running+s.waiting >= s.opt.Slots+s.opt.Waiting {
+	if s.running+s.waiting >= s.opt.Slots+s.opt.QueueLimit {
 		return ""
 	}
 	s.waiting++
@@ -106,7 +106,7 @@
 	s.running--
 }
 
-func (s *Server) load() string {
+func (s *Server) loadReport() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return fmt.Sprintf("%d,%d,%d", s.running, s.waiting, s.opt.Slots)
@@ -115,69 +115,69 @@
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	input, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // what didn't come whole is no request
+		return // an incomplete request does not count
 	}
 	h := w.Header()
 	h.Set(attemptHeader, r.Header.Get(attemptHeader))
 	arrival := audit.Arrival{Attempt: r.Header.Get(attemptHeader), Server: s.Member.MemberID, Service: s.Member.PoolName,
-		At: s.opt.Record.Now(), Path: r.URL.Path, Input: string(input)}
+		At: s.opt.Recorder.Now(), Path: r.URL.Path, Input: string(input)}
 	if target := r.Header.Get(targetHeader); target != "" && target != s.Member.MemberID {
 		arrival.Misdirected = true
-		s.opt.Record.Arrived(arrival)
+		s.opt.Recorder.RecordArrival(arrival)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if arrival.Seal = s.take(); arrival.Seal == "" {
-		s.opt.Record.Arrived(arrival)
+	if arrival.Seal = s.admit(); arrival.Seal == "" {
+		s.opt.Recorder.RecordArrival(arrival)
 		h.Set(notExecutedHeader, "1")
-		h.Set(loadHeader, s.load())
+		h.Set(loadHeader, s.loadReport())
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	s.run(w, r, arrival)
 }
 
-// run carries a request out. It counts as run from now on, whatever comes of it.
+// run executes a request. The request counts as run from here on, whatever becomes of it.
 func (s *Server) run(w http.ResponseWriter, r *http.Request, arrival audit.Arrival) {
 	turn := s.opt.Engine && r.Method == http.MethodPost
 	if !turn {
-		arrival.Body = answerTo(arrival)
+		arrival.Body = toolResponse(arrival)
 	}
-	no := s.opt.Record.Arrived(arrival)
+	number := s.opt.Recorder.RecordArrival(arrival)
 	s.begin()
 	defer s.end()
-	ctx, cancel := within(r)
+	ctx, cancel := withTimeBudget(r)
 	defer cancel()
 	h := w.Header()
 	h.Set(sealHeader, arrival.Seal)
-	h.Set(loadHeader, s.load())
+	h.Set(loadHeader, s.loadReport())
 	if turn {
 		h.Set("Content-Type", streamType)
-		s.stream(ctx, w, no, tokens(r))
+		s.stream(ctx, w, number, eventCount(r))
 		return
 	}
-	if !wait.For(ctx, s.opt.Work) || s.breaks() {
+	if !wait.For(ctx, s.opt.ServiceTime) || s.breaksOff() {
 		panic(http.ErrAbortHandler)
 	}
 	h.Set("Content-Length", strconv.Itoa(len(arrival.Body)))
-	// It says that it is done before the client can have it.
-	s.opt.Record.Finished(no)
+	// Record the end before the client can receive the response.
+	s.opt.Recorder.RecordFinished(number)
 	io.WriteString(w, arrival.Body)
 }
 
-// breakAt is the event before which a stream breaks off.
-const breakAt = 5
+// breakBeforeEvent is the event before which a stream breaks off.
+const breakBeforeEvent = 5
 
-// breaks tells whether this run breaks off.
-func (s *Server) breaks() bool { return s.opt.BreaksOne > 0 && rand.IntN(s.opt.BreaksOne) == 0 }
+// breaksOff decides at random whether this run breaks off.
+func (s *Server) breaksOff() bool { return s.opt.BreakOneIn > 0 && rand.IntN(s.opt.BreakOneIn) == 0 }
 
-// answerTo is a tool's answer, of the length that the request asks for by its own.
-func answerTo(a audit.Arrival) string {
+// toolResponse returns the response of a tool. Its length grows with that of the request.
+func toolResponse(a audit.Arrival) string {
 	return fmt.Sprintf("%s says %d bytes came to %s for %s: %s\n", a.Seal, len(a.Input), a.Path, a.Attempt, strings.Repeat("x", len(a.Input)))
 }
 
-// within is the time that the request has left.
-func within(r *http.Request) (context.Context, context.CancelFunc) {
+// withTimeBudget returns a context that ends with the time budget of the request.
+func withTimeBudget(r *http.Request) (context.Context, context.CancelFunc) {
 	ms, err := strconv.ParseFloat(r.Header.Get(timeBudgetHeader), 64)
 	if err != nil {
 		return context.WithCancel(r.Context())
@@ -185,27 +185,27 @@
 	return context.WithTimeout(r.Context(), time.Duration(ms*float64(time.Millisecond)))
 }
 
-// tokens is how many events a turn has: what it may put out, or less.
-func tokens(r *http.Request) int {
+// eventCount returns how many events a turn has: its maximum or slightly less.
+func eventCount(r *http.Request) int {
 	_, out, _ := strings.Cut(r.Header.Get(tokenCountHeader), ",")
-	most, err := strconv.Atoi(out)
-	if err != nil || most < 1 {
+	maxEvents, err := strconv.Atoi(out)
+	if err != nil || maxEvents < 1 {
 		return 1
 	}
-	return most - rand.IntN(most/4+1)
+	return maxEvents - rand.IntN(maxEvents/4+1)
 }
 
-// stream writes a turn's events.
-func (s *Server) stream(ctx context.Context, w http.ResponseWriter, no, events int) {
+// stream writes the events of a turn.
+func (s *Server) stream(ctx context.Context, w http.ResponseWriter, number, events int) {
 	control := http.NewResponseController(w)
 	for id := 1; id <= events; id++ {
-		if !wait.For(ctx, s.opt.Between) || id == breakAt && s.breaks() {
+		if !wait.For(ctx, s.opt.EventInterval) || id == breakBeforeEvent && s.breaksOff() {
 			panic(http.ErrAbortHandler)
 		}
 		e := audit.Event{ID: strconv.Itoa(id), Data: fmt.Sprintf("word %d of %d, %x", id, events, rand.Uint32())}
-		s.opt.Record.Wrote(no, e)
+		s.opt.Recorder.RecordEvent(number, e)
 		if id == events {
-			s.opt.Record.Finished(no)
+			s.opt.Recorder.RecordFinished(number)
 		}
 		fmt.Fprintf(w, "id: %s\ndata: %s\n\n", e.ID, e.Data)
 		if control.Flush() != nil {
--- a/internal/standin/tier/tier_test.go
+++ b/internal/standin/tier/tier_test.go
@@ -17,8 +17,8 @@
 	audit "pipitmux/internal/audit/tier"
 )
 
-// list reads all pages of a platform's list.
-func list(t *testing.T, p *Platform) (ids []string, pages int) {
+// readList reads all pages of a platform's list.
+func readList(t *testing.T, p *Platform) (ids []string, pages int) {
 	t.Helper()
 	for token := ""; ; {
 		response, err := http.Get("http://" + p.Address + "/members?pageToken=" + token)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestPlatformListsInPagesAndLate(t *testing.T) {
+func TestPlatformServesPagesAndDelaysChanges(t *testing.T) {
 	listed := make(chan Member, 10)
 	p, err := NewPlatform("127.0.0.1", 10*time.Millisecond, func(m Member) { listed <- m })
 	assert.NilError(t, err)
@@ -46,7 +46,7 @@
 		p.Put(Member{MemberID: fmt.Sprint("m", n), MemberState: InService})
 		<-listed
 	}
-	ids, pages := list(t, p)
+	ids, pages := readList(t, p)
 	assert.DeepEqual(t, ids, []string{"m0 in_service", "m1 in_service", "m2 in_service", "m3 in_service"})
 	assert.Equal(t, pages, 2)
 	p.Put(Member{MemberID: "m1", MemberState: Draining})
@@ -54,23 +54,23 @@
 	p.Remove(Member{MemberID: "m0"})
 	p.Put(Member{MemberID: "m9", MemberState: InService})
 	<-listed
-	ids, _ = list(t, p)
+	ids, _ = readList(t, p)
 	assert.DeepEqual(t, ids, []string{"m1 draining", "m2 in_service", "m3 in_service", "m9 in_service"})
-	assert.Equal(t, p.Asked(), 4)
+	assert.Equal(t, p.PagesServed(), 4)
 }
 
-// open starts a server and returns what it is told of.
-func open(t *testing.T, o ServerOptions) (*Server, *audit.Recorder) {
+// startServer starts a server and returns it with its recorder.
+func startServer(t *testing.T, o ServerOptions) (*Server, *audit.Recorder) {
 	t.Helper()
-	o.Record, o.Listen = audit.NewRecorder(), "127.0.0.1:0"
+	o.Recorder, o.Listen = audit.NewRecorder(), "127.0.0.1:0"
 	o.Member.MemberID = "s1"
 	s, err := NewServer(o)
 	assert.NilError(t, err)
 	t.Cleanup(s.Close)
-	return s, o.Record
+	return s, o.Recorder
 }
 
-func ask(t *testing.T, s *Server, method, target, body string) (*http.Response, string) {
+func sendRequest(t *testing.T, s *Server, method, target, body string) (*http.Response, string) {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+s.Member.Address+"/x", strings.NewReader(body))
 	assert.NilError(t, err)
@@ -85,16 +85,16 @@
 	return response, string(text)
 }
 
-func TestServerOfATool(t *testing.T) {
-	s, record := open(t, ServerOptions{Slots: 1})
-	response, body := ask(t, s, http.MethodPost, "s1", "abc")
+func TestToolServerRecordsRunsAndRejectsMisdirectedRequests(t *testing.T) {
+	s, recorder := startServer(t, ServerOptions{Slots: 1})
+	response, body := sendRequest(t, s, http.MethodPost, "s1", "abc")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	assert.Equal(t, response.Header.Get(attemptHeader), "one")
 	assert.Equal(t, response.Header.Get(sealHeader), "s1/1")
 	assert.Equal(t, response.Header.Get(loadHeader), "1,0,1")
-	response, _ = ask(t, s, http.MethodPost, "other", "abc")
+	response, _ = sendRequest(t, s, http.MethodPost, "other", "abc")
 	assert.Equal(t, response.StatusCode, http.StatusMisdirectedRequest)
-	arrivals := record.History().Arrivals
+	arrivals := recorder.History().Arrivals
 	assert.Equal(t, len(arrivals), 2)
 	assert.Equal(t, arrivals[0].Body, body)
 	assert.Equal(t, arrivals[0].Input, "abc")
@@ -102,39 +102,39 @@
 	assert.Check(t, arrivals[1].Misdirected && arrivals[1].Seal == "")
 }
 
-func TestServerThatIsFullDoesNothing(t *testing.T) {
-	s, record := open(t, ServerOptions{})
-	response, _ := ask(t, s, http.MethodPost, "s1", "")
+func TestFullServerRejectsWithoutRunning(t *testing.T) {
+	s, recorder := startServer(t, ServerOptions{})
+	response, _ := sendRequest(t, s, http.MethodPost, "s1", "")
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 	assert.Check(t, response.Header.Get(notExecutedHeader) != "")
-	assert.Equal(t, record.History().Arrivals[0].Seal, "")
+	assert.Equal(t, recorder.History().Arrivals[0].Seal, "")
 }
 
-func TestEngineStreamsWhatItRecords(t *testing.T) {
-	s, record := open(t, ServerOptions{Slots: 1, Engine: true})
-	response, body := ask(t, s, http.MethodPost, "s1", "say")
+func TestEngineRecordsTheEventsThatItStreams(t *testing.T) {
+	s, recorder := startServer(t, ServerOptions{Slots: 1, Engine: true})
+	response, body := sendRequest(t, s, http.MethodPost, "s1", "say")
 	assert.Equal(t, response.Header.Get("Content-Type"), streamType)
 	events, err := readEvents(strings.NewReader(body))
 	assert.NilError(t, err)
-	run := record.History().Arrivals[0]
+	run := recorder.History().Arrivals[0]
 	assert.Check(t, len(events) >= 3 && len(events) <= 4)
 	assert.DeepEqual(t, events, run.Events)
 	assert.Check(t, run.Whole)
 }
 
-func TestBrokenStreamIsNotWhole(t *testing.T) {
-	cut := io.MultiReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\nda"), &failing{})
-	events, err := readEvents(cut)
+func TestBrokenStreamReturnsEventsBeforeBreakAndError(t *testing.T) {
+	brokenStream := io.MultiReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\nda"), &failingReader{})
+	events, err := readEvents(brokenStream)
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	assert.DeepEqual(t, events, []audit.Event{{ID: "1", Data: "a"}})
 }
 
-type failing struct{}
+type failingReader struct{}
 
-func (*failing) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (*failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// core answers an operator's calls with statuses, one after the other.
-func core(t *testing.T, calls *[]string, statuses ...int) string {
+// fakeCore answers an operator's calls with the statuses in order, and repeats the last one.
+func fakeCore(t *testing.T, calls *[]string, statuses ...int) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -146,31 +146,31 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestOperatorSendsUnclearOrdersAgain(t *testing.T) {
+func TestOperatorRepeatsCallsWithUnknownOutcome(t *testing.T) {
 	var calls []string
-	record := audit.NewRecorder()
-	o := NewOperator([]string{core(t, &calls, 503, 503, 200)}, record)
-	assert.NilError(t, o.Order(context.Background(), audit.Configuration{Revision: 8, Base: 7, Body: "x"}))
+	recorder := audit.NewRecorder()
+	o := NewOperator([]string{fakeCore(t, &calls, 503, 503, 200)}, recorder)
+	assert.NilError(t, o.ReplaceConfiguration(context.Background(), audit.Configuration{Revision: 8, Base: 7, Body: "x"}))
 	assert.DeepEqual(t, calls, []string{"POST /api/Configuration.Replace 7 x", "POST /api/Configuration.Replace 7 x", "POST /api/Configuration.Replace 7 x"})
-	c := record.History().Configurations[0]
+	c := recorder.History().Configurations[0]
 	assert.Check(t, c.Acknowledged > c.Sent && !c.Refused && c.Tries == 3)
 	assert.NilError(t, o.ReadBack(context.Background()))
-	assert.Equal(t, record.History().Shown[0].Body, `{"memberState":"completed"}`)
+	assert.Equal(t, recorder.History().Shown[0].Body, `{"memberState":"completed"}`)
 	assert.NilError(t, o.Retire(context.Background(), "storage-1"))
 	assert.Equal(t, calls[len(calls)-1], "GET /api/Retire.Show/storage-1  ")
 }
 
-func TestOperatorTakesARefusal(t *testing.T) {
+func TestOperatorStopsAtRejection(t *testing.T) {
 	var calls []string
-	record := audit.NewRecorder()
-	o := NewOperator([]string{core(t, &calls, 412)}, record)
-	err := o.Order(context.Background(), audit.Configuration{Revision: 8})
-	var refused *RefusedError
-	assert.Check(t, errors.As(err, &refused))
-	assert.Equal(t, refused.Status, 412)
-	assert.Check(t, record.History().Configurations[0].Refused)
-	assert.Check(t, errors.As(o.Retire(context.Background(), "x"), &refused))
+	recorder := audit.NewRecorder()
+	o := NewOperator([]string{fakeCore(t, &calls, 412)}, recorder)
+	err := o.ReplaceConfiguration(context.Background(), audit.Configuration{Revision: 8})
+	var rejected *RejectedError
+	assert.Check(t, errors.As(err, &rejected))
+	assert.Equal(t, rejected.Status, 412)
+	assert.Check(t, recorder.History().Configurations[0].Refused)
+	assert.Check(t, errors.As(o.Retire(context.Background(), "x"), &rejected))
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.ErrorIs(t, NewOperator([]string{"127.0.0.1:1"}, record).Order(ended, audit.Configuration{}), ErrUndecided)
+	assert.ErrorIs(t, NewOperator([]string{"127.0.0.1:1"}, recorder).ReplaceConfiguration(ended, audit.Configuration{}), ErrUndecided)
 }
--- a/internal/tierlab/configuration.go
+++ b/internal/tierlab/configuration.go
@@ -7,23 +7,23 @@
 	"github.com/go-faster/errors"
 
 	audit "pipitmux/internal/audit/tier"
-	play "pipitmux/internal/standin/tier"
+	fakes "pipitmux/internal/standin/tier"
 	"pipitmux/internal/station/routing"
 )
 
-// The services.
+// Names of the services.
 const (
 	toolService   = "tools"
 	engineService = "engines"
 )
 
-type document struct {
-	Revision uint64  `json:"configRevision"`
-	Routes   []route `json:"virtualServers"`
-	Pools    []pool  `json:"pools"`
+type configurationDocument struct {
+	Revision uint64       `json:"configRevision"`
+	Routes   []routeEntry `json:"virtualServers"`
+	Pools    []poolEntry  `json:"pools"`
 }
 
-type route struct {
+type routeEntry struct {
 	Name       string               `json:"name"`
 	Host       string               `json:"hostHeader"`
 	Prefix     string               `json:"pathPrefix"`
@@ -36,13 +36,13 @@
 	RetentionS int                  `json:"retentionS,omitempty"`
 }
 
-type pool struct {
-	Name     string  `json:"name"`
-	Protocol string  `json:"protocol"`
-	Engine   *engine `json:"engine,omitempty"`
+type poolEntry struct {
+	Name     string       `json:"name"`
+	Protocol string       `json:"protocol"`
+	Engine   *engineEntry `json:"engine,omitempty"`
 }
 
-type engine struct {
+type engineEntry struct {
 	Capacity    int `json:"capacity"`
 	StreamChunk int `json:"streamChunk"`
 }
@@ -53,51 +53,51 @@
 	retentionS    = 600
 )
 
-// configuration is the order that makes a revision out of the one before. With each, the
-// route of the switch leads to the other service.
+// configuration returns the configuration with a revision, based on the revision before it. The
+// switch route alternates between the two services with each revision.
 func configuration(revision uint64) audit.Configuration {
-	to := toolService
+	switchTarget := toolService
 	if revision%2 == 0 {
-		to = engineService
+		switchTarget = engineService
 	}
-	d := document{Revision: revision, Routes: []route{
-		{Name: "read", Prefix: play.ReadPath, Class: routing.Idempotent, TimeoutMs: toolTimeoutMs, Priority: 1, Pool: toolService, RetryLimit: 3},
-		{Name: "order", Prefix: play.OrderPath, Class: routing.NonIdempotent, TimeoutMs: toolTimeoutMs, Pool: toolService, RetryLimit: 3},
-		{Name: "switch", Prefix: play.SwitchPath, Class: routing.Idempotent, TimeoutMs: toolTimeoutMs, Priority: 2, Pool: to, RetryLimit: 3},
-		{Name: "turn", Prefix: play.TurnPath, Class: routing.Streaming, TimeoutMs: turnTimeoutMs, Pool: engineService, RetryLimit: 3, Retained: true, RetentionS: retentionS},
-	}, Pools: []pool{
+	d := configurationDocument{Revision: revision, Routes: []routeEntry{
+		{Name: "read", Prefix: fakes.ReadPath, Class: routing.Idempotent, TimeoutMs: toolTimeoutMs, Priority: 1, Pool: toolService, RetryLimit: 3},
+		{Name: "order", Prefix: fakes.OrderPath, Class: routing.NonIdempotent, TimeoutMs: toolTimeoutMs, Pool: toolService, RetryLimit: 3},
+		{Name: "switch", Prefix: fakes.SwitchPath, Class: routing.Idempotent, TimeoutMs: toolTimeoutMs, Priority: 2, Pool: switchTarget, RetryLimit: 3},
+		{Name: "turn", Prefix: fakes.TurnPath, Class: routing.Streaming, TimeoutMs: turnTimeoutMs, Pool: engineService, RetryLimit: 3, Retained: true, RetentionS: retentionS},
+	}, Pools: []poolEntry{
 		{Name: toolService, Protocol: "h1"},
-		{Name: engineService, Protocol: "h1", Engine: &engine{Capacity: engineSlots, StreamChunk: 1}},
+		{Name: engineService, Protocol: "h1", Engine: &engineEntry{Capacity: engineSlots, StreamChunk: 1}},
 	}}
 	c := audit.Configuration{Revision: revision, Base: revision - 1}
 	for i := range d.Routes {
 		r := &d.Routes[i]
-		r.Host = play.Host
-		c.Routes = append(c.Routes, audit.Allowed{Host: r.Host, Prefix: r.Prefix, Services: []string{r.Pool}})
+		r.Host = fakes.Host
+		c.Routes = append(c.Routes, audit.AllowedRoute{Host: r.Host, Prefix: r.Prefix, Services: []string{r.Pool}})
 	}
 	text, err := json.Marshal(&d)
 	if err != nil {
-		panic(err) // it is made of plain values only
+		panic(err) // cannot fail: the document has plain values only
 	}
 	c.Body = string(text)
 	return c
 }
 
-// changes is how many configurations are ordered under way.
-const changes = 10
+// configurationChanges is how many configurations are sent during the run.
+const configurationChanges = 10
 
-// changeConfigurations orders one configuration after the other until the day is over, and
-// reads each back. An order under way is brought to its end.
-func (l *lab) changeConfigurations(ctx, day context.Context) error {
+// changeConfigurations sends one configuration after the other until workCtx ends, and reads each
+// back. A change under way is completed.
+func (l *lab) changeConfigurations(ctx, workCtx context.Context) error {
 	for revision := uint64(2); ; revision++ {
-		l.pause(day, 1.0/(changes+1))
-		if day.Err() != nil {
+		l.pause(workCtx, 1.0/(configurationChanges+1))
+		if workCtx.Err() != nil {
 			return nil
 		}
-		one, cancel := context.WithTimeout(ctx, settleWithin)
-		err := l.operator.Order(one, configuration(revision))
+		changeCtx, cancel := context.WithTimeout(ctx, settleTimeout)
+		err := l.operator.ReplaceConfiguration(changeCtx, configuration(revision))
 		if err == nil {
-			err = l.operator.ReadBack(one)
+			err = l.operator.ReadBack(changeCtx)
 		}
 		cancel()
 		if err != nil {
--- a/internal/tierlab/servers.go
+++ b/internal/tierlab/servers.go
@@ -7,56 +7,56 @@
 	"slices"
 	"time"
 
-	play "pipitmux/internal/standin/tier"
+	fakes "pipitmux/internal/standin/tier"
 )
 
-// What servers do.
+// Number and behavior of the servers.
 const (
-	toolServers   = 4
-	engineServers = 6
-	toolSlots     = 6
-	engineSlots   = 8
-	waitingMost   = 4
-	toolWork      = 6 * time.Millisecond
-	betweenEvents = 8 * time.Millisecond
-	warmup        = 500 * time.Millisecond
-	breaksOne     = 50
+	toolServers     = 4
+	engineServers   = 6
+	toolSlots       = 6
+	engineSlots     = 8
+	maxWaiting      = 4
+	toolServiceTime = 6 * time.Millisecond
+	eventInterval   = 8 * time.Millisecond
+	warmup          = 500 * time.Millisecond
+	breakOneIn      = 50 // with Options.Harsh, one run in this many breaks off
 )
 
-func (l *lab) openServers() error {
+func (l *lab) startServers() error {
 	for range toolServers {
-		if _, err := l.openServer(toolService, ""); err != nil {
+		if _, err := l.startServer(toolService, ""); err != nil {
 			return err
 		}
 	}
 	for range engineServers {
-		if _, err := l.openServer(engineService, ""); err != nil {
+		if _, err := l.startServer(engineService, ""); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// openServer starts a server of a service and has the platform list it. Where no address
-// is given it has one of its own.
-func (l *lab) openServer(service, address string) (*play.Server, error) {
+// startServer starts a server of a service and has the platform list it. If address is empty the
+// server gets its own address.
+func (l *lab) startServer(service, address string) (*fakes.Server, error) {
 	l.mu.Lock()
-	l.numbers++
-	number := l.numbers
+	l.serverCount++
+	number := l.serverCount
 	l.mu.Unlock()
-	o := play.ServerOptions{
-		Member: play.Member{MemberID: fmt.Sprintf("%s-%d", service, number), PoolName: service, Zone: zones[number%len(zones)],
-			Capacity: toolSlots, MemberState: play.InService, WarmupLeftMs: float64(warmup.Milliseconds())},
+	o := fakes.ServerOptions{
+		Member: fakes.Member{MemberID: fmt.Sprintf("%s-%d", service, number), PoolName: service, Zone: zones[number%len(zones)],
+			Capacity: toolSlots, MemberState: fakes.InService, WarmupLeftMs: float64(warmup.Milliseconds())},
 		Listen: cmp.Or(address, fmt.Sprintf("%s.%d.%d:0", l.opt.Network, serverSubnet, number+1)),
-		Slots:  toolSlots, Waiting: waitingMost, Work: toolWork, Between: betweenEvents, Record: l.record,
+		Slots:  toolSlots, QueueLimit: maxWaiting, ServiceTime: toolServiceTime, EventInterval: eventInterval, Recorder: l.recorder,
 	}
 	if service == engineService {
 		o.Engine, o.Slots, o.Member.Capacity = true, engineSlots, engineSlots
 	}
 	if l.opt.Harsh {
-		o.BreaksOne = breaksOne
+		o.BreakOneIn = breakOneIn
 	}
-	s, err := play.NewServer(o)
+	s, err := fakes.NewServer(o)
 	if err != nil {
 		return nil, err
 	}
@@ -67,65 +67,65 @@
 	return s, nil
 }
 
-// crashServer ends a tool's server with what it has in hand. A server of the other service
-// has its address at once, before the platform lists any of that.
+// crashServer ends a tool server together with its requests. A server of the other service takes
+// over its address at once, before the platform lists either change.
 func (l *lab) crashServer() error {
 	l.mu.Lock()
-	at := slices.IndexFunc(l.servers, func(s *play.Server) bool { return s.Member.PoolName == toolService })
-	old := l.servers[at]
-	l.servers = slices.Delete(l.servers, at, at+1)
+	index := slices.IndexFunc(l.servers, func(s *fakes.Server) bool { return s.Member.PoolName == toolService })
+	old := l.servers[index]
+	l.servers = slices.Delete(l.servers, index, index+1)
 	l.mu.Unlock()
 	old.Close()
 	l.platform.Remove(old.Member)
-	other, err := l.openServer(engineService, old.Member.Address)
+	successor, err := l.startServer(engineService, old.Member.Address)
 	if err != nil {
 		return err
 	}
-	l.record.Killed(fmt.Sprintf("at %s %s crashes, and %s has its address", l.clock(), old.Member.MemberID, other.Member.MemberID))
+	l.recorder.RecordFault(fmt.Sprintf("at %s %s crashes, and %s takes over its address", l.elapsed(), old.Member.MemberID, successor.Member.MemberID))
 	return nil
 }
 
-// release replaces every other server by a new one: the old ones drain, are listed no
-// more once they have nothing in hand, and end.
-func (l *lab) release(ctx context.Context) error {
+// rollingRelease replaces every other server by a new one. The old ones drain, are removed from the
+// list once they have no requests in flight, and end.
+func (l *lab) rollingRelease(ctx context.Context) error {
 	l.mu.Lock()
-	var old []*play.Server
+	var old []*fakes.Server
 	for i, s := range l.servers {
 		if i%2 == 0 {
 			old = append(old, s)
 		}
 	}
 	l.mu.Unlock()
-	l.record.Killed(fmt.Sprintf("at %s a release begins: %d servers drain, as many new ones come", l.clock(), len(old)))
+	l.recorder.RecordFault(fmt.Sprintf("at %s a release begins: %d servers drain, as many new ones start", l.elapsed(), len(old)))
 	for _, s := range old {
-		if _, err := l.openServer(s.Member.PoolName, ""); err != nil {
+		if _, err := l.startServer(s.Member.PoolName, ""); err != nil {
 			return err
 		}
 		draining := s.Member
-		draining.MemberState = play.Draining
+		draining.MemberState = fakes.Draining
 		l.platform.Put(draining)
 	}
-	rested := time.After(lag + drainWithin)
+	drained := time.After(platformDelay + drainBound)
 	select {
-	case <-rested:
+	case <-drained:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	for _, s := range old {
-		if err := await(ctx, "drain of "+s.Member.MemberID, func() bool { return s.Held() == 0 }); err != nil {
+		if err := waitUntil(ctx, "drain of "+s.Member.MemberID, func() bool { return s.InFlight() == 0 }); err != nil {
 			return err
 		}
 		l.platform.Remove(s.Member)
 	}
-	gone := time.After(lag + time.Second)
+	removed := time.After(platformDelay + time.Second)
 	select {
-	case <-gone:
+	case <-removed:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	for _, s := range old {
 		s.Close()
 	}
-	l.record.Killed(fmt.Sprintf("at %s the released servers are gone", l.clock()))
+	l.recorder.RecordFault(fmt.Sprintf("at %s the old servers of the release have ended", l.elapsed()))
 	return nil
 }
--- a/internal/tierlab/tierlab.go
+++ b/internal/tierlab/tierlab.go
@@ -1,6 +1,6 @@
-// Package tierlab plays the whole serving tier on loopback: its programs as processes on
-// machines of their own addresses, with stand-ins for all that the tier talks to, and with
-// troubles under way. An auditor judges what was seen.
+// Package tierlab runs the whole serving tier on loopback. The tier's programs run as processes on
+// machines with their own addresses, the parties around the tier are fakes, and faults are injected
+// during the run. An auditor checks what was observed.
 package tierlab
 
 import (
@@ -18,133 +18,133 @@
 	audit "pipitmux/internal/audit/tier"
 	"pipitmux/internal/latency"
 	"pipitmux/internal/standin"
-	play "pipitmux/internal/standin/tier"
+	fakes "pipitmux/internal/standin/tier"
 	"pipitmux/internal/station/link"
 	"pipitmux/internal/station/settings"
 )
 
-// Options are what a run is played with.
+// Options configures a run.
 type Options struct {
 	Anemometer string // path of the data plane's program
 	Barograph  string // path of the control plane's program
-	Network    string // the first two numbers of all addresses, of 127.0.0.0/8
+	Network    string // first two bytes of all addresses, within 127.0.0.0/8
 	Folder     string // for the machines' disks; empty: a temporary one
-	LogDir     string // where the processes' logs go; empty keeps none
+	LogDir     string // for the logs of the processes; empty: logs are discarded
 	Seconds    float64
 	Edges      int
 	Cores      int
 	Storages   int
 	Agents     int
 	Seed       uint64
-	Calm       bool // no troubles
-	Harsh      bool // more of them, and servers that break requests off
-	// Progress is told now and then how far the run is.
+	Calm       bool // inject no faults
+	Harsh      bool // inject more faults, and let servers break off requests
+	// Progress is called periodically with the state of the run.
 	Progress func(at time.Duration, ended, served, edgesReady int)
 }
 
-// Default returns the options of a usual run, without programs.
+// Default returns the options of a usual run, without the paths of the programs.
 func Default() Options {
 	return Options{Network: "127.20", Seconds: 25, Edges: 2, Cores: 3, Storages: 4, Agents: 24, Seed: 1}
 }
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Report  *audit.Report
 	History *audit.History
-	// Crashed are the processes that ended without being told to.
+	// Crashed describes the processes that ended without being told to.
 	Crashed []string
-	// Disk is how long a small write took to be synced to the disk that all machines share.
+	// Disk is how long syncing a small write took on the disk that all machines share.
 	Disk latency.Quantiles
 }
 
-// Clean tells that all rules were kept and no process crashed.
+// Clean reports whether all rules were kept and no process crashed.
 func (r *Result) Clean() bool { return r.Report.Clean() && len(r.Crashed) == 0 }
 
-// ErrCrashed tells of a process that ended before the run had begun.
+// ErrCrashed means that a process ended unexpectedly.
 var ErrCrashed = errors.New("a process crashed at the start")
 
 const (
-	// losses is how many machines may be lost at once.
-	losses = 1
-	// lag is how late the platform lists a change.
-	lag = 300 * time.Millisecond
-	// startWithin is how long all may take to be ready, and settleWithin what is under way at
-	// the end.
-	startWithin  = 30 * time.Second
-	settleWithin = 40 * time.Second
-	// drainWithin and applyWithin are the tier's bounds for a server that drains and for a
-	// configuration that was replaced.
-	drainWithin = 3 * time.Second
-	applyWithin = 2 * time.Second
-	// lateAfter is how long after the last answer servers are watched for what comes late.
-	lateAfter = 500 * time.Millisecond
-	// lookEvery is the pause between two looks at a condition.
-	lookEvery = 20 * time.Millisecond
-	// progressEvery is the pause between two reports of the progress.
-	progressEvery = 500 * time.Millisecond
-	// serverSubnet is where servers and platform are.
+	// machineLosses is how many machines may be lost at once.
+	machineLosses = 1
+	// platformDelay is how late the platform lists a change.
+	platformDelay = 300 * time.Millisecond
+	// startTimeout bounds the start of the tier until it is ready. settleTimeout bounds completing
+	// what is under way at the end.
+	startTimeout  = 30 * time.Second
+	settleTimeout = 40 * time.Second
+	// drainBound and applyBound are the time limits that the tier promises: for a draining server to
+	// get no new requests, and for a replaced configuration to be out of use.
+	drainBound = 3 * time.Second
+	applyBound = 2 * time.Second
+	// lateRunWatch is how long after the last answer the servers are still watched for late runs.
+	lateRunWatch = 500 * time.Millisecond
+	// pollInterval is the interval between two checks of a condition.
+	pollInterval = 20 * time.Millisecond
+	// progressInterval is the interval between two progress reports.
+	progressInterval = 500 * time.Millisecond
+	// serverSubnet is the third byte of the addresses of servers and platform.
 	serverSubnet = 9
 )
 
-// zones are those that machines and servers are spread over.
+// zones are the zones of machines and servers, assigned in turn.
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
 // lab is one run.
 type lab struct {
-	opt      Options
-	folder   string
-	record   *audit.Recorder
-	platform *play.Platform
-	edges    *play.Edges
-	clients  *play.Clients
-	operator *play.Operator
-	calls    *link.Pool
-	machines []*machine
-	logs     []io.Closer
-	slot     float64                 // the time of one trouble, as a part of the run
-	stop     context.CancelCauseFunc // ends the start where a process crashes
+	opt         Options
+	folder      string
+	recorder    *audit.Recorder
+	platform    *fakes.Platform
+	balancer    *fakes.LoadBalancer
+	client      *fakes.Client
+	operator    *fakes.Operator
+	connections *link.Pool // to the internal ports of the tier
+	machines    []*machine
+	logs        []io.Closer
+	faultShare  float64                 // time per fault, as a fraction of the run
+	cancelStart context.CancelCauseFunc // ends the start if a process crashes
 
-	mu      sync.Mutex
-	servers []*play.Server
-	numbers int // of servers so far
-	crashed []string
-	disk    latency.Quantiles
-	over    bool
+	mu          sync.Mutex
+	servers     []*fakes.Server
+	serverCount int // servers started so far
+	crashed     []string
+	diskSync    latency.Quantiles
+	closed      bool
 }
 
-// machine is a machine with its process.
+// machine is a machine with its current process.
 type machine struct {
-	*play.Machine
+	*fakes.Machine
 
 	mu      sync.Mutex
 	process *standin.Node
 }
 
-// Run plays a run. What it has started it ends.
+// Run executes one run. It ends everything that it has started.
 func Run(ctx context.Context, opt Options) (*Result, error) {
 	folder, err := os.MkdirTemp(opt.Folder, "oaklab-tier")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(folder)
-	l := &lab{opt: opt, folder: folder, record: audit.NewRecorder(), calls: link.NewPool(link.Options{})}
-	defer l.end()
+	l := &lab{opt: opt, folder: folder, recorder: audit.NewRecorder(), connections: link.NewPool(link.Options{})}
+	defer l.close()
 	if err := l.build(); err != nil {
 		return nil, err
 	}
-	if err := l.play(ctx); err != nil {
+	if err := l.runScenario(ctx); err != nil {
 		return nil, err
 	}
-	l.end()
-	history := l.record.History()
-	report := audit.Sum(history, audit.Bounds{Drain: drainWithin, Apply: applyWithin})
-	return &Result{Report: report, History: history, Crashed: l.crashed, Disk: l.disk}, nil
+	l.close()
+	history := l.recorder.History()
+	report := audit.Summarize(history, audit.Bounds{Drain: drainBound, Apply: applyBound})
+	return &Result{Report: report, History: history, Crashed: l.crashed, Disk: l.diskSync}, nil
 }
 
-// build makes machines and stand-ins.
+// build creates the machines and the fakes.
 func (l *lab) build() error {
 	var err error
-	if l.platform, err = play.NewPlatform(l.serverHost(), lag, l.listed); err != nil {
+	if l.platform, err = fakes.NewPlatform(l.serverHost(), platformDelay, l.recordDraining); err != nil {
 		return errors.Wrap(err, "platform")
 	}
 	var seeds []string
@@ -152,61 +152,61 @@
 		seeds = append(seeds, l.ip(l.opt.Edges+i))
 	}
 	for i := range l.opt.Edges {
-		l.add(fmt.Sprintf("edge-%d", i+1), settings.Edge, l.opt.Anemometer, "serve", seeds)
+		l.addMachine(fmt.Sprintf("edge-%d", i+1), settings.Edge, l.opt.Anemometer, "serve", seeds)
 	}
 	for i := range l.opt.Cores {
-		l.add(fmt.Sprintf("core-%d", i+1), settings.Control, l.opt.Barograph, "coordinate", seeds)
+		l.addMachine(fmt.Sprintf("core-%d", i+1), settings.Control, l.opt.Barograph, "coordinate", seeds)
 	}
 	for i := range l.opt.Storages {
-		l.add(fmt.Sprintf("storage-%d", i+1), settings.Storage, l.opt.Barograph, "keep", seeds)
+		l.addMachine(fmt.Sprintf("storage-%d", i+1), settings.Storage, l.opt.Barograph, "keep", seeds)
 	}
 	var cores []string
-	for _, m := range l.of(settings.Control) {
+	for _, m := range l.machinesOf(settings.Control) {
 		cores = append(cores, m.Control())
 	}
-	var edges []*play.Machine
-	for _, m := range l.of(settings.Edge) {
+	var edges []*fakes.Machine
+	for _, m := range l.machinesOf(settings.Edge) {
 		edges = append(edges, m.Machine)
 	}
-	l.operator = play.NewOperator(cores, l.record)
-	l.edges = play.NewEdges(edges)
-	l.clients = play.NewClients(l.edges, l.record)
-	return l.openServers()
+	l.operator = fakes.NewOperator(cores, l.recorder)
+	l.balancer = fakes.NewLoadBalancer(edges)
+	l.client = fakes.NewClient(l.balancer, l.recorder)
+	return l.startServers()
 }
 
-// ip is the address of the machine of a number, from 0.
+// ip returns the address of the machine with a number, counted from 0.
 func (l *lab) ip(number int) string { return fmt.Sprintf("%s.0.%d", l.opt.Network, number+1) }
 
 func (l *lab) serverHost() string { return fmt.Sprintf("%s.%d.1", l.opt.Network, serverSubnet) }
 
-func (l *lab) add(name string, serves settings.Service, program, command string, seeds []string) {
+func (l *lab) addMachine(name string, serves settings.Service, program, command string, seeds []string) {
 	number := len(l.machines)
-	m := &play.Machine{
+	m := &fakes.Machine{
 		Name: name, Serves: serves, Program: program, Command: command, IP: l.ip(number), Zone: zones[number%len(zones)], Zones: zones,
-		Seeds: seeds, Platform: l.platform.Address, Losses: losses, Folder: filepath.Join(l.folder, name), Log: io.Discard,
+		Seeds: seeds, Platform: l.platform.Address, MachineLosses: machineLosses, Folder: filepath.Join(l.folder, name), Log: io.Discard,
 	}
 	l.machines = append(l.machines, &machine{Machine: m})
 }
 
-// of lists the machines of a service.
-func (l *lab) of(service settings.Service) []*machine {
-	var some []*machine
+// machinesOf returns the machines of a service.
+func (l *lab) machinesOf(service settings.Service) []*machine {
+	var machines []*machine
 	for _, m := range l.machines {
 		if m.Serves == service {
-			some = append(some, m)
+			machines = append(machines, m)
 		}
 	}
-	return some
+	return machines
 }
 
-// listed is told of each change that the platform lists.
-func (l *lab) listed(m play.Member) {
-	if m.MemberState == play.Draining {
-		l.record.ListedDraining(m.MemberID)
+// recordDraining records when the platform lists a server as draining.
+func (l *lab) recordDraining(m fakes.Member) {
+	if m.MemberState == fakes.Draining {
+		l.recorder.RecordDraining(m.MemberID)
 	}
 }
 
-// start starts a machine's process, and notes where it ends by itself.
+// start starts a machine's process, and records a crash if the process ends by itself.
 func (l *lab) start(m *machine, bootstrap bool) error {
 	if l.opt.LogDir != "" && m.Log == io.Discard {
 		file, err := os.OpenFile(filepath.Join(l.opt.LogDir, m.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -225,33 +225,33 @@
 	m.mu.Unlock()
 	go func() {
 		<-process.Ended()
-		if m.running() == process {
-			l.crash(fmt.Sprintf("%s ended by itself at %s: %v", m.Name, l.clock(), process.Err()))
+		if m.currentProcess() == process {
+			l.recordCrash(fmt.Sprintf("%s ended unexpectedly at %s: %v", m.Name, l.elapsed(), process.Err()))
 		}
 	}()
 	return nil
 }
 
-func (l *lab) crash(what string) {
+func (l *lab) recordCrash(description string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over {
+	if l.closed {
 		return
 	}
-	l.crashed = append(l.crashed, what)
-	l.stop(errors.Wrap(ErrCrashed, what))
+	l.crashed = append(l.crashed, description)
+	l.cancelStart(errors.Wrap(ErrCrashed, description))
 }
 
-func (l *lab) clock() string { return fmt.Sprintf("%.1f s", l.record.Now().Seconds()) }
+func (l *lab) elapsed() string { return fmt.Sprintf("%.1f s", l.recorder.Now().Seconds()) }
 
-func (m *machine) running() *standin.Node {
+func (m *machine) currentProcess() *standin.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.process
 }
 
-// drop takes the process from a machine, so that it may end.
-func (m *machine) drop() *standin.Node {
+// takeProcess detaches the process from its machine, so that its end does not count as a crash.
+func (m *machine) takeProcess() *standin.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	process := m.process
@@ -261,33 +261,33 @@
 
 // kill ends a machine's process with SIGKILL.
 func (m *machine) kill() {
-	if process := m.drop(); process != nil {
+	if process := m.takeProcess(); process != nil {
 		process.Kill()
 	}
 }
 
-// await looks until a condition holds.
-func await(ctx context.Context, what string, holds func() bool) error {
-	tick := time.NewTicker(lookEvery)
+// waitUntil polls until a condition holds or ctx ends.
+func waitUntil(ctx context.Context, description string, holds func() bool) error {
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for !holds() {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return errors.Wrap(context.Cause(ctx), what)
+			return errors.Wrap(context.Cause(ctx), description)
 		}
 	}
 	return nil
 }
 
-// end ends all that was started.
-func (l *lab) end() {
+// close ends everything that was started. Further calls do nothing.
+func (l *lab) close() {
 	l.mu.Lock()
-	over := l.over
-	l.over = true
+	wasClosed := l.closed
+	l.closed = true
 	servers := l.servers
 	l.mu.Unlock()
-	if over {
+	if wasClosed {
 		return
 	}
 	for _, m := range l.machines {
@@ -299,7 +299,7 @@
 	if l.platform != nil {
 		l.platform.Close()
 	}
-	l.calls.Close()
+	l.connections.Close()
 	for _, file := range l.logs {
 		file.Close()
 	}
