--- a/internal/anemometer/events/events_test.go
+++ b/internal/anemometer/events/events_test.go
@@ -16,12 +16,12 @@
 		{"two", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "a\nb\n", 2, 2},
 		{"version first", "versions: 4\nid: 1\ndata: a\n\n", "a\n", 1, 1},
 		{"without a space", "data:a\n\n", "a\n", 1, 1},
-		{"only the first space goes", "data:  a\n\n", " a\n", 1, 1},
+		{"only the first space is removed", "data:  a\n\n", " a\n", 1, 1},
 		{"carriage returns", "data: a\r\n\r\n", "a\n", 1, 1},
 		{"two lines of data", "data: a\ndata: b\n\n", "a\nb\n", 1, 1},
 		{"comment", ": hello\n\ndata: a\n\n", "a\n", 1, 1},
 		{"broken off in an event", "data: a\n\nid: 2\ndata: b", "a\n", 1, 2},
-		{"broken off behind a line", "data: a\n\ndata: b\n", "a\n", 1, 2},
+		{"broken off after a line", "data: a\n\ndata: b\n", "a\n", 1, 2},
 		{"empty data", "data:\n\n", "\n", 1, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/anemometer/gateway/capacity_test.go
+++ b/internal/anemometer/gateway/capacity_test.go
@@ -156,8 +156,9 @@
 
 // eventLatencies collects the latencies of first and later events.
 type eventLatencies struct {
-	mu           sync.Mutex
-	first, later []time.Duration
+	mu    sync.Mutex
+	first []time.Duration // from the request to the first event
+	later []time.Duration // from writing to reading of each later event
 }
 
 func benchmarkStream(b *testing.B, address, program string, streams int) {
--- a/internal/anemometer/gateway/gateway_test.go
+++ b/internal/anemometer/gateway/gateway_test.go
@@ -33,10 +33,10 @@
 	assert.Equal(t, string(text), "body")
 	assert.Equal(t, response.Header.Get("Oakseam-Server-Seal"), "seal")
 	assert.Equal(t, response.Header.Get("Content-Type"), "application/x-own")
-	got := r.seen[0]
+	got := r.requests[0]
 	assert.Equal(t, got.RequestURI, "/orders/x?q=1")
 	assert.Equal(t, got.Host, "h")
-	assert.Equal(t, r.body[0], "input")
+	assert.Equal(t, r.bodies[0], "input")
 	assert.Equal(t, got.Header.Get("X-Own"), "v")
 	assert.Equal(t, got.Header.Get("X-Hop"), "", "headers listed in Connection must not be forwarded")
 	assert.Equal(t, got.Header.Get(dispatch.TargetHeader), "i-tools")
@@ -56,7 +56,7 @@
 	assert.Equal(t, response.StatusCode, http.StatusInternalServerError)
 	assert.Equal(t, string(text), "own words")
 	assert.Equal(t, response.Header.Get("Oakseam-Server-Seal"), "seal")
-	assert.Equal(t, len(r.seen), 1, "a request that ran must not be retried")
+	assert.Equal(t, len(r.requests), 1, "a request that ran must not be retried")
 }
 
 func TestRequestThatNeverRanIsRejectedWithRetryAfter(t *testing.T) {
@@ -70,7 +70,7 @@
 }
 
 func TestInvalidRequestIsNotSentToServer(t *testing.T) {
-	r := newTestGateway(t, true, func(w http.ResponseWriter, _ *http.Request) { t.Error("a server was asked") })
+	r := newTestGateway(t, true, func(w http.ResponseWriter, _ *http.Request) { t.Error("a server was requestCount") })
 	for _, tt := range []struct {
 		name, path, body string
 		status           int
@@ -106,7 +106,7 @@
 		_, err := lines.ReadString('\n')
 		assert.NilError(t, err)
 	}
-	end := <-r.turns.ends // both events have been delivered, the end of the stream has not
+	end := <-r.turns.finishCalls // both events have been delivered, the end of the stream has not
 	assert.Assert(t, end.Whole)
 	assert.Equal(t, string(end.Input), "input")
 	assert.Equal(t, string(end.Output), "one\ntwo\n")
@@ -115,8 +115,8 @@
 	close(stored)
 	_, err := lines.ReadString('\n')
 	assert.Equal(t, err, io.EOF)
-	assert.Equal(t, r.body[0], "before\ninput")
-	assert.Equal(t, r.seen[0].Header.Get(dispatch.PriorityHeader), "1")
+	assert.Equal(t, r.bodies[0], "before\ninput")
+	assert.Equal(t, r.requests[0].Header.Get(dispatch.PriorityHeader), "1")
 }
 
 func TestTurnThatCannotBeStoredBreaksOff(t *testing.T) {
@@ -125,8 +125,8 @@
 	response := r.do(t, "POST", "/turns/x", "input", turnHeaders...)
 	_, err := io.ReadAll(response.Body)
 	assert.Equal(t, err, io.ErrUnexpectedEOF)
-	<-r.turns.ends
-	assert.Assert(t, !(<-r.turns.ends).Whole, "the delivered tokens must be reported")
+	<-r.turns.finishCalls
+	assert.Assert(t, !(<-r.turns.finishCalls).Whole, "the delivered tokens must be reported")
 }
 
 func TestTurnIsNotSentWithoutAdmission(t *testing.T) {
@@ -141,12 +141,12 @@
 		{"no partition leader answers", protocol.AdmitReply{}, turnclient.ErrUnavailable, nil, http.StatusServiceUnavailable},
 		{"closed", protocol.AdmitReply{Outcome: protocol.TurnClosed}, nil, nil, http.StatusServiceUnavailable},
 		{"missing in all partitions", protocol.AdmitReply{Outcome: protocol.TurnMissing}, nil, nil, http.StatusNotFound},
-		{"missing, but not all partitions asked", protocol.AdmitReply{Outcome: protocol.TurnMissing}, nil, func(string) ([]byte, bool, error) {
+		{"missing, but not all partitions requestCount", protocol.AdmitReply{Outcome: protocol.TurnMissing}, nil, func(string) ([]byte, bool, error) {
 			return nil, false, turnclient.ErrUnsure
 		}, http.StatusServiceUnavailable},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newTestGateway(t, true, func(w http.ResponseWriter, _ *http.Request) { t.Error("a server was asked") })
+			r := newTestGateway(t, true, func(w http.ResponseWriter, _ *http.Request) { t.Error("a server was requestCount") })
 			r.turns.admit = func(protocol.AdmitArgs) (protocol.AdmitReply, error) { return tt.reply, tt.err }
 			r.turns.find = tt.find
 			response := r.do(t, "POST", "/turns/x", "input", append([]string{previousHeader, "a0"}, turnHeaders...)...)
@@ -167,8 +167,8 @@
 	response := r.do(t, "POST", "/turns/x", "input", append([]string{previousHeader, "a0"}, turnHeaders...)...)
 	_, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
-	assert.Equal(t, r.body[0], "far\ninput")
-	assert.Equal(t, string((<-r.turns.ends).Imported), "far\n", "the history must be imported into the program's partition")
+	assert.Equal(t, r.bodies[0], "far\ninput")
+	assert.Equal(t, string((<-r.turns.finishCalls).Imported), "far\n", "the history must be imported into the program's partition")
 }
 
 func TestClientDisconnectCancelsRequestAtServer(t *testing.T) {
@@ -187,7 +187,7 @@
 	assert.NilError(t, err)
 	disconnect()
 	<-cancelled
-	end := <-r.turns.ends
+	end := <-r.turns.finishCalls
 	assert.Assert(t, !end.Whole)
 	assert.Equal(t, end.Tokens, uint64(2), "the tokens of a delivered event must be counted")
 }
--- a/internal/anemometer/gateway/harness_test.go
+++ b/internal/anemometer/gateway/harness_test.go
@@ -34,10 +34,10 @@
 
 // fakeTurns records what the gateway reports to the storage nodes.
 type fakeTurns struct {
-	admit  func(protocol.AdmitArgs) (protocol.AdmitReply, error)
-	finish func(protocol.FinishArgs) (protocol.TurnOutcome, error)
-	find   func(string) ([]byte, bool, error)
-	ends   chan protocol.FinishArgs
+	admit       func(protocol.AdmitArgs) (protocol.AdmitReply, error)
+	finish      func(protocol.FinishArgs) (protocol.TurnOutcome, error)
+	find        func(string) ([]byte, bool, error)
+	finishCalls chan protocol.FinishArgs
 }
 
 func (s *fakeTurns) Admit(_ context.Context, a protocol.AdmitArgs) (protocol.AdmitReply, error) {
@@ -48,7 +48,7 @@
 }
 
 func (s *fakeTurns) Finish(_ context.Context, a protocol.FinishArgs) (protocol.TurnOutcome, error) {
-	s.ends <- a
+	s.finishCalls <- a
 	if s.finish == nil {
 		return protocol.TurnGranted, nil
 	}
@@ -68,23 +68,23 @@
 	turns   *fakeTurns
 	address string
 
-	mu   sync.Mutex
-	seen []*http.Request
-	body []string
+	mu       sync.Mutex
+	requests []*http.Request
+	bodies   []string
 }
 
 // newTestGateway starts the gateway on loopback. serve is the handler of the servers.
 func newTestGateway(t *testing.T, configured bool, serve http.HandlerFunc) *testGateway {
 	t.Helper()
-	r := &testGateway{turns: &fakeTurns{ends: make(chan protocol.FinishArgs, 16)}}
+	r := &testGateway{turns: &fakeTurns{finishCalls: make(chan protocol.FinishArgs, 16)}}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		text, err := io.ReadAll(request.Body)
 		if err != nil {
 			t.Error(err)
 		}
 		r.mu.Lock()
-		r.seen = append(r.seen, request)
-		r.body = append(r.body, string(text))
+		r.requests = append(r.requests, request)
+		r.bodies = append(r.bodies, string(text))
 		r.mu.Unlock()
 		w.Header().Set(dispatch.AttemptHeader, request.Header.Get(dispatch.AttemptHeader))
 		serve(w, request)
--- a/internal/anemometer/gateway/resume_test.go
+++ b/internal/anemometer/gateway/resume_test.go
@@ -24,9 +24,9 @@
 // breakingServer streams the events after Last-Event-Id. Its first `breaks` responses break off
 // after so many bytes. It also returns the number of requests so far.
 func breakingServer(breaks int, after int) (http.HandlerFunc, *atomic.Int64) {
-	var asked atomic.Int64
+	var requestCount atomic.Int64
 	return func(w http.ResponseWriter, r *http.Request) {
-		n := asked.Add(1)
+		n := requestCount.Add(1)
 		from, _ := strconv.Atoi(r.Header.Get(dispatch.LastEventHeader))
 		var text strings.Builder
 		for id := from + 1; id <= eventCount; id++ {
@@ -43,7 +43,7 @@
 		io.WriteString(w, text.String()[:min(after, text.Len())])
 		control.Flush()
 		panic(http.ErrAbortHandler)
-	}, &asked
+	}, &requestCount
 }
 
 func completeStream() (text string) {
@@ -57,22 +57,22 @@
 // missing or repeated, and the headers stay those of the first server.
 func TestBrokenStreamResumesAtAnotherServer(t *testing.T) {
 	for after := range len(completeStream()) + 1 {
-		serve, asked := breakingServer(1, after)
+		serve, requestCount := breakingServer(1, after)
 		r := newTestGateway(t, true, serve)
 		response := r.do(t, "POST", "/resumable/x", "input", turnHeaders...)
 		text, err := io.ReadAll(response.Body)
 		assert.NilError(t, err)
 		assert.Equal(t, string(text), completeStream(), "broken after %d bytes", after)
 		assert.Equal(t, response.Header.Get("Oakseam-Server-Seal"), "seal-1")
-		assert.Equal(t, asked.Load(), int64(2))
+		assert.Equal(t, requestCount.Load(), int64(2))
 		r.mu.Lock()
-		assert.Equal(t, r.seen[1].Header.Get(dispatch.AttemptHeader), "a1", "servers must see the client's attempt id")
-		assert.Equal(t, r.body[1], "input")
+		assert.Equal(t, r.requests[1].Header.Get(dispatch.AttemptHeader), "a1", "servers must see the client's attempt id")
+		assert.Equal(t, r.bodies[1], "input")
 		r.mu.Unlock()
-		end := <-r.turns.ends
+		end := <-r.turns.finishCalls
 		assert.Equal(t, end.Tokens, uint64(2*eventCount), "each event must be counted once")
 		select {
-		case <-r.turns.ends:
+		case <-r.turns.finishCalls:
 			t.Fatal("the turn ended twice")
 		default:
 		}
@@ -82,26 +82,26 @@
 // An attempt must not go to more servers than its route allows. After that the response breaks
 // off, after a whole event.
 func TestResumptionsRespectTheRetryLimit(t *testing.T) {
-	serve, asked := breakingServer(99, len(eventText(1))+3)
+	serve, requestCount := breakingServer(99, len(eventText(1))+3)
 	r := newTestGateway(t, true, serve)
 	response := r.do(t, "POST", "/resumable/x", "input", turnHeaders...)
 	text, err := io.ReadAll(response.Body)
 	assert.Equal(t, err, io.ErrUnexpectedEOF)
 	assert.Equal(t, string(text), eventText(1)+eventText(2))
-	assert.Equal(t, asked.Load(), int64(2))
-	assert.Equal(t, (<-r.turns.ends).Tokens, uint64(4))
+	assert.Equal(t, requestCount.Load(), int64(2))
+	assert.Equal(t, (<-r.turns.finishCalls).Tokens, uint64(4))
 }
 
 // A stream whose route does not allow resumption must run once, wherever it breaks.
 func TestStreamWithoutSessionResumeIsNotResumed(t *testing.T) {
 	for _, after := range []int{0, 3, len(completeStream())} {
-		serve, asked := breakingServer(1, after)
+		serve, requestCount := breakingServer(1, after)
 		r := newTestGateway(t, true, serve)
 		response := r.do(t, "POST", "/turns/x", "input", turnHeaders...)
 		_, err := io.ReadAll(response.Body)
 		assert.Equal(t, err, io.ErrUnexpectedEOF)
-		assert.Equal(t, asked.Load(), int64(1))
-		<-r.turns.ends
+		assert.Equal(t, requestCount.Load(), int64(1))
+		<-r.turns.finishCalls
 	}
 }
 
@@ -137,17 +137,17 @@
 	response := r.do(t, "POST", "/resumable/x", "input", turnHeaders...)
 	_, err := io.ReadAll(response.Body)
 	assert.Equal(t, err, io.ErrUnexpectedEOF)
-	<-r.turns.ends
-	<-r.turns.ends
+	<-r.turns.finishCalls
+	<-r.turns.finishCalls
 }
 
 // A stream must resume more than once if its route allows more servers.
 func TestStreamResumesAsOftenAsItsRouteAllows(t *testing.T) {
-	serve, asked := breakingServer(2, len(eventText(1))+3)
+	serve, requestCount := breakingServer(2, len(eventText(1))+3)
 	r := newTestGateway(t, true, serve)
 	response := r.do(t, "POST", "/often/x", "input", turnHeaders...)
 	text, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, string(text), completeStream())
-	assert.Equal(t, asked.Load(), int64(3))
+	assert.Equal(t, requestCount.Load(), int64(3))
 }
--- a/internal/audit/tier/history.go
+++ b/internal/audit/tier/history.go
@@ -27,7 +27,10 @@
 func (k Kind) String() string { return kindNames[k] }
 
 // Event is one event of a stream.
-type Event struct{ ID, Data string }
+type Event struct {
+	ID   string
+	Data string
+}
 
 // Answer is the response that a client received. The zero value means none.
 type Answer struct {
@@ -36,8 +39,8 @@
 	Status int           // 0: no complete status line and headers arrived
 	Seal   string        // identifies the run at a server, empty: the tier itself answered
 	Whole  bool          // the body arrived completely
-	Body   string        // not of streams
-	Events []Event       // of streams
+	Body   string        // empty for streams
+	Events []Event       // set for streams only
 }
 
 // Request is one attempt of a client, with its own attempt id.
@@ -75,8 +78,9 @@
 
 // AllowedRoute lists the services that a route may lead to.
 type AllowedRoute struct {
-	Host, Prefix string
-	Services     []string
+	Host     string
+	Prefix   string // of the path
+	Services []string
 }
 
 // Configuration is a configuration that an operator sent.
@@ -93,8 +97,9 @@
 
 // ConfigurationRead is a configuration as it was read back.
 type ConfigurationRead struct {
-	Asked, At time.Duration
-	Body      string
+	Asked time.Duration // when the read began
+	At    time.Duration // when it ended
+	Body  string
 }
 
 // History is everything that was observed in a run. It is written as JSON, so the field names are
--- a/internal/standin/tier/client.go
+++ b/internal/standin/tier/client.go
@@ -36,10 +36,11 @@
 
 // LoadBalancer knows which edges accept clients, like the load balancer in front of a real tier.
 type LoadBalancer struct {
-	readiness, fronts []string
+	readiness []string // addresses of the readiness checks
+	fronts    []string // addresses for clients, in the same order
 
 	mu    sync.Mutex
-	ready []string // fronts
+	ready []string // client addresses of the ready edges
 }
 
 // NewLoadBalancer returns a LoadBalancer for the machines. It knows no ready edge before Watch runs.
--- a/internal/standin/tier/machine.go
+++ b/internal/standin/tier/machine.go
@@ -134,7 +134,8 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return nil, err
 	}
-	// env replaces itself with the program, so the process id is that of the program.
+	// env sets the variable and replaces itself with the program, so the process id is that of the
+	// program.
 	return standin.StartNode("env", m.Folder, struct{}{}, m.Front(), "", m.Log, settings.PathVariable+"="+path, m.Program, m.Command)
 }
 
--- a/internal/tierlab/tierlab.go
+++ b/internal/tierlab/tierlab.go
@@ -28,7 +28,7 @@
 	Anemometer string // path of the data plane's program
 	Barograph  string // path of the control plane's program
 	Network    string // first two bytes of all addresses, within 127.0.0.0/8
-	Folder     string // for the machines' disks; empty: a temporary one
+	Folder     string // for the disks of the machines; empty: a temporary folder
 	LogDir     string // for the logs of the processes; empty: logs are discarded
 	Seconds    float64
 	Edges      int
@@ -60,7 +60,7 @@
 // Clean reports whether all rules were kept and no process crashed.
 func (r *Result) Clean() bool { return r.Report.Clean() && len(r.Crashed) == 0 }
 
-// ErrCrashed means that a process ended unexpectedly.
+// ErrCrashed is the error of a run in which a process ended before the tier was ready.
 var ErrCrashed = errors.New("a process crashed at the start")
 
 const (
@@ -89,7 +89,7 @@
 // zones are the zones of machines and servers, assigned in turn.
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// lab is one run.
+// lab is the state of one run.
 type lab struct {
 	opt         Options
 	folder      string
