--- a/internal/anemometer/gateway/gateway_test.go
+++ b/internal/anemometer/gateway/gateway_test.go
@@ -70,7 +70,7 @@
 }
 
 func TestInvalidRequestIsNotSentToServer(t *testing.T) {
-	r := newTestGateway(t, true, func(w http.ResponseWriter, _ *http.Request) { t.Error("a server was requestCount") })
+	r := newTestGateway(t, true, func(w http.ResponseWriter, _ *http.Request) { t.Error("a server received the request") })
 	for _, tt := range []struct {
 		name, path, body string
 		status           int
@@ -141,12 +141,12 @@
 		{"no partition leader answers", protocol.AdmitReply{}, turnclient.ErrUnavailable, nil, http.StatusServiceUnavailable},
 		{"closed", protocol.AdmitReply{Outcome: protocol.TurnClosed}, nil, nil, http.StatusServiceUnavailable},
 		{"missing in all partitions", protocol.AdmitReply{Outcome: protocol.TurnMissing}, nil, nil, http.StatusNotFound},
-		{"missing, but not all partitions requestCount", protocol.AdmitReply{Outcome: protocol.TurnMissing}, nil, func(string) ([]byte, bool, error) {
+		{"missing, but not all partitions asked", protocol.AdmitReply{Outcome: protocol.TurnMissing}, nil, func(string) ([]byte, bool, error) {
 			return nil, false, turnclient.ErrUnsure
 		}, http.StatusServiceUnavailable},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newTestGateway(t, true, func(w http.ResponseWriter, _ *http.Request) { t.Error("a server was requestCount") })
+			r := newTestGateway(t, true, func(w http.ResponseWriter, _ *http.Request) { t.Error("a server received the request") })
 			r.turns.admit = func(protocol.AdmitArgs) (protocol.AdmitReply, error) { return tt.reply, tt.err }
 			r.turns.find = tt.find
 			response := r.do(t, "POST", "/turns/x", "input", append([]string{previousHeader, "a0"}, turnHeaders...)...)
