--- a/cmd/barograph/main.go
+++ b/cmd/barograph/main.go
@@ -56,8 +56,8 @@
 	}
 	defer n.Close()
 	core, err := coordinator.New(coordinator.Options{
-		Node: n, Losses: s.FaultTolerance.MachineLosses, First: options.First, Seeds: options.Seeds,
-		ConfigApply: s.Bounds.ConfigApply, Drain: s.Bounds.Drain,
+		Node: n, ToleratedLosses: s.FaultTolerance.MachineLosses, Bootstrap: options.Bootstrap, Seeds: options.Seeds,
+		ConfigApply: s.Bounds.ConfigApply, DrainBound: s.Bounds.Drain,
 	})
 	if err != nil {
 		return err
@@ -73,8 +73,8 @@
 	server := operators.NewServer(operators.Options{Authority: core})
 	defer server.Close()
 	go server.Serve(api)
-	klog.InfoS("Keeps configuration and services", "id", n.Self.ID, "address", options.Address, "first", options.First)
-	return ended(ctx, core.Run(ctx, l, platform.New(s.CloudAPI.Address)))
+	klog.InfoS("Keeps configuration and services", "id", n.Self.ID, "address", options.Address, "first", options.Bootstrap)
+	return ignoreShutdown(ctx, core.Run(ctx, l, platform.New(s.CloudAPI.Address)))
 }
 
 type keepCommand struct {
@@ -91,31 +91,31 @@
 	if err != nil {
 		return err
 	}
-	var keeping atomic.Pointer[keeper.Keeper]
-	options.Unknown = func(group replica.GroupID) bool {
-		k := keeping.Load()
-		return k != nil && k.Follow(group)
+	var running atomic.Pointer[keeper.Keeper]
+	options.OnUnknownGroup = func(group replica.GroupID) bool {
+		k := running.Load()
+		return k != nil && k.JoinGroup(group)
 	}
 	n, err := node.Open(options)
 	if err != nil {
 		return err
 	}
 	defer n.Close()
-	k, err := keeper.New(keeper.Options{Node: n, Name: s.NodeName, Losses: s.FaultTolerance.MachineLosses, Seeds: options.Seeds})
+	k, err := keeper.New(keeper.Options{Node: n, Name: s.NodeName, ToleratedLosses: s.FaultTolerance.MachineLosses, Seeds: options.Seeds})
 	if err != nil {
 		return err
 	}
-	keeping.Store(k)
+	running.Store(k)
 	l, err := link.Listen(options.Address)
 	if err != nil {
 		return errors.Wrap(err, "listen for other processes")
 	}
 	klog.InfoS("Keeps turns", "id", n.Self.ID, "address", options.Address)
-	return ended(ctx, k.Run(ctx, l))
+	return ignoreShutdown(ctx, k.Run(ctx, l))
 }
 
 // ended tells an end that was asked for from a failure.
-func ended(ctx context.Context, err error) error {
+func ignoreShutdown(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -131,7 +131,7 @@
 	}
 	return node.Options{
 		Name: s.NodeName, Zone: s.Zone, Class: class, Address: process.InternalAddress(s, offset), DataDir: s.DataDir,
-		First: s.Bootstrap, Seeds: process.InternalSeeds(s, protocol.CorePort),
+		Bootstrap: s.Bootstrap, Seeds: process.InternalSeeds(s, protocol.CorePort),
 	}, nil
 }
 
--- a/internal/barograph/coordinator/authority.go
+++ b/internal/barograph/coordinator/authority.go
@@ -13,7 +13,7 @@
 
 // orderWithin is how long an order may take here. The caller goes on to another node
 // after a second of silence.
-const orderWithin = 3 * time.Second
+const commandTimeout = 3 * time.Second
 
 // Replace implements operators.Authority.
 func (c *Coordinator) Replace(ctx context.Context, base uint64, body []byte) operators.ReplaceOutcome {
@@ -21,29 +21,29 @@
 	if err != nil {
 		return operators.ReplaceOutcome{Result: operators.ReplaceInvalid, Reason: err.Error()}
 	}
-	switch reached, err := c.reached(ctx, base); {
+	switch hasReached, err := c.hasReached(ctx, base); {
 	case err != nil:
 		return operators.ReplaceOutcome{Result: operators.ReplaceUncertain}
-	case !reached:
+	case !hasReached:
 		return operators.ReplaceOutcome{Result: operators.ReplaceConflict}
 	}
-	change, err := c.change(base, configuration.Revision, body)
+	change, err := c.newChange(base, configuration.Revision, body)
 	if err != nil {
 		return operators.ReplaceOutcome{Result: operators.ReplaceInvalid, Reason: err.Error()}
 	}
-	switch c.order(ctx, &revisions.Command{Change: change}) {
-	case revisions.Taken:
-		return operators.ReplaceOutcome{Result: operators.ReplaceTaken}
+	switch c.execute(ctx, &revisions.Command{Change: change}) {
+	case revisions.Accepted:
+		return operators.ReplaceOutcome{Result: operators.ReplaceAccepted}
 	case revisions.Conflict:
 		return operators.ReplaceOutcome{Result: operators.ReplaceConflict}
-	case revisions.Stale:
+	case revisions.StaleRevision:
 		return operators.ReplaceOutcome{Result: operators.ReplaceInvalid, Reason: "configRevision: not above the current one"}
 	}
 	return operators.ReplaceOutcome{Result: operators.ReplaceUncertain}
 }
 
 // change makes the difference that goes into the log, on a base that was reached here.
-func (c *Coordinator) change(base, revision uint64, body []byte) (change *revisions.Change, err error) {
+func (c *Coordinator) newChange(base, revision uint64, body []byte) (change *revisions.Change, err error) {
 	c.node.Host.ReadLocal(protocol.ConfigurationGroup, func(m host.StateMachine) {
 		change, err = m.(*revisions.Machine).Change(base, revision, body)
 	})
@@ -53,13 +53,13 @@
 // reached tells whether a revision is or was in force. A change on one that isn't yet must
 // not get into the log: a try that a frozen process finds late could come into force there
 // after another try of the same change was refused.
-func (c *Coordinator) reached(ctx context.Context, revision uint64) (bool, error) {
+func (c *Coordinator) hasReached(ctx context.Context, revision uint64) (bool, error) {
 	if c.revision() >= revision {
 		return true, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderWithin)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	if err := c.node.Confirm(ctx, protocol.ConfigurationGroup); err != nil {
+	if err := c.node.ReadBarrier(ctx, protocol.ConfigurationGroup); err != nil {
 		return false, err
 	}
 	return c.revision() >= revision, nil
@@ -74,12 +74,12 @@
 }
 
 // order has a command carried out and returns its result, 0 where that isn't known.
-func (c *Coordinator) order(ctx context.Context, command *revisions.Command) revisions.Result {
+func (c *Coordinator) execute(ctx context.Context, command *revisions.Command) revisions.Result {
 	text, err := command.Encode()
 	if err != nil {
 		return 0
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderWithin)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	answer, err := c.node.Submit(ctx, protocol.ConfigurationGroup, text)
 	if err != nil {
@@ -94,9 +94,9 @@
 
 // Show implements operators.Authority.
 func (c *Coordinator) Show(ctx context.Context) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderWithin)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	if err := c.node.Confirm(ctx, protocol.ConfigurationGroup); err != nil {
+	if err := c.node.ReadBarrier(ctx, protocol.ConfigurationGroup); err != nil {
 		return nil, operators.ErrUnavailable
 	}
 	var revision uint64
@@ -105,20 +105,20 @@
 		revision, body = m.(*revisions.Machine).Configuration()
 	})
 	if revision == 0 {
-		return nil, operators.ErrNone
+		return nil, operators.ErrNoConfiguration
 	}
 	return body, nil
 }
 
 // RetireBegin implements operators.Authority.
 func (c *Coordinator) RetireBegin(ctx context.Context, name string, _ time.Duration) operators.RetireOutcome {
-	retirement := &revisions.Retirement{Node: name, Least: VotersWanted(c.losses)}
-	switch c.order(ctx, &revisions.Command{Retire: retirement}) {
-	case revisions.Taken:
+	retirement := &revisions.Retirement{Node: name, MinRemaining: TargetVoters(c.toleratedLosses)}
+	switch c.execute(ctx, &revisions.Command{Retire: retirement}) {
+	case revisions.Accepted:
 		return operators.RetireAccepted
-	case revisions.Missing:
+	case revisions.UnknownNode:
 		return operators.RetireUnknownNode
-	case revisions.TooFew:
+	case revisions.TooFewNodes:
 		return operators.RetireTooFew
 	}
 	return operators.RetireUncertain
@@ -126,9 +126,9 @@
 
 // RetireShow implements operators.Authority.
 func (c *Coordinator) RetireShow(ctx context.Context, name string) (operators.RetireState, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderWithin)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	if err := c.node.Confirm(ctx, protocol.ConfigurationGroup); err != nil {
+	if err := c.node.ReadBarrier(ctx, protocol.ConfigurationGroup); err != nil {
 		return 0, operators.ErrUnavailable
 	}
 	var emptied, retiring bool
@@ -141,5 +141,5 @@
 	case emptied:
 		return operators.RetireCompleted, nil
 	}
-	return operators.RetireRolling, nil
+	return operators.RetireInProgress, nil
 }
--- a/internal/barograph/coordinator/capacity_test.go
+++ b/internal/barograph/coordinator/benchmark_test.go
@@ -12,42 +12,42 @@
 // coreNodes are how many core nodes the benchmark's tier has, and losses how many machines
 // may be lost at once.
 const (
-	coreNodes = 8
-	losses    = 1
+	coreNodes       = 8
+	toleratedLosses = 1
 )
 
 // BenchmarkPlacement deals out the partitions of the turns over so many storage nodes in 15
 // zones of 7 regions, and tells how many of them the loss of one zone or region leaves
 // without a majority of their members, in the mean and at worst. docs/CAPACITY.md.
 func BenchmarkPlacement(b *testing.B) {
-	for _, storages := range []int{30, 100, 372} {
-		b.Run(fmt.Sprintf("storages=%d", storages), func(b *testing.B) { benchmarkPlacement(b, storages) })
+	for _, storageNodes := range []int{30, 100, 372} {
+		b.Run(fmt.Sprintf("storages=%d", storageNodes), func(b *testing.B) { benchmarkPlacement(b, storageNodes) })
 	}
 }
 
-func benchmarkPlacement(b *testing.B, storages int) {
-	d := scaletest.Directory(coreNodes, storages)
-	nodes := OfClass(*d, protocol.Storage)
+func benchmarkPlacement(b *testing.B, storageNodes int) {
+	d := scaletest.Directory(coreNodes, storageNodes)
+	nodes := NodesOfClass(*d, protocol.Storage)
 	var partitions [][]replica.NodeID
 	for b.Loop() {
 		partitions = partitions[:0]
-		for partition := range protocol.TurnPartitions(storages) {
-			ranked := hashingRank(protocol.TurnGroup(partition), nodes)
-			partitions = append(partitions, ranked[:Voters(losses, storages)])
+		for partition := range protocol.TurnPartitions(storageNodes) {
+			ranked := rankNodes(protocol.TurnGroup(partition), nodes)
+			partitions = append(partitions, ranked[:FeasibleVoters(toleratedLosses, storageNodes)])
 		}
 	}
 	b.ReportMetric(float64(len(partitions)), "partitions")
 	zone := func(n protocol.Node) string { return n.Zone }
 	region := func(n protocol.Node) string { return n.Zone[:len("region-0")] }
 	for name, placeOf := range map[string]func(protocol.Node) string{"zone": zone, "region": region} {
-		mean, worst := stopped(partitions, nodes, placeOf)
+		mean, worst := partitionsWithoutMajority(partitions, nodes, placeOf)
 		b.ReportMetric(mean, name+"-mean")
 		b.ReportMetric(worst, name+"-worst")
 	}
 }
 
 // stopped counts the partitions that have most of their members in one place.
-func stopped(partitions [][]replica.NodeID, nodes []protocol.Node, placeOf func(protocol.Node) string) (mean, worst float64) {
+func partitionsWithoutMajority(partitions [][]replica.NodeID, nodes []protocol.Node, placeOf func(protocol.Node) string) (mean, worst float64) {
 	places := map[replica.NodeID]string{}
 	lost := map[string]float64{}
 	for _, n := range nodes {
--- a/internal/barograph/coordinator/coordinator.go
+++ b/internal/barograph/coordinator/coordinator.go
@@ -25,49 +25,49 @@
 
 const (
 	// leastVoters is the size of a group that bears one loss.
-	leastVoters = 3
+	minVoters = 3
 	// repairEvery is how often an owner looks whether its group needs another member.
-	repairEvery = 250 * time.Millisecond
+	repairInterval = 250 * time.Millisecond
 	// registerPause is the pause before a node that isn't in the directory yet tries again.
-	registerPause = 200 * time.Millisecond
+	registerRetryInterval = 200 * time.Millisecond
 	// settledFor is how long no new storage node may have come before the partitions of the
 	// turns are dealt out for the first time, and settledMost when that is done though
 	// fewer came than there should be.
-	settledFor  = 700 * time.Millisecond
-	settledMost = 5 * time.Second
+	storageSettleTime    = 700 * time.Millisecond
+	maxStorageSettleTime = 5 * time.Second
 	// submitWithin bounds a command of this node's own.
-	submitWithin = 2 * time.Second
+	submitTimeout = 2 * time.Second
 )
 
 // Coordinator is a core node.
 type Coordinator struct {
-	node   *node.Node
-	losses int // of machines, to be borne at once
-	news   *notifier
+	node            *node.Node
+	toleratedLosses int // of machines, to be borne at once
+	updates         *notifier
 	// staleAfter is the age at which this node no longer vouches for what it tells.
-	staleAfter time.Duration
-	listEvery  time.Duration // how often the platform is asked, while the duty is held
+	staleAfter   time.Duration
+	listInterval time.Duration // how often the platform is asked, while the duty is held
 
-	mu       sync.Mutex
-	planners map[replica.GroupID]*repair.Planner
-	seenAt   time.Time // when the number of storage nodes changed last
-	seen     int
-	began    time.Time
+	mu                    sync.Mutex
+	planners              map[replica.GroupID]*repair.Planner
+	storageCountChangedAt time.Time // when the number of storage nodes changed last
+	storageCount          int
+	startedAt             time.Time
 }
 
 // Options are what a Coordinator needs.
 type Options struct {
-	Node     *node.Node
-	Losses   int
-	Platform lister.Platform
-	First    bool // the whole system starts for the first time
-	Seeds    []string
+	Node            *node.Node
+	ToleratedLosses int
+	Platform        lister.Platform
+	Bootstrap       bool // the whole system starts for the first time
+	Seeds           []string
 	// ConfigApply is how soon after its acknowledgement a configuration must be in force
 	// everywhere; 0 for DefaultConfigApply.
 	ConfigApply time.Duration
 	// Drain is how soon after the platform's list shows it a draining server must get nothing
 	// new; 0 where that isn't known.
-	Drain time.Duration
+	DrainBound time.Duration
 }
 
 // DefaultConfigApply is the time for which operators commonly ask.
@@ -77,9 +77,9 @@
 // a second question, its answer and what they do with it must fit into the rest. An election
 // and the first proofs after it take 0.9 s, so that with the usual bounds most are not noticed.
 const (
-	stalePart  = 2
-	staleLeast = 400 * time.Millisecond
-	staleMost  = 2 * time.Second
+	staleAfterDivisor = 2
+	minStaleAfter     = 400 * time.Millisecond
+	maxStaleAfter     = 2 * time.Second
 )
 
 // StaleAfter is the age at which a core node no longer vouches for what it tells.
@@ -87,20 +87,20 @@
 	if configApply <= 0 {
 		configApply = DefaultConfigApply
 	}
-	return min(max(configApply/stalePart, staleLeast), staleMost)
+	return min(max(configApply/staleAfterDivisor, minStaleAfter), maxStaleAfter)
 }
 
 // New restores or begins the groups of a core node.
 func New(o Options) (*Coordinator, error) {
-	c := &Coordinator{node: o.Node, losses: o.Losses, news: newNotifier(), planners: map[replica.GroupID]*repair.Planner{}, began: time.Now(), staleAfter: StaleAfter(o.ConfigApply), listEvery: lister.Pause(o.Drain)}
+	c := &Coordinator{node: o.Node, toleratedLosses: o.ToleratedLosses, updates: newNotifier(), planners: map[replica.GroupID]*repair.Planner{}, startedAt: time.Now(), staleAfter: StaleAfter(o.ConfigApply), listInterval: lister.Interval(o.DrainBound)}
 	var first replica.Members
-	if o.First {
+	if o.Bootstrap {
 		for _, s := range o.Seeds {
-			first.Voters = append(first.Voters, node.FirstID(protocol.Core, s))
+			first.Voters = append(first.Voters, node.BootstrapID(protocol.Core, s))
 		}
 	}
 	for _, group := range Groups() {
-		if err := o.Node.Host.Add(group, first, nil, c.machine(group)); err != nil {
+		if err := o.Node.Host.Add(group, first, nil, c.newStateMachine(group)); err != nil {
 			return nil, errors.Wrap(err, string(group))
 		}
 		c.planners[group] = &repair.Planner{}
@@ -117,33 +117,33 @@
 	return groups
 }
 
-func (c *Coordinator) machine(group replica.GroupID) host.StateMachine {
+func (c *Coordinator) newStateMachine(group replica.GroupID) host.StateMachine {
 	switch group {
 	case protocol.ConfigurationGroup:
-		return revisions.New(c.news.tell)
+		return revisions.New(c.updates.notifyAll)
 	case protocol.ListerDuty:
-		return dutyMachine{}
+		return emptyStateMachine{}
 	}
-	return servers.New(c.news.tell)
+	return servers.New(c.updates.notifyAll)
 }
 
 // dutyMachine is the state of a duty: there is none, the group's owner holds it.
-type dutyMachine struct{}
+type emptyStateMachine struct{}
 
-func (dutyMachine) Apply([]byte) []byte  { return nil }
-func (dutyMachine) Snapshot() []byte     { return nil }
-func (dutyMachine) Restore([]byte) error { return nil }
+func (emptyStateMachine) Apply([]byte) []byte  { return nil }
+func (emptyStateMachine) Snapshot() []byte     { return nil }
+func (emptyStateMachine) Restore([]byte) error { return nil }
 
 // Run serves other processes on l until ctx ends or the disk fails.
 func (c *Coordinator) Run(ctx context.Context, l net.Listener, platform lister.Platform) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go c.register(ctx)
-	go c.tend(ctx)
-	go c.learn(ctx)
-	go c.clear(ctx)
-	go lister.New(platform, &listerDuty{c}, c.listEvery).Run(ctx)
-	return c.node.Serve(ctx, l, map[string]any{"Control": &controlCalls{c}})
+	go c.maintainGroups(ctx)
+	go c.learnDirectory(ctx)
+	go c.removeGoneNodes(ctx)
+	go lister.New(platform, &listerTask{c}, c.listInterval).Run(ctx)
+	return c.node.Serve(ctx, l, map[string]any{"Control": &controlService{c}})
 }
 
 // register has this node stand in the directory.
@@ -162,24 +162,24 @@
 	}
 	for ctx.Err() == nil {
 		if d := directory(); !slices.Contains(d.Nodes, n.Self) {
-			one, cancel := context.WithTimeout(ctx, submitWithin)
-			if _, err := n.Submit(one, protocol.ConfigurationGroup, text); err != nil {
+			submitCtx, cancel := context.WithTimeout(ctx, submitTimeout)
+			if _, err := n.Submit(submitCtx, protocol.ConfigurationGroup, text); err != nil {
 				klog.V(1).InfoS("Not registered yet", "cause", err)
 			}
 			cancel()
 		}
 		select {
-		case <-time.After(registerPause):
+		case <-time.After(registerRetryInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
 // learn takes on where the nodes of the directory are reached.
-func (c *Coordinator) learn(ctx context.Context) {
+func (c *Coordinator) learnDirectory(ctx context.Context) {
 	version := uint64(0)
 	for {
-		changed := c.news.changed()
+		changed := c.updates.changed()
 		if d := c.Directory(); d.Version != version {
 			version = d.Version
 			c.node.Learn(d)
@@ -200,8 +200,8 @@
 }
 
 // tend sees to the groups that this node owns, until ctx ends.
-func (c *Coordinator) tend(ctx context.Context) {
-	tick := time.NewTicker(repairEvery)
+func (c *Coordinator) maintainGroups(ctx context.Context) {
+	tick := time.NewTicker(repairInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -213,7 +213,7 @@
 		for _, group := range Groups() {
 			c.repair(ctx, group, directory)
 		}
-		c.assign(ctx, directory)
+		c.assignPartitions(ctx, directory)
 	}
 }
 
@@ -223,26 +223,26 @@
 	if err != nil || !status.LeaderReady {
 		return
 	}
-	cores := OfClass(d, protocol.Core)
-	if len(cores) < leastVoters && group != protocol.ConfigurationGroup || len(cores) == 0 {
+	cores := NodesOfClass(d, protocol.Core)
+	if len(cores) < minVoters && group != protocol.ConfigurationGroup || len(cores) == 0 {
 		return // the directory has yet to fill
 	}
-	view := repair.View{Status: status, Now: c.node.Now(), Silent: node.Silent, Nodes: c.withFirst(cores, status), Voters: Voters(c.losses, len(cores)), Everyone: true}
-	one, cancel := context.WithTimeout(ctx, submitWithin)
+	view := repair.View{Status: status, Now: c.node.Now(), LostAfter: node.MemberLostAfter, Nodes: c.withUnregisteredVoters(cores, status), TargetVoters: FeasibleVoters(c.toleratedLosses, len(cores)), AllAsLearners: true}
+	submitCtx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	if c.planners[group].Wanting(view) {
-		view.Alive = c.node.Alive(one, view.Nodes)
+	if c.planners[group].NeedsVoter(view) {
+		view.Alive = c.node.Alive(submitCtx, view.Nodes)
 	}
 	next, ok := c.planners[group].Plan(view)
 	if !ok {
 		return
 	}
-	err = c.node.Host.ChangeMembers(one, group, next)
+	err = c.node.Host.ChangeMembers(submitCtx, group, next)
 	klog.InfoS("The members of a group change", "group", group, "from", status.Members, "to", next, "cause", err)
 }
 
 // withFirst adds the first members that have not registered yet: they are no strangers.
-func (c *Coordinator) withFirst(cores []protocol.Node, status replica.Status) []protocol.Node {
+func (c *Coordinator) withUnregisteredVoters(cores []protocol.Node, status replica.Status) []protocol.Node {
 	nodes := slices.Clone(cores)
 	for _, id := range status.Members.Voters {
 		n, known := c.node.Addresses.Find(id)
@@ -255,31 +255,33 @@
 }
 
 // OfClass lists the directory's nodes of a class.
-func OfClass(d protocol.Directory, class protocol.Class) []protocol.Node {
+func NodesOfClass(d protocol.Directory, class protocol.Class) []protocol.Node {
 	return slices.DeleteFunc(slices.Clone(d.Nodes), func(n protocol.Node) bool { return n.Class != class })
 }
 
 // VotersWanted is how many voters a group should have where so many nodes may be lost at
 // once.
-func VotersWanted(losses int) int { return max(2*losses+1, leastVoters) }
+func TargetVoters(toleratedLosses int) int { return max(2*toleratedLosses+1, minVoters) }
 
 // Voters is how many voters a group can have of them where so many nodes are there.
-func Voters(losses, nodes int) int { return min(VotersWanted(losses), max(nodes, 1)) }
+func FeasibleVoters(toleratedLosses, nodes int) int {
+	return min(TargetVoters(toleratedLosses), max(nodes, 1))
+}
 
 // assign deals out the partitions of the turns once, when the storage nodes have come.
-func (c *Coordinator) assign(ctx context.Context, d protocol.Directory) {
+func (c *Coordinator) assignPartitions(ctx context.Context, d protocol.Directory) {
 	if len(d.Partitions) > 0 {
 		return
 	}
 	status, err := c.node.Host.Status(protocol.ConfigurationGroup)
-	nodes := OfClass(d, protocol.Storage)
-	if err != nil || !status.LeaderReady || len(nodes) == 0 || !c.settled(len(nodes)) {
+	nodes := NodesOfClass(d, protocol.Storage)
+	if err != nil || !status.LeaderReady || len(nodes) == 0 || !c.storageSettled(len(nodes)) {
 		return
 	}
 	assignment := &revisions.Assignment{}
 	for partition := range protocol.TurnPartitions(len(nodes)) {
-		ranked := hashingRank(protocol.TurnGroup(partition), nodes)
-		assignment.Partitions = append(assignment.Partitions, ranked[:Voters(c.losses, len(nodes))])
+		ranked := rankNodes(protocol.TurnGroup(partition), nodes)
+		assignment.Partitions = append(assignment.Partitions, ranked[:FeasibleVoters(c.toleratedLosses, len(nodes))])
 	}
 	if err := c.submit(ctx, &revisions.Command{Assign: assignment}); err != nil {
 		klog.ErrorS(err, "The partitions of the turns aren't dealt out yet")
@@ -287,15 +289,15 @@
 }
 
 // settled tells whether as many storage nodes have come as will.
-func (c *Coordinator) settled(nodes int) bool {
+func (c *Coordinator) storageSettled(nodes int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if nodes != c.seen {
-		c.seen, c.seenAt = nodes, now
+	if nodes != c.storageCount {
+		c.storageCount, c.storageCountChangedAt = nodes, now
 	}
-	enough := nodes >= VotersWanted(c.losses)
-	return now.Sub(c.seenAt) >= settledFor && (enough || now.Sub(c.began) >= settledMost)
+	enough := nodes >= TargetVoters(c.toleratedLosses)
+	return now.Sub(c.storageCountChangedAt) >= storageSettleTime && (enough || now.Sub(c.startedAt) >= maxStorageSettleTime)
 }
 
 func (c *Coordinator) submit(ctx context.Context, command *revisions.Command) error {
@@ -303,7 +305,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, submitWithin)
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	_, err = c.node.Submit(ctx, protocol.ConfigurationGroup, text)
 	return err
--- a/internal/barograph/coordinator/coordinator_test.go
+++ b/internal/barograph/coordinator/coordinator_test.go
@@ -17,15 +17,15 @@
 )
 
 // testWithin bounds each wait of a test that should not wait.
-const testWithin = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // alone starts a core node that is the only one. Where runs is false its groups have no owner.
-func alone(t *testing.T, runs bool) *Coordinator {
+func newSingleNode(t *testing.T, runs bool) *Coordinator {
 	t.Helper()
 	const address = "127.0.0.1:1"
-	n, err := node.Open(node.Options{Name: "c", Class: protocol.Core, Address: address, DataDir: t.TempDir(), First: true, Seeds: []string{address}})
+	n, err := node.Open(node.Options{Name: "c", Class: protocol.Core, Address: address, DataDir: t.TempDir(), Bootstrap: true, Seeds: []string{address}})
 	assert.NilError(t, err)
-	c, err := New(Options{Node: n, First: true, Seeds: []string{address}})
+	c, err := New(Options{Node: n, Bootstrap: true, Seeds: []string{address}})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
@@ -40,13 +40,13 @@
 	})
 	for _, group := range Groups() {
 		if runs {
-			awaitOwner(t, n, group)
+			awaitLeader(t, n, group)
 		}
 	}
 	return c
 }
 
-func awaitOwner(t *testing.T, n *node.Node, group replica.GroupID) {
+func awaitLeader(t *testing.T, n *node.Node, group replica.GroupID) {
 	t.Helper()
 	for {
 		_, changed := n.Host.Applied(group)
@@ -57,7 +57,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(testWithin):
+		case <-time.After(testTimeout):
 			t.Fatal("no owner")
 		}
 	}
@@ -68,17 +68,17 @@
 }
 
 func TestConfigurationIsReplacedAndShown(t *testing.T) {
-	c := alone(t, true)
+	c := newSingleNode(t, true)
 	ctx := t.Context()
 	_, err := c.Show(ctx)
-	assert.ErrorIs(t, err, operators.ErrNone)
-	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, operators.ReplaceTaken)
-	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, operators.ReplaceTaken, "sent again")
+	assert.ErrorIs(t, err, operators.ErrNoConfiguration)
+	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, operators.ReplaceAccepted)
+	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, operators.ReplaceAccepted, "sent again")
 	assert.Equal(t, c.Replace(ctx, 0, configuration(6)).Result, operators.ReplaceConflict)
 	assert.Equal(t, c.Replace(ctx, 5, configuration(5)).Result, operators.ReplaceInvalid)
 	assert.Equal(t, c.Replace(ctx, 5, []byte("{")).Result, operators.ReplaceInvalid)
-	assert.Equal(t, c.Replace(ctx, 5, configuration(9)).Result, operators.ReplaceTaken)
-	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, operators.ReplaceTaken, "sent again, though another is in force")
+	assert.Equal(t, c.Replace(ctx, 5, configuration(9)).Result, operators.ReplaceAccepted)
+	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, operators.ReplaceAccepted, "sent again, though another is in force")
 	body, err := c.Show(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), string(configuration(9)))
@@ -87,7 +87,7 @@
 // A change on a base that isn't in force must not stand in the log: a late try of it could
 // come into force once the base has, though it was refused.
 func TestChangeOnAFutureBaseIsNotProposed(t *testing.T) {
-	c := alone(t, true)
+	c := newSingleNode(t, true)
 	before, err := c.node.Host.Status(protocol.ConfigurationGroup)
 	assert.NilError(t, err)
 	assert.Equal(t, c.Replace(t.Context(), 7, configuration(8)).Result, operators.ReplaceConflict)
@@ -98,7 +98,7 @@
 
 // Without an owner nothing is refused.
 func TestNothingIsDecidedWithoutAnOwner(t *testing.T) {
-	c := alone(t, false)
+	c := newSingleNode(t, false)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for _, base := range []uint64{0, 7} {
@@ -109,19 +109,19 @@
 	assert.Equal(t, c.RetireBegin(ctx, "s", 0), operators.RetireUncertain)
 	_, err = c.RetireShow(ctx, "s")
 	assert.ErrorIs(t, err, operators.ErrUnavailable)
-	_, held := (&listerDuty{c}).Held()
+	_, held := (&listerTask{c}).Held()
 	assert.Assert(t, !held)
 }
 
 func TestDutyIsHeldByTheOwner(t *testing.T) {
-	c := alone(t, true)
-	epoch, held := (&listerDuty{c}).Held()
+	c := newSingleNode(t, true)
+	epoch, held := (&listerTask{c}).Held()
 	assert.Assert(t, held)
 	assert.Equal(t, epoch, uint64(1))
 }
 
 func TestRetirement(t *testing.T) {
-	c := alone(t, true)
+	c := newSingleNode(t, true)
 	ctx := t.Context()
 	for i := range 4 {
 		n := protocol.Node{ID: replica.NodeID(i + 1), Name: fmt.Sprint("s", i), Class: protocol.Storage, Address: fmt.Sprint("s:", i)}
@@ -135,12 +135,12 @@
 	assert.Equal(t, c.RetireBegin(ctx, "s1", 0), operators.RetireTooFew)
 	state, err := c.RetireShow(ctx, "s0")
 	assert.NilError(t, err)
-	assert.Equal(t, state, operators.RetireRolling, "the partitions aren't dealt out yet")
+	assert.Equal(t, state, operators.RetireInProgress, "the partitions aren't dealt out yet")
 	assert.NilError(t, c.submit(ctx, &revisions.Command{Assign: &revisions.Assignment{Partitions: [][]replica.NodeID{{1, 2, 3}, {2, 3, 4}}}}))
 	state, err = c.RetireShow(ctx, "s0")
 	assert.NilError(t, err)
-	assert.Equal(t, state, operators.RetireRolling)
-	assert.NilError(t, c.submit(ctx, &revisions.Command{Moved: &revisions.Moved{Partition: 0, Change: 4, Voters: []replica.NodeID{2, 3, 4}}}))
+	assert.Equal(t, state, operators.RetireInProgress)
+	assert.NilError(t, c.submit(ctx, &revisions.Command{Membership: &revisions.MembershipUpdate{Partition: 0, Change: 4, Voters: []replica.NodeID{2, 3, 4}}}))
 	state, err = c.RetireShow(ctx, "s0")
 	assert.NilError(t, err)
 	assert.Equal(t, state, operators.RetireCompleted)
@@ -149,7 +149,7 @@
 func TestNewsWakeAllWhoWait(t *testing.T) {
 	n := newNotifier()
 	first, second := n.changed(), n.changed()
-	n.tell()
+	n.notifyAll()
 	<-first
 	<-second
 	select {
--- a/internal/barograph/coordinator/gone.go
+++ b/internal/barograph/coordinator/gone_nodes.go
@@ -16,15 +16,15 @@
 	// goneEvery is how often the directory's nodes are asked whether they are there, and
 	// goneAfter how long one may say nothing before it is forgotten: longer than any repair
 	// of a machine that comes back with its disk and its name.
-	goneEvery = 15 * time.Second
-	goneAfter = 10 * time.Minute
+	goneCheckInterval = 15 * time.Second
+	removeAfter       = 10 * time.Minute
 )
 
 // graveyard remembers since when nodes say nothing.
-type graveyard map[replica.NodeID]time.Time
+type silenceTracker map[replica.NodeID]time.Time
 
 // due notes who answers now and returns who has been silent for too long.
-func (g graveyard) due(now time.Time, nodes, alive []protocol.Node) []replica.NodeID {
+func (g silenceTracker) observe(now time.Time, nodes, alive []protocol.Node) []replica.NodeID {
 	var gone []replica.NodeID
 	for _, n := range nodes {
 		since, silent := g[n.ID]
@@ -33,7 +33,7 @@
 			delete(g, n.ID)
 		case !silent:
 			g[n.ID] = now
-		case now.Sub(since) >= goneAfter:
+		case now.Sub(since) >= removeAfter:
 			gone = append(gone, n.ID)
 		}
 	}
@@ -42,10 +42,10 @@
 
 // clear takes nodes that are gone for good out of the directory, while this node owns the
 // configuration.
-func (c *Coordinator) clear(ctx context.Context) {
-	tick := time.NewTicker(goneEvery)
+func (c *Coordinator) removeGoneNodes(ctx context.Context) {
+	tick := time.NewTicker(goneCheckInterval)
 	defer tick.Stop()
-	silent := graveyard{}
+	silent := silenceTracker{}
 	for {
 		select {
 		case <-tick.C:
@@ -54,11 +54,11 @@
 		}
 		status, err := c.node.Host.Status(protocol.ConfigurationGroup)
 		if err != nil || !status.LeaderReady {
-			silent = graveyard{}
+			silent = silenceTracker{}
 			continue
 		}
 		nodes := c.Directory().Nodes
-		for _, id := range silent.due(time.Now(), nodes, c.node.Alive(ctx, nodes)) {
+		for _, id := range silent.observe(time.Now(), nodes, c.node.Alive(ctx, nodes)) {
 			err := c.submit(ctx, &revisions.Command{Forget: id})
 			klog.InfoS("A node that is gone leaves the directory", "id", id, "cause", err)
 			delete(silent, id)
--- a/internal/barograph/coordinator/duty_test.go
+++ b/internal/barograph/coordinator/lister_task_test.go
@@ -19,7 +19,7 @@
 		}
 		holder, seen := voters[0], map[replica.NodeID]bool{voters[0]: true}
 		for range size - 1 {
-			holder = heirs(voters, holder)[0]
+			holder = nextVoters(voters, holder)[0]
 			seen[holder] = true
 		}
 		assert.Equal(t, len(seen), size)
@@ -28,8 +28,8 @@
 
 func TestHeirsAreTheOthers(t *testing.T) {
 	voters := []replica.NodeID{4, 9, 2}
-	assert.DeepEqual(t, heirs(voters, 9), []replica.NodeID{2, 4})
-	assert.DeepEqual(t, heirs(voters, 2), []replica.NodeID{4, 9})
-	assert.DeepEqual(t, heirs(voters, 77), voters)
+	assert.DeepEqual(t, nextVoters(voters, 9), []replica.NodeID{2, 4})
+	assert.DeepEqual(t, nextVoters(voters, 2), []replica.NodeID{4, 9})
+	assert.DeepEqual(t, nextVoters(voters, 77), voters)
 	assert.Assert(t, slices.Equal(voters, []replica.NodeID{4, 9, 2}), "the voters stay as they are")
 }
--- a/internal/barograph/coordinator/notifier.go
+++ b/internal/barograph/coordinator/notifier.go
@@ -17,7 +17,7 @@
 func newNotifier() *notifier { return &notifier{next: make(chan struct{})} }
 
 // tell wakes all who wait.
-func (n *notifier) tell() {
+func (n *notifier) notifyAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	close(n.next)
@@ -32,7 +32,7 @@
 }
 
 // hashingRank lists the ids of nodes in a group's order.
-func hashingRank(group replica.GroupID, nodes []protocol.Node) []replica.NodeID {
+func rankNodes(group replica.GroupID, nodes []protocol.Node) []replica.NodeID {
 	ranked := hashing.Rank(string(group), nodes, func(n protocol.Node) uint64 { return uint64(n.ID) })
 	ids := make([]replica.NodeID, 0, len(ranked))
 	for _, n := range ranked {
--- a/internal/barograph/keeper/calls.go
+++ b/internal/barograph/keeper/calls.go
@@ -13,16 +13,16 @@
 )
 
 // turnCalls are the calls that data-plane nodes make to a storage node.
-type turnCalls struct{ k *Keeper }
+type turnsService struct{ k *Keeper }
 
 // Admit reserves a turn's tokens and tells what was said before.
-func (s *turnCalls) Admit(args *protocol.AdmitArgs, reply *protocol.AdmitReply) error {
+func (s *turnsService) Admit(args *protocol.AdmitArgs, reply *protocol.AdmitReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Within)
 	defer cancel()
 	group := protocol.TurnGroup(args.Partition)
 	admission := &turns.Admission{
 		Program: args.Program, Attempt: args.Attempt, Previous: args.Previous, Imported: args.Imported,
-		Budget: args.Budget, Most: args.Most, Keep: args.Keep, Token: args.Token,
+		Budget: args.Budget, MaxTokens: args.Most, Retention: args.Keep, Token: args.Token,
 	}
 	result, err := s.k.propose(ctx, group, &turns.Command{Admit: admission})
 	if reply.Outcome, reply.Owner = outcomeOf(result, err); reply.Outcome != protocol.TurnGranted {
@@ -40,21 +40,21 @@
 }
 
 // Finish ends a try, and keeps its turn where that was answered whole.
-func (s *turnCalls) Finish(args *protocol.FinishArgs, reply *protocol.FinishReply) error {
+func (s *turnsService) Finish(args *protocol.FinishArgs, reply *protocol.FinishReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Within)
 	defer cancel()
 	group := protocol.TurnGroup(args.Partition)
-	ending := &turns.Ending{
-		Program: args.Program, Attempt: args.Attempt, Whole: args.Whole, Tokens: args.Tokens, Previous: args.Previous,
-		Imported: args.Imported, Input: args.Input, Output: args.Output, Keep: args.Keep, Token: args.Token,
+	ending := &turns.Completion{
+		Program: args.Program, Attempt: args.Attempt, Complete: args.Whole, Tokens: args.Tokens, Previous: args.Previous,
+		Imported: args.Imported, Input: args.Input, Output: args.Output, Retention: args.Keep, Token: args.Token,
 	}
-	result, err := s.k.propose(ctx, group, &turns.Command{End: ending})
+	result, err := s.k.propose(ctx, group, &turns.Command{Finish: ending})
 	reply.Outcome, reply.Owner = outcomeOf(result, err)
 	return nil
 }
 
 // Find looks for a turn in all partitions that this node surely owns.
-func (s *turnCalls) Find(args *protocol.FindArgs, reply *protocol.FindReply) error {
+func (s *turnsService) Find(args *protocol.FindArgs, reply *protocol.FindReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Within)
 	defer cancel()
 	for _, partition := range s.k.partitions() {
@@ -90,16 +90,16 @@
 	return turns.ReadResult(answer)
 }
 
-var results = map[turns.Result]protocol.TurnOutcome{
-	turns.Granted: protocol.TurnGranted,
-	turns.Spent:   protocol.TurnSpent,
-	turns.Missing: protocol.TurnMissing,
-	turns.Closed:  protocol.TurnClosed,
+var turnOutcomes = map[turns.Result]protocol.TurnOutcome{
+	turns.Accepted:        protocol.TurnGranted,
+	turns.BudgetExhausted: protocol.TurnSpent,
+	turns.UnknownTurn:     protocol.TurnMissing,
+	turns.AttemptClosed:   protocol.TurnClosed,
 }
 
 func outcomeOf(result turns.Result, err error) (protocol.TurnOutcome, replica.NodeID) {
 	if err == nil {
-		return results[result], 0
+		return turnOutcomes[result], 0
 	}
 	var unread *turns.ResultError
 	if errors.As(err, &unread) {
--- a/internal/barograph/keeper/calls_test.go
+++ b/internal/barograph/keeper/calls_test.go
@@ -22,10 +22,10 @@
 		want   protocol.TurnOutcome
 		owner  replica.NodeID
 	}{
-		{turns.Granted, nil, protocol.TurnGranted, 0},
-		{turns.Spent, nil, protocol.TurnSpent, 0},
-		{turns.Missing, nil, protocol.TurnMissing, 0},
-		{turns.Closed, nil, protocol.TurnClosed, 0},
+		{turns.Accepted, nil, protocol.TurnGranted, 0},
+		{turns.BudgetExhausted, nil, protocol.TurnSpent, 0},
+		{turns.UnknownTurn, nil, protocol.TurnMissing, 0},
+		{turns.AttemptClosed, nil, protocol.TurnClosed, 0},
 		{0, &turns.ResultError{}, protocol.TurnUnavailable, 0},
 		{0, &replica.NotLeaderError{Leader: 5}, protocol.TurnNotOwner, 5},
 		{0, &host.UnknownOutcomeError{Cause: &replica.NotLeaderError{Leader: 5}}, protocol.TurnUnknown, 5},
--- a/internal/barograph/keeper/keeper.go
+++ b/internal/barograph/keeper/keeper.go
@@ -26,41 +26,41 @@
 
 const (
 	// repairEvery is how often an owner looks whether its partition needs another member.
-	repairEvery = 150 * time.Millisecond
+	repairInterval = 150 * time.Millisecond
 	// forgetEvery is how often an owner looks for programs that are kept no longer.
-	forgetEvery = 5 * time.Second
+	forgetInterval = 5 * time.Second
 	// keepLonger is added to the time for which programs are kept, and forgetMost how many
 	// are forgotten at once.
-	keepLonger = 10 * time.Second
-	forgetMost = 64
+	retentionSlack     = 10 * time.Second
+	maxForgottenAtOnce = 64
 	// submitWithin bounds a command of this node's own.
-	submitWithin = 2 * time.Second
+	submitTimeout = 2 * time.Second
 )
 
 // Keeper is a storage node.
 type Keeper struct {
-	node     *node.Node
-	losses   int
-	follower *follow.Follower
+	node            *node.Node
+	toleratedLosses int
+	follower        *follow.Follower
 
-	mu       sync.Mutex
-	held     map[int]bool // partitions whose group is open here
-	planners map[int]*repair.Planner
-	reported map[int]uint64 // the change of members that the directory was told of
+	mu             sync.Mutex
+	openPartitions map[int]bool // partitions whose group is open here
+	planners       map[int]*repair.Planner
+	reported       map[int]uint64 // the change of members that the directory was told of
 }
 
 // Options are what a Keeper needs.
 type Options struct {
-	Node   *node.Node
-	Name   string
-	Losses int
-	Seeds  []string
+	Node            *node.Node
+	Name            string
+	ToleratedLosses int
+	Seeds           []string
 }
 
 // New restores the groups that the disk holds.
 func New(o Options) (*Keeper, error) {
-	k := &Keeper{node: o.Node, losses: o.Losses, held: map[int]bool{}, planners: map[int]*repair.Planner{}, reported: map[int]uint64{}}
-	k.follower = follow.New(follow.Options{Name: o.Name, Seeds: o.Seeds, Slots: o.Losses + 1, DirectoryOnly: true, Pool: o.Node.Pool, Told: k.told})
+	k := &Keeper{node: o.Node, toleratedLosses: o.ToleratedLosses, openPartitions: map[int]bool{}, planners: map[int]*repair.Planner{}, reported: map[int]uint64{}}
+	k.follower = follow.New(follow.Options{Name: o.Name, Seeds: o.Seeds, Slots: o.ToleratedLosses + 1, DirectoryOnly: true, Pool: o.Node.Pool, Told: k.applyUpdate})
 	for _, group := range o.Node.Host.StoredGroups() {
 		partition, ok := protocol.TurnPartitionOf(group)
 		if !ok {
@@ -77,20 +77,20 @@
 func (k *Keeper) open(partition int, first replica.Members) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.held[partition] {
+	if k.openPartitions[partition] {
 		return nil
 	}
 	if err := k.node.Host.Add(protocol.TurnGroup(partition), first, nil, turns.New(k.node.Now)); err != nil {
 		return err
 	}
-	k.held[partition] = true
+	k.openPartitions[partition] = true
 	k.planners[partition] = &repair.Planner{}
 	return nil
 }
 
 // Follow opens the group of a partition that another member speaks of. It is for
 // host.Options.Unknown.
-func (k *Keeper) Follow(group replica.GroupID) bool {
+func (k *Keeper) JoinGroup(group replica.GroupID) bool {
 	partition, ok := protocol.TurnPartitionOf(group)
 	if !ok {
 		return false
@@ -103,7 +103,7 @@
 }
 
 // told takes news of the control plane.
-func (k *Keeper) told(n follow.News) {
+func (k *Keeper) applyUpdate(n follow.News) {
 	if n.Directory == nil {
 		return
 	}
@@ -126,12 +126,12 @@
 	defer cancel()
 	go k.follower.Run(ctx)
 	go coordinator.Register(ctx, k.node, k.follower.Directory)
-	go k.every(ctx, repairEvery, k.tend)
-	go k.every(ctx, forgetEvery, k.forget)
-	return k.node.Serve(ctx, l, map[string]any{"Turns": &turnCalls{k}})
+	go k.runEvery(ctx, repairInterval, k.maintainPartitions)
+	go k.runEvery(ctx, forgetInterval, k.forgetIdlePrograms)
+	return k.node.Serve(ctx, l, map[string]any{"Turns": &turnsService{k}})
 }
 
-func (k *Keeper) every(ctx context.Context, pause time.Duration, step func(context.Context)) {
+func (k *Keeper) runEvery(ctx context.Context, pause time.Duration, step func(context.Context)) {
 	tick := time.NewTicker(pause)
 	defer tick.Stop()
 	for {
@@ -147,11 +147,11 @@
 func (k *Keeper) partitions() []int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return slices.Sorted(maps.Keys(k.held))
+	return slices.Sorted(maps.Keys(k.openPartitions))
 }
 
 // tend sees to the members of the partitions that this node owns.
-func (k *Keeper) tend(ctx context.Context) {
+func (k *Keeper) maintainPartitions(ctx context.Context) {
 	directory := k.follower.Directory()
 	if len(directory.Partitions) == 0 {
 		return
@@ -170,31 +170,31 @@
 // repair makes one change to a partition's members where one is due, and has the
 // directory tell of changes that are made.
 func (k *Keeper) repair(ctx context.Context, partition int, status replica.Status, d protocol.Directory) {
-	ctx, cancel := context.WithTimeout(ctx, submitWithin)
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	if k.handOver(status, d) {
+	if k.transferLeadership(status, d) {
 		return
 	}
 	if partition >= len(d.Partitions) {
 		return
 	}
-	nodes := coordinator.OfClass(d, protocol.Storage)
+	nodes := coordinator.NodesOfClass(d, protocol.Storage)
 	staying := 0
 	for _, n := range nodes {
 		if !slices.Contains(d.Retiring, n.Name) {
 			staying++
 		}
 	}
-	view := repair.View{Status: status, Now: k.node.Now(), Silent: node.Silent, Nodes: nodes, Retiring: d.Retiring, Voters: coordinator.Voters(k.losses, staying)}
+	view := repair.View{Status: status, Now: k.node.Now(), LostAfter: node.MemberLostAfter, Nodes: nodes, Retiring: d.Retiring, TargetVoters: coordinator.FeasibleVoters(k.toleratedLosses, staying)}
 	planner := k.planner(partition)
-	if planner.Wanting(view) {
+	if planner.NeedsVoter(view) {
 		view.Alive = k.node.Alive(ctx, nodes)
 	}
 	next, due := planner.Plan(view)
 	if !slices.Equal(d.Partitions[partition].Voters, next.Voters) {
-		k.report(ctx, partition, status, d)
+		k.reportMembers(ctx, partition, status, d)
 	}
-	if !due || !k.announce(ctx, partition, status, d, next) {
+	if !due || !k.announceVoter(ctx, partition, status, d, next) {
 		return
 	}
 	err := k.node.Host.ChangeMembers(ctx, protocol.TurnGroup(partition), next)
@@ -209,7 +209,7 @@
 
 // handOver gives the ownership away where this node is to be emptied and others can do
 // without it.
-func (k *Keeper) handOver(status replica.Status, d protocol.Directory) bool {
+func (k *Keeper) transferLeadership(status replica.Status, d protocol.Directory) bool {
 	if !slices.Contains(d.Retiring, k.node.Self.Name) {
 		return false
 	}
@@ -226,32 +226,32 @@
 // report has the directory tell who keeps a partition now, also where somebody who was
 // announced didn't become a voter. Who still is to become one stays announced: if it were taken
 // back first, an announcement whose answer is lost could undo itself again and again.
-func (k *Keeper) report(ctx context.Context, partition int, status replica.Status, d protocol.Directory) {
-	told := d.Partitions[partition]
-	if status.ChangePending || slices.Equal(told.Voters, status.Members.Voters) {
+func (k *Keeper) reportMembers(ctx context.Context, partition int, status replica.Status, d protocol.Directory) {
+	listed := d.Partitions[partition]
+	if status.ChangePending || slices.Equal(listed.Voters, status.Members.Voters) {
 		return
 	}
-	moved := &revisions.Moved{Partition: partition, Change: status.CommitIndex, Voters: status.Members.Voters}
-	if told.Change == status.CommitIndex {
-		moved.Step = told.Step + 1
+	update := &revisions.MembershipUpdate{Partition: partition, Change: status.CommitIndex, Voters: status.Members.Voters}
+	if listed.Change == status.CommitIndex {
+		update.Step = listed.Step + 1
 	}
-	if _, err := k.move(ctx, moved); err != nil {
+	if _, err := k.submitMembership(ctx, update); err != nil {
 		klog.V(1).InfoS("The directory isn't told of a partition's members yet", "partition", partition, "cause", err)
 	}
 }
 
 // announce has the directory tell who is about to become a voter of a partition. Where it is
 // false nobody may: the directory is another by now, or the node is to be emptied.
-func (k *Keeper) announce(ctx context.Context, partition int, status replica.Status, d protocol.Directory, next replica.Members) bool {
+func (k *Keeper) announceVoter(ctx context.Context, partition int, status replica.Status, d protocol.Directory, next replica.Members) bool {
 	if len(next.Voters) <= len(status.Members.Voters) {
 		return true // nobody becomes a voter: one comes or goes at a time
 	}
-	moved := &revisions.Moved{Partition: partition, Change: status.CommitIndex, Ahead: true, Voters: next.Voters}
-	if told := d.Partitions[partition]; told.Change == status.CommitIndex {
-		moved.Step = told.Step + 1
+	update := &revisions.MembershipUpdate{Partition: partition, Change: status.CommitIndex, Announced: true, Voters: next.Voters}
+	if listed := d.Partitions[partition]; listed.Change == status.CommitIndex {
+		update.Step = listed.Step + 1
 	}
-	result, err := k.move(ctx, moved)
-	if err != nil || result != revisions.Taken {
+	result, err := k.submitMembership(ctx, update)
+	if err != nil || result != revisions.Accepted {
 		klog.V(1).InfoS("A partition gets no new voter yet", "partition", partition, "result", result, "cause", err)
 		return false
 	}
@@ -260,8 +260,8 @@
 }
 
 // move tells the directory of a partition's members.
-func (k *Keeper) move(ctx context.Context, moved *revisions.Moved) (revisions.Result, error) {
-	command := revisions.Command{Moved: moved}
+func (k *Keeper) submitMembership(ctx context.Context, update *revisions.MembershipUpdate) (revisions.Result, error) {
+	command := revisions.Command{Membership: update}
 	text, err := command.Encode()
 	if err != nil {
 		return 0, err
@@ -274,22 +274,24 @@
 }
 
 // forget drops programs that are kept no longer, in the partitions that this node owns.
-func (k *Keeper) forget(ctx context.Context) {
+func (k *Keeper) forgetIdlePrograms(ctx context.Context) {
 	for _, partition := range k.partitions() {
 		group := protocol.TurnGroup(partition)
 		status, err := k.node.Host.Status(group)
 		if err != nil || !status.LeaderReady {
 			continue
 		}
-		var resting []turns.Rest
-		k.node.Host.ReadLocal(group, func(m host.StateMachine) { resting = m.(*turns.Machine).Resting(keepLonger, forgetMost) })
+		var resting []turns.IdleProgram
+		k.node.Host.ReadLocal(group, func(m host.StateMachine) {
+			resting = m.(*turns.Machine).IdlePrograms(retentionSlack, maxForgottenAtOnce)
+		})
 		if len(resting) == 0 {
 			continue
 		}
 		command := turns.Command{Forget: resting}
 		if text, err := command.Encode(); err == nil {
-			one, cancel := context.WithTimeout(ctx, submitWithin)
-			k.node.Host.Propose(one, group, text)
+			submitCtx, cancel := context.WithTimeout(ctx, submitTimeout)
+			k.node.Host.Propose(submitCtx, group, text)
 			cancel()
 		}
 	}
--- a/internal/barograph/keeper/keeper_test.go
+++ b/internal/barograph/keeper/keeper_test.go
@@ -14,14 +14,14 @@
 )
 
 // testWithin bounds each wait of a test that should not wait.
-const testWithin = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // alone starts a storage node that keeps two partitions by itself.
-func alone(t *testing.T) (*Keeper, *turnCalls) {
+func newSingleNode(t *testing.T) (*Keeper, *turnsService) {
 	t.Helper()
-	n, err := node.Open(node.Options{Name: "s", Class: protocol.Storage, Address: "127.0.0.1:1", DataDir: t.TempDir(), First: true})
+	n, err := node.Open(node.Options{Name: "s", Class: protocol.Storage, Address: "127.0.0.1:1", DataDir: t.TempDir(), Bootstrap: true})
 	assert.NilError(t, err)
-	k, err := New(Options{Node: n, Name: "s", Losses: 0})
+	k, err := New(Options{Node: n, Name: "s", ToleratedLosses: 0})
 	assert.NilError(t, err)
 	for partition := range 2 {
 		assert.NilError(t, k.open(partition, replica.Members{Voters: []replica.NodeID{n.Self.ID}}))
@@ -36,12 +36,12 @@
 		n.Close()
 	})
 	for partition := range 2 {
-		awaitOwner(t, n, protocol.TurnGroup(partition))
+		awaitLeader(t, n, protocol.TurnGroup(partition))
 	}
-	return k, &turnCalls{k}
+	return k, &turnsService{k}
 }
 
-func awaitOwner(t *testing.T, n *node.Node, group replica.GroupID) {
+func awaitLeader(t *testing.T, n *node.Node, group replica.GroupID) {
 	t.Helper()
 	for {
 		_, changed := n.Host.Applied(group)
@@ -52,37 +52,37 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(testWithin):
+		case <-time.After(testTimeout):
 			t.Fatal("no owner")
 		}
 	}
 }
 
-func (s *turnCalls) admit(t *testing.T, args protocol.AdmitArgs) protocol.AdmitReply {
+func (s *turnsService) admit(t *testing.T, args protocol.AdmitArgs) protocol.AdmitReply {
 	t.Helper()
-	args.Within = testWithin
+	args.Within = testTimeout
 	var reply protocol.AdmitReply
 	assert.NilError(t, s.Admit(&args, &reply))
 	return reply
 }
 
-func (s *turnCalls) finish(t *testing.T, args protocol.FinishArgs) protocol.TurnOutcome {
+func (s *turnsService) finish(t *testing.T, args protocol.FinishArgs) protocol.TurnOutcome {
 	t.Helper()
-	args.Within = testWithin
+	args.Within = testTimeout
 	var reply protocol.FinishReply
 	assert.NilError(t, s.Finish(&args, &reply))
 	return reply.Outcome
 }
 
-func (s *turnCalls) find(t *testing.T, attempt string) protocol.FindReply {
+func (s *turnsService) find(t *testing.T, attempt string) protocol.FindReply {
 	t.Helper()
 	var reply protocol.FindReply
-	assert.NilError(t, s.Find(&protocol.FindArgs{Attempt: attempt, Within: testWithin}, &reply))
+	assert.NilError(t, s.Find(&protocol.FindArgs{Attempt: attempt, Within: testTimeout}, &reply))
 	return reply
 }
 
 func TestTurnGoesOnFromWhatWasSaid(t *testing.T) {
-	_, calls := alone(t)
+	_, calls := newSingleNode(t)
 	first := protocol.AdmitArgs{Program: "p", Attempt: "a", Budget: 10, Most: 6, Token: 1}
 	assert.Equal(t, calls.admit(t, first).Outcome, protocol.TurnGranted)
 	assert.Equal(t, calls.admit(t, first).Outcome, protocol.TurnGranted, "asked again")
@@ -101,7 +101,7 @@
 }
 
 func TestTurnIsFoundWhereverItIsKept(t *testing.T) {
-	_, calls := alone(t)
+	_, calls := newSingleNode(t)
 	assert.Equal(t, len(calls.find(t, "a").Without), 2)
 	admission := protocol.AdmitArgs{Partition: 1, Program: "p", Attempt: "a", Budget: 10, Most: 6}
 	assert.Equal(t, calls.admit(t, admission).Outcome, protocol.TurnGranted)
@@ -113,10 +113,10 @@
 }
 
 func TestPartitionThatIsNotHeldIsUnavailable(t *testing.T) {
-	k, calls := alone(t)
+	k, calls := newSingleNode(t)
 	assert.Equal(t, calls.admit(t, protocol.AdmitArgs{Partition: 5}).Outcome, protocol.TurnUnavailable)
-	assert.Assert(t, !k.Follow("services-1"))
-	assert.Assert(t, k.Follow(protocol.TurnGroup(5)))
+	assert.Assert(t, !k.JoinGroup("services-1"))
+	assert.Assert(t, k.JoinGroup(protocol.TurnGroup(5)))
 	assert.Equal(t, calls.admit(t, protocol.AdmitArgs{Partition: 5}).Outcome, protocol.TurnNotOwner)
 	assert.DeepEqual(t, calls.find(t, "a").Without, []int{0, 1})
 }
--- a/internal/barograph/lister/lister.go
+++ b/internal/barograph/lister/lister.go
@@ -18,11 +18,11 @@
 	// pauseShare is the part of the drain bound that passes between two listings: a drain must
 	// be known everywhere within that bound, also where a listing fails or the duty changes
 	// hands, and each call has a price. leastPause and mostPause bound the pause.
-	pauseShare = 0.25
-	leastPause = 500 * time.Millisecond
-	mostPause  = time.Second
+	drainBoundShare = 0.25
+	minListInterval = 500 * time.Millisecond
+	maxListInterval = time.Second
 	// giveUpAfter is how many listings may fail in a row before the duty is handed on.
-	giveUpAfter = 4
+	maxConsecutiveFailures = 4
 )
 
 // Platform lists the servers of all services.
@@ -31,7 +31,7 @@
 }
 
 // Duty is the holder's standing and how its news get out.
-type Duty interface {
+type Task interface {
 	// Held tells whether this node surely holds the duty now, and in which epoch.
 	Held() (epoch uint64, ok bool)
 	// Lists returns what a partition holds, as far as this node knows.
@@ -43,30 +43,30 @@
 }
 
 // Pause is how long to wait between two listings, so that drains are known within a bound.
-func Pause(drain time.Duration) time.Duration {
-	return min(max(time.Duration(pauseShare*float64(drain)), leastPause), mostPause)
+func Interval(drain time.Duration) time.Duration {
+	return min(max(time.Duration(drainBoundShare*float64(drain)), minListInterval), maxListInterval)
 }
 
 // Lister carries out the duty while its node holds it.
 type Lister struct {
-	pause    time.Duration
+	interval time.Duration
 	platform Platform
-	duty     Duty
+	task     Task
 	sequence uint64
 	failures int
 }
 
 // New returns a Lister that pauses for so long between two listings.
-func New(p Platform, d Duty, pause time.Duration) *Lister {
-	return &Lister{platform: p, duty: d, pause: pause}
+func New(p Platform, d Task, interval time.Duration) *Lister {
+	return &Lister{platform: p, task: d, interval: interval}
 }
 
 // Run lists while the duty is held, until ctx ends.
 func (l *Lister) Run(ctx context.Context) {
-	tick := time.NewTicker(l.pause)
+	tick := time.NewTicker(l.interval)
 	defer tick.Stop()
 	for {
-		l.Once(ctx)
+		l.ListOnce(ctx)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -76,46 +76,46 @@
 }
 
 // Once lists where the duty is held, and publishes what has changed.
-func (l *Lister) Once(ctx context.Context) {
-	epoch, held := l.duty.Held()
+func (l *Lister) ListOnce(ctx context.Context) {
+	epoch, held := l.task.Held()
 	if !held {
 		l.failures = 0
 		return
 	}
 	lists, err := l.platform.List(ctx)
 	if err != nil {
-		l.failed(err)
+		l.recordFailure(err)
 		return
 	}
 	l.failures = 0
 	for partition := range protocol.ServicePartitions {
-		changed := differences(partition, l.duty.Lists(partition), lists)
+		changed := changedServices(partition, l.task.Lists(partition), lists)
 		if len(changed) == 0 {
 			continue
 		}
 		l.sequence++
 		p := &servers.Publication{Epoch: epoch, Sequence: l.sequence, Services: changed}
-		if err := l.duty.Publish(ctx, partition, p); err != nil {
+		if err := l.task.Publish(ctx, partition, p); err != nil {
 			klog.ErrorS(err, "A change of servers didn't get to its partition; it is sent again", "partition", partition)
 		}
 	}
 }
 
-func (l *Lister) failed(err error) {
+func (l *Lister) recordFailure(err error) {
 	l.failures++
-	if l.failures < giveUpAfter {
+	if l.failures < maxConsecutiveFailures {
 		return
 	}
 	l.failures = 0
 	klog.ErrorS(err, "The platform's list can't be had from here: the duty goes to another node")
-	l.duty.GiveUp()
+	l.task.GiveUp()
 }
 
 // differences lists the services of a partition whose servers differ from what is held.
-func differences(partition int, held []protocol.ServerList, seen map[string][]protocol.Server) []servers.Service {
+func changedServices(partition int, held []protocol.ServerList, seen map[string][]protocol.Server) []servers.Service {
 	var changed []servers.Service
 	for _, h := range held {
-		if !same(h.Servers, seen[h.Service]) {
+		if !sameServers(h.Servers, seen[h.Service]) {
 			changed = append(changed, servers.Service{Name: h.Service, Servers: seen[h.Service]})
 		}
 	}
@@ -131,7 +131,7 @@
 
 // same tells whether two lists say the same. What is left of a server's warm-up passes by
 // itself and is no change.
-func same(a, b []protocol.Server) bool {
+func sameServers(a, b []protocol.Server) bool {
 	return slices.EqualFunc(a, b, func(x, y protocol.Server) bool {
 		x.Warmup, y.Warmup = 0, 0
 		return x == y
--- a/internal/barograph/lister/lister_test.go
+++ b/internal/barograph/lister/lister_test.go
@@ -13,19 +13,19 @@
 	"pipitmux/internal/station/protocol"
 )
 
-var errRefused = errors.New("refused")
+var errInjected = errors.New("refused")
 
 // standIn is a platform and a duty, as the test has them. What is published is held.
-type standIn struct {
-	t         *testing.T
-	epoch     uint64 // 0: not held
-	lists     map[string][]protocol.Server
-	listErr   error
-	listings  int
-	partition map[int]*servers.Machine
-	refuses   map[int]bool
-	published []published
-	givenUp   int
+type fakeEnvironment struct {
+	t           *testing.T
+	epoch       uint64 // 0: not held
+	lists       map[string][]protocol.Server
+	listErr     error
+	listings    int
+	partition   map[int]*servers.Machine
+	failPublish map[int]bool
+	published   []published
+	givenUp     int
 }
 
 type published struct {
@@ -33,29 +33,29 @@
 	servers.Publication
 }
 
-func newStandIn(t *testing.T) *standIn {
-	s := &standIn{t: t, epoch: 3, partition: map[int]*servers.Machine{}, refuses: map[int]bool{}}
+func newFakeEnvironment(t *testing.T) *fakeEnvironment {
+	s := &fakeEnvironment{t: t, epoch: 3, partition: map[int]*servers.Machine{}, failPublish: map[int]bool{}}
 	for i := range protocol.ServicePartitions {
 		s.partition[i] = servers.New(nil)
 	}
 	return s
 }
 
-func (s *standIn) List(context.Context) (map[string][]protocol.Server, error) {
+func (s *fakeEnvironment) List(context.Context) (map[string][]protocol.Server, error) {
 	s.listings++
 	return s.lists, s.listErr
 }
 
-func (s *standIn) Held() (uint64, bool) { return s.epoch, s.epoch != 0 }
+func (s *fakeEnvironment) Held() (uint64, bool) { return s.epoch, s.epoch != 0 }
 
-func (s *standIn) Lists(partition int) []protocol.ServerList {
+func (s *fakeEnvironment) Lists(partition int) []protocol.ServerList {
 	lists, _ := s.partition[partition].Lists()
 	return lists
 }
 
-func (s *standIn) Publish(_ context.Context, partition int, p *servers.Publication) error {
-	if s.refuses[partition] {
-		return errRefused
+func (s *fakeEnvironment) Publish(_ context.Context, partition int, p *servers.Publication) error {
+	if s.failPublish[partition] {
+		return errInjected
 	}
 	s.published = append(s.published, published{partition, *p})
 	text, err := p.Encode()
@@ -64,10 +64,10 @@
 	return nil
 }
 
-func (s *standIn) GiveUp() { s.givenUp++ }
+func (s *fakeEnvironment) GiveUp() { s.givenUp++ }
 
 // names are so many services of a partition.
-func names(partition, count int) []string {
+func serviceNames(partition, count int) []string {
 	var found []string
 	for i := 0; len(found) < count; i++ {
 		if name := fmt.Sprintf("service-%d", i); protocol.ServicePartition(name) == partition {
@@ -82,95 +82,95 @@
 }
 
 func TestNothingIsListedWithoutTheDuty(t *testing.T) {
-	s := newStandIn(t)
+	s := newFakeEnvironment(t)
 	s.epoch = 0
-	New(s, s, leastPause).Once(t.Context())
+	New(s, s, minListInterval).ListOnce(t.Context())
 	assert.Equal(t, s.listings, 0)
 }
 
 func TestOnlyChangesArePublished(t *testing.T) {
-	s := newStandIn(t)
-	one, other := names(0, 2), names(2, 1)
+	s := newFakeEnvironment(t)
+	one, other := serviceNames(0, 2), serviceNames(2, 1)
 	s.lists = map[string][]protocol.Server{one[0]: {server("a")}, one[1]: {server("b")}, other[0]: {server("c")}}
-	l := New(s, s, leastPause)
-	l.Once(t.Context())
+	l := New(s, s, minListInterval)
+	l.ListOnce(t.Context())
 	assert.Equal(t, len(s.published), 2)
 	assert.Equal(t, s.published[0].partition, 0)
 	assert.Equal(t, s.published[0].Epoch, uint64(3))
 	assert.Equal(t, len(s.published[0].Services), 2)
 	assert.Equal(t, s.published[1].partition, 2)
 	assert.Assert(t, s.published[1].Sequence > s.published[0].Sequence)
-	l.Once(t.Context())
+	l.ListOnce(t.Context())
 	assert.Equal(t, len(s.published), 2, "nothing has changed")
 	s.lists[one[1]] = []protocol.Server{server("b"), server("d")}
-	l.Once(t.Context())
+	l.ListOnce(t.Context())
 	assert.Equal(t, len(s.published), 3)
 	assert.DeepEqual(t, s.published[2].Services, []servers.Service{{Name: one[1], Servers: s.lists[one[1]]}})
 }
 
 func TestServiceThatIsListedNoLongerGoes(t *testing.T) {
-	s := newStandIn(t)
-	name := names(1, 1)[0]
+	s := newFakeEnvironment(t)
+	name := serviceNames(1, 1)[0]
 	s.lists = map[string][]protocol.Server{name: {server("a")}}
-	l := New(s, s, leastPause)
-	l.Once(t.Context())
+	l := New(s, s, minListInterval)
+	l.ListOnce(t.Context())
 	s.lists = map[string][]protocol.Server{}
-	l.Once(t.Context())
+	l.ListOnce(t.Context())
 	assert.Equal(t, len(s.Lists(1)), 0)
-	l.Once(t.Context())
+	l.ListOnce(t.Context())
 	assert.Equal(t, len(s.published), 2)
 }
 
 func TestWhatIsLeftOfAWarmUpIsNoChange(t *testing.T) {
-	s := newStandIn(t)
-	name, warming := names(1, 1)[0], server("a")
+	s := newFakeEnvironment(t)
+	name, warming := serviceNames(1, 1)[0], server("a")
 	warming.Warmup = time.Second
 	s.lists = map[string][]protocol.Server{name: {warming}}
-	l := New(s, s, leastPause)
-	l.Once(t.Context())
+	l := New(s, s, minListInterval)
+	l.ListOnce(t.Context())
 	warming.Warmup = time.Millisecond
 	s.lists = map[string][]protocol.Server{name: {warming}}
-	l.Once(t.Context())
+	l.ListOnce(t.Context())
 	assert.Equal(t, len(s.published), 1)
 	warming.Draining = true
 	s.lists = map[string][]protocol.Server{name: {warming}}
-	l.Once(t.Context())
+	l.ListOnce(t.Context())
 	assert.Equal(t, len(s.published), 2)
 }
 
 func TestWhatDidNotGetThroughIsSentAgain(t *testing.T) {
-	s := newStandIn(t)
-	s.refuses[0] = true
-	s.lists = map[string][]protocol.Server{names(0, 1)[0]: {server("a")}, names(3, 1)[0]: {server("b")}}
-	l := New(s, s, leastPause)
-	l.Once(t.Context())
+	s := newFakeEnvironment(t)
+	s.failPublish[0] = true
+	s.lists = map[string][]protocol.Server{serviceNames(0, 1)[0]: {server("a")}, serviceNames(3, 1)[0]: {server("b")}}
+	l := New(s, s, minListInterval)
+	l.ListOnce(t.Context())
 	assert.Equal(t, len(s.published), 1, "the other partition has its part")
-	s.refuses[0] = false
-	l.Once(t.Context())
+	s.failPublish[0] = false
+	l.ListOnce(t.Context())
 	assert.Equal(t, len(s.published), 2)
 	assert.Equal(t, s.published[1].partition, 0)
 }
 
 func TestDutyIsHandedOnAfterFailuresInARow(t *testing.T) {
-	s := newStandIn(t)
-	l := New(s, s, leastPause)
+	s := newFakeEnvironment(t)
+	l := New(s, s, minListInterval)
 	fail := func(times int) {
-		s.listErr = errRefused
+		s.listErr = errInjected
 		for range times {
-			l.Once(t.Context())
+			l.ListOnce(t.Context())
 		}
 		s.listErr = nil
 	}
-	fail(giveUpAfter - 1)
-	l.Once(t.Context())
-	fail(giveUpAfter - 1)
+	fail(maxConsecutiveFailures - 1)
+	l.ListOnce(t.Context())
+	fail(maxConsecutiveFailures - 1)
 	assert.Equal(t, s.givenUp, 0, "one success counts")
 	fail(1)
 	assert.Equal(t, s.givenUp, 1)
-	fail(giveUpAfter - 1)
+	fail(maxConsecutiveFailures - 1)
 	assert.Equal(t, s.givenUp, 1, "the next one has as many again")
 	s.epoch = 0
-	l.Once(t.Context())
+	l.ListOnce(t.Context())
 	s.epoch = 5
 	fail(1)
 	assert.Equal(t, s.givenUp, 1, "what failed before the duty was lost doesn't count")
@@ -178,30 +178,30 @@
 
 // A platform that can't be read takes no server away.
 func TestFailureChangesNoList(t *testing.T) {
-	s := newStandIn(t)
-	name := names(0, 1)[0]
+	s := newFakeEnvironment(t)
+	name := serviceNames(0, 1)[0]
 	s.lists = map[string][]protocol.Server{name: {server("a")}}
-	l := New(s, s, leastPause)
-	l.Once(t.Context())
-	s.lists, s.listErr = nil, errRefused
-	l.Once(t.Context())
+	l := New(s, s, minListInterval)
+	l.ListOnce(t.Context())
+	s.lists, s.listErr = nil, errInjected
+	l.ListOnce(t.Context())
 	assert.Equal(t, len(s.published), 1)
 	assert.Equal(t, len(s.Lists(0)), 1)
 }
 
 func TestRunEndsWithItsContext(t *testing.T) {
-	s := newStandIn(t)
+	s := newFakeEnvironment(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	New(s, s, leastPause).Run(ctx)
+	New(s, s, minListInterval).Run(ctx)
 	assert.Equal(t, s.listings, 1)
 }
 
 func TestPauseFollowsFromTheDrainBound(t *testing.T) {
 	for drain, want := range map[time.Duration]time.Duration{
-		0: leastPause, time.Second: leastPause, 3 * time.Second: 750 * time.Millisecond,
-		4 * time.Second: mostPause, time.Hour: mostPause,
+		0: minListInterval, time.Second: minListInterval, 3 * time.Second: 750 * time.Millisecond,
+		4 * time.Second: maxListInterval, time.Hour: maxListInterval,
 	} {
-		assert.Equal(t, Pause(drain), want, "drain bound %s", drain)
+		assert.Equal(t, Interval(drain), want, "drain bound %s", drain)
 	}
 }
--- a/internal/barograph/node/addresses.go
+++ b/internal/barograph/node/addresses.go
@@ -15,12 +15,12 @@
 )
 
 // addressesName is the name under which the known nodes are kept on disk.
-const addressesName = "nodes"
+const knownNodesFile = "nodes"
 
 // Addresses knows where the nodes of the control plane are reached. It is kept on disk,
 // since after a loss of power the directory can be read only once a quorum has found
 // itself again.
-type Addresses struct {
+type AddressBook struct {
 	store durable.Store
 
 	mu    sync.Mutex
@@ -28,9 +28,9 @@
 }
 
 // LoadAddresses returns what the store holds.
-func LoadAddresses(store durable.Store) (*Addresses, error) {
-	a := &Addresses{store: store, nodes: map[replica.NodeID]protocol.Node{}}
-	text, err := store.Read(addressesName)
+func LoadAddressBook(store durable.Store) (*AddressBook, error) {
+	a := &AddressBook{store: store, nodes: map[replica.NodeID]protocol.Node{}}
+	text, err := store.Read(knownNodesFile)
 	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, durable.ErrTorn) {
 		return a, nil // it is only a help: the seeds know more
 	}
@@ -49,7 +49,7 @@
 
 // Learn takes nodes on and tells whether one of them was new. A later incarnation takes
 // the place of an earlier one.
-func (a *Addresses) Learn(nodes ...protocol.Node) bool {
+func (a *AddressBook) Learn(nodes ...protocol.Node) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	changed := false
@@ -65,19 +65,19 @@
 }
 
 // Save makes what is known durable.
-func (a *Addresses) Save() error {
+func (a *AddressBook) Save() error {
 	text, err := cbor.Marshal(a.All())
 	if err != nil {
 		return errors.Wrap(err, "encode known nodes")
 	}
-	if err := a.store.Write(addressesName, text); err != nil {
+	if err := a.store.Write(knownNodesFile, text); err != nil {
 		return errors.Wrap(err, "keep known nodes")
 	}
 	return nil
 }
 
 // Find returns a node by its id.
-func (a *Addresses) Find(id replica.NodeID) (protocol.Node, bool) {
+func (a *AddressBook) Find(id replica.NodeID) (protocol.Node, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n, ok := a.nodes[id]
@@ -85,7 +85,7 @@
 }
 
 // All returns all known nodes in the order of their ids.
-func (a *Addresses) All() []protocol.Node {
+func (a *AddressBook) All() []protocol.Node {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	ids := slices.Sorted(maps.Keys(a.nodes))
--- a/internal/barograph/node/calls.go
+++ b/internal/barograph/node/calls.go
@@ -15,36 +15,36 @@
 
 const (
 	// tryPause is how long a call waits before it looks for a group's owner again.
-	tryPause = 25 * time.Millisecond
+	retryInterval = 25 * time.Millisecond
 	// tryWithin bounds one try at one node. One that froze must not use up the whole time.
-	tryWithin = 800 * time.Millisecond
+	attemptTimeout = 800 * time.Millisecond
 )
 
 // ErrUncertain tells that a command may or may not have been carried out.
-var ErrUncertain = errors.New("the outcome of the command isn't known")
+var ErrUnknownOutcome = errors.New("the outcome of the command isn't known")
 
 // ErrNobody tells that no owner was found in time: nothing was carried out.
-var ErrNobody = errors.New("the group has no owner that can be reached")
+var ErrNoLeader = errors.New("the group has no owner that can be reached")
 
 // replicaCalls are the calls that members of groups make to each other.
-type replicaCalls struct{ node *Node }
+type replicaService struct{ node *Node }
 
 // Hello introduces two processes to each other.
-func (c *replicaCalls) Hello(args *protocol.HelloArgs, reply *protocol.HelloReply) error {
-	c.node.learn(args.Self)
+func (c *replicaService) Hello(args *protocol.HelloArgs, reply *protocol.HelloReply) error {
+	c.node.learnNodes(args.Self)
 	reply.Self = c.node.Self
 	reply.Nodes = c.node.Addresses.All()
 	return nil
 }
 
 // Deliver takes messages of other members in.
-func (c *replicaCalls) Deliver(args *protocol.DeliverArgs, _ *protocol.Nothing) error {
+func (c *replicaService) Deliver(args *protocol.DeliverArgs, _ *protocol.Nothing) error {
 	c.node.Host.Deliver(args.Messages)
 	return nil
 }
 
 // Propose hands a command to a group that this node owns.
-func (c *replicaCalls) Propose(args *protocol.ProposeArgs, reply *protocol.ProposeReply) error {
+func (c *replicaService) Propose(args *protocol.ProposeArgs, reply *protocol.ProposeReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Within)
 	defer cancel()
 	result, err := c.node.Host.Propose(ctx, args.Group, args.Command)
@@ -54,7 +54,7 @@
 }
 
 // Index proves that this node owns a group, and tells how far it has applied.
-func (c *replicaCalls) Index(args *protocol.IndexArgs, reply *protocol.IndexReply) error {
+func (c *replicaService) Index(args *protocol.IndexArgs, reply *protocol.IndexReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Within)
 	defer cancel()
 	err := c.node.Host.Read(ctx, args.Group, func(host.StateMachine) {})
@@ -91,7 +91,7 @@
 func (n *Node) Submit(ctx context.Context, group replica.GroupID, command []byte) ([]byte, error) {
 	uncertain := false
 	var result []byte
-	err := n.find(ctx, group, func(ctx context.Context, at protocol.Node) (protocol.Outcome, replica.NodeID) {
+	err := n.callLeader(ctx, group, func(ctx context.Context, at protocol.Node) (protocol.Outcome, replica.NodeID) {
 		var outcome protocol.Outcome
 		var owner replica.NodeID
 		result, outcome, owner = n.propose(ctx, at, group, command)
@@ -99,7 +99,7 @@
 		return outcome, owner
 	})
 	if err != nil && uncertain {
-		return nil, ErrUncertain
+		return nil, ErrUnknownOutcome
 	}
 	return result, err
 }
@@ -110,7 +110,7 @@
 		outcome, owner := OutcomeOf(err)
 		return result, outcome, owner
 	}
-	args := protocol.ProposeArgs{Group: group, Command: command, Within: tryWithin}
+	args := protocol.ProposeArgs{Group: group, Command: command, Within: attemptTimeout}
 	var reply protocol.ProposeReply
 	err := n.Pool.Call(ctx, at.Address, "Replica.Propose", &args, &reply)
 	if err != nil {
@@ -129,12 +129,12 @@
 
 // Confirm waits until this node has applied all that the group had committed when it was
 // called. It fails where no owner answers.
-func (n *Node) Confirm(ctx context.Context, group replica.GroupID) error {
+func (n *Node) ReadBarrier(ctx context.Context, group replica.GroupID) error {
 	var index uint64
-	err := n.find(ctx, group, func(ctx context.Context, at protocol.Node) (protocol.Outcome, replica.NodeID) {
-		args := protocol.IndexArgs{Group: group, Within: tryWithin}
+	err := n.callLeader(ctx, group, func(ctx context.Context, at protocol.Node) (protocol.Outcome, replica.NodeID) {
+		args := protocol.IndexArgs{Group: group, Within: attemptTimeout}
 		var reply protocol.IndexReply
-		calls := &replicaCalls{n}
+		calls := &replicaService{n}
 		var err error
 		if at.ID == n.Self.ID {
 			err = calls.Index(&args, &reply)
@@ -158,45 +158,45 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return ErrNobody
+			return ErrNoLeader
 		}
 	}
 }
 
 // find tries the owner of a group, as far as it is known, then the other nodes that may
 // know it, until the call is done or ctx ends.
-func (n *Node) find(ctx context.Context, group replica.GroupID, try func(context.Context, protocol.Node) (protocol.Outcome, replica.NodeID)) error {
-	hint := n.ownerOf(group)
+func (n *Node) callLeader(ctx context.Context, group replica.GroupID, try func(context.Context, protocol.Node) (protocol.Outcome, replica.NodeID)) error {
+	hint := n.leaderOf(group)
 	others := 0
 	for {
 		at, ok := n.Addresses.Find(hint)
 		if !ok {
-			at = n.another(group, others)
+			at = n.fallbackNode(group, others)
 			others++
 		}
-		one, cancel := context.WithTimeout(ctx, tryWithin)
-		outcome, owner := try(one, at)
+		attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
+		outcome, owner := try(attemptCtx, at)
 		cancel()
 		if outcome == protocol.Done {
 			return nil
 		}
 		if hint = owner; owner == 0 || owner == at.ID {
 			hint = 0
-			if local := n.ownerOf(group); local != at.ID {
+			if local := n.leaderOf(group); local != at.ID {
 				hint = local
 			}
-			if !wait.For(ctx, tryPause) {
-				return ErrNobody
+			if !wait.For(ctx, retryInterval) {
+				return ErrNoLeader
 			}
 		}
 		if ctx.Err() != nil {
-			return ErrNobody
+			return ErrNoLeader
 		}
 	}
 }
 
 // ownerOf is the owner of a group as far as this node knows, 0: not at all.
-func (n *Node) ownerOf(group replica.GroupID) replica.NodeID {
+func (n *Node) leaderOf(group replica.GroupID) replica.NodeID {
 	status, err := n.Host.Status(group)
 	if err != nil {
 		return 0
@@ -205,7 +205,7 @@
 }
 
 // another picks one of the nodes that may know a group's owner, in turn.
-func (n *Node) another(group replica.GroupID, turn int) protocol.Node {
+func (n *Node) fallbackNode(group replica.GroupID, turn int) protocol.Node {
 	var nodes []protocol.Node
 	if status, err := n.Host.Status(group); err == nil {
 		for _, id := range status.Members.Voters {
--- a/internal/barograph/node/introduce.go
+++ b/internal/barograph/node/hello.go
@@ -12,15 +12,15 @@
 
 const (
 	// helloWithin bounds one introduction.
-	helloWithin = 500 * time.Millisecond
+	helloTimeout = 500 * time.Millisecond
 	// helloPause is between two rounds of introductions until the node has met a core node,
 	// and helloRest from then on: a node that came back elsewhere makes itself known sooner.
-	helloPause = 100 * time.Millisecond
-	helloRest  = 10 * time.Second
+	helloRetryInterval = 100 * time.Millisecond
+	helloInterval      = 10 * time.Second
 )
 
 // learn takes a node's address on, and keeps it where it is news.
-func (n *Node) learn(nodes ...protocol.Node) {
+func (n *Node) learnNodes(nodes ...protocol.Node) {
 	if !n.Addresses.Learn(nodes...) {
 		return
 	}
@@ -30,16 +30,16 @@
 }
 
 // Learn takes the directory's nodes on.
-func (n *Node) Learn(d protocol.Directory) { n.learn(d.Nodes...) }
+func (n *Node) Learn(d protocol.Directory) { n.learnNodes(d.Nodes...) }
 
 // introduce tells the seeds and all known nodes who this one is, until ctx ends. After a
 // start it goes on until one has answered.
 func (n *Node) introduce(ctx context.Context) {
 	for {
-		rest := helloPause
-		for _, address := range n.elsewhere() {
+		rest := helloRetryInterval
+		for _, address := range n.peerAddresses() {
 			if n.hello(ctx, address) {
-				rest = helloRest
+				rest = helloInterval
 			}
 		}
 		if !wait.For(ctx, rest) {
@@ -49,7 +49,7 @@
 }
 
 // elsewhere lists the addresses of the seeds and of the known nodes, without this one's.
-func (n *Node) elsewhere() []string {
+func (n *Node) peerAddresses() []string {
 	var addresses []string
 	seen := map[string]bool{n.Self.Address: true}
 	add := func(address string) {
@@ -68,7 +68,7 @@
 }
 
 func (n *Node) hello(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, helloWithin)
+	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	args := protocol.HelloArgs{Self: n.Self}
 	var reply protocol.HelloReply
@@ -77,16 +77,16 @@
 	}
 	for _, o := range reply.Nodes {
 		// Who is told of by others may be of the past: only the unknown is taken on.
-		if _, known := n.Addresses.Find(o.ID); !known && !n.contradicts(o) {
-			n.learn(o)
+		if _, known := n.Addresses.Find(o.ID); !known && !n.knowsOtherIncarnation(o) {
+			n.learnNodes(o)
 		}
 	}
-	n.learn(reply.Self)
+	n.learnNodes(reply.Self)
 	return true
 }
 
 // contradicts tells whether another incarnation of a node is known already.
-func (n *Node) contradicts(o protocol.Node) bool {
+func (n *Node) knowsOtherIncarnation(o protocol.Node) bool {
 	for _, known := range n.Addresses.All() {
 		if known.SameMachine(o) {
 			return true
--- a/internal/barograph/node/alive.go
+++ b/internal/barograph/node/liveness.go
@@ -11,10 +11,10 @@
 
 const (
 	// aliveWithin is how long a node may take to say that it is there.
-	aliveWithin = 250 * time.Millisecond
+	probeTimeout = 250 * time.Millisecond
 	// handOverWithin is how long a process that ends waits for others to own its groups.
-	handOverWithin = 400 * time.Millisecond
-	handOverPause  = 20 * time.Millisecond
+	handOverTimeout      = 400 * time.Millisecond
+	handOverPollInterval = 20 * time.Millisecond
 )
 
 // Alive returns those of the nodes that answer now. It is asked only where a group needs
@@ -41,7 +41,7 @@
 
 // answers tells whether that very incarnation of a node is there.
 func (n *Node) answers(ctx context.Context, o protocol.Node) bool {
-	ctx, cancel := context.WithTimeout(ctx, aliveWithin)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	args := protocol.HelloArgs{Self: n.Self}
 	var reply protocol.HelloReply
@@ -51,8 +51,8 @@
 
 // HandOver gives the groups that this node owns to others, as far as that goes quickly:
 // a process that is told to end needn't be missed first.
-func (n *Node) HandOver() {
-	for until := time.Now().Add(handOverWithin); time.Now().Before(until); time.Sleep(handOverPause) {
+func (n *Node) TransferLeaderships() {
+	for until := time.Now().Add(handOverTimeout); time.Now().Before(until); time.Sleep(handOverPollInterval) {
 		owned := 0
 		for _, status := range n.Host.Statuses() {
 			if !status.LeaderReady {
--- a/internal/barograph/node/node.go
+++ b/internal/barograph/node/node.go
@@ -29,16 +29,16 @@
 		ElectionTimeout:   400 * time.Millisecond,
 		ElectionJitter:    150 * time.Millisecond,
 		LeaseDuration:     300 * time.Millisecond,
-		LostAfter:         Silent,
+		LostAfter:         MemberLostAfter,
 		LazyCommit:        class == protocol.Storage,
 	}
 }
 
 // bulkStale is how long a connection that carries bulk may be silent with calls under way.
-const bulkStale = 5 * time.Second
+const bulkStaleTimeout = 5 * time.Second
 
 // Silent is how long a member may say nothing before it counts as lost.
-const Silent = 1500 * time.Millisecond
+const MemberLostAfter = 1500 * time.Millisecond
 
 // Options are what a Node is made of.
 type Options struct {
@@ -48,16 +48,16 @@
 	DataDir    string
 	// First tells that the whole system starts for the first time, with empty disks: ids
 	// then follow from addresses, so that all know the first members.
-	First   bool
-	Seeds   []string // net/rpc addresses of core nodes
-	Unknown func(replica.GroupID) bool
+	Bootstrap      bool
+	Seeds          []string // net/rpc addresses of core nodes
+	OnUnknownGroup func(replica.GroupID) bool
 }
 
 // Node is one process of the control plane.
 type Node struct {
 	Self      protocol.Node
 	Host      *host.Host
-	Addresses *Addresses
+	Addresses *AddressBook
 	Pool      *link.Pool
 
 	bulk  *link.Pool // for what would hold up heartbeats
@@ -67,7 +67,7 @@
 }
 
 // FirstID is the id that a node of this class and address has at the first start.
-func FirstID(class protocol.Class, address string) replica.NodeID {
+func BootstrapID(class protocol.Class, address string) replica.NodeID {
 	return replica.NodeID(hashing.Sum64(string(rune('0'+class))+"|"+address) | 1)
 }
 
@@ -84,22 +84,22 @@
 		return nil, errors.Wrap(err, "identity")
 	}
 	n.Self = protocol.Node{ID: id, Name: o.Name, Class: o.Class, Address: o.Address, Zone: o.Zone}
-	if n.Addresses, err = LoadAddresses(durable.Folder(o.DataDir)); err != nil {
+	if n.Addresses, err = LoadAddressBook(durable.Folder(o.DataDir)); err != nil {
 		klog.ErrorS(err, "The known nodes can't be read: the seeds are asked")
-		n.Addresses, _ = LoadAddresses(&durable.Memory{})
+		n.Addresses, _ = LoadAddressBook(&durable.Memory{})
 		n.Addresses.store = durable.Folder(o.DataDir)
 	}
-	if o.First {
+	if o.Bootstrap {
 		for _, seed := range o.Seeds {
 			// Their names are learnt when they introduce themselves.
-			n.Addresses.Learn(protocol.Node{ID: FirstID(protocol.Core, seed), Name: seed, Class: protocol.Core, Address: seed})
+			n.Addresses.Learn(protocol.Node{ID: BootstrapID(protocol.Core, seed), Name: seed, Class: protocol.Core, Address: seed})
 		}
 	}
 	n.Addresses.Learn(n.Self)
-	n.Pool, n.bulk = link.NewPool(link.Options{}), link.NewPool(link.Options{Stale: bulkStale})
+	n.Pool, n.bulk = link.NewPool(link.Options{}), link.NewPool(link.Options{Stale: bulkStaleTimeout})
 	n.Host, err = host.New(host.Options{
-		Self: id, Timing: Timing(o.Class), Store: disk, Now: n.Now, Seed: rand.Uint64(), OnUnknownGroup: o.Unknown,
-		Transport: &transport{addresses: n.Addresses, prompt: lane{pool: n.Pool}, bulk: lane{pool: n.bulk}},
+		Self: id, Timing: Timing(o.Class), Store: disk, Now: n.Now, Seed: rand.Uint64(), OnUnknownGroup: o.OnUnknownGroup,
+		Transport: &transport{addresses: n.Addresses, regular: lane{pool: n.Pool}, bulk: lane{pool: n.bulk}},
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "open groups")
@@ -109,13 +109,13 @@
 
 // The pauses between tries to open a store on a full disk.
 const (
-	openPauseFirst = 50 * time.Millisecond
-	openPauseMost  = 2 * time.Second
+	minOpenBackoff = 50 * time.Millisecond
+	maxOpenBackoff = 2 * time.Second
 )
 
 // openStore opens the store in a folder. Where there is none yet and no room for one, it waits.
 func openStore(folder string) (store.Store, error) {
-	for pause := openPauseFirst; ; pause = min(2*pause, openPauseMost) {
+	for pause := minOpenBackoff; ; pause = min(2*pause, maxOpenBackoff) {
 		disk, err := store.Open(folder)
 		if err == nil {
 			return disk, nil
@@ -135,8 +135,8 @@
 	if err != nil || held {
 		return id, err
 	}
-	if id = replica.NodeID(rand.Uint64() | 1); o.First {
-		id = FirstID(o.Class, o.Address)
+	if id = replica.NodeID(rand.Uint64() | 1); o.Bootstrap {
+		id = BootstrapID(o.Class, o.Address)
 	}
 	return id, disk.SetIdentity(id)
 }
@@ -147,7 +147,7 @@
 // Serve answers the calls of other nodes and runs the groups until ctx ends or the disk
 // fails.
 func (n *Node) Serve(ctx context.Context, l net.Listener, services map[string]any) error {
-	all := map[string]any{"Replica": &replicaCalls{n}}
+	all := map[string]any{"Replica": &replicaService{n}}
 	for name, s := range services {
 		all[name] = s
 	}
@@ -161,7 +161,7 @@
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	defer context.AfterFunc(ctx, func() {
-		n.HandOver()
+		n.TransferLeaderships()
 		stop()
 	})()
 	return n.Host.Run(running)
--- a/internal/barograph/node/node_test.go
+++ b/internal/barograph/node/node_test.go
@@ -20,7 +20,7 @@
 }
 
 func TestLaterIncarnationTakesTheEarliersPlace(t *testing.T) {
-	a, err := LoadAddresses(&durable.Memory{})
+	a, err := LoadAddressBook(&durable.Memory{})
 	assert.NilError(t, err)
 	assert.Assert(t, a.Learn(core(1, "a", "h:1"), core(2, "b", "h:2")))
 	assert.Assert(t, !a.Learn(core(1, "a", "h:1")), "it is no news")
@@ -36,26 +36,26 @@
 
 func TestKnownNodesOutliveTheProcess(t *testing.T) {
 	disk := &durable.Memory{}
-	a, err := LoadAddresses(disk)
+	a, err := LoadAddressBook(disk)
 	assert.NilError(t, err)
 	a.Learn(core(1, "a", "h:1"), core(2, "b", "h:2"))
 	assert.NilError(t, a.Save())
-	again, err := LoadAddresses(disk)
+	again, err := LoadAddressBook(disk)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, again.All(), a.All())
 }
 
 func TestUnreadableNodesAreAFailure(t *testing.T) {
 	disk := &durable.Memory{}
-	assert.NilError(t, disk.Write(addressesName, []byte("no nodes")))
-	_, err := LoadAddresses(disk)
+	assert.NilError(t, disk.Write(knownNodesFile, []byte("no nodes")))
+	_, err := LoadAddressBook(disk)
 	assert.ErrorContains(t, err, "read known nodes")
 }
 
 func TestFirstIdsFollowFromClassAndAddress(t *testing.T) {
-	id := FirstID(protocol.Core, "h:1")
-	assert.Equal(t, id, FirstID(protocol.Core, "h:1"))
-	assert.Assert(t, id != 0 && id != FirstID(protocol.Storage, "h:1") && id != FirstID(protocol.Core, "h:2"))
+	id := BootstrapID(protocol.Core, "h:1")
+	assert.Equal(t, id, BootstrapID(protocol.Core, "h:1"))
+	assert.Assert(t, id != 0 && id != BootstrapID(protocol.Storage, "h:1") && id != BootstrapID(protocol.Core, "h:2"))
 }
 
 // What is told of a failure decides whether a call may be made again elsewhere and whether an
@@ -94,5 +94,5 @@
 		assert.Assert(t, timing.LostAfter > timing.ElectionTimeout+timing.ElectionJitter)
 		assert.Assert(t, timing.ElectionJitter > 0)
 	}
-	assert.Assert(t, Silent > time.Second)
+	assert.Assert(t, MemberLostAfter > time.Second)
 }
--- a/internal/barograph/node/transport.go
+++ b/internal/barograph/node/transport.go
@@ -13,20 +13,20 @@
 const (
 	// deliverWithin bounds one delivery, and perMegabyte is added for what it carries, so that a
 	// narrow link can take it: what is later is sent anew by the group.
-	deliverWithin = time.Second
-	perMegabyte   = time.Second
+	deliveryTimeout       = time.Second
+	deliveryTimeoutPerMiB = time.Second
 	// deliveriesMost is how many deliveries to one node may be under way on each of the two
 	// connections. More would only queue behind a node that doesn't read; groups send again what
 	// is lost.
-	deliveriesMost = 16
+	maxDeliveriesInFlight = 16
 )
 
 // transport carries messages between members of groups. It never blocks, and loses what
 // can't be sent. Parts of snapshots have a connection of their own, so that heartbeats don't
 // queue behind them; entries go with the heartbeats, in whose order they are awaited.
 type transport struct {
-	addresses *Addresses
-	prompt    lane
+	addresses *AddressBook
+	regular   lane
 	bulk      lane
 }
 
@@ -34,8 +34,8 @@
 type lane struct {
 	pool *link.Pool
 
-	mu    sync.Mutex
-	under map[replica.NodeID]int // deliveries under way
+	mu       sync.Mutex
+	inFlight map[replica.NodeID]int // deliveries under way
 }
 
 // Send implements host.Transport.
@@ -44,38 +44,38 @@
 	if !ok {
 		return
 	}
-	var prompt []replica.Message
+	var regular []replica.Message
 	size := 0
 	for _, m := range messages {
 		if m.Kind == replica.InstallSnapshot {
 			t.bulk.send(n, []replica.Message{m}, m.PayloadSize())
 			continue
 		}
-		prompt = append(prompt, m)
+		regular = append(regular, m)
 		size += m.PayloadSize()
 	}
-	if len(prompt) > 0 {
-		t.prompt.send(n, prompt, size)
+	if len(regular) > 0 {
+		t.regular.send(n, regular, size)
 	}
 }
 
 // send delivers messages of some size in bytes, unless too many are under way.
 func (l *lane) send(to protocol.Node, messages []replica.Message, size int) {
-	if l.begin(to.ID) {
-		go l.deliver(to, messages, deliverWithin+perMegabyte*time.Duration(size)/(1<<20))
+	if l.tryStart(to.ID) {
+		go l.deliver(to, messages, deliveryTimeout+deliveryTimeoutPerMiB*time.Duration(size)/(1<<20))
 	}
 }
 
-func (l *lane) begin(to replica.NodeID) bool {
+func (l *lane) tryStart(to replica.NodeID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.under[to] >= deliveriesMost {
+	if l.inFlight[to] >= maxDeliveriesInFlight {
 		return false
 	}
-	if l.under == nil {
-		l.under = map[replica.NodeID]int{}
+	if l.inFlight == nil {
+		l.inFlight = map[replica.NodeID]int{}
 	}
-	l.under[to]++
+	l.inFlight[to]++
 	return true
 }
 
@@ -88,8 +88,8 @@
 	_ = l.pool.Call(ctx, to.Address, "Replica.Deliver", &args, &reply)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.under[to.ID]--
-	if l.under[to.ID] <= 0 {
-		delete(l.under, to.ID)
+	l.inFlight[to.ID]--
+	if l.inFlight[to.ID] <= 0 {
+		delete(l.inFlight, to.ID)
 	}
 }
--- a/internal/barograph/operators/authority.go
+++ b/internal/barograph/operators/authority.go
@@ -20,9 +20,9 @@
 
 // Failures that an Authority's Show and RetireShow give. Any other counts as ErrUnavailable.
 var (
-	ErrNone        = errors.New("no configuration yet")
-	ErrUnknownNode = errors.New("unknown node")
-	ErrUnavailable = errors.New("cannot be decided now")
+	ErrNoConfiguration = errors.New("no configuration yet")
+	ErrUnknownNode     = errors.New("unknown node")
+	ErrUnavailable     = errors.New("cannot be decided now")
 )
 
 // Authority decides what operators ask for. Its methods are called by many goroutines
@@ -46,7 +46,7 @@
 // The results of Replace. The zero value is the one that promises nothing.
 const (
 	ReplaceUncertain ReplaceResult = iota // the outcome is not known, or nobody can decide now
-	ReplaceTaken                          // it is durable, and the newest
+	ReplaceAccepted                       // it is durable, and the newest
 	ReplaceConflict                       // another revision than base is the newest
 	ReplaceInvalid                        // it can never be taken
 )
@@ -92,6 +92,6 @@
 
 // The states of a retirement.
 const (
-	RetireRolling   RetireState = iota + 1 // the node still has work
-	RetireCompleted                        // it has none, and may be switched off
+	RetireInProgress RetireState = iota + 1 // the node still has work
+	RetireCompleted                         // it has none, and may be switched off
 )
--- a/internal/barograph/operators/body.go
+++ b/internal/barograph/operators/body.go
@@ -20,7 +20,7 @@
 
 // maxDrained bounds what is read of a body that is refused as too large. A client reads
 // the refusal only once it has sent its body.
-const maxDrained = 64 << 20
+const maxDiscarded = 64 << 20
 
 // expectContinue is the header value of a client that waits before it sends its body.
 const expectContinue = "100-continue"
@@ -28,7 +28,7 @@
 // readBody reads a call's body of at most a number of bytes.
 func readBody(request *http.Request, most int64) ([]byte, error) {
 	if request.ContentLength > most {
-		drain(request)
+		discardBody(request)
 		return nil, errTooLarge
 	}
 	var body bytes.Buffer
@@ -39,7 +39,7 @@
 		return nil, bodyFailure(err)
 	}
 	if int64(body.Len()) > most {
-		drain(request)
+		discardBody(request)
 		return nil, errTooLarge
 	}
 	return body.Bytes(), nil
@@ -59,25 +59,25 @@
 }
 
 // drain passes over the rest of a body, unless the client waits to be asked for it.
-func drain(request *http.Request) {
+func discardBody(request *http.Request) {
 	if request.Header.Get("Expect") == expectContinue && request.ContentLength > 0 {
 		return
 	}
 	// What cannot be read need not be: the connection is closed then.
-	_, _ = io.CopyN(io.Discard, request.Body, maxDrained)
+	_, _ = io.CopyN(io.Discard, request.Body, maxDiscarded)
 }
 
 // reserve takes memory for a body out of what all may have. It waits as long as a
 // decision may take. What is too large will not be kept and needs none.
-func (s *Server) reserve(request *http.Request) (release func(), err error) {
+func (s *Server) reserveMemory(request *http.Request) (release func(), err error) {
 	size := request.ContentLength
 	switch {
 	case size < 0:
-		size = s.options.MaxBody
-	case size > s.options.MaxBody:
+		size = s.options.MaxBodyBytes
+	case size > s.options.MaxBodyBytes:
 		size = 0
 	}
-	ctx, cancel := context.WithTimeout(request.Context(), s.options.DecideWithin)
+	ctx, cancel := context.WithTimeout(request.Context(), s.options.DecisionTimeout)
 	defer cancel()
 	if err := s.bodies.Acquire(ctx, size); err != nil {
 		return nil, errBusy
@@ -87,9 +87,9 @@
 
 // deciding gives the Authority its time. The connection's time for reading does not run
 // against it, and neither does an operator that has closed its half of the connection.
-func (s *Server) deciding(response http.ResponseWriter, request *http.Request) (context.Context, context.CancelFunc) {
-	until := time.Now().Add(s.options.DecideWithin + s.options.AnswerWithin)
+func (s *Server) decisionContext(response http.ResponseWriter, request *http.Request) (context.Context, context.CancelFunc) {
+	until := time.Now().Add(s.options.DecisionTimeout + s.options.ResponseTimeout)
 	// A connection without deadlines, such as a test's, needs none.
 	_ = http.NewResponseController(response).SetReadDeadline(until)
-	return context.WithTimeout(context.WithoutCancel(request.Context()), s.options.DecideWithin)
+	return context.WithTimeout(context.WithoutCancel(request.Context()), s.options.DecisionTimeout)
 }
--- a/internal/barograph/operators/calls.go
+++ b/internal/barograph/operators/calls.go
@@ -25,7 +25,7 @@
 	pathShow        = "/api/Configuration.Show"
 	pathRetireBegin = "/api/Retire.Begin/{node}"
 	pathRetireShow  = "/api/Retire.Show/{node}"
-	valueNode       = "node"
+	pathNode        = "node"
 )
 
 // maxRetireBody bounds the body of Retire.Begin, in bytes.
@@ -33,11 +33,11 @@
 
 // Reasons of refusals.
 var (
-	errBase     = errors.New(BaseRevisionHeader + ": must be one whole number")
-	errConflict = errors.New("another configuration is the newest")
-	errInvalid  = errors.New("the configuration cannot be taken")
-	errTooFew   = errors.New("too few nodes would be left")
-	errDeadline = errors.New("deadlineS: must be a number of seconds, not below 0")
+	errBaseRevision = errors.New(BaseRevisionHeader + ": must be one whole number")
+	errConflict     = errors.New("another configuration is the newest")
+	errInvalid      = errors.New("the configuration cannot be taken")
+	errTooFewNodes  = errors.New("too few nodes would be left")
+	errDeadline     = errors.New("deadlineS: must be a number of seconds, not below 0")
 )
 
 // tree has the handler of each call.
@@ -56,27 +56,27 @@
 }
 
 func (s *Server) replace(response http.ResponseWriter, request *http.Request, _ matcher.Values) {
-	release, err := s.reserve(request)
+	release, err := s.reserveMemory(request)
 	if err != nil {
-		refuseBody(response, err)
+		writeBodyError(response, err)
 		return
 	}
 	defer release()
-	body, err := readBody(request, s.options.MaxBody)
+	body, err := readBody(request, s.options.MaxBodyBytes)
 	if err != nil {
-		refuseBody(response, err)
+		writeBodyError(response, err)
 		return
 	}
 	base, err := baseRevision(request.Header)
 	if err != nil {
-		refuse(response, http.StatusBadRequest, err)
+		writeError(response, http.StatusBadRequest, err)
 		return
 	}
 	if _, err := routing.Parse(body); err != nil {
-		refuse(response, http.StatusBadRequest, err)
+		writeError(response, http.StatusBadRequest, err)
 		return
 	}
-	ctx, cancel := s.deciding(response, request)
+	ctx, cancel := s.decisionContext(response, request)
 	defer cancel()
 	outcome := s.options.Authority.Replace(ctx, base, body)
 	klog.InfoS("Operators' configuration", "base", base, "bytes", len(body), "result", outcome.Result, "reason", outcome.Reason)
@@ -91,26 +91,26 @@
 	}
 	base, err := strconv.ParseUint(strings.TrimSpace(values[0]), 10, 64)
 	if err != nil || len(values) > 1 {
-		return 0, errBase
+		return 0, errBaseRevision
 	}
 	return base, nil
 }
 
 func answerReplace(response http.ResponseWriter, outcome ReplaceOutcome) {
 	switch outcome.Result {
-	case ReplaceTaken:
-		answer(response, http.StatusOK, acknowledgement{})
+	case ReplaceAccepted:
+		writeJSON(response, http.StatusOK, emptyBody{})
 	case ReplaceConflict:
-		refuse(response, http.StatusPreconditionFailed, because(outcome.Reason, errConflict))
+		writeError(response, http.StatusPreconditionFailed, reasonOr(outcome.Reason, errConflict))
 	case ReplaceInvalid:
-		refuse(response, http.StatusBadRequest, because(outcome.Reason, errInvalid))
+		writeError(response, http.StatusBadRequest, reasonOr(outcome.Reason, errInvalid))
 	default:
-		refuse(response, http.StatusServiceUnavailable, because(outcome.Reason, ErrUnavailable))
+		writeError(response, http.StatusServiceUnavailable, reasonOr(outcome.Reason, ErrUnavailable))
 	}
 }
 
 // because gives the reason in words, or the general one where there is none.
-func because(reason string, general error) error {
+func reasonOr(reason string, general error) error {
 	if reason == "" {
 		return general
 	}
@@ -118,33 +118,33 @@
 }
 
 func (s *Server) show(response http.ResponseWriter, request *http.Request, _ matcher.Values) {
-	ctx, cancel := s.deciding(response, request)
+	ctx, cancel := s.decisionContext(response, request)
 	defer cancel()
 	body, err := s.options.Authority.Show(ctx)
 	switch {
 	case err == nil:
-		write(response, http.StatusOK, body)
-	case errors.Is(err, ErrNone):
-		refuse(response, http.StatusNotFound, ErrNone)
+		writeBody(response, http.StatusOK, body)
+	case errors.Is(err, ErrNoConfiguration):
+		writeError(response, http.StatusNotFound, ErrNoConfiguration)
 	default:
-		refuse(response, http.StatusServiceUnavailable, err)
+		writeError(response, http.StatusServiceUnavailable, err)
 	}
 }
 
 func (s *Server) retireBegin(response http.ResponseWriter, request *http.Request, values matcher.Values) {
 	body, err := readBody(request, maxRetireBody)
 	if err != nil {
-		refuseBody(response, err)
+		writeBodyError(response, err)
 		return
 	}
 	deadline, err := s.retireDeadline(body)
 	if err != nil {
-		refuse(response, http.StatusBadRequest, err)
+		writeError(response, http.StatusBadRequest, err)
 		return
 	}
-	ctx, cancel := s.deciding(response, request)
+	ctx, cancel := s.decisionContext(response, request)
 	defer cancel()
-	node := values.Get(valueNode)
+	node := values.Get(pathNode)
 	outcome := s.options.Authority.RetireBegin(ctx, node, deadline)
 	klog.InfoS("Operators' retirement", "node", node, "deadline", deadline, "outcome", outcome)
 	answerRetire(response, outcome)
@@ -153,13 +153,13 @@
 func answerRetire(response http.ResponseWriter, outcome RetireOutcome) {
 	switch outcome {
 	case RetireAccepted:
-		answer(response, http.StatusOK, acknowledgement{})
+		writeJSON(response, http.StatusOK, emptyBody{})
 	case RetireUnknownNode:
-		refuse(response, http.StatusNotFound, ErrUnknownNode)
+		writeError(response, http.StatusNotFound, ErrUnknownNode)
 	case RetireTooFew:
-		refuse(response, http.StatusConflict, errTooFew)
+		writeError(response, http.StatusConflict, errTooFewNodes)
 	default:
-		refuse(response, http.StatusServiceUnavailable, ErrUnavailable)
+		writeError(response, http.StatusServiceUnavailable, ErrUnavailable)
 	}
 }
 
@@ -167,7 +167,7 @@
 // the standard deadline.
 func (s *Server) retireDeadline(body []byte) (time.Duration, error) {
 	if len(bytes.TrimSpace(body)) == 0 {
-		return s.options.RetireWithin, nil
+		return s.options.RetireDeadline, nil
 	}
 	var order struct {
 		DeadlineS *float64 `json:"deadlineS"`
@@ -176,7 +176,7 @@
 		return 0, errors.Wrap(errDeadline, err.Error())
 	}
 	if order.DeadlineS == nil {
-		return s.options.RetireWithin, nil
+		return s.options.RetireDeadline, nil
 	}
 	nanoseconds := *order.DeadlineS * float64(time.Second)
 	if nanoseconds < 0 {
@@ -189,19 +189,19 @@
 }
 
 func (s *Server) retireShow(response http.ResponseWriter, request *http.Request, values matcher.Values) {
-	ctx, cancel := s.deciding(response, request)
+	ctx, cancel := s.decisionContext(response, request)
 	defer cancel()
-	state, err := s.options.Authority.RetireShow(ctx, values.Get(valueNode))
+	state, err := s.options.Authority.RetireShow(ctx, values.Get(pathNode))
 	switch {
 	case errors.Is(err, ErrUnknownNode):
-		refuse(response, http.StatusNotFound, ErrUnknownNode)
+		writeError(response, http.StatusNotFound, ErrUnknownNode)
 	case err != nil:
-		refuse(response, http.StatusServiceUnavailable, err)
-	case state == RetireRolling:
-		answer(response, http.StatusOK, retirement{MemberState: memberRolling})
+		writeError(response, http.StatusServiceUnavailable, err)
+	case state == RetireInProgress:
+		writeJSON(response, http.StatusOK, retirementBody{MemberState: memberStateRolling})
 	case state == RetireCompleted:
-		answer(response, http.StatusOK, retirement{MemberState: memberCompleted})
+		writeJSON(response, http.StatusOK, retirementBody{MemberState: memberStateCompleted})
 	default:
-		refuse(response, http.StatusServiceUnavailable, ErrUnavailable)
+		writeError(response, http.StatusServiceUnavailable, ErrUnavailable)
 	}
 }
--- a/internal/barograph/operators/connections.go
+++ b/internal/barograph/operators/connections.go
@@ -7,25 +7,25 @@
 
 // bounded accepts no more than a number of connections at once. Others wait in the
 // listener's queue until one is closed.
-type bounded struct {
+type boundedListener struct {
 	net.Listener
-	places chan struct{} // one element for each open connection
+	slots  chan struct{} // one element for each open connection
 	closed chan struct{}
 	once   sync.Once
 }
 
-func newBounded(listener net.Listener, most int) *bounded {
-	return &bounded{
+func newBoundedListener(listener net.Listener, most int) *boundedListener {
+	return &boundedListener{
 		Listener: listener,
-		places:   make(chan struct{}, most),
+		slots:    make(chan struct{}, most),
 		closed:   make(chan struct{}),
 	}
 }
 
 // Accept waits for a place, then for a connection.
-func (b *bounded) Accept() (net.Conn, error) {
+func (b *boundedListener) Accept() (net.Conn, error) {
 	select {
-	case b.places <- struct{}{}:
+	case b.slots <- struct{}{}:
 	case <-b.closed:
 		return nil, net.ErrClosed
 	}
@@ -34,25 +34,25 @@
 		b.release()
 		return nil, err
 	}
-	return &placed{Conn: accepted, release: sync.OnceFunc(b.release)}, nil
+	return &boundedConn{Conn: accepted, release: sync.OnceFunc(b.release)}, nil
 }
 
 // Close ends each Accept.
-func (b *bounded) Close() error {
+func (b *boundedListener) Close() error {
 	b.once.Do(func() { close(b.closed) })
 	return b.Listener.Close()
 }
 
-func (b *bounded) release() { <-b.places }
+func (b *boundedListener) release() { <-b.slots }
 
 // placed is a connection that gives its place free when it is closed.
-type placed struct {
+type boundedConn struct {
 	net.Conn
 	release func()
 }
 
 // Close closes the connection, once or more often.
-func (p *placed) Close() error {
+func (p *boundedConn) Close() error {
 	err := p.Conn.Close()
 	p.release()
 	return err
@@ -60,7 +60,7 @@
 
 // CloseWrite ends the connection's one half, so that net/http can let a client read an
 // answer before it closes the other.
-func (p *placed) CloseWrite() error {
+func (p *boundedConn) CloseWrite() error {
 	if half, ok := p.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
 	}
--- a/internal/barograph/operators/connections_test.go
+++ b/internal/barograph/operators/connections_test.go
@@ -12,12 +12,12 @@
 var errStopped = errors.New("stopped")
 
 // pipes is a listener that has a connection ready at any time, or a failure.
-type pipes struct {
+type fakeListener struct {
 	accepted int
 	fails    bool
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *fakeListener) Accept() (net.Conn, error) {
 	if p.fails {
 		return nil, errStopped
 	}
@@ -26,14 +26,14 @@
 	return ours, nil
 }
 
-func (p *pipes) Close() error { return nil }
+func (p *fakeListener) Close() error { return nil }
 
-func (p *pipes) Addr() net.Addr { return nil }
+func (p *fakeListener) Addr() net.Addr { return nil }
 
 func TestBoundedWaitsForAPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		inner := new(pipes)
-		listener := newBounded(inner, 2)
+		inner := new(fakeListener)
+		listener := newBoundedListener(inner, 2)
 		first, err := listener.Accept()
 		assert.NilError(t, err)
 		_, err = listener.Accept()
@@ -64,8 +64,8 @@
 }
 
 func TestBoundedKeepsThePlaceOfAFailure(t *testing.T) {
-	inner := &pipes{fails: true}
-	listener := newBounded(inner, 1)
+	inner := &fakeListener{fails: true}
+	listener := newBoundedListener(inner, 1)
 	for range 3 {
 		_, err := listener.Accept()
 		assert.ErrorIs(t, err, errStopped)
--- a/internal/barograph/operators/standin_test.go
+++ b/internal/barograph/operators/fake_authority_test.go
@@ -15,20 +15,20 @@
 )
 
 // testWithin bounds each wait of a test that should not wait.
-const testWithin = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // valid is a configuration that routing takes, with spaces that have to be kept.
 const valid = "{ \"configRevision\": 3,\n \"virtualServers\": [], \"pools\": [], \"new\": [1.50] }\n"
 
 // standIn is an Authority that answers as it is told and keeps what it was asked.
-type standIn struct {
-	replace     ReplaceOutcome
-	shown       []byte
-	showErr     error
-	retire      RetireOutcome
-	state       RetireState
-	stateErr    error
-	whileActive func(context.Context) // called within Replace
+type fakeAuthority struct {
+	replace   ReplaceOutcome
+	shown     []byte
+	showErr   error
+	retire    RetireOutcome
+	state     RetireState
+	stateErr  error
+	onReplace func(context.Context) // called within Replace
 
 	lock     sync.Mutex
 	replaces int
@@ -38,27 +38,27 @@
 	deadline time.Duration
 }
 
-func (s *standIn) Replace(ctx context.Context, base uint64, body []byte) ReplaceOutcome {
+func (s *fakeAuthority) Replace(ctx context.Context, base uint64, body []byte) ReplaceOutcome {
 	s.lock.Lock()
 	s.replaces++
 	s.base, s.body = base, string(body)
 	s.lock.Unlock()
-	if s.whileActive != nil {
-		s.whileActive(ctx)
+	if s.onReplace != nil {
+		s.onReplace(ctx)
 	}
 	return s.replace
 }
 
-func (s *standIn) Show(context.Context) ([]byte, error) { return s.shown, s.showErr }
+func (s *fakeAuthority) Show(context.Context) ([]byte, error) { return s.shown, s.showErr }
 
-func (s *standIn) RetireBegin(_ context.Context, node string, deadline time.Duration) RetireOutcome {
+func (s *fakeAuthority) RetireBegin(_ context.Context, node string, deadline time.Duration) RetireOutcome {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.node, s.deadline = node, deadline
 	return s.retire
 }
 
-func (s *standIn) RetireShow(_ context.Context, node string) (RetireState, error) {
+func (s *fakeAuthority) RetireShow(_ context.Context, node string) (RetireState, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.node = node
@@ -66,7 +66,7 @@
 }
 
 // asked gives how often Replace was called.
-func (s *standIn) asked() int {
+func (s *fakeAuthority) replaceCalls() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.replaces
@@ -99,7 +99,7 @@
 	dialled, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = dialled.Close() })
-	assert.NilError(t, dialled.SetDeadline(time.Now().Add(testWithin)))
+	assert.NilError(t, dialled.SetDeadline(time.Now().Add(testTimeout)))
 	return &connection{TCPConn: dialled.(*net.TCPConn), t: t, reader: bufio.NewReader(dialled)}
 }
 
@@ -110,7 +110,7 @@
 }
 
 // answer reads one answer and its body, and checks that it states its length.
-func (c *connection) answer(method string) (*http.Response, string) {
+func (c *connection) readResponse(method string) (*http.Response, string) {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	assert.NilError(c.t, err)
@@ -129,6 +129,6 @@
 		request.Header[name] = []string{value}
 	}
 	assert.NilError(c.t, request.Write(c))
-	response, text := c.answer(method)
+	response, text := c.readResponse(method)
 	return response.StatusCode, text
 }
--- a/internal/barograph/operators/answer.go
+++ b/internal/barograph/operators/response.go
@@ -9,26 +9,26 @@
 )
 
 // refusal is the body of each answer that is not a success.
-type refusal struct {
+type errorBody struct {
 	ErrorMessage string `json:"errorMessage"`
 }
 
 // acknowledgement is the body of a success that has nothing to tell.
-type acknowledgement struct{}
+type emptyBody struct{}
 
 // retirement is the body of a success of Retire.Show.
-type retirement struct {
+type retirementBody struct {
 	MemberState string `json:"memberState"`
 }
 
 // The member states that operators read.
 const (
-	memberRolling   = "rolling"
-	memberCompleted = "completed"
+	memberStateRolling   = "rolling"
+	memberStateCompleted = "completed"
 )
 
 // write sends a JSON body.
-func write(response http.ResponseWriter, status int, body []byte) {
+func writeBody(response http.ResponseWriter, status int, body []byte) {
 	header := response.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(len(body)))
@@ -37,22 +37,22 @@
 	_, _ = response.Write(body)
 }
 
-func answer(response http.ResponseWriter, status int, value any) {
+func writeJSON(response http.ResponseWriter, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
 		status, body = http.StatusServiceUnavailable, []byte("{}")
 	}
-	write(response, status, body)
+	writeBody(response, status, body)
 }
 
 // refuse sends a refusal with its reason.
-func refuse(response http.ResponseWriter, status int, err error) {
-	answer(response, status, refusal{ErrorMessage: err.Error()})
+func writeError(response http.ResponseWriter, status int, err error) {
+	writeJSON(response, status, errorBody{ErrorMessage: err.Error()})
 }
 
 // refuseBody answers a call whose body could not be read. The connection is closed
 // after it, since what follows on it may be the rest of the body.
-func refuseBody(response http.ResponseWriter, err error) {
+func writeBodyError(response http.ResponseWriter, err error) {
 	status := http.StatusServiceUnavailable
 	switch {
 	case errors.Is(err, errTooLarge):
@@ -61,5 +61,5 @@
 		status = http.StatusBadRequest
 	}
 	response.Header().Set("Connection", "close")
-	refuse(response, status, err)
+	writeError(response, status, err)
 }
--- a/internal/barograph/operators/server.go
+++ b/internal/barograph/operators/server.go
@@ -15,51 +15,51 @@
 
 // What stands where Options leave a value at 0.
 const (
-	DefaultMaxBody        = 8 << 20
-	DefaultMaxBodies      = 32 << 20
-	DefaultMaxConnections = 256
-	DefaultMaxHead        = 16 << 10
-	DefaultHeadWithin     = 5 * time.Second
-	DefaultBodyWithin     = 30 * time.Second
-	DefaultDecideWithin   = 10 * time.Second
-	DefaultAnswerWithin   = 30 * time.Second
-	DefaultIdleFor        = 15 * time.Second
-	DefaultRetireWithin   = 30 * time.Second
+	DefaultMaxBodyBytes     = 8 << 20
+	DefaultMaxBufferedBytes = 32 << 20
+	DefaultMaxConnections   = 256
+	DefaultMaxHeaderBytes   = 16 << 10
+	DefaultHeaderTimeout    = 5 * time.Second
+	DefaultBodyTimeout      = 30 * time.Second
+	DefaultDecisionTimeout  = 10 * time.Second
+	DefaultResponseTimeout  = 30 * time.Second
+	DefaultIdleTimeout      = 15 * time.Second
+	DefaultRetireDeadline   = 30 * time.Second
 )
 
 // Options are what a Server needs to know. All but Authority may be left at 0 for the
 // defaults.
 type Options struct {
-	Authority      Authority
-	MaxBody        int64         // bytes of a configuration
-	MaxBodies      int64         // bytes of all configurations that are being read or decided at once, at least MaxBody
-	MaxConnections int           // more wait to be accepted
-	MaxHead        int           // bytes of a call's head; net/http allows 4 KiB above it
-	HeadWithin     time.Duration // for a call's head to come
-	BodyWithin     time.Duration // from then for its body to come
-	DecideWithin   time.Duration // for the Authority, and before for memory for the body
-	AnswerWithin   time.Duration // for the answer to go out
-	IdleFor        time.Duration // until a connection without a call is closed
-	RetireWithin   time.Duration // deadline of a retirement that states none
+	Authority        Authority
+	MaxBodyBytes     int64         // bytes of a configuration
+	MaxBufferedBytes int64         // bytes of all configurations that are being read or decided at once, at least MaxBody
+	MaxConnections   int           // more wait to be accepted
+	MaxHeaderBytes   int           // bytes of a call's head; net/http allows 4 KiB above it
+	HeaderTimeout    time.Duration // for a call's head to come
+	BodyTimeout      time.Duration // from then for its body to come
+	DecisionTimeout  time.Duration // for the Authority, and before for memory for the body
+	ResponseTimeout  time.Duration // for the answer to go out
+	IdleTimeout      time.Duration // until a connection without a call is closed
+	RetireDeadline   time.Duration // deadline of a retirement that states none
 }
 
 // completed puts the defaults in.
-func (o Options) completed() Options {
-	orDefault(&o.MaxBody, DefaultMaxBody)
-	orDefault(&o.MaxBodies, DefaultMaxBodies)
-	orDefault(&o.MaxConnections, DefaultMaxConnections)
-	orDefault(&o.MaxHead, DefaultMaxHead)
-	orDefault(&o.HeadWithin, DefaultHeadWithin)
-	orDefault(&o.BodyWithin, DefaultBodyWithin)
-	orDefault(&o.DecideWithin, DefaultDecideWithin)
-	orDefault(&o.AnswerWithin, DefaultAnswerWithin)
-	orDefault(&o.IdleFor, DefaultIdleFor)
-	orDefault(&o.RetireWithin, DefaultRetireWithin)
-	o.MaxBodies = max(o.MaxBodies, o.MaxBody)
+func (o Options) withDefaults() Options {
+	setDefault(&o.MaxBodyBytes, DefaultMaxBodyBytes)
+	setDefault(&o.MaxBufferedBytes, DefaultMaxBufferedBytes)
+	setDefault(&o.MaxConnections, DefaultMaxConnections)
+	setDefault(&o.MaxHeaderBytes, DefaultMaxHeaderBytes)
+	setDefault(&o.HeaderTimeout, DefaultHeaderTimeout)
+	setDefault(&o.BodyTimeout, DefaultBodyTimeout)
+	setDefault(&o.DecisionTimeout, DefaultDecisionTimeout)
+	setDefault(&o.ResponseTimeout, DefaultResponseTimeout)
+	setDefault(&o.IdleTimeout, DefaultIdleTimeout)
+	setDefault(&o.RetireDeadline, DefaultRetireDeadline)
+	o.MaxBufferedBytes = max(o.MaxBufferedBytes, o.MaxBodyBytes)
 	return o
 }
 
-func orDefault[T int | int64 | time.Duration](value *T, standard T) {
+func setDefault[T int | int64 | time.Duration](value *T, standard T) {
 	if *value <= 0 {
 		*value = standard
 	}
@@ -74,15 +74,15 @@
 
 // NewServer makes a server that does not listen yet.
 func NewServer(options Options) *Server {
-	options = options.completed()
-	server := &Server{options: options, bodies: semaphore.NewWeighted(options.MaxBodies)}
+	options = options.withDefaults()
+	server := &Server{options: options, bodies: semaphore.NewWeighted(options.MaxBufferedBytes)}
 	server.http = &http.Server{
-		Handler:           matcher.Serve(server.tree(), refuse),
-		ReadHeaderTimeout: options.HeadWithin,
-		ReadTimeout:       options.HeadWithin + options.BodyWithin,
-		WriteTimeout:      options.BodyWithin + 2*options.DecideWithin + options.AnswerWithin,
-		IdleTimeout:       options.IdleFor,
-		MaxHeaderBytes:    options.MaxHead,
+		Handler:           matcher.Serve(server.tree(), writeError),
+		ReadHeaderTimeout: options.HeaderTimeout,
+		ReadTimeout:       options.HeaderTimeout + options.BodyTimeout,
+		WriteTimeout:      options.BodyTimeout + 2*options.DecisionTimeout + options.ResponseTimeout,
+		IdleTimeout:       options.IdleTimeout,
+		MaxHeaderBytes:    options.MaxHeaderBytes,
 		ErrorLog:          klog.NewStandardLogger("WARNING"),
 
 		DisableGeneralOptionsHandler: true,
@@ -96,7 +96,7 @@
 // Serve accepts connections until Close or Shutdown, then returns nil; another failure
 // of the listener it returns.
 func (s *Server) Serve(listener net.Listener) error {
-	err := s.http.Serve(newBounded(listener, s.options.MaxConnections))
+	err := s.http.Serve(newBoundedListener(listener, s.options.MaxConnections))
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
--- a/internal/barograph/operators/server_test.go
+++ b/internal/barograph/operators/server_test.go
@@ -21,7 +21,7 @@
 		status  int
 		body    string
 	}{
-		{ReplaceOutcome{Result: ReplaceTaken}, 200, `{}`},
+		{ReplaceOutcome{Result: ReplaceAccepted}, 200, `{}`},
 		{ReplaceOutcome{Result: ReplaceConflict}, 412, `{"errorMessage":"another configuration is the newest"}`},
 		{ReplaceOutcome{ReplaceConflict, "revision 9 is"}, 412, `{"errorMessage":"revision 9 is"}`},
 		{ReplaceOutcome{ReplaceInvalid, "configRevision: is \"old\""}, 400, `{"errorMessage":"configRevision: is \"old\""}`},
@@ -30,7 +30,7 @@
 		{ReplaceOutcome{ReplaceUncertain, "no quorum"}, 503, `{"errorMessage":"no quorum"}`},
 		{ReplaceOutcome{Result: 99}, 503, `{"errorMessage":"cannot be decided now"}`},
 	}
-	authority := new(standIn)
+	authority := new(fakeAuthority)
 	connected := dial(t, serve(t, Options{Authority: authority}))
 	for _, c := range cases {
 		authority.replace = c.outcome
@@ -59,7 +59,7 @@
 		{BaseRevisionHeader + ":18446744073709551616", 400, 0},
 	}
 	for _, c := range cases {
-		authority := &standIn{replace: ReplaceOutcome{Result: ReplaceTaken}, base: 99}
+		authority := &fakeAuthority{replace: ReplaceOutcome{Result: ReplaceAccepted}, base: 99}
 		connected := dial(t, serve(t, Options{Authority: authority}))
 		status, body := connected.call("POST", "/api/Configuration.Replace", c.header, valid)
 		assert.Equal(t, status, c.status, "%q", c.header)
@@ -67,13 +67,13 @@
 			assert.Equal(t, authority.base, c.base, "%q", c.header)
 			continue
 		}
-		assert.Equal(t, authority.asked(), 0, "%q", c.header)
+		assert.Equal(t, authority.replaceCalls(), 0, "%q", c.header)
 		assert.Equal(t, body, `{"errorMessage":"Oakseam-Base-Revision: must be one whole number"}`)
 	}
 }
 
 func TestReplaceRefusesWhatRoutingRefuses(t *testing.T) {
-	authority := &standIn{replace: ReplaceOutcome{Result: ReplaceTaken}}
+	authority := &fakeAuthority{replace: ReplaceOutcome{Result: ReplaceAccepted}}
 	connected := dial(t, serve(t, Options{Authority: authority}))
 	bodies := map[string]string{
 		``:                     "body: ",
@@ -87,11 +87,11 @@
 		assert.Equal(t, status, 400, "%q", body)
 		assert.Assert(t, strings.HasPrefix(text, `{"errorMessage":"`+message), "%q: %s", body, text)
 	}
-	assert.Equal(t, authority.asked(), 0)
+	assert.Equal(t, authority.replaceCalls(), 0)
 }
 
 // padded gives a valid configuration of a size.
-func padded(size int) string { return valid + strings.Repeat(" ", size-len(valid)) }
+func paddedConfiguration(size int) string { return valid + strings.Repeat(" ", size-len(valid)) }
 
 func TestReplaceBoundsTheBody(t *testing.T) {
 	const most = 100000
@@ -110,9 +110,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			authority := &standIn{replace: ReplaceOutcome{Result: ReplaceTaken}}
-			connected := dial(t, serve(t, Options{Authority: authority, MaxBody: most}))
-			var body io.Reader = strings.NewReader(padded(c.size))
+			authority := &fakeAuthority{replace: ReplaceOutcome{Result: ReplaceAccepted}}
+			connected := dial(t, serve(t, Options{Authority: authority, MaxBodyBytes: most}))
+			var body io.Reader = strings.NewReader(paddedConfiguration(c.size))
 			if c.chunked {
 				body = io.MultiReader(body) // of unknown length
 			}
@@ -120,18 +120,18 @@
 			assert.NilError(t, err)
 			// The whole body is sent before the answer is read.
 			assert.NilError(t, request.Write(connected))
-			response, text := connected.answer("POST")
+			response, text := connected.readResponse("POST")
 			assert.Equal(t, response.StatusCode, c.status, text)
 			assert.Equal(t, response.Close, c.status != 200)
-			assert.Equal(t, authority.asked(), map[int]int{200: 1, 413: 0}[c.status])
+			assert.Equal(t, authority.replaceCalls(), map[int]int{200: 1, 413: 0}[c.status])
 		})
 	}
 }
 
 func TestReplaceRefusesAtOnceWhoWaitsToSend(t *testing.T) {
-	connected := dial(t, serve(t, Options{Authority: new(standIn)}))
+	connected := dial(t, serve(t, Options{Authority: new(fakeAuthority)}))
 	connected.send("POST /api/Configuration.Replace HTTP/1.1\r\nHost: o\r\nExpect: 100-continue\r\nContent-Length: 99999999\r\n\r\n")
-	response, _ := connected.answer("POST")
+	response, _ := connected.readResponse("POST")
 	assert.Equal(t, response.StatusCode, 413)
 }
 
@@ -149,40 +149,40 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			authority := new(standIn)
-			options := Options{Authority: authority, HeadWithin: 100 * time.Millisecond, BodyWithin: 100 * time.Millisecond}
+			authority := new(fakeAuthority)
+			options := Options{Authority: authority, HeaderTimeout: 100 * time.Millisecond, BodyTimeout: 100 * time.Millisecond}
 			connected := dial(t, serve(t, options))
 			connected.send(c.text)
 			if c.half {
 				assert.NilError(t, connected.CloseWrite())
 			}
-			response, text := connected.answer("POST")
+			response, text := connected.readResponse("POST")
 			assert.Equal(t, response.StatusCode, c.status, text)
 			assert.Assert(t, response.Close)
-			assert.Equal(t, authority.asked(), 0)
+			assert.Equal(t, authority.replaceCalls(), 0)
 		})
 	}
 }
 
 func TestReplaceOutlivesTheOperatorsHalf(t *testing.T) {
-	authority := &standIn{replace: ReplaceOutcome{Result: ReplaceTaken}}
+	authority := &fakeAuthority{replace: ReplaceOutcome{Result: ReplaceAccepted}}
 	var failure error
-	authority.whileActive = func(ctx context.Context) { failure = ctx.Err() }
+	authority.onReplace = func(ctx context.Context) { failure = ctx.Err() }
 	connected := dial(t, serve(t, Options{Authority: authority}))
 	connected.send(fmt.Sprintf("POST /api/Configuration.Replace HTTP/1.1\r\nHost: o\r\nContent-Length: %d\r\n\r\n%s", len(valid), valid))
 	assert.NilError(t, connected.CloseWrite())
-	response, _ := connected.answer("POST")
+	response, _ := connected.readResponse("POST")
 	assert.Equal(t, response.StatusCode, 200)
 	assert.NilError(t, failure)
 }
 
 func TestReplaceGivesTheAuthorityItsTime(t *testing.T) {
-	authority := new(standIn)
-	authority.whileActive = func(ctx context.Context) { <-ctx.Done() }
+	authority := new(fakeAuthority)
+	authority.onReplace = func(ctx context.Context) { <-ctx.Done() }
 	// The time for the body ends before that for the decision.
 	options := Options{
-		Authority: authority, HeadWithin: 50 * time.Millisecond, BodyWithin: 50 * time.Millisecond,
-		DecideWithin: 300 * time.Millisecond,
+		Authority: authority, HeaderTimeout: 50 * time.Millisecond, BodyTimeout: 50 * time.Millisecond,
+		DecisionTimeout: 300 * time.Millisecond,
 	}
 	connected := dial(t, serve(t, options))
 	for range 2 {
@@ -190,28 +190,28 @@
 		assert.Equal(t, status, 503)
 		assert.Equal(t, body, `{"errorMessage":"cannot be decided now"}`)
 	}
-	assert.Equal(t, authority.asked(), 2)
+	assert.Equal(t, authority.replaceCalls(), 2)
 }
 
 func TestReplaceBoundsBodiesTogether(t *testing.T) {
 	entered, leave := make(chan struct{}), make(chan struct{})
-	authority := &standIn{replace: ReplaceOutcome{Result: ReplaceTaken}}
-	authority.whileActive = func(context.Context) {
+	authority := &fakeAuthority{replace: ReplaceOutcome{Result: ReplaceAccepted}}
+	authority.onReplace = func(context.Context) {
 		entered <- struct{}{}
 		<-leave
 	}
-	options := Options{Authority: authority, MaxBody: 1000, MaxBodies: 1000, DecideWithin: 50 * time.Millisecond}
+	options := Options{Authority: authority, MaxBodyBytes: 1000, MaxBufferedBytes: 1000, DecisionTimeout: 50 * time.Millisecond}
 	address := serve(t, options)
 	first, second := dial(t, address), dial(t, address)
-	send := fmt.Sprintf("POST /api/Configuration.Replace HTTP/1.1\r\nHost: o\r\nContent-Length: 1000\r\n\r\n%s", padded(1000))
+	send := fmt.Sprintf("POST /api/Configuration.Replace HTTP/1.1\r\nHost: o\r\nContent-Length: 1000\r\n\r\n%s", paddedConfiguration(1000))
 	first.send(send)
 	<-entered
 	second.send(send)
-	response, _ := second.answer("POST")
+	response, _ := second.readResponse("POST")
 	assert.Equal(t, response.StatusCode, 503)
-	assert.Equal(t, authority.asked(), 1)
+	assert.Equal(t, authority.replaceCalls(), 1)
 	close(leave)
-	response, _ = first.answer("POST")
+	response, _ = first.readResponse("POST")
 	assert.Equal(t, response.StatusCode, 200)
 }
 
@@ -226,16 +226,16 @@
 	}{
 		{"as it was sent", []byte(valid), nil, 200, valid},
 		{"large", large, nil, 200, string(large)},
-		{"none", nil, errors.Wrap(ErrNone, "shown"), 404, `{"errorMessage":"no configuration yet"}`},
+		{"none", nil, errors.Wrap(ErrNoConfiguration, "shown"), 404, `{"errorMessage":"no configuration yet"}`},
 		{"unavailable", nil, ErrUnavailable, 503, `{"errorMessage":"cannot be decided now"}`},
 		{"another failure", nil, io.ErrClosedPipe, 503, `{"errorMessage":"io: read/write on closed pipe"}`},
 	}
-	authority := new(standIn)
+	authority := new(fakeAuthority)
 	connected := dial(t, serve(t, Options{Authority: authority}))
 	for _, c := range cases {
 		authority.shown, authority.showErr = c.shown, c.err
 		connected.send("GET /api/Configuration.Show?now=1 HTTP/1.1\r\nHost: o\r\n\r\n")
-		response, body := connected.answer("GET")
+		response, body := connected.readResponse("GET")
 		assert.Equal(t, response.StatusCode, c.status, c.name)
 		assert.Equal(t, response.Header.Get("Content-Type"), "application/json")
 		assert.Assert(t, body == c.body, c.name)
@@ -254,7 +254,7 @@
 		{RetireUncertain, 503, `{"errorMessage":"cannot be decided now"}`},
 		{99, 503, `{"errorMessage":"cannot be decided now"}`},
 	}
-	authority := new(standIn)
+	authority := new(fakeAuthority)
 	connected := dial(t, serve(t, Options{Authority: authority}))
 	for _, c := range cases {
 		authority.retire = c.outcome
@@ -275,8 +275,8 @@
 		{`{"deadlineS":2.5}`, 200, 2500 * time.Millisecond},
 		{`{"deadlineS":0}`, 200, 0},
 		{`{"deadlineS":1e300}`, 200, 1<<63 - 1},
-		{`{"other":1}`, 200, DefaultRetireWithin},
-		{``, 200, DefaultRetireWithin},
+		{`{"other":1}`, 200, DefaultRetireDeadline},
+		{``, 200, DefaultRetireDeadline},
 		{`{"deadlineS":-1}`, 400, 0},
 		{`{"deadlineS":"soon"}`, 400, 0},
 		{`{"deadlineS":10`, 400, 0},
@@ -284,7 +284,7 @@
 		{strings.Repeat(" ", maxRetireBody+1), 413, 0},
 	}
 	for _, c := range cases {
-		authority := &standIn{retire: RetireAccepted}
+		authority := &fakeAuthority{retire: RetireAccepted}
 		connected := dial(t, serve(t, Options{Authority: authority}))
 		status, text := connected.call("POST", "/api/Retire.Begin/n", "", c.body)
 		assert.Equal(t, status, c.status, "%.30q", c.body)
@@ -303,13 +303,13 @@
 		status int
 		body   string
 	}{
-		{RetireRolling, nil, 200, `{"memberState":"rolling"}`},
+		{RetireInProgress, nil, 200, `{"memberState":"rolling"}`},
 		{RetireCompleted, nil, 200, `{"memberState":"completed"}`},
 		{0, ErrUnknownNode, 404, `{"errorMessage":"unknown node"}`},
 		{0, ErrUnavailable, 503, `{"errorMessage":"cannot be decided now"}`},
 		{0, nil, 503, `{"errorMessage":"cannot be decided now"}`},
 	}
-	authority := new(standIn)
+	authority := new(fakeAuthority)
 	connected := dial(t, serve(t, Options{Authority: authority}))
 	for _, c := range cases {
 		authority.state, authority.stateErr = c.state, c.err
@@ -335,11 +335,11 @@
 		{"GET /api/Configuration.Show/", "", 404},
 		{"OPTIONS *", "", 404},
 	}
-	connected := dial(t, serve(t, Options{Authority: new(standIn)}))
+	connected := dial(t, serve(t, Options{Authority: new(fakeAuthority)}))
 	for _, c := range cases {
 		connected.send(c.line + " HTTP/1.1\r\nHost: o\r\nContent-Length: 0\r\n\r\n")
 		method, _, _ := strings.Cut(c.line, " ")
-		response, body := connected.answer(method)
+		response, body := connected.readResponse(method)
 		assert.Equal(t, response.StatusCode, c.status, c.line)
 		assert.Equal(t, response.Header.Get("Allow"), c.allow, c.line)
 		assert.Assert(t, strings.HasPrefix(body, `{"errorMessage":"`), c.line)
@@ -347,7 +347,7 @@
 }
 
 func TestGarbageIsRefused(t *testing.T) {
-	address := serve(t, Options{Authority: new(standIn), MaxHead: 1000})
+	address := serve(t, Options{Authority: new(fakeAuthority), MaxHeaderBytes: 1000})
 	cases := map[string]string{
 		"no HTTP":         "\x16\x03\x01\x00\xff garbage\r\n\r\n",
 		"no host":         "GET /api/Configuration.Show HTTP/1.1\r\n\r\n",
@@ -368,7 +368,7 @@
 }
 
 func TestHalfHeadIsClosed(t *testing.T) {
-	address := serve(t, Options{Authority: new(standIn), HeadWithin: 50 * time.Millisecond, MaxConnections: 1})
+	address := serve(t, Options{Authority: new(fakeAuthority), HeaderTimeout: 50 * time.Millisecond, MaxConnections: 1})
 	for _, text := range []string{"", "GET /api/Conf", "GET / HTTP/1.1\r\nHost: o\r\nX: "} {
 		connected := dial(t, address)
 		connected.send(text)
@@ -381,7 +381,7 @@
 }
 
 func TestIdleConnectionIsClosed(t *testing.T) {
-	connected := dial(t, serve(t, Options{Authority: new(standIn), IdleFor: 50 * time.Millisecond}))
+	connected := dial(t, serve(t, Options{Authority: new(fakeAuthority), IdleTimeout: 50 * time.Millisecond}))
 	status, _ := connected.call("GET", "/", "", "")
 	assert.Equal(t, status, 404)
 	rest, err := io.ReadAll(connected.reader)
@@ -392,7 +392,7 @@
 func TestShutdownEndsServe(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	server := NewServer(Options{Authority: new(standIn)})
+	server := NewServer(Options{Authority: new(fakeAuthority)})
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(listener) }()
 	status, _ := dial(t, listener.Addr().String()).call("GET", "/", "", "")
@@ -402,12 +402,12 @@
 }
 
 func TestServeReturnsAFailure(t *testing.T) {
-	err := NewServer(Options{Authority: new(standIn)}).Serve(&pipes{fails: true})
+	err := NewServer(Options{Authority: new(fakeAuthority)}).Serve(&fakeListener{fails: true})
 	assert.ErrorIs(t, err, errStopped)
 }
 
 func TestResultsHaveNames(t *testing.T) {
-	assert.Equal(t, fmt.Sprint(ReplaceUncertain, ReplaceTaken, ReplaceConflict, ReplaceInvalid, ReplaceResult(9)),
+	assert.Equal(t, fmt.Sprint(ReplaceUncertain, ReplaceAccepted, ReplaceConflict, ReplaceInvalid, ReplaceResult(9)),
 		"uncertain taken conflict invalid uncertain")
 	assert.Equal(t, fmt.Sprint(RetireUncertain, RetireAccepted, RetireUnknownNode, RetireTooFew, RetireOutcome(9)),
 		"uncertain accepted unknown node too few uncertain")
--- a/internal/barograph/repair/random_test.go
+++ b/internal/barograph/repair/random_test.go
@@ -18,69 +18,69 @@
 	for seed := range uint64(1000) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		g := newGroup(t, 1+random.IntN(5), 5+random.IntN(4))
-		g.everyone = random.IntN(3) == 0
+		g.allAsLearners = random.IntN(3) == 0
 		next := len(g.nodes) + 1
 		for range 60 {
-			g.upset(random, &next)
+			g.injectFault(random, &next)
 			for range 1 + random.IntN(8) {
-				g.look()
+				g.planOnce()
 			}
 		}
-		g.calm()
-		g.rest()
-		g.checkRest(seed)
+		g.endFaults()
+		g.planUntilStable()
+		g.checkStable(seed)
 	}
 }
 
 // upset makes something else of the group, and keeps a majority of its voters.
-func (g *group) upset(random *rand.Rand, next *int) {
-	pick := g.nodes[random.IntN(len(g.nodes))]
+func (g *group) injectFault(random *rand.Rand, next *int) {
+	target := g.nodes[random.IntN(len(g.nodes))]
 	switch random.IntN(7) {
 	case 0:
-		if g.down[pick.ID] = true; pick.ID == g.self || g.up(g.members) < g.members.Quorum()+1 {
-			delete(g.down, pick.ID)
+		if g.down[target.ID] = true; target.ID == g.self || g.countUp(g.members) < g.members.Quorum()+1 {
+			delete(g.down, target.ID)
 		}
 	case 1:
 		clear(g.down)
 	case 2:
-		g.wipe(pick, next)
+		g.wipeDisk(target, next)
 	case 3:
-		g.retire(pick)
+		g.retire(target)
 	case 4:
-		g.lag[pick.ID] = uint64(random.IntN(3)) * 400
+		g.lag[target.ID] = uint64(random.IntN(3)) * 400
 	case 5:
-		g.elect(random)
+		g.electLeader(random)
 	case 6:
-		g.voters = []int{1, 3, 3, 3, 5}[random.IntN(5)]
+		g.targetVoters = []int{1, 3, 3, 3, 5}[random.IntN(5)]
 	}
 }
 
 // wipe has a machine lose its disk and come back as another node.
-func (g *group) wipe(pick protocol.Node, next *int) {
+func (g *group) wipeDisk(target protocol.Node, next *int) {
 	before := maps.Clone(g.down)
-	if g.down[pick.ID] = true; pick.ID == g.self || g.up(g.members) < g.members.Quorum()+1 {
+	if g.down[target.ID] = true; target.ID == g.self || g.countUp(g.members) < g.members.Quorum()+1 {
 		g.down = before
 		return
 	}
-	came := pick
-	came.ID = replica.NodeID(*next)
+	replacement := target
+	replacement.ID = replica.NodeID(*next)
 	*next++
-	at := slices.Index(g.nodes, pick)
+	at := slices.Index(g.nodes, target)
 	g.nodes = slices.Clone(g.nodes)
-	g.nodes[at] = came
+	g.nodes[at] = replacement
 }
 
 // retire has a machine emptied, where enough are left.
-func (g *group) retire(pick protocol.Node) {
-	if len(g.nodes)-len(g.retiring) > 5 && !slices.Contains(g.retiring, pick.Name) {
-		g.retiring = append(slices.Clone(g.retiring), pick.Name)
+func (g *group) retire(target protocol.Node) {
+	if len(g.nodes)-len(g.retiring) > 5 && !slices.Contains(g.retiring, target.Name) {
+		g.retiring = append(slices.Clone(g.retiring), target.Name)
 	}
 }
 
 // elect gives the group another owner, who knows nothing of the one before.
-func (g *group) elect(random *rand.Rand) {
+func (g *group) electLeader(random *rand.Rand) {
 	voter := g.members.Voters[random.IntN(len(g.members.Voters))]
-	if _, known := find(g.nodes, voter); !known || g.down[voter] {
+	if _, known := findNode(g.nodes, voter); !known || g.down[voter] {
 		return
 	}
 	g.self, g.planner = voter, &Planner{}
@@ -90,28 +90,28 @@
 }
 
 // calm ends all troubles but lost disks.
-func (g *group) calm() {
+func (g *group) endFaults() {
 	clear(g.lag)
 	for id := range g.down {
-		if _, known := find(g.nodes, id); known {
+		if _, known := findNode(g.nodes, id); known {
 			delete(g.down, id)
 		}
 	}
 	if !g.members.IsVoter(g.self) {
-		g.elect(rand.New(rand.NewPCG(1, 1)))
+		g.electLeader(rand.New(rand.NewPCG(1, 1)))
 	}
 }
 
-func (g *group) checkRest(seed uint64) {
+func (g *group) checkStable(seed uint64) {
 	g.t.Helper()
-	assert.Equal(g.t, len(g.members.Voters), g.voters, "seed %d: %v", seed, g.members)
+	assert.Equal(g.t, len(g.members.Voters), g.targetVoters, "seed %d: %v", seed, g.members)
 	for _, id := range g.members.All() {
-		n, known := find(g.nodes, id)
+		n, known := findNode(g.nodes, id)
 		assert.Assert(g.t, known, "seed %d: %d is gone: %v", seed, id, g.members)
 		retired := slices.Contains(g.retiring, n.Name)
 		assert.Assert(g.t, !retired || g.members.IsLearner(id), "seed %d: %d is to be emptied: %v", seed, id, g.members)
 	}
-	if g.everyone {
+	if g.allAsLearners {
 		assert.Equal(g.t, len(g.members.All()), len(g.nodes), "seed %d", seed)
 		return
 	}
--- a/internal/barograph/repair/repair.go
+++ b/internal/barograph/repair/repair.go
@@ -14,29 +14,29 @@
 )
 
 // catchUpWithin is how long a learner may take to be heard from before another is tried.
-const catchUpWithin = 1500 * time.Millisecond
+const learnerContactTimeout = 1500 * time.Millisecond
 
 // lagMost is how many committed entries a learner may lack to become a voter. While commands
 // come in all the time it always lacks the newest ones; they are on their way to it.
-const lagMost = 64
+const maxPromotionLag = 64
 
 // View is what a group's owner knows.
 type View struct {
-	Status   replica.Status
-	Now      time.Duration
-	Silent   time.Duration   // a voter not heard from for this long counts as lost
-	Nodes    []protocol.Node // that may be members, of the right class
-	Alive    []protocol.Node // those of them that answer, where Wanting says so
-	Retiring []string        // names of nodes that must not be
-	Voters   int             // how many there should be
-	Everyone bool            // all other nodes follow as learners
+	Status        replica.Status
+	Now           time.Duration
+	LostAfter     time.Duration   // a voter not heard from for this long counts as lost
+	Nodes         []protocol.Node // that may be members, of the right class
+	Alive         []protocol.Node // those of them that answer, where Wanting says so
+	Retiring      []string        // names of nodes that must not be
+	TargetVoters  int             // how many there should be
+	AllAsLearners bool            // all other nodes follow as learners
 }
 
 // Planner remembers who was tried in vain. The zero value is ready to use. Each group has
 // its own.
 type Planner struct {
-	invited map[replica.NodeID]time.Duration // since when a node is a learner that is to vote
-	refused map[replica.NodeID]time.Duration // when a node did not catch up in time
+	invited  map[replica.NodeID]time.Duration // since when a node is a learner that is to vote
+	timedOut map[replica.NodeID]time.Duration // when a node did not catch up in time
 }
 
 // Plan returns the members that the group should have next, and whether they differ.
@@ -45,15 +45,15 @@
 	if !v.Status.LeaderReady || v.Status.ChangePending {
 		return now, false
 	}
-	p.begin()
+	p.initMaps()
 	lost := p.lost(v)
 	sound := len(now.Voters) - len(lost)
 	switch {
-	case len(lost) > 0 && len(now.Voters) > v.Voters, len(lost) > 0 && sound >= v.Voters:
-		return without(now, lost[0]), true
-	case len(now.Voters) > v.Voters:
-		return without(now, p.surplus(v)), true
-	case sound < v.Voters:
+	case len(lost) > 0 && len(now.Voters) > v.TargetVoters, len(lost) > 0 && sound >= v.TargetVoters:
+		return withoutMember(now, lost[0]), true
+	case len(now.Voters) > v.TargetVoters:
+		return withoutMember(now, p.surplusVoter(v)), true
+	case sound < v.TargetVoters:
 		if next, ok := p.promote(v); ok {
 			return next, true
 		}
@@ -61,19 +61,19 @@
 			return next, true
 		}
 	}
-	return p.learners(v)
+	return p.planLearners(v)
 }
 
 // Wanting tells whether the group needs another member: who of the nodes answers must be
 // known for Plan then.
-func (p *Planner) Wanting(v View) bool {
-	return v.Status.LeaderReady && !v.Status.ChangePending && len(v.Status.Members.Voters)-len(p.lost(v)) < v.Voters
+func (p *Planner) NeedsVoter(v View) bool {
+	return v.Status.LeaderReady && !v.Status.ChangePending && len(v.Status.Members.Voters)-len(p.lost(v)) < v.TargetVoters
 }
 
-func (p *Planner) begin() {
+func (p *Planner) initMaps() {
 	if p.invited == nil {
 		p.invited = map[replica.NodeID]time.Duration{}
-		p.refused = map[replica.NodeID]time.Duration{}
+		p.timedOut = map[replica.NodeID]time.Duration{}
 	}
 }
 
@@ -81,11 +81,11 @@
 func (p *Planner) lost(v View) []replica.NodeID {
 	var gone, silent, retired []replica.NodeID
 	for _, id := range v.Status.Members.Voters {
-		n, known := find(v.Nodes, id)
+		n, known := findNode(v.Nodes, id)
 		switch {
 		case !known && id != v.Status.Self:
 			gone = append(gone, id)
-		case id != v.Status.Self && v.Now-v.Status.LastHeard[id] > v.Silent:
+		case id != v.Status.Self && v.Now-v.Status.LastHeard[id] > v.LostAfter:
 			silent = append(silent, id)
 		case known && slices.Contains(v.Retiring, n.Name):
 			retired = append(retired, id)
@@ -96,7 +96,7 @@
 
 // surplus is the voter that the group can best do without: the last in its order, never
 // the owner.
-func (p *Planner) surplus(v View) replica.NodeID {
+func (p *Planner) surplusVoter(v View) replica.NodeID {
 	voters := slices.DeleteFunc(slices.Clone(v.Status.Members.Voters), func(id replica.NodeID) bool { return id == v.Status.Self })
 	ranked := hashing.Rank(string(v.Status.Group), voters, func(id replica.NodeID) uint64 { return uint64(id) })
 	return ranked[len(ranked)-1]
@@ -106,7 +106,7 @@
 func (p *Planner) promote(v View) (replica.Members, bool) {
 	now := v.Status.Members
 	for _, n := range p.candidates(v) {
-		if !slices.Contains(now.Learners, n.ID) || !heard(v, n.ID) || !caughtUp(v, n.ID) {
+		if !slices.Contains(now.Learners, n.ID) || !heard(v, n.ID) || !hasCaughtUp(v, n.ID) {
 			continue
 		}
 		delete(p.invited, n.ID)
@@ -125,23 +125,23 @@
 			delete(p.invited, id)
 			continue
 		}
-		if n, known := find(v.Nodes, id); !known || slices.Contains(v.Retiring, n.Name) {
+		if n, known := findNode(v.Nodes, id); !known || slices.Contains(v.Retiring, n.Name) {
 			delete(p.invited, id) // it is to be emptied, or came back as another
-			return without(now, id), true
+			return withoutMember(now, id), true
 		}
-		if heard(v, id) || v.Now-p.invited[id] < catchUpWithin {
+		if heard(v, id) || v.Now-p.invited[id] < learnerContactTimeout {
 			return now, false // it is on its way
 		}
 		delete(p.invited, id)
-		p.refused[id] = v.Now
-		return without(now, id), true
+		p.timedOut[id] = v.Now
+		return withoutMember(now, id), true
 	}
 	for _, n := range p.candidates(v) {
-		if at, tried := p.refused[n.ID]; tried && v.Now-at < 2*catchUpWithin {
+		if at, tried := p.timedOut[n.ID]; tried && v.Now-at < 2*learnerContactTimeout {
 			continue
 		}
 		if slices.Contains(now.Learners, n.ID) {
-			if v.Everyone {
+			if v.AllAsLearners {
 				continue // it follows anyhow and will catch up
 			}
 			p.invited[n.ID] = v.Now // by an earlier owner
@@ -166,18 +166,18 @@
 
 // learners keeps the learners as they should be: all other nodes, or none but those that
 // are to vote.
-func (p *Planner) learners(v View) (replica.Members, bool) {
+func (p *Planner) planLearners(v View) (replica.Members, bool) {
 	now := v.Status.Members
 	var want []replica.NodeID
 	for _, n := range v.Nodes {
-		if v.Everyone && !slices.Contains(now.Voters, n.ID) {
+		if v.AllAsLearners && !slices.Contains(now.Voters, n.ID) {
 			want = append(want, n.ID)
 		}
 	}
 	for _, id := range now.Learners {
 		_, invited := p.invited[id]
-		_, known := find(v.Nodes, id)
-		if !v.Everyone && invited && known {
+		_, known := findNode(v.Nodes, id)
+		if !v.AllAsLearners && invited && known {
 			want = append(want, id)
 		}
 	}
@@ -189,7 +189,7 @@
 	return replica.Members{Voters: now.Voters, Learners: want}, true
 }
 
-func find(nodes []protocol.Node, id replica.NodeID) (protocol.Node, bool) {
+func findNode(nodes []protocol.Node, id replica.NodeID) (protocol.Node, bool) {
 	at := slices.IndexFunc(nodes, func(n protocol.Node) bool { return n.ID == id })
 	if at < 0 {
 		return protocol.Node{}, false
@@ -199,16 +199,16 @@
 
 func heard(v View, id replica.NodeID) bool {
 	at, ok := v.Status.LastHeard[id]
-	return ok && v.Now-at <= v.Silent/2
+	return ok && v.Now-at <= v.LostAfter/2
 }
 
 // caughtUp tells whether a learner holds all that is committed, but for the newest entries.
-func caughtUp(v View, id replica.NodeID) bool {
+func hasCaughtUp(v View, id replica.NodeID) bool {
 	matched := v.Status.MatchIndex[id]
-	return matched > 0 && matched+lagMost >= v.Status.CommitIndex
+	return matched > 0 && matched+maxPromotionLag >= v.Status.CommitIndex
 }
 
-func without(m replica.Members, id replica.NodeID) replica.Members {
+func withoutMember(m replica.Members, id replica.NodeID) replica.Members {
 	drop := func(ids []replica.NodeID) []replica.NodeID {
 		return slices.DeleteFunc(slices.Clone(ids), func(o replica.NodeID) bool { return o == id })
 	}
--- a/internal/barograph/repair/repair_test.go
+++ b/internal/barograph/repair/repair_test.go
@@ -13,42 +13,42 @@
 )
 
 const (
-	silent = 1500 * time.Millisecond
-	step   = 150 * time.Millisecond // between two looks of the owner
+	lostAfter    = 1500 * time.Millisecond
+	planInterval = 150 * time.Millisecond // between two looks of the owner
 )
 
 // group is a group as its owner sees it: nodes that follow, lag, fall silent or get lost.
 type group struct {
-	t        *testing.T
-	planner  *Planner
-	now      time.Duration
-	self     replica.NodeID
-	members  replica.Members
-	nodes    []protocol.Node
-	retiring []string
-	voters   int
-	everyone bool
-	down     map[replica.NodeID]bool
-	lag      map[replica.NodeID]uint64 // entries that a member lacks
-	heard    map[replica.NodeID]time.Duration
-	seems    map[replica.NodeID]bool // is down, and still seems to answer
-	met      map[replica.NodeID]bool // has answered since it was invited
-	commit   uint64
-	changes  []replica.Members
+	t             *testing.T
+	planner       *Planner
+	now           time.Duration
+	self          replica.NodeID
+	members       replica.Members
+	nodes         []protocol.Node
+	retiring      []string
+	targetVoters  int
+	allAsLearners bool
+	down          map[replica.NodeID]bool
+	lag           map[replica.NodeID]uint64 // entries that a member lacks
+	heard         map[replica.NodeID]time.Duration
+	falselyAlive  map[replica.NodeID]bool // is down, and still seems to answer
+	answered      map[replica.NodeID]bool // has answered since it was invited
+	commit        uint64
+	changes       []replica.Members
 }
 
 func newGroup(t *testing.T, voters, nodes int) *group {
 	g := &group{
-		t: t, planner: &Planner{}, self: 1, voters: voters, commit: 1000, now: time.Minute,
+		t: t, planner: &Planner{}, self: 1, targetVoters: voters, commit: 1000, now: time.Minute,
 		down: map[replica.NodeID]bool{}, lag: map[replica.NodeID]uint64{}, heard: map[replica.NodeID]time.Duration{},
-		met: map[replica.NodeID]bool{}, seems: map[replica.NodeID]bool{},
+		answered: map[replica.NodeID]bool{}, falselyAlive: map[replica.NodeID]bool{},
 	}
 	for id := 1; id <= nodes; id++ {
 		g.nodes = append(g.nodes, machine(id))
 		if id <= voters {
 			g.members.Voters = append(g.members.Voters, replica.NodeID(id))
 			g.heard[replica.NodeID(id)] = g.now
-			g.met[replica.NodeID(id)] = true
+			g.answered[replica.NodeID(id)] = true
 		}
 	}
 	return g
@@ -67,29 +67,29 @@
 	for _, id := range g.members.All() {
 		if id != g.self {
 			status.LastHeard[id] = g.heard[id]
-			if g.met[id] {
+			if g.answered[id] {
 				status.MatchIndex[id] = g.commit - g.lag[id]
 			}
 		}
 	}
 	return View{
-		Status: status, Now: g.now, Silent: silent, Nodes: slices.Clone(g.nodes), Retiring: g.retiring,
-		Voters: g.voters, Everyone: g.everyone, Alive: g.alive(),
+		Status: status, Now: g.now, LostAfter: lostAfter, Nodes: slices.Clone(g.nodes), Retiring: g.retiring,
+		TargetVoters: g.targetVoters, AllAsLearners: g.allAsLearners, Alive: g.alive(),
 	}
 }
 
 // alive are the nodes that answer, or seemed to.
 func (g *group) alive() []protocol.Node {
-	return slices.DeleteFunc(slices.Clone(g.nodes), func(n protocol.Node) bool { return g.down[n.ID] && !g.seems[n.ID] })
+	return slices.DeleteFunc(slices.Clone(g.nodes), func(n protocol.Node) bool { return g.down[n.ID] && !g.falselyAlive[n.ID] })
 }
 
 // look lets the owner look once, and carries out what it wants.
-func (g *group) look() bool {
+func (g *group) planOnce() bool {
 	g.t.Helper()
-	g.now += step
+	g.now += planInterval
 	for _, id := range g.members.All() {
 		if !g.down[id] {
-			g.heard[id], g.met[id] = g.now-step/2, true
+			g.heard[id], g.answered[id] = g.now-planInterval/2, true
 		}
 	}
 	next, due := g.planner.Plan(g.view())
@@ -99,7 +99,7 @@
 	g.check(next)
 	for _, id := range next.Learners {
 		if !g.members.Contains(id) {
-			g.heard[id], g.met[id] = g.now, false // as an owner counts a new member
+			g.heard[id], g.answered[id] = g.now, false // as an owner counts a new member
 		}
 	}
 	g.members = next
@@ -111,33 +111,33 @@
 func (g *group) check(next replica.Members) {
 	g.t.Helper()
 	now := g.members
-	assert.Assert(g.t, overlap(now, next), "quorums of %v and %v need not overlap", now, next)
+	assert.Assert(g.t, quorumsOverlap(now, next), "quorums of %v and %v need not overlap", now, next)
 	assert.Assert(g.t, len(next.Voters) > 0)
 	all := next.All()
 	slices.Sort(all)
 	assert.Equal(g.t, len(slices.Compact(all)), len(next.All()), "a node stands twice: %v", next)
 	for _, id := range next.Voters {
 		if !now.IsVoter(id) {
-			assert.Assert(g.t, now.IsLearner(id) && g.met[id] && g.now-g.heard[id] < silent, "%d becomes a voter unheard: %v", id, now)
+			assert.Assert(g.t, now.IsLearner(id) && g.answered[id] && g.now-g.heard[id] < lostAfter, "%d becomes a voter unheard: %v", id, now)
 		}
 	}
-	if g.well(now) >= now.Quorum() {
-		assert.Assert(g.t, g.well(next) >= next.Quorum(), "%v has a majority, %v has none; down: %v", now, next, g.down)
+	if g.countReachable(now) >= now.Quorum() {
+		assert.Assert(g.t, g.countReachable(next) >= next.Quorum(), "%v has a majority, %v has none; down: %v", now, next, g.down)
 	}
 }
 
 // well counts the voters that the owner was in touch with of late.
-func (g *group) well(m replica.Members) int {
+func (g *group) countReachable(m replica.Members) int {
 	count := 0
 	for _, id := range m.Voters {
-		if _, known := find(g.nodes, id); id == g.self || known && g.now-g.heard[id] <= silent {
+		if _, known := findNode(g.nodes, id); id == g.self || known && g.now-g.heard[id] <= lostAfter {
 			count++
 		}
 	}
 	return count
 }
 
-func (g *group) up(m replica.Members) int {
+func (g *group) countUp(m replica.Members) int {
 	count := 0
 	for _, id := range m.Voters {
 		if !g.down[id] {
@@ -148,7 +148,7 @@
 }
 
 // overlap tries all pairs of quorums.
-func overlap(a, b replica.Members) bool {
+func quorumsOverlap(a, b replica.Members) bool {
 	for _, one := range quorums(a) {
 		for _, other := range quorums(b) {
 			if !slices.ContainsFunc(one, func(id replica.NodeID) bool { return slices.Contains(other, id) }) {
@@ -176,11 +176,11 @@
 }
 
 // rest looks until nothing is due for long, or fails.
-func (g *group) rest() {
+func (g *group) planUntilStable() {
 	g.t.Helper()
 	quiet := 0
 	for range 400 {
-		if g.look() {
+		if g.planOnce() {
 			quiet = 0
 		} else if quiet++; quiet > 50 {
 			return
@@ -197,14 +197,14 @@
 func TestSoundGroupStaysAsItIs(t *testing.T) {
 	g := newGroup(t, 3, 5)
 	for range 100 {
-		assert.Assert(t, !g.look(), "%v", g.changes)
+		assert.Assert(t, !g.planOnce(), "%v", g.changes)
 	}
 }
 
 func TestGroupGrowsToItsSize(t *testing.T) {
 	g := newGroup(t, 1, 5)
-	g.voters = 3
-	g.rest()
+	g.targetVoters = 3
+	g.planUntilStable()
 	assert.Equal(t, len(g.members.Voters), 3)
 	assert.Equal(t, len(g.members.Learners), 0)
 	assert.Equal(t, len(g.changes), 4, "two are invited and promoted")
@@ -212,8 +212,8 @@
 
 func TestGroupShrinksToItsSizeWithoutItsOwner(t *testing.T) {
 	g := newGroup(t, 5, 5)
-	g.voters, g.self = 3, 5
-	g.rest()
+	g.targetVoters, g.self = 3, 5
+	g.planUntilStable()
 	assert.Equal(t, len(g.members.Voters), 3)
 	assert.Assert(t, g.members.IsVoter(5))
 }
@@ -221,7 +221,7 @@
 func TestSilentVoterIsReplaced(t *testing.T) {
 	g := newGroup(t, 3, 4)
 	g.down[2] = true
-	g.rest()
+	g.planUntilStable()
 	g.hasVoters(1, 3, 4)
 	assert.Equal(t, len(g.changes), 3, "invited, promoted, the lost one out: %v", g.changes)
 }
@@ -229,7 +229,7 @@
 func TestSilentVoterStaysWhereNobodyCanTakeItsPlace(t *testing.T) {
 	g := newGroup(t, 3, 3)
 	g.down[2] = true
-	g.rest()
+	g.planUntilStable()
 	g.hasVoters(1, 2, 3)
 	assert.Equal(t, len(g.changes), 0)
 }
@@ -237,10 +237,10 @@
 func TestLostDiskIsReplacedByWhatCameBack(t *testing.T) {
 	g := newGroup(t, 3, 3)
 	g.down[2] = true
-	came := machine(2)
-	came.ID = 9
-	g.nodes[1] = came
-	g.rest()
+	replacement := machine(2)
+	replacement.ID = 9
+	g.nodes[1] = replacement
+	g.planUntilStable()
 	g.hasVoters(1, 3, 9)
 }
 
@@ -248,7 +248,7 @@
 	for _, self := range []replica.NodeID{1, 2} {
 		g := newGroup(t, 3, 4)
 		g.self, g.retiring = self, []string{"s2"}
-		g.rest()
+		g.planUntilStable()
 		g.hasVoters(1, 3, 4)
 		for _, m := range g.changes {
 			assert.Assert(t, len(m.Voters) >= 3)
@@ -259,7 +259,7 @@
 func TestAllVotersAreReplacedOneAfterTheOther(t *testing.T) {
 	g := newGroup(t, 3, 6)
 	g.retiring = []string{"s1", "s2", "s3"}
-	g.rest()
+	g.planUntilStable()
 	g.hasVoters(4, 5, 6)
 }
 
@@ -267,8 +267,8 @@
 	g := newGroup(t, 3, 5)
 	g.down[2] = true
 	first := g.planner.candidates(g.view())[0].ID
-	g.down[first], g.seems[first] = true, true
-	g.rest()
+	g.down[first], g.falselyAlive[first] = true, true
+	g.planUntilStable()
 	g.hasVoters(slices.Sorted(slices.Values([]replica.NodeID{1, 3, 9 - first}))...)
 	assert.Equal(t, len(g.members.Learners), 0)
 }
@@ -276,7 +276,7 @@
 func TestNodeThatIsNotThereIsNotInvited(t *testing.T) {
 	g := newGroup(t, 3, 4)
 	g.down[2], g.down[4] = true, true
-	g.rest()
+	g.planUntilStable()
 	assert.Equal(t, len(g.changes), 0)
 }
 
@@ -285,12 +285,12 @@
 	g := newGroup(t, 3, 4)
 	g.down[2] = true
 	for len(g.members.Learners) == 0 {
-		g.look()
+		g.planOnce()
 	}
 	g.lag[4] = 900
-	g.look()
+	g.planOnce()
 	g.down[4] = true
-	assert.Assert(t, !g.look(), "%v", g.changes)
+	assert.Assert(t, !g.planOnce(), "%v", g.changes)
 }
 
 // A node that is invited and then to be emptied must not stand in another's way.
@@ -298,12 +298,12 @@
 	g := newGroup(t, 3, 5)
 	g.down[2] = true
 	for len(g.members.Learners) == 0 {
-		g.look()
+		g.planOnce()
 	}
 	invited := g.members.Learners[0]
 	g.lag[invited] = 900
 	g.retiring = []string{fmt.Sprintf("s%d", invited)}
-	g.rest()
+	g.planUntilStable()
 	g.hasVoters(slices.Sorted(slices.Values([]replica.NodeID{1, 3, 9 - invited}))...)
 	assert.Equal(t, len(g.members.Learners), 0)
 }
@@ -313,17 +313,17 @@
 	g := newGroup(t, 3, 4)
 	g.down[2] = true
 	for len(g.members.Learners) == 0 {
-		g.look()
+		g.planOnce()
 	}
 	g.lag[4] = 900
 	g.planner, g.self = &Planner{}, 3
 	before := len(g.changes)
 	for range 20 {
-		g.look()
+		g.planOnce()
 	}
 	assert.Equal(t, len(g.changes), before, "%v", g.changes)
 	g.lag[4] = 0
-	g.rest()
+	g.planUntilStable()
 	g.hasVoters(1, 3, 4)
 }
 
@@ -332,7 +332,7 @@
 	g := newGroup(t, 3, 4)
 	g.down[2] = true
 	g.lag[4] = 20
-	g.rest()
+	g.planUntilStable()
 	g.hasVoters(1, 3, 4)
 }
 
@@ -340,19 +340,19 @@
 	g := newGroup(t, 3, 4)
 	g.down[2] = true
 	g.lag[4] = 900
-	g.rest()
+	g.planUntilStable()
 	g.hasVoters(1, 2, 3)
 	assert.DeepEqual(t, g.members.Learners, []replica.NodeID{4})
 }
 
 func TestEveryoneFollows(t *testing.T) {
 	g := newGroup(t, 3, 6)
-	g.everyone = true
-	g.rest()
+	g.allAsLearners = true
+	g.planUntilStable()
 	g.hasVoters(1, 2, 3)
 	assert.DeepEqual(t, g.members.Learners, []replica.NodeID{4, 5, 6})
 	g.nodes = g.nodes[:5]
-	g.rest()
+	g.planUntilStable()
 	assert.DeepEqual(t, g.members.Learners, []replica.NodeID{4, 5})
 }
 
@@ -362,7 +362,7 @@
 		func(s *replica.Status) { s.ChangePending = true },
 	} {
 		g := newGroup(t, 1, 3)
-		g.voters = 3
+		g.targetVoters = 3
 		v := g.view()
 		change(&v.Status)
 		_, due := g.planner.Plan(v)
@@ -376,11 +376,11 @@
 	for range 20 {
 		g.down[2] = true
 		for range 14 {
-			g.look()
+			g.planOnce()
 		}
 		g.down[2] = false
 		for range 14 {
-			g.look()
+			g.planOnce()
 		}
 	}
 	g.hasVoters(1, 3, 4)
@@ -392,7 +392,7 @@
 	g := newGroup(t, 3, 5)
 	for i := range 300 {
 		g.down[2], g.down[3] = i%9 < 6, i%7 < 3
-		g.look()
+		g.planOnce()
 	}
 	assert.Equal(t, len(g.changes), 0)
 }
--- a/internal/barograph/revisions/capacity_test.go
+++ b/internal/barograph/revisions/benchmark_test.go
@@ -15,7 +15,7 @@
 	for _, routes := range []int{15, 1000, 6700} {
 		b.Run(fmt.Sprintf("change/routes=%d", routes), func(b *testing.B) { benchmarkChange(b, routes) })
 	}
-	for _, taken := range []int{0, 7900, takenMost} {
+	for _, taken := range []int{0, 7900, maxRememberedChanges} {
 		b.Run(fmt.Sprintf("snapshot/taken=%d", taken), func(b *testing.B) { benchmarkSnapshot(b, taken) })
 	}
 }
@@ -30,7 +30,7 @@
 		command := Command{Change: change}
 		text, err := command.Encode()
 		assert.NilError(b, err)
-		if m.Apply(text)[0] != byte(Taken) {
+		if m.Apply(text)[0] != byte(Accepted) {
 			b.Fatal("not taken")
 		}
 		revision++
@@ -42,7 +42,7 @@
 func benchmarkSnapshot(b *testing.B, taken int) {
 	m := New(nil)
 	m.body = scaletest.Configuration(9, 6700)
-	m.state.Taken = make([]Digest, taken)
+	m.state.AcceptedChanges = make([]Digest, taken)
 	bytes := 0
 	for b.Loop() {
 		bytes = len(m.Snapshot())
--- a/internal/barograph/revisions/announce_test.go
+++ b/internal/barograph/revisions/membership_test.go
@@ -10,7 +10,7 @@
 )
 
 // dealt is a machine with four storage nodes and one partition, kept by the first three.
-func dealt(t *testing.T) *Machine {
+func newAssignedMachine(t *testing.T) *Machine {
 	m := New(nil)
 	for i, name := range []string{"s1", "s2", "s3", "s4"} {
 		n := node(i+1, name, protocol.Storage)
@@ -20,51 +20,51 @@
 	return m
 }
 
-func moved(change, step uint64, ahead bool, voters ...replica.NodeID) Command {
-	return Command{Moved: &Moved{Change: change, Step: step, Ahead: ahead, Voters: voters}}
+func membershipUpdate(change, step uint64, ahead bool, voters ...replica.NodeID) Command {
+	return Command{Membership: &MembershipUpdate{Change: change, Step: step, Announced: ahead, Voters: voters}}
 }
 
-func retire(name string) Command { return Command{Retire: &Retirement{Node: name, Least: 3}} }
+func retire(name string) Command { return Command{Retire: &Retirement{Node: name, MinRemaining: 3}} }
 
 func TestNodeThatIsToBeEmptiedIsNotAnnounced(t *testing.T) {
-	m := dealt(t)
-	assert.Equal(t, apply(t, m, retire("s4")), Taken)
-	assert.Equal(t, apply(t, m, moved(5, 0, true, 1, 2, 3, 4)), Conflict)
+	m := newAssignedMachine(t)
+	assert.Equal(t, apply(t, m, retire("s4")), Accepted)
+	assert.Equal(t, apply(t, m, membershipUpdate(5, 0, true, 1, 2, 3, 4)), Conflict)
 	emptied, _ := m.Emptied("s4")
 	assert.Assert(t, emptied)
 }
 
 func TestAnnouncedNodeIsNotEmptied(t *testing.T) {
-	m := dealt(t)
-	assert.Equal(t, apply(t, m, moved(5, 0, true, 1, 2, 3, 4)), Taken)
-	assert.Equal(t, apply(t, m, retire("s4")), Taken)
+	m := newAssignedMachine(t)
+	assert.Equal(t, apply(t, m, membershipUpdate(5, 0, true, 1, 2, 3, 4)), Accepted)
+	assert.Equal(t, apply(t, m, retire("s4")), Accepted)
 	emptied, _ := m.Emptied("s4")
 	assert.Assert(t, !emptied)
-	assert.Equal(t, apply(t, m, moved(5, 1, true, 1, 2, 3, 4)), Taken, "it stands there already")
-	assert.Equal(t, apply(t, m, moved(5, 2, false, 1, 2, 3)), Taken, "withdrawn")
+	assert.Equal(t, apply(t, m, membershipUpdate(5, 1, true, 1, 2, 3, 4)), Accepted, "it stands there already")
+	assert.Equal(t, apply(t, m, membershipUpdate(5, 2, false, 1, 2, 3)), Accepted, "withdrawn")
 	emptied, _ = m.Emptied("s4")
 	assert.Assert(t, emptied)
-	assert.Equal(t, apply(t, m, moved(5, 3, true, 1, 2, 3, 4)), Conflict)
+	assert.Equal(t, apply(t, m, membershipUpdate(5, 3, true, 1, 2, 3, 4)), Conflict)
 }
 
 // What is told late, or twice, takes nothing back.
 func TestMembersAreToldInOrder(t *testing.T) {
-	m := dealt(t)
-	assert.Equal(t, apply(t, m, moved(5, 0, false, 1, 2, 3)), Taken)
-	assert.Equal(t, apply(t, m, moved(5, 1, true, 1, 2, 3, 4)), Taken)
-	for _, late := range []Command{moved(5, 0, false, 1, 2, 3), moved(5, 1, false, 1, 2, 3), moved(5, 3, false, 1, 2, 3), moved(4, 2, false, 1, 2, 3)} {
+	m := newAssignedMachine(t)
+	assert.Equal(t, apply(t, m, membershipUpdate(5, 0, false, 1, 2, 3)), Accepted)
+	assert.Equal(t, apply(t, m, membershipUpdate(5, 1, true, 1, 2, 3, 4)), Accepted)
+	for _, late := range []Command{membershipUpdate(5, 0, false, 1, 2, 3), membershipUpdate(5, 1, false, 1, 2, 3), membershipUpdate(5, 3, false, 1, 2, 3), membershipUpdate(4, 2, false, 1, 2, 3)} {
 		assert.Equal(t, apply(t, m, late), Conflict)
 	}
 	assert.Equal(t, len(m.Directory().Partitions[0].Voters), 4)
-	assert.Equal(t, apply(t, m, moved(6, 0, false, 2, 3, 4)), Taken)
+	assert.Equal(t, apply(t, m, membershipUpdate(6, 0, false, 2, 3, 4)), Accepted)
 	assert.Equal(t, len(m.Directory().Partitions[0].Voters), 3)
 }
 
 // What is in force is told, whoever is to be emptied.
 func TestMembersInForceAreToldInAnyCase(t *testing.T) {
-	m := dealt(t)
-	assert.Equal(t, apply(t, m, retire("s4")), Taken)
-	assert.Equal(t, apply(t, m, moved(5, 0, false, 1, 2, 4)), Taken)
+	m := newAssignedMachine(t)
+	assert.Equal(t, apply(t, m, retire("s4")), Accepted)
+	assert.Equal(t, apply(t, m, membershipUpdate(5, 0, false, 1, 2, 4)), Accepted)
 	emptied, _ := m.Emptied("s4")
 	assert.Assert(t, !emptied)
 }
@@ -75,7 +75,7 @@
 		n := node(i+1, name, protocol.Storage)
 		apply(t, m, Command{Register: &n})
 	}
-	assert.Equal(t, apply(t, m, retire("s1")), Taken)
+	assert.Equal(t, apply(t, m, retire("s1")), Accepted)
 	emptied, retiring := m.Emptied("s1")
 	assert.Assert(t, !emptied && retiring)
 }
--- a/internal/barograph/revisions/revisions.go
+++ b/internal/barograph/revisions/revisions.go
@@ -16,9 +16,9 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// takenMost is how many changes are remembered, so that one that is sent again is
+// maxRememberedChanges is how many changes are remembered, so that one that is sent again is
 // acknowledged again: more than a day's.
-const takenMost = 20000
+const maxRememberedChanges = 20000
 
 // Digest identifies a change by its bytes.
 type Digest [sha256.Size]byte
@@ -32,33 +32,33 @@
 
 // Command is one step of the machine. One of the pointers is set.
 type Command struct {
-	Change   *Change        `cbor:"1,keyasint,omitempty"`
-	Register *protocol.Node `cbor:"2,keyasint,omitempty"`
-	Assign   *Assignment    `cbor:"3,keyasint,omitempty"`
-	Moved    *Moved         `cbor:"4,keyasint,omitempty"`
-	Retire   *Retirement    `cbor:"5,keyasint,omitempty"`
-	Forget   replica.NodeID `cbor:"6,keyasint,omitempty"` // a node that is gone for good
+	Change     *Change           `cbor:"1,keyasint,omitempty"`
+	Register   *protocol.Node    `cbor:"2,keyasint,omitempty"`
+	Assign     *Assignment       `cbor:"3,keyasint,omitempty"`
+	Membership *MembershipUpdate `cbor:"4,keyasint,omitempty"`
+	Retire     *Retirement       `cbor:"5,keyasint,omitempty"`
+	Forget     replica.NodeID    `cbor:"6,keyasint,omitempty"` // a node that is gone for good
 }
 
 // Assignment gives the partitions of the turns their first members. It counts once.
 type Assignment struct{ Partitions [][]replica.NodeID }
 
-// Moved tells that a partition of the turns has other members, or is about to have them: a
+// MembershipUpdate tells that a partition of the turns has other members, or is about to have them: a
 // node becomes a voter only after an announcement of it was taken, so that a retirement that
 // is asked for before is known to who would make it one, and one that is asked for later waits
 // until the node has left again.
-type Moved struct {
+type MembershipUpdate struct {
 	Partition int
 	Change    uint64 // index in the partition's log up to which all is committed
 	Step      uint64 // one more than the directory has at that index, any where it has an earlier one
-	Ahead     bool   // they are about to be the members
+	Announced bool   `cbor:"Ahead"` // they are about to be the members
 	Voters    []replica.NodeID
 }
 
 // Retirement asks for a storage node to be emptied.
 type Retirement struct {
-	Node  string
-	Least int // storage nodes that must be left
+	Node         string
+	MinRemaining int `cbor:"Least"` // storage nodes that must be left
 }
 
 // Result is what came of a command.
@@ -66,11 +66,11 @@
 
 // The results of commands.
 const (
-	Taken    Result = iota + 1
-	Conflict        // another version is current
-	Stale           // the revision isn't above the current one
-	Missing         // no such node
-	TooFew          // too few nodes would be left
+	Accepted      Result = iota + 1
+	Conflict             // another version is current
+	StaleRevision        // the revision isn't above the current one
+	UnknownNode          // no such node
+	TooFewNodes          // too few nodes would be left
 	Unreadable
 )
 
@@ -92,19 +92,19 @@
 
 // state is what snapshots hold.
 type state struct {
-	Revision  uint64
-	Packed    []byte   // the body as a patch without a base; in snapshots only
-	Taken     []Digest // oldest first
-	Directory protocol.Directory
+	Revision        uint64
+	PackedBody      []byte   `cbor:"Packed"` // the body as a patch without a base
+	AcceptedChanges []Digest `cbor:"Taken"`  // oldest first
+	Directory       protocol.Directory
 }
 
 // Machine is the state machine. It is not safe for concurrent use.
 type Machine struct {
-	state   state
-	body    []byte
-	steps   steps
-	known   map[Digest]struct{}
-	changed func()
+	state           state
+	body            []byte
+	steps           recentSteps
+	acceptedDigests map[Digest]struct{}
+	changed         func()
 }
 
 // New returns an empty Machine. It calls changed, where not nil, after each step that
@@ -113,7 +113,7 @@
 	if changed == nil {
 		changed = func() {}
 	}
-	return &Machine{known: map[Digest]struct{}{}, changed: changed}
+	return &Machine{acceptedDigests: map[Digest]struct{}{}, changed: changed}
 }
 
 // Encode gives a command the form that Apply takes.
@@ -132,7 +132,7 @@
 		return Unreadable.Bytes()
 	}
 	result := m.apply(&command)
-	if result == Taken {
+	if result == Accepted {
 		m.changed()
 	}
 	return result.Bytes()
@@ -141,13 +141,13 @@
 func (m *Machine) apply(c *Command) Result {
 	switch {
 	case c.Change != nil:
-		return m.replace(c.Change)
+		return m.applyChange(c.Change)
 	case c.Register != nil:
 		return m.register(*c.Register)
 	case c.Assign != nil:
 		return m.assign(c.Assign)
-	case c.Moved != nil:
-		return m.move(c.Moved)
+	case c.Membership != nil:
+		return m.updateMembership(c.Membership)
 	case c.Retire != nil:
 		return m.retire(c.Retire)
 	case c.Forget != 0:
@@ -159,31 +159,31 @@
 // replace is a compare-and-set on the revision. A change that was taken is
 // acknowledged whenever it comes again: by its base and its bytes it is known to be
 // that very one.
-func (m *Machine) replace(c *Change) Result {
-	if _, ok := m.known[c.Digest]; ok {
-		return Taken
+func (m *Machine) applyChange(c *Change) Result {
+	if _, ok := m.acceptedDigests[c.Digest]; ok {
+		return Accepted
 	}
 	switch {
 	case c.Base != m.state.Revision:
 		return Conflict
 	case c.Revision <= m.state.Revision:
-		return Stale
+		return StaleRevision
 	}
 	body, err := patch.Apply(m.body, c.Patch)
 	if err != nil || DigestOf(c.Base, body) != c.Digest {
 		return Unreadable
 	}
-	m.state.Revision, m.state.Packed, m.body = c.Revision, nil, body
+	m.state.Revision, m.state.PackedBody, m.body = c.Revision, nil, body
 	m.steps.add(Step{Base: c.Base, Revision: c.Revision, Patch: c.Patch})
-	m.state.Taken = append(m.state.Taken, c.Digest)
-	m.known[c.Digest] = struct{}{}
-	if over := len(m.state.Taken) - takenMost; over > 0 {
-		for _, old := range m.state.Taken[:over] {
-			delete(m.known, old)
+	m.state.AcceptedChanges = append(m.state.AcceptedChanges, c.Digest)
+	m.acceptedDigests[c.Digest] = struct{}{}
+	if over := len(m.state.AcceptedChanges) - maxRememberedChanges; over > 0 {
+		for _, old := range m.state.AcceptedChanges[:over] {
+			delete(m.acceptedDigests, old)
 		}
-		m.state.Taken = slices.Delete(m.state.Taken, 0, over)
+		m.state.AcceptedChanges = slices.Delete(m.state.AcceptedChanges, 0, over)
 	}
-	return Taken
+	return Accepted
 }
 
 // DigestOf identifies the change of a base to a body.
@@ -217,7 +217,7 @@
 	})
 	m.state.Directory.Nodes = append(nodes, n)
 	m.state.Directory.Version++
-	return Taken
+	return Accepted
 }
 
 func (m *Machine) assign(a *Assignment) Result {
@@ -228,12 +228,12 @@
 		m.state.Directory.Partitions = append(m.state.Directory.Partitions, protocol.PartitionMembers{Voters: voters})
 	}
 	m.state.Directory.Version++
-	return Taken
+	return Accepted
 }
 
-func (m *Machine) move(to *Moved) Result {
+func (m *Machine) updateMembership(to *MembershipUpdate) Result {
 	if to.Partition < 0 || to.Partition >= len(m.state.Directory.Partitions) {
-		return Missing
+		return UnknownNode
 	}
 	// The directory is handed out by reference: what is handed out stays as it is.
 	partitions := slices.Clone(m.state.Directory.Partitions)
@@ -241,13 +241,13 @@
 	if to.Change < p.Change || to.Change == p.Change && to.Step != p.Step+1 {
 		return Conflict
 	}
-	if to.Ahead && m.addsRetiring(p.Voters, to.Voters) {
+	if to.Announced && m.addsRetiring(p.Voters, to.Voters) {
 		return Conflict
 	}
 	p.Change, p.Step, p.Voters = to.Change, to.Step, to.Voters
 	m.state.Directory.Partitions = partitions
 	m.state.Directory.Version++
-	return Taken
+	return Accepted
 }
 
 // addsRetiring tells whether a node that is to be emptied would become a voter.
@@ -259,7 +259,7 @@
 
 func (m *Machine) retire(r *Retirement) Result {
 	if slices.Contains(m.state.Directory.Retiring, r.Node) {
-		return Taken
+		return Accepted
 	}
 	left, found := 0, false
 	for _, n := range m.state.Directory.Nodes {
@@ -273,13 +273,13 @@
 	}
 	switch {
 	case !found:
-		return Missing
-	case left < r.Least:
-		return TooFew
+		return UnknownNode
+	case left < r.MinRemaining:
+		return TooFewNodes
 	}
 	m.state.Directory.Retiring = append(slices.Clone(m.state.Directory.Retiring), r.Node)
 	m.state.Directory.Version++
-	return Taken
+	return Accepted
 }
 
 // forget takes a node out of the directory. One that keeps a partition stays.
@@ -291,11 +291,11 @@
 	}
 	nodes := slices.DeleteFunc(slices.Clone(m.state.Directory.Nodes), func(n protocol.Node) bool { return n.ID == id })
 	if len(nodes) == len(m.state.Directory.Nodes) {
-		return Missing
+		return UnknownNode
 	}
 	m.state.Directory.Nodes = nodes
 	m.state.Directory.Version++
-	return Taken
+	return Accepted
 }
 
 // Configuration returns the newest configuration and its revision, 0: none yet. The
@@ -313,19 +313,19 @@
 	if chain, ok := m.steps.from(revision); ok {
 		return chain
 	}
-	return []Step{{Revision: m.state.Revision, Patch: m.packed()}}
+	return []Step{{Revision: m.state.Revision, Patch: m.packedBody()}}
 }
 
 // packed is the body as a patch without a base.
-func (m *Machine) packed() []byte {
-	if m.state.Packed == nil {
+func (m *Machine) packedBody() []byte {
+	if m.state.PackedBody == nil {
 		text, err := patch.Make(nil, m.body)
 		if err != nil {
 			panic(err) // the body came out of a patch: it isn't too long
 		}
-		m.state.Packed = text
+		m.state.PackedBody = text
 	}
-	return m.state.Packed
+	return m.state.PackedBody
 }
 
 // Directory returns the directory. What it refers to must not be changed.
@@ -353,7 +353,7 @@
 
 // Snapshot returns the state.
 func (m *Machine) Snapshot() []byte {
-	m.packed()
+	m.packedBody()
 	text, err := cbor.Marshal(&m.state)
 	if err != nil {
 		panic(err) // the state is made of plain values only
@@ -370,16 +370,16 @@
 		}
 	}
 	var body []byte
-	if len(next.Packed) > 0 {
+	if len(next.PackedBody) > 0 {
 		var err error
-		if body, err = patch.Apply(nil, next.Packed); err != nil {
+		if body, err = patch.Apply(nil, next.PackedBody); err != nil {
 			return errors.Wrap(err, "restore configuration")
 		}
 	}
-	m.state, m.body, m.steps = next, body, steps{}
-	m.known = make(map[Digest]struct{}, len(next.Taken))
-	for _, d := range next.Taken {
-		m.known[d] = struct{}{}
+	m.state, m.body, m.steps = next, body, recentSteps{}
+	m.acceptedDigests = make(map[Digest]struct{}, len(next.AcceptedChanges))
+	for _, d := range next.AcceptedChanges {
+		m.acceptedDigests[d] = struct{}{}
 	}
 	m.changed()
 	return nil
--- a/internal/barograph/revisions/revisions_test.go
+++ b/internal/barograph/revisions/revisions_test.go
@@ -21,7 +21,7 @@
 }
 
 // replace applies the change of a base, as a node makes it that has what m has.
-func replace(t *testing.T, m *Machine, base, revision uint64, body string) Result {
+func applyChange(t *testing.T, m *Machine, base, revision uint64, body string) Result {
 	t.Helper()
 	c, err := m.Change(base, revision, []byte(body))
 	assert.NilError(t, err)
@@ -30,11 +30,11 @@
 
 func TestChangesAreComparedAndSet(t *testing.T) {
 	m := New(nil)
-	assert.Equal(t, replace(t, m, 3, 4, "early"), Conflict)
-	assert.Equal(t, replace(t, m, 0, 5, "a"), Taken)
-	assert.Equal(t, replace(t, m, 0, 6, "late"), Conflict, "two changes on one base")
-	assert.Equal(t, replace(t, m, 5, 5, "same number"), Stale)
-	assert.Equal(t, replace(t, m, 5, 9, "b"), Taken)
+	assert.Equal(t, applyChange(t, m, 3, 4, "early"), Conflict)
+	assert.Equal(t, applyChange(t, m, 0, 5, "a"), Accepted)
+	assert.Equal(t, applyChange(t, m, 0, 6, "late"), Conflict, "two changes on one base")
+	assert.Equal(t, applyChange(t, m, 5, 5, "same number"), StaleRevision)
+	assert.Equal(t, applyChange(t, m, 5, 9, "b"), Accepted)
 	revision, body := m.Configuration()
 	assert.Equal(t, revision, uint64(9))
 	assert.Equal(t, string(body), "b")
@@ -44,25 +44,25 @@
 	m := New(nil)
 	first, err := m.Change(0, 5, []byte("a"))
 	assert.NilError(t, err)
-	assert.Equal(t, apply(t, m, Command{Change: first}), Taken)
-	assert.Equal(t, replace(t, m, 5, 6, "b"), Taken)
-	assert.Equal(t, apply(t, m, Command{Change: first}), Taken, "also behind later ones")
-	assert.Equal(t, replace(t, m, 0, 5, "a"), Taken, "made by a node that has gone on")
+	assert.Equal(t, apply(t, m, Command{Change: first}), Accepted)
+	assert.Equal(t, applyChange(t, m, 5, 6, "b"), Accepted)
+	assert.Equal(t, apply(t, m, Command{Change: first}), Accepted, "also behind later ones")
+	assert.Equal(t, applyChange(t, m, 0, 5, "a"), Accepted, "made by a node that has gone on")
 	revision, _ := m.Configuration()
 	assert.Equal(t, revision, uint64(6), "and it doesn't come into force again")
-	assert.Equal(t, replace(t, m, 0, 5, "other bytes"), Conflict, "the same number is not the same change")
-	assert.Equal(t, replace(t, m, 5, 6, "a"), Conflict, "nor are the same bytes on another base")
+	assert.Equal(t, applyChange(t, m, 0, 5, "other bytes"), Conflict, "the same number is not the same change")
+	assert.Equal(t, applyChange(t, m, 5, 6, "a"), Conflict, "nor are the same bytes on another base")
 }
 
 func TestHistoryIsBounded(t *testing.T) {
 	m := New(nil)
-	for i := range uint64(takenMost + 2) {
-		assert.Equal(t, replace(t, m, i, i+1, fmt.Sprint(i)), Taken)
+	for i := range uint64(maxRememberedChanges + 2) {
+		assert.Equal(t, applyChange(t, m, i, i+1, fmt.Sprint(i)), Accepted)
 	}
-	assert.Equal(t, len(m.state.Taken), takenMost)
-	assert.Equal(t, len(m.known), takenMost)
-	assert.Equal(t, replace(t, m, 0, 1, "0"), Conflict, "the oldest are forgotten")
-	assert.Equal(t, replace(t, m, takenMost+1, takenMost+2, fmt.Sprint(takenMost+1)), Taken)
+	assert.Equal(t, len(m.state.AcceptedChanges), maxRememberedChanges)
+	assert.Equal(t, len(m.acceptedDigests), maxRememberedChanges)
+	assert.Equal(t, applyChange(t, m, 0, 1, "0"), Conflict, "the oldest are forgotten")
+	assert.Equal(t, applyChange(t, m, maxRememberedChanges+1, maxRememberedChanges+2, fmt.Sprint(maxRememberedChanges+1)), Accepted)
 }
 
 func node(id int, name string, class protocol.Class) protocol.Node {
@@ -72,7 +72,7 @@
 func TestLaterIncarnationTakesTheEarliersPlace(t *testing.T) {
 	m := New(nil)
 	for _, n := range []protocol.Node{node(1, "a", protocol.Storage), node(2, "b", protocol.Storage), node(3, "a", protocol.Storage)} {
-		assert.Equal(t, apply(t, m, Command{Register: &n}), Taken)
+		assert.Equal(t, apply(t, m, Command{Register: &n}), Accepted)
 	}
 	nodes := m.Directory().Nodes
 	assert.Equal(t, len(nodes), 2)
@@ -86,16 +86,16 @@
 		apply(t, m, Command{Register: &n})
 	}
 	apply(t, m, Command{Assign: &Assignment{Partitions: [][]replica.NodeID{{1, 2, 3}, {2, 3, 4}}}})
-	assert.Equal(t, apply(t, m, Command{Retire: &Retirement{Node: "other", Least: 3}}), Missing)
-	assert.Equal(t, apply(t, m, Command{Retire: &Retirement{Node: "s0", Least: 3}}), Taken)
-	assert.Equal(t, apply(t, m, Command{Retire: &Retirement{Node: "s0", Least: 3}}), Taken, "again")
-	assert.Equal(t, apply(t, m, Command{Retire: &Retirement{Node: "s1", Least: 3}}), TooFew)
+	assert.Equal(t, apply(t, m, Command{Retire: &Retirement{Node: "other", MinRemaining: 3}}), UnknownNode)
+	assert.Equal(t, apply(t, m, Command{Retire: &Retirement{Node: "s0", MinRemaining: 3}}), Accepted)
+	assert.Equal(t, apply(t, m, Command{Retire: &Retirement{Node: "s0", MinRemaining: 3}}), Accepted, "again")
+	assert.Equal(t, apply(t, m, Command{Retire: &Retirement{Node: "s1", MinRemaining: 3}}), TooFewNodes)
 	emptied, retiring := m.Emptied("s0")
 	assert.Assert(t, !emptied && retiring)
-	assert.Equal(t, apply(t, m, Command{Moved: &Moved{Partition: 0, Change: 7, Voters: []replica.NodeID{2, 3, 4}}}), Taken)
+	assert.Equal(t, apply(t, m, Command{Membership: &MembershipUpdate{Partition: 0, Change: 7, Voters: []replica.NodeID{2, 3, 4}}}), Accepted)
 	emptied, _ = m.Emptied("s0")
 	assert.Assert(t, emptied)
-	assert.Equal(t, apply(t, m, Command{Moved: &Moved{Partition: 0, Change: 6, Voters: []replica.NodeID{1, 2, 3}}}), Conflict, "news of the past")
+	assert.Equal(t, apply(t, m, Command{Membership: &MembershipUpdate{Partition: 0, Change: 6, Voters: []replica.NodeID{1, 2, 3}}}), Conflict, "news of the past")
 }
 
 func TestDirectoryThatWasHandedOutStaysAsItIs(t *testing.T) {
@@ -104,7 +104,7 @@
 	apply(t, m, Command{Register: &n})
 	apply(t, m, Command{Assign: &Assignment{Partitions: [][]replica.NodeID{{1}}}})
 	before := m.Directory()
-	apply(t, m, Command{Moved: &Moved{Partition: 0, Change: 2, Voters: []replica.NodeID{9}}})
+	apply(t, m, Command{Membership: &MembershipUpdate{Partition: 0, Change: 2, Voters: []replica.NodeID{9}}})
 	assert.Equal(t, before.Partitions[0].Voters[0], replica.NodeID(1))
 }
 
@@ -112,13 +112,13 @@
 	m := New(nil)
 	n := node(1, "a", protocol.Core)
 	apply(t, m, Command{Register: &n})
-	replace(t, m, 0, 5, "a")
+	applyChange(t, m, 0, 5, "a")
 	told := 0
 	other := New(func() { told++ })
 	assert.NilError(t, other.Restore(m.Snapshot()))
 	assert.Equal(t, told, 1)
 	assert.DeepEqual(t, other.Directory(), m.Directory())
-	assert.Equal(t, replace(t, other, 0, 5, "a"), Taken, "the history too")
+	assert.Equal(t, applyChange(t, other, 0, 5, "a"), Accepted, "the history too")
 	assert.DeepEqual(t, other.Snapshot(), m.Snapshot())
 	assert.ErrorContains(t, other.Restore([]byte{0xff}), "restore")
 }
@@ -135,11 +135,11 @@
 func TestStepsLeadToTheNewest(t *testing.T) {
 	m := New(nil)
 	bodies := map[uint64]string{0: ""}
-	for i := range uint64(stepsMost + 10) {
+	for i := range uint64(maxSteps + 10) {
 		bodies[i+1] = fmt.Sprint("body ", i+1)
-		assert.Equal(t, replace(t, m, i, i+1, bodies[i+1]), Taken)
+		assert.Equal(t, applyChange(t, m, i, i+1, bodies[i+1]), Accepted)
 	}
-	newest := uint64(stepsMost + 10)
+	newest := uint64(maxSteps + 10)
 	assert.Equal(t, len(m.Since(newest)), 0)
 	for _, from := range []uint64{0, 9, 10, 11, newest - 1, newest + 5} {
 		steps := m.Since(from)
@@ -156,22 +156,22 @@
 		}
 		assert.Equal(t, body, bodies[newest], "from %d", from)
 	}
-	assert.Equal(t, m.steps.size <= stepsMostSize, true)
+	assert.Equal(t, m.steps.size <= maxStepBytes, true)
 	other := New(nil)
 	assert.NilError(t, other.Restore(m.Snapshot()))
 	_, body := other.Configuration()
 	assert.Equal(t, string(body), bodies[newest])
 	assert.Equal(t, len(other.Since(newest-1)), 1)
-	assert.Equal(t, replace(t, other, newest, newest+1, "on"), Taken)
+	assert.Equal(t, applyChange(t, other, newest, newest+1, "on"), Accepted)
 	assert.Equal(t, len(other.Since(newest)), 1)
 }
 
 func TestLongStepsAreNotRemembered(t *testing.T) {
-	var s steps
-	s.add(Step{Base: 1, Revision: 2, Patch: make([]byte, stepsMostSize/2)})
-	s.add(Step{Base: 2, Revision: 3, Patch: make([]byte, stepsMostSize/2+1)})
+	var s recentSteps
+	s.add(Step{Base: 1, Revision: 2, Patch: make([]byte, maxStepBytes/2)})
+	s.add(Step{Base: 2, Revision: 3, Patch: make([]byte, maxStepBytes/2+1)})
 	assert.Equal(t, len(s.list), 1)
-	s.add(Step{Base: 3, Revision: 4, Patch: make([]byte, stepsMostSize+1)})
+	s.add(Step{Base: 3, Revision: 4, Patch: make([]byte, maxStepBytes+1)})
 	assert.Equal(t, len(s.list), 0)
 	assert.Equal(t, s.size, 0)
 }
@@ -179,7 +179,7 @@
 // A change that doesn't fit what is in force changes nothing, alike on all members.
 func TestChangeWhosePatchDoesntFitIsRefusedWhole(t *testing.T) {
 	m := New(nil)
-	assert.Equal(t, replace(t, m, 0, 5, "first"), Taken)
+	assert.Equal(t, applyChange(t, m, 0, 5, "first"), Accepted)
 	fitting, err := m.Change(5, 6, []byte("second"))
 	assert.NilError(t, err)
 	foreign, err := New(nil).Change(0, 6, []byte("second"))
@@ -194,5 +194,5 @@
 		assert.Equal(t, apply(t, m, Command{Change: &c}), Unreadable, name)
 		assert.Equal(t, string(m.Snapshot()), before, name)
 	}
-	assert.Equal(t, apply(t, m, Command{Change: fitting}), Taken)
+	assert.Equal(t, apply(t, m, Command{Change: fitting}), Accepted)
 }
--- a/internal/barograph/servers/servers.go
+++ b/internal/barograph/servers/servers.go
@@ -56,28 +56,28 @@
 
 // Applied and Refused are the results of Apply.
 var (
-	Applied = []byte{1}
-	Refused = []byte{0}
+	Applied  = []byte{1}
+	Rejected = []byte{0}
 )
 
 // Apply takes a publication.
 func (m *Machine) Apply(text []byte) []byte {
 	var p Publication
 	if err := cbor.Unmarshal(text, &p); err != nil {
-		return Refused
+		return Rejected
 	}
 	if p.Epoch < m.state.Epoch || p.Epoch == m.state.Epoch && p.Sequence <= m.state.Sequence {
-		return Refused
+		return Rejected
 	}
 	m.state.Epoch, m.state.Sequence = p.Epoch, p.Sequence
 	for _, s := range p.Services {
-		m.put(s)
+		m.setServers(s)
 	}
 	m.changed()
 	return Applied
 }
 
-func (m *Machine) put(s Service) {
+func (m *Machine) setServers(s Service) {
 	m.state.Version++
 	list := protocol.ServerList{Service: s.Name, Version: m.state.Version, Servers: s.Servers}
 	// What was handed out stays as it is.
--- a/internal/barograph/servers/servers_test.go
+++ b/internal/barograph/servers/servers_test.go
@@ -29,7 +29,7 @@
 	m := New(func() { told++ })
 	assert.DeepEqual(t, apply(t, m, 2, 5, service("p", "a")), Applied)
 	for _, past := range [][2]uint64{{2, 5}, {2, 4}, {1, 9}} {
-		assert.DeepEqual(t, apply(t, m, past[0], past[1], service("p", "x")), Refused)
+		assert.DeepEqual(t, apply(t, m, past[0], past[1], service("p", "x")), Rejected)
 	}
 	assert.DeepEqual(t, apply(t, m, 2, 6, service("p", "b")), Applied)
 	assert.DeepEqual(t, apply(t, m, 3, 1, service("p", "c")), Applied) // a new epoch begins anew
@@ -62,7 +62,7 @@
 	assert.NilError(t, other.Restore(m.Snapshot()))
 	assert.Equal(t, told, 1)
 	assert.DeepEqual(t, other.Snapshot(), m.Snapshot())
-	assert.DeepEqual(t, apply(t, other, 4, 7, service("p", "b")), Refused)
+	assert.DeepEqual(t, apply(t, other, 4, 7, service("p", "b")), Rejected)
 	assert.NilError(t, other.Restore(nil))
 	lists, _ := other.Lists()
 	assert.Equal(t, len(lists), 0)
@@ -71,5 +71,5 @@
 
 func TestUnreadablePublicationIsRefused(t *testing.T) {
 	m := New(func() { t.Fatal("told of a change") })
-	assert.DeepEqual(t, m.Apply([]byte("no publication")), Refused)
+	assert.DeepEqual(t, m.Apply([]byte("no publication")), Rejected)
 }
--- a/internal/barograph/simulation/configuration_test.go
+++ b/internal/barograph/simulation/configuration_test.go
@@ -172,7 +172,7 @@
 		s.world.Fail("entry %d: %v", index, err)
 	}
 	for _, o := range s.changes {
-		if o.appliedTime == 0 && applied.Change != nil && applied.Change.Digest == o.digest && string(result) == string(revisions.Taken.Bytes()) {
+		if o.appliedTime == 0 && applied.Change != nil && applied.Change.Digest == o.digest && string(result) == string(revisions.Accepted.Bytes()) {
 			s.recordApplied(o)
 		}
 	}
@@ -327,7 +327,7 @@
 		if err != nil {
 			s.world.Fail("result: %v", err)
 		}
-		if s.world.bugs.rejectRepeatedChange && result == revisions.Taken && o.appliedTime != 0 && s.revisionAt(s.world.Now) != o.newRevision {
+		if s.world.bugs.rejectRepeatedChange && result == revisions.Accepted && o.appliedTime != 0 && s.revisionAt(s.world.Now) != o.newRevision {
 			result = revisions.Conflict
 		}
 		answer(changeReply{result, true})
@@ -338,7 +338,7 @@
 func (s *configurationWorkload) recordReply(o *operation, result revisions.Result, began int64) {
 	w := s.world
 	switch result {
-	case revisions.Taken:
+	case revisions.Accepted:
 		w.tally.acknowledged++
 		if o.appliedTime == 0 {
 			w.Fail("change %d was acknowledged, but no node has applied it", o.number)
@@ -351,7 +351,7 @@
 		}
 		s.newestSeen = max(s.newestSeen, o.newRevision)
 		s.lastAcknowledgedAt = w.Now
-	case revisions.Conflict, revisions.Stale:
+	case revisions.Conflict, revisions.StaleRevision:
 		w.tally.rejected++
 		if o.appliedTime != 0 {
 			w.Fail("change %d to revision %d on %d was rejected, but it is applied", o.number, o.newRevision, o.base)
@@ -400,7 +400,7 @@
 // recovered reports whether the group is healthy, all nodes are registered and a change was
 // acknowledged after the faults.
 func (s *configurationWorkload) recovered() bool {
-	voters := min(coordinator.VotersWanted(s.world.toleratedDiskLosses), len(s.world.nodes))
+	voters := min(coordinator.TargetVoters(s.world.toleratedDiskLosses), len(s.world.nodes))
 	for _, n := range s.world.nodes {
 		if !slices.Contains(s.directory(n).Nodes, n.directoryEntry()) {
 			return false
--- a/internal/barograph/simulation/edge_test.go
+++ b/internal/barograph/simulation/edge_test.go
@@ -72,7 +72,7 @@
 	for _, t := range s.attempts {
 		if t.edge == e && t.incarnation != e.incarnation && !t.endConfirmed {
 			t.endConfirmed = true
-			ending := turns.Ending{Program: t.program.name, Attempt: t.id, Keep: t.program.retention, Token: t.token}
+			ending := turns.Completion{Program: t.program.name, Attempt: t.id, Retention: t.program.retention, Token: t.token}
 			c := &edge{workload: s, address: e.address, leaders: map[int]replica.NodeID{}, cache: map[string]string{}}
 			c.finish(t, &ending, reportTimeout, func(protocol.TurnOutcome, bool) {})
 		}
@@ -145,7 +145,7 @@
 func (t *turnAttempt) admission() *turns.Admission {
 	return &turns.Admission{
 		Program: t.program.name, Attempt: t.id, Previous: t.previous, Imported: t.imported != "",
-		Budget: t.program.budget, Most: t.program.maxTokens, Keep: t.program.retention, Token: t.token,
+		Budget: t.program.budget, MaxTokens: t.program.maxTokens, Retention: t.program.retention, Token: t.token,
 	}
 }
 
--- a/internal/barograph/simulation/lister_test.go
+++ b/internal/barograph/simulation/lister_test.go
@@ -138,10 +138,10 @@
 	d := s.listers[n.address]
 	if d == nil || d.incarnation != n.incarnation {
 		d = &fakeDuty{workload: s, node: n, incarnation: n.incarnation}
-		d.lister = lister.New(d, d, lister.Pause(0))
+		d.lister = lister.New(d, d, lister.Interval(0))
 		s.listers[n.address] = d
 	}
-	d.lister.Once(context.Background())
+	d.lister.ListOnce(context.Background())
 }
 
 // fakeDuty connects a node's lister with the simulated groups and platform.
@@ -176,7 +176,7 @@
 	return lists, nil
 }
 
-// Held implements lister.Duty.
+// Held implements lister.Task.
 func (d *fakeDuty) Held() (uint64, bool) {
 	m := d.node.member(protocol.ListerDuty)
 	if m == nil {
@@ -190,7 +190,7 @@
 	return d.epoch, m.holdsLease()
 }
 
-// Lists implements lister.Duty. The simulation stores the sender's epoch in the zone of the
+// Lists implements lister.Task. The simulation stores the sender's epoch in the zone of the
 // servers. Only their number is the platform's data, so both sides of the lister's comparison get
 // the same zone.
 func (d *fakeDuty) Lists(partition int) []protocol.ServerList {
@@ -209,7 +209,7 @@
 	return lists
 }
 
-// Publish implements lister.Duty.
+// Publish implements lister.Task.
 func (d *fakeDuty) Publish(_ context.Context, partition int, p *servers.Publication) error {
 	s := d.workload
 	s.world.tally.publications++
@@ -238,7 +238,7 @@
 	return text
 }
 
-// GiveUp implements lister.Duty.
+// GiveUp implements lister.Task.
 func (d *fakeDuty) GiveUp() {
 	m := d.node.member(protocol.ListerDuty)
 	if m == nil {
--- a/internal/barograph/simulation/registry_test.go
+++ b/internal/barograph/simulation/registry_test.go
@@ -78,7 +78,7 @@
 // planMembers returns the next members of a group as planned by the production code.
 func (m *member) planMembers(status replica.Status, d protocol.Directory, everyone bool) (replica.Members, bool) {
 	n := m.node
-	nodes := coordinator.OfClass(d, n.world.class)
+	nodes := coordinator.NodesOfClass(d, n.world.class)
 	staying := 0
 	for _, o := range nodes {
 		if !slices.Contains(d.Retiring, o.Name) {
@@ -86,10 +86,10 @@
 		}
 	}
 	view := repair.View{
-		Status: status, Now: n.clock(), Silent: node.Silent, Nodes: nodes, Retiring: d.Retiring,
-		Voters: coordinator.Voters(n.world.toleratedDiskLosses, staying), Everyone: everyone,
+		Status: status, Now: n.clock(), LostAfter: node.MemberLostAfter, Nodes: nodes, Retiring: d.Retiring,
+		TargetVoters: coordinator.FeasibleVoters(n.world.toleratedDiskLosses, staying), AllAsLearners: everyone,
 	}
-	if m.planner.Wanting(view) {
+	if m.planner.NeedsVoter(view) {
 		view.Alive = n.respondingNodes(nodes)
 	}
 	return m.planner.Plan(view)
--- a/internal/barograph/simulation/scenarios_test.go
+++ b/internal/barograph/simulation/scenarios_test.go
@@ -199,7 +199,7 @@
 			continue
 		}
 		status := m.replica.Status(n.clock())
-		if status.ChangePending || len(status.Members.Voters) != coordinator.VotersWanted(w.toleratedDiskLosses) {
+		if status.ChangePending || len(status.Members.Voters) != coordinator.TargetVoters(w.toleratedDiskLosses) {
 			return false
 		}
 		return !slices.ContainsFunc(status.Members.Voters, func(id replica.NodeID) bool { return w.nodeByID(id) == nil })
--- a/internal/barograph/simulation/turn_attempt_test.go
+++ b/internal/barograph/simulation/turn_attempt_test.go
@@ -81,9 +81,9 @@
 	w := t.edge.workload.world
 	t.endSentAt = w.Now
 	input := "<" + t.id + ">"
-	ending := &turns.Ending{
-		Program: t.program.name, Attempt: t.id, Whole: true, Tokens: t.tokensStreamed, Previous: t.previous,
-		Imported: []byte(t.imported), Input: []byte(input), Output: []byte(t.output), Keep: t.program.retention, Token: t.tokenAtEnd(),
+	ending := &turns.Completion{
+		Program: t.program.name, Attempt: t.id, Complete: true, Tokens: t.tokensStreamed, Previous: t.previous,
+		Imported: []byte(t.imported), Input: []byte(input), Output: []byte(t.output), Retention: t.program.retention, Token: t.tokenAtEnd(),
 	}
 	t.edge.finish(t, ending, finishTimeout, func(o protocol.TurnOutcome, ok bool) {
 		if !ok || o != protocol.TurnGranted {
@@ -111,7 +111,7 @@
 
 // reportTokens reports the number of streamed tokens to the partition.
 func (t *turnAttempt) reportTokens() {
-	ending := &turns.Ending{Program: t.program.name, Attempt: t.id, Tokens: t.tokensStreamed, Keep: t.program.retention, Token: t.tokenAtEnd()}
+	ending := &turns.Completion{Program: t.program.name, Attempt: t.id, Tokens: t.tokensStreamed, Retention: t.program.retention, Token: t.tokenAtEnd()}
 	t.edge.finish(t, ending, reportTimeout, func(o protocol.TurnOutcome, ok bool) {
 		t.endConfirmed = ok && o == protocol.TurnGranted
 		t.close()
@@ -132,7 +132,7 @@
 }
 
 // finish ends an attempt at its partition.
-func (e *edge) finish(t *turnAttempt, ending *turns.Ending, within time.Duration, done func(protocol.TurnOutcome, bool)) {
+func (e *edge) finish(t *turnAttempt, ending *turns.Completion, within time.Duration, done func(protocol.TurnOutcome, bool)) {
 	s := e.workload
 	alive := func() bool { return t.alive() || e != t.edge }
 	type reply struct {
@@ -144,7 +144,7 @@
 		if s.world.bugs.endBeforeCommit && m != nil && m.replica.IsLeader() {
 			answer(reply{outcome: protocol.TurnGranted})
 		}
-		s.propose(n, partition, &turns.Command{End: ending}, func(o protocol.TurnOutcome, leader replica.NodeID) {
+		s.propose(n, partition, &turns.Command{Finish: ending}, func(o protocol.TurnOutcome, leader replica.NodeID) {
 			answer(reply{o, leader})
 		})
 	}, func(r reply) (protocol.TurnOutcome, replica.NodeID) { return r.outcome, r.leader }, func(r reply, ok bool) {
--- a/internal/barograph/simulation/turns_test.go
+++ b/internal/barograph/simulation/turns_test.go
@@ -122,7 +122,7 @@
 		return
 	}
 	name := w.nodes[w.Random.IntN(len(w.nodes))].name()
-	if s.registry.apply(&revisions.Command{Retire: &revisions.Retirement{Node: name, Least: 3}}) == revisions.Taken {
+	if s.registry.apply(&revisions.Command{Retire: &revisions.Retirement{Node: name, MinRemaining: 3}}) == revisions.Accepted {
 		s.retired = name
 		w.tally.retirements++
 	}
@@ -169,20 +169,20 @@
 		return
 	}
 	partition, _ := protocol.TurnPartitionOf(m.group)
-	moved := &revisions.Moved{Partition: partition, Change: status.CommitIndex, Ahead: true, Voters: next.Voters}
+	moved := &revisions.MembershipUpdate{Partition: partition, Change: status.CommitIndex, Announced: true, Voters: next.Voters}
 	if watchReply := d.Partitions[partition]; watchReply.Change == status.CommitIndex {
 		moved.Step = watchReply.Step + 1
 	}
 	m.announcingUntil = s.world.Now + submitTimeout
 	incarnation := m.node.incarnation
-	s.registry.submit(&revisions.Command{Moved: moved}, func(result revisions.Result) {
+	s.registry.submit(&revisions.Command{Membership: moved}, func(result revisions.Result) {
 		if m.node.incarnation != incarnation {
 			return
 		}
 		m.node.execute(func() {
 			m.announcingUntil = 0
 			now := m.replica.Status(m.node.clock())
-			if result == revisions.Taken && now.Term == status.Term && now.MembersIndex == status.MembersIndex {
+			if result == revisions.Accepted && now.Term == status.Term && now.MembersIndex == status.MembersIndex {
 				m.changeMembers(next)
 			}
 		})
@@ -208,11 +208,11 @@
 	if status.ChangePending || slices.Equal(d.Partitions[partition].Voters, status.Members.Voters) {
 		return
 	}
-	moved := &revisions.Moved{Partition: partition, Change: status.CommitIndex, Voters: status.Members.Voters}
+	moved := &revisions.MembershipUpdate{Partition: partition, Change: status.CommitIndex, Voters: status.Members.Voters}
 	if watchReply := d.Partitions[partition]; watchReply.Change == status.CommitIndex {
 		moved.Step = watchReply.Step + 1
 	}
-	s.registry.submit(&revisions.Command{Moved: moved}, ignoreResult)
+	s.registry.submit(&revisions.Command{Membership: moved}, ignoreResult)
 }
 
 // checkEmptied verifies that a node that the directory reports as empty is a voter of no group.
@@ -238,11 +238,11 @@
 
 // forget proposes to delete programs whose retention has passed. The command may be delayed.
 func (s *turnsWorkload) forget(m *member) {
-	resting := m.stateMachine.(*turns.Machine).Resting(extraRetention, 64)
+	resting := m.stateMachine.(*turns.Machine).IdlePrograms(extraRetention, 64)
 	if len(resting) == 0 {
 		return
 	}
-	slices.SortFunc(resting, func(a, b turns.Rest) int { return strings.Compare(a.Program, b.Program) })
+	slices.SortFunc(resting, func(a, b turns.IdleProgram) int { return strings.Compare(a.Program, b.Program) })
 	command := turns.Command{Forget: resting}
 	text, err := command.Encode()
 	if err != nil {
@@ -285,8 +285,8 @@
 		s.world.Fail("result: %v", err)
 	}
 	return map[turns.Result]protocol.TurnOutcome{
-		turns.Granted: protocol.TurnGranted, turns.Spent: protocol.TurnSpent,
-		turns.Missing: protocol.TurnMissing, turns.Closed: protocol.TurnClosed,
+		turns.Accepted: protocol.TurnGranted, turns.BudgetExhausted: protocol.TurnSpent,
+		turns.UnknownTurn: protocol.TurnMissing, turns.AttemptClosed: protocol.TurnClosed,
 	}[result]
 }
 
--- a/internal/barograph/turns/capacity_test.go
+++ b/internal/barograph/turns/benchmark_test.go
@@ -11,21 +11,21 @@
 
 // Sizes of a turn in the benchmarks: docs/CAPACITY.md.
 const (
-	inputBytes  = 2000
-	outputBytes = 600
-	lineTurns   = 570 // of the longest programs
+	inputBytes       = 2000
+	outputBytes      = 600
+	longProgramTurns = 570 // of the longest programs
 )
 
 // filled is a machine with programs of so many turns each.
-func filled(b *testing.B, programs, turnsEach int) *Machine {
-	m := New(still)
+func newFilledMachine(b *testing.B, programs, turnsEach int) *Machine {
+	m := New(zeroClock)
 	for p := range programs {
 		previous := ""
 		for i := range turnsEach {
 			id := fmt.Sprintf("program-%05d-turn-%04d", p, i)
-			m.apply(&Command{End: &Ending{
-				Program: fmt.Sprintf("program-%05d", p), Attempt: id, Whole: true, Tokens: 100, Previous: previous,
-				Input: make([]byte, inputBytes), Output: make([]byte, outputBytes), Keep: time.Minute,
+			m.apply(&Command{Finish: &Completion{
+				Program: fmt.Sprintf("program-%05d", p), Attempt: id, Complete: true, Tokens: 100, Previous: previous,
+				Input: make([]byte, inputBytes), Output: make([]byte, outputBytes), Retention: time.Minute,
 			}})
 			previous = id
 		}
@@ -36,35 +36,35 @@
 // BenchmarkTurn is a turn's two commands, encoded and applied, by how many turns its program
 // has behind it.
 func BenchmarkTurn(b *testing.B) {
-	for _, behind := range []int{1, 57, lineTurns} {
+	for _, behind := range []int{1, 57, longProgramTurns} {
 		b.Run(fmt.Sprintf("behind=%d", behind), func(b *testing.B) { benchmarkTurn(b, behind) })
 	}
 }
 
 func benchmarkTurn(b *testing.B, behind int) {
-	m := filled(b, 1, behind)
+	m := newFilledMachine(b, 1, behind)
 	previous := fmt.Sprintf("program-00000-turn-%04d", behind-1)
 	input, output := make([]byte, inputBytes), make([]byte, outputBytes)
 	bytes := 0
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		id := fmt.Sprintf("program-00000-more-%07d", i)
-		admission := Command{Admit: &Admission{Program: "program-00000", Attempt: id, Previous: previous, Budget: 1 << 62, Most: 200, Keep: time.Minute}}
-		ending := Command{End: &Ending{
-			Program: "program-00000", Attempt: id, Whole: true, Tokens: 150, Previous: previous, Input: input, Output: output, Keep: time.Minute,
+		admission := Command{Admit: &Admission{Program: "program-00000", Attempt: id, Previous: previous, Budget: 1 << 62, MaxTokens: 200, Retention: time.Minute}}
+		ending := Command{Finish: &Completion{
+			Program: "program-00000", Attempt: id, Complete: true, Tokens: 150, Previous: previous, Input: input, Output: output, Retention: time.Minute,
 		}}
 		bytes = 0
 		for _, c := range []Command{admission, ending} {
 			text, err := c.Encode()
 			assert.NilError(b, err)
 			bytes += len(text)
-			if result, _ := ReadResult(m.Apply(text)); result != Granted {
+			if result, _ := ReadResult(m.Apply(text)); result != Accepted {
 				b.Fatal(result)
 			}
 		}
 		if i%1000 == 999 {
 			b.StopTimer()
-			m = filled(b, 1, behind)
+			m = newFilledMachine(b, 1, behind)
 			b.StartTimer()
 		}
 	}
@@ -73,9 +73,9 @@
 
 // BenchmarkHistory is the text of a line of turns.
 func BenchmarkHistory(b *testing.B) {
-	for _, length := range []int{1, 57, lineTurns} {
+	for _, length := range []int{1, 57, longProgramTurns} {
 		b.Run(fmt.Sprintf("turns=%d", length), func(b *testing.B) {
-			m := filled(b, 1, length)
+			m := newFilledMachine(b, 1, length)
 			last := fmt.Sprintf("program-00000-turn-%04d", length-1)
 			b.ReportAllocs()
 			bytes := 0
@@ -99,7 +99,7 @@
 		const turnsEach = 20
 		b.Run(fmt.Sprintf("turns=%d", programs*turnsEach), func(b *testing.B) {
 			before := heap()
-			m := filled(b, programs, turnsEach)
+			m := newFilledMachine(b, programs, turnsEach)
 			held := heap() - before
 			bytes := 0
 			for b.Loop() {
@@ -111,10 +111,10 @@
 			runtime.KeepAlive(m)
 		})
 		b.Run(fmt.Sprintf("restore/turns=%d", programs*turnsEach), func(b *testing.B) {
-			text := filled(b, programs, turnsEach).Snapshot()
+			text := newFilledMachine(b, programs, turnsEach).Snapshot()
 			b.SetBytes(int64(len(text)))
 			for b.Loop() {
-				assert.NilError(b, New(still).Restore(text))
+				assert.NilError(b, New(zeroClock).Restore(text))
 			}
 		})
 	}
