--- a/internal/barograph/turns/turns.go
+++ b/internal/barograph/turns/turns.go
@@ -13,40 +13,40 @@
 
 // Admission reserves a turn's tokens.
 type Admission struct {
-	Program  string        `cbor:"1,keyasint"`
-	Attempt  string        `cbor:"2,keyasint"`
-	Previous string        `cbor:"3,keyasint,omitempty"`
-	Imported bool          `cbor:"4,keyasint,omitempty"`
-	Budget   uint64        `cbor:"5,keyasint"`
-	Most     uint64        `cbor:"6,keyasint"`
-	Keep     time.Duration `cbor:"7,keyasint"`
-	Token    uint64        `cbor:"8,keyasint"` // drawn by who asks: the same when it asks again
+	Program   string        `cbor:"1,keyasint"`
+	Attempt   string        `cbor:"2,keyasint"`
+	Previous  string        `cbor:"3,keyasint,omitempty"`
+	Imported  bool          `cbor:"4,keyasint,omitempty"`
+	Budget    uint64        `cbor:"5,keyasint"`
+	MaxTokens uint64        `cbor:"6,keyasint"`
+	Retention time.Duration `cbor:"7,keyasint"`
+	Token     uint64        `cbor:"8,keyasint"` // drawn by who asks: the same when it asks again
 }
 
 // Ending ends a try, and keeps its turn where that was answered whole.
-type Ending struct {
-	Program  string        `cbor:"1,keyasint"`
-	Attempt  string        `cbor:"2,keyasint"`
-	Whole    bool          `cbor:"3,keyasint,omitempty"`
-	Tokens   uint64        `cbor:"4,keyasint"`
-	Previous string        `cbor:"5,keyasint,omitempty"`
-	Imported []byte        `cbor:"6,keyasint,omitempty"` // all that was said before, kept with the turn
-	Input    []byte        `cbor:"7,keyasint,omitempty"`
-	Output   []byte        `cbor:"8,keyasint,omitempty"`
-	Keep     time.Duration `cbor:"9,keyasint"`
-	Token    uint64        `cbor:"10,keyasint"` // of the try's admission: no other node ends it
+type Completion struct {
+	Program   string        `cbor:"1,keyasint"`
+	Attempt   string        `cbor:"2,keyasint"`
+	Complete  bool          `cbor:"3,keyasint,omitempty"`
+	Tokens    uint64        `cbor:"4,keyasint"`
+	Previous  string        `cbor:"5,keyasint,omitempty"`
+	Imported  []byte        `cbor:"6,keyasint,omitempty"` // all that was said before, kept with the turn
+	Input     []byte        `cbor:"7,keyasint,omitempty"`
+	Output    []byte        `cbor:"8,keyasint,omitempty"`
+	Retention time.Duration `cbor:"9,keyasint"`
+	Token     uint64        `cbor:"10,keyasint"` // of the try's admission: no other node ends it
 }
 
 // Command is one step of the machine. One of the fields is set.
 type Command struct {
-	Admit  *Admission `cbor:"1,keyasint,omitempty"`
-	End    *Ending    `cbor:"2,keyasint,omitempty"`
-	Forget []Rest     `cbor:"3,keyasint,omitempty"`
+	Admit  *Admission    `cbor:"1,keyasint,omitempty"`
+	Finish *Completion   `cbor:"2,keyasint,omitempty"`
+	Forget []IdleProgram `cbor:"3,keyasint,omitempty"`
 }
 
 // Rest is a program that nothing is heard of. It is forgotten unless something has been
 // since.
-type Rest struct {
+type IdleProgram struct {
 	Program string `cbor:"1,keyasint"`
 	Steps   uint64 `cbor:"2,keyasint"` // of the program, when it rested
 }
@@ -65,11 +65,11 @@
 
 // The results of commands.
 const (
-	Granted    Result = iota + 1 // reserved, or ended
-	Spent                        // the budget holds no further turn
-	Missing                      // the partition holds no such turn
-	Closed                       // the try has ended before, or is another node's
-	Unreadable                   // no command
+	Accepted        Result = iota + 1 // reserved, or ended
+	BudgetExhausted                   // the budget holds no further turn
+	UnknownTurn                       // the partition holds no such turn
+	AttemptClosed                     // the try has ended before, or is another node's
+	Unreadable                        // no command
 )
 
 // ResultError tells of a result that can't be read.
@@ -96,19 +96,19 @@
 
 // program is a program's budget, and which tries count towards it.
 type program struct {
-	Spent    uint64              `cbor:"1,keyasint"`
-	Reserved map[string]hold     `cbor:"2,keyasint,omitempty"` // by try
-	Ended    map[string]struct{} `cbor:"3,keyasint,omitempty"` // tries that ended
-	Turns    []string            `cbor:"4,keyasint,omitempty"`
-	Keep     time.Duration       `cbor:"5,keyasint"`
-	Steps    uint64              `cbor:"6,keyasint"` // that concerned it
-	touched  time.Duration
+	SpentTokens  uint64                 `cbor:"1,keyasint"`
+	Reservations map[string]reservation `cbor:"2,keyasint,omitempty"` // by try
+	Ended        map[string]struct{}    `cbor:"3,keyasint,omitempty"` // tries that ended
+	Turns        []string               `cbor:"4,keyasint,omitempty"`
+	Retention    time.Duration          `cbor:"5,keyasint"`
+	Steps        uint64                 `cbor:"6,keyasint"` // that concerned it
+	lastUsed     time.Duration
 }
 
 // hold is what a try that hasn't ended may put out at most, and whose it is.
-type hold struct {
-	Most  uint64 `cbor:"1,keyasint"`
-	Token uint64 `cbor:"2,keyasint"`
+type reservation struct {
+	MaxTokens uint64 `cbor:"1,keyasint"`
+	Token     uint64 `cbor:"2,keyasint"`
 }
 
 type state struct {
@@ -147,30 +147,30 @@
 	switch {
 	case c.Admit != nil:
 		return m.admit(c.Admit)
-	case c.End != nil:
-		return m.end(c.End)
+	case c.Finish != nil:
+		return m.finish(c.Finish)
 	}
 	for _, r := range c.Forget {
 		m.forget(r)
 	}
-	return Granted
+	return Accepted
 }
 
-func (m *Machine) program(name string, keep time.Duration) *program {
+func (m *Machine) program(name string, retention time.Duration) *program {
 	p := m.state.Programs[name]
 	if p == nil {
-		p = &program{Reserved: map[string]hold{}, Ended: map[string]struct{}{}}
+		p = &program{Reservations: map[string]reservation{}, Ended: map[string]struct{}{}}
 		m.state.Programs[name] = p
 	}
-	p.Keep = max(p.Keep, keep)
-	m.touch(p)
+	p.Retention = max(p.Retention, retention)
+	m.markUsed(p)
 	return p
 }
 
 // touch notes that a program goes on.
-func (m *Machine) touch(p *program) {
+func (m *Machine) markUsed(p *program) {
 	p.Steps++
-	p.touched = m.now()
+	p.lastUsed = m.now()
 }
 
 // admit reserves the most that a turn may put out. Each try counts at its most until it
@@ -179,32 +179,32 @@
 	if a.Previous != "" && !a.Imported {
 		before := m.state.Turns[a.Previous]
 		if before == nil {
-			return Missing
+			return UnknownTurn
 		}
-		m.touch(m.state.Programs[before.Program]) // its text is needed until the end of this try
+		m.markUsed(m.state.Programs[before.Program]) // its text is needed until the end of this try
 	}
-	p := m.program(a.Program, a.Keep)
+	p := m.program(a.Program, a.Retention)
 	if _, ended := p.Ended[a.Attempt]; ended {
-		return Closed
+		return AttemptClosed
 	}
-	if held, reserved := p.Reserved[a.Attempt]; reserved {
+	if held, reserved := p.Reservations[a.Attempt]; reserved {
 		if held.Token != a.Token {
-			return Closed // another node has the same try: it would run twice
+			return AttemptClosed // another node has the same try: it would run twice
 		}
-		return Granted
+		return Accepted
 	}
-	if p.counted()+a.Most > a.Budget {
-		return Spent
+	if p.spentAndReserved()+a.MaxTokens > a.Budget {
+		return BudgetExhausted
 	}
-	p.Reserved[a.Attempt] = hold{Most: a.Most, Token: a.Token}
-	return Granted
+	p.Reservations[a.Attempt] = reservation{MaxTokens: a.MaxTokens, Token: a.Token}
+	return Accepted
 }
 
 // counted is what was put out, with every open try at its most.
-func (p *program) counted() uint64 {
-	sum := p.Spent
-	for _, held := range p.Reserved {
-		sum += held.Most
+func (p *program) spentAndReserved() uint64 {
+	sum := p.SpentTokens
+	for _, held := range p.Reservations {
+		sum += held.MaxTokens
 	}
 	return sum
 }
@@ -212,37 +212,37 @@
 // end settles a try to what was handed out, once. A whole turn whose line was forgotten in
 // the meantime is not kept, since nobody could go on from it: the try stays open then, to be
 // ended with all that was said before, or as one that brought nothing.
-func (m *Machine) end(e *Ending) Result {
-	p := m.program(e.Program, e.Keep)
+func (m *Machine) finish(e *Completion) Result {
+	p := m.program(e.Program, e.Retention)
 	if _, ended := p.Ended[e.Attempt]; ended {
-		if e.Whole && m.state.Turns[e.Attempt] == nil {
-			return Closed
+		if e.Complete && m.state.Turns[e.Attempt] == nil {
+			return AttemptClosed
 		}
-		return Granted
+		return Accepted
 	}
-	if held, open := p.Reserved[e.Attempt]; open && held.Token != e.Token {
-		return Closed // it goes on at another node
+	if held, reserved := p.Reservations[e.Attempt]; reserved && held.Token != e.Token {
+		return AttemptClosed // it goes on at another node
 	}
-	if e.Whole && m.breaks(e) {
-		return Missing
+	if e.Complete && m.lacksHistory(e) {
+		return UnknownTurn
 	}
 	p.Ended[e.Attempt] = struct{}{}
-	delete(p.Reserved, e.Attempt)
-	p.Spent += e.Tokens
-	if e.Whole {
-		m.keep(p, e)
+	delete(p.Reservations, e.Attempt)
+	p.SpentTokens += e.Tokens
+	if e.Complete {
+		m.storeTurn(p, e)
 	}
-	return Granted
+	return Accepted
 }
 
 // breaks tells whether a turn would be kept without what was said before it.
-func (m *Machine) breaks(e *Ending) bool {
+func (m *Machine) lacksHistory(e *Completion) bool {
 	return e.Previous != "" && len(e.Imported) == 0 && m.state.Turns[e.Previous] == nil
 }
 
 // keep keeps a turn. What it goes on from may be another program's, which is forgotten at
 // a time of its own: then the turn takes the whole text along.
-func (m *Machine) keep(p *program, e *Ending) {
+func (m *Machine) storeTurn(p *program, e *Completion) {
 	t := &turn{Program: e.Program, Previous: e.Previous, Imported: e.Imported, Input: e.Input, Output: e.Output}
 	if before := m.state.Turns[e.Previous]; before != nil && before.Program != e.Program && len(e.Imported) == 0 {
 		t.Imported, _ = m.History(e.Previous)
@@ -251,7 +251,7 @@
 	p.Turns = append(p.Turns, e.Attempt)
 }
 
-func (m *Machine) forget(r Rest) {
+func (m *Machine) forget(r IdleProgram) {
 	name := r.Program
 	p := m.state.Programs[name]
 	if p == nil || p.Steps != r.Steps {
@@ -291,26 +291,26 @@
 
 // Resting returns programs that nothing was heard of for as long as they are kept, and
 // slack longer, at most so many.
-func (m *Machine) Resting(slack time.Duration, most int) []Rest {
-	var resting []Rest
+func (m *Machine) IdlePrograms(slack time.Duration, most int) []IdleProgram {
+	var resting []IdleProgram
 	now := m.now()
 	for name, p := range m.state.Programs {
-		if now-p.touched > p.Keep+p.open()+slack && len(resting) < most {
-			resting = append(resting, Rest{Program: name, Steps: p.Steps})
+		if now-p.lastUsed > p.Retention+p.extraRetention()+slack && len(resting) < most {
+			resting = append(resting, IdleProgram{Program: name, Steps: p.Steps})
 		}
 	}
 	return resting
 }
 
 // openMost is how long a try may be open: no stream takes longer.
-const openMost = time.Hour
+const maxAttemptDuration = time.Hour
 
 // open is how much longer a program is kept for the sake of tries that haven't ended.
-func (p *program) open() time.Duration {
-	if len(p.Reserved) == 0 {
+func (p *program) extraRetention() time.Duration {
+	if len(p.Reservations) == 0 {
 		return 0
 	}
-	return openMost
+	return maxAttemptDuration
 }
 
 // Size is how many turns and programs are held.
@@ -338,9 +338,9 @@
 	}
 	now := m.now()
 	for _, p := range next.Programs {
-		p.touched = now
-		if p.Reserved == nil {
-			p.Reserved = map[string]hold{}
+		p.lastUsed = now
+		if p.Reservations == nil {
+			p.Reservations = map[string]reservation{}
 		}
 		if p.Ended == nil {
 			p.Ended = map[string]struct{}{}
