--- a/internal/barograph/coordinator/authority.go
+++ b/internal/barograph/coordinator/authority.go
@@ -45,7 +45,7 @@
 // change makes the difference that goes into the log, on a base that was reached here.
 func (c *Coordinator) newChange(base, revision uint64, body []byte) (change *revisions.Change, err error) {
 	c.node.Host.ReadLocal(protocol.ConfigurationGroup, func(m host.StateMachine) {
-		change, err = m.(*revisions.Machine).Change(base, revision, body)
+		change, err = m.(*revisions.Machine).NewChange(base, revision, body)
 	})
 	return change, err
 }
--- a/internal/barograph/lister/lister.go
+++ b/internal/barograph/lister/lister.go
@@ -1,5 +1,5 @@
-// Package lister carries out the duty of asking the platform which servers exist. One
-// node holds it at a time; what it sees goes to the owners of the services' partitions.
+// Package lister carries out a singleton task: listing the platform's servers. One node holds
+// the task at a time. It sends what changed to the leaders of the service partitions.
 package lister
 
 import (
@@ -15,13 +15,15 @@
 )
 
 const (
-	// pauseShare is the part of the drain bound that passes between two listings: a drain must
-	// be known everywhere within that bound, also where a listing fails or the duty changes
-	// hands, and each call has a price. leastPause and mostPause bound the pause.
+	// drainBoundShare is the part of the drain bound that may pass between two listings. A drain
+	// must be known everywhere within the bound, even when a listing fails or the task moves to
+	// another node; on the other hand each call has a cost. minListInterval and maxListInterval
+	// limit the interval.
 	drainBoundShare = 0.25
 	minListInterval = 500 * time.Millisecond
 	maxListInterval = time.Second
-	// giveUpAfter is how many listings may fail in a row before the duty is handed on.
+	// maxConsecutiveFailures is how many listings in a row may fail before the task is handed to
+	// another node.
 	maxConsecutiveFailures = 4
 )
 
@@ -30,24 +32,24 @@
 	List(ctx context.Context) (map[string][]protocol.Server, error)
 }
 
-// Duty is the holder's standing and how its news get out.
+// Task is the node's hold on the singleton task, and the access to the service partitions.
 type Task interface {
-	// Held tells whether this node surely holds the duty now, and in which epoch.
+	// Held reports whether this node certainly holds the task now, and in which epoch.
 	Held() (epoch uint64, ok bool)
-	// Lists returns what a partition holds, as far as this node knows.
+	// Lists returns the lists of a partition, as far as this node knows.
 	Lists(partition int) []protocol.ServerList
-	// Publish hands a publication to a partition's owner.
+	// Publish sends a publication to the leader of a partition.
 	Publish(ctx context.Context, partition int, p *servers.Publication) error
-	// GiveUp hands the duty to another node.
+	// GiveUp hands the task to another node.
 	GiveUp()
 }
 
-// Pause is how long to wait between two listings, so that drains are known within a bound.
+// Interval returns the time between two listings for a bound on propagating a drain.
 func Interval(drain time.Duration) time.Duration {
 	return min(max(time.Duration(drainBoundShare*float64(drain)), minListInterval), maxListInterval)
 }
 
-// Lister carries out the duty while its node holds it.
+// Lister lists the servers while its node holds the task.
 type Lister struct {
 	interval time.Duration
 	platform Platform
@@ -56,12 +58,12 @@
 	failures int
 }
 
-// New returns a Lister that pauses for so long between two listings.
+// New returns a Lister with the given time between two listings.
 func New(p Platform, d Task, interval time.Duration) *Lister {
 	return &Lister{platform: p, task: d, interval: interval}
 }
 
-// Run lists while the duty is held, until ctx ends.
+// Run calls ListOnce periodically until ctx ends.
 func (l *Lister) Run(ctx context.Context) {
 	tick := time.NewTicker(l.interval)
 	defer tick.Stop()
@@ -75,7 +77,7 @@
 	}
 }
 
-// Once lists where the duty is held, and publishes what has changed.
+// ListOnce lists the servers if this node holds the task, and publishes the changes.
 func (l *Lister) ListOnce(ctx context.Context) {
 	epoch, held := l.task.Held()
 	if !held {
@@ -96,22 +98,23 @@
 		l.sequence++
 		p := &servers.Publication{Epoch: epoch, Sequence: l.sequence, Services: changed}
 		if err := l.task.Publish(ctx, partition, p); err != nil {
-			klog.ErrorS(err, "A change of servers didn't get to its partition; it is sent again", "partition", partition)
+			klog.ErrorS(err, "Publishing changed servers failed; will retry", "partition", partition)
 		}
 	}
 }
 
+// recordFailure counts a failed listing, and hands the task on after too many in a row.
 func (l *Lister) recordFailure(err error) {
 	l.failures++
 	if l.failures < maxConsecutiveFailures {
 		return
 	}
 	l.failures = 0
-	klog.ErrorS(err, "The platform's list can't be had from here: the duty goes to another node")
+	klog.ErrorS(err, "Listing the platform's servers keeps failing; handing the task to another node")
 	l.task.GiveUp()
 }
 
-// differences lists the services of a partition whose servers differ from what is held.
+// changedServices returns the services of a partition whose servers differ from the held ones.
 func changedServices(partition int, held []protocol.ServerList, seen map[string][]protocol.Server) []servers.Service {
 	var changed []servers.Service
 	for _, h := range held {
@@ -129,8 +132,8 @@
 	return changed
 }
 
-// same tells whether two lists say the same. What is left of a server's warm-up passes by
-// itself and is no change.
+// sameServers reports whether two lists are equal. The remaining warm-up time is ignored,
+// since it passes by itself.
 func sameServers(a, b []protocol.Server) bool {
 	return slices.EqualFunc(a, b, func(x, y protocol.Server) bool {
 		x.Warmup, y.Warmup = 0, 0
--- a/internal/barograph/lister/lister_test.go
+++ b/internal/barograph/lister/lister_test.go
@@ -13,19 +13,19 @@
 	"pipitmux/internal/station/protocol"
 )
 
-var errInjected = errors.New("refused")
+var errInjected = errors.New("injected failure")
 
-// standIn is a platform and a duty, as the test has them. What is published is held.
+// fakeEnvironment is a fake platform and task. Its state machines hold what was published.
 type fakeEnvironment struct {
 	t           *testing.T
-	epoch       uint64 // 0: not held
+	epoch       uint64 // 0 if the task is not held
 	lists       map[string][]protocol.Server
 	listErr     error
 	listings    int
 	partition   map[int]*servers.Machine
 	failPublish map[int]bool
 	published   []published
-	givenUp     int
+	giveUps     int
 }
 
 type published struct {
@@ -64,9 +64,9 @@
 	return nil
 }
 
-func (s *fakeEnvironment) GiveUp() { s.givenUp++ }
+func (s *fakeEnvironment) GiveUp() { s.giveUps++ }
 
-// names are so many services of a partition.
+// serviceNames returns count service names of a partition.
 func serviceNames(partition, count int) []string {
 	var found []string
 	for i := 0; len(found) < count; i++ {
@@ -81,7 +81,7 @@
 	return protocol.Server{ID: id, Address: id + ":1", Capacity: 1}
 }
 
-func TestNothingIsListedWithoutTheDuty(t *testing.T) {
+func TestNodeWithoutTheTaskDoesNotList(t *testing.T) {
 	s := newFakeEnvironment(t)
 	s.epoch = 0
 	New(s, s, minListInterval).ListOnce(t.Context())
@@ -90,8 +90,8 @@
 
 func TestOnlyChangesArePublished(t *testing.T) {
 	s := newFakeEnvironment(t)
-	one, other := serviceNames(0, 2), serviceNames(2, 1)
-	s.lists = map[string][]protocol.Server{one[0]: {server("a")}, one[1]: {server("b")}, other[0]: {server("c")}}
+	first, other := serviceNames(0, 2), serviceNames(2, 1)
+	s.lists = map[string][]protocol.Server{first[0]: {server("a")}, first[1]: {server("b")}, other[0]: {server("c")}}
 	l := New(s, s, minListInterval)
 	l.ListOnce(t.Context())
 	assert.Equal(t, len(s.published), 2)
@@ -102,13 +102,13 @@
 	assert.Assert(t, s.published[1].Sequence > s.published[0].Sequence)
 	l.ListOnce(t.Context())
 	assert.Equal(t, len(s.published), 2, "nothing has changed")
-	s.lists[one[1]] = []protocol.Server{server("b"), server("d")}
+	s.lists[first[1]] = []protocol.Server{server("b"), server("d")}
 	l.ListOnce(t.Context())
 	assert.Equal(t, len(s.published), 3)
-	assert.DeepEqual(t, s.published[2].Services, []servers.Service{{Name: one[1], Servers: s.lists[one[1]]}})
+	assert.DeepEqual(t, s.published[2].Services, []servers.Service{{Name: first[1], Servers: s.lists[first[1]]}})
 }
 
-func TestServiceThatIsListedNoLongerGoes(t *testing.T) {
+func TestServiceThatIsNoLongerListedIsRemoved(t *testing.T) {
 	s := newFakeEnvironment(t)
 	name := serviceNames(1, 1)[0]
 	s.lists = map[string][]protocol.Server{name: {server("a")}}
@@ -121,7 +121,7 @@
 	assert.Equal(t, len(s.published), 2)
 }
 
-func TestWhatIsLeftOfAWarmUpIsNoChange(t *testing.T) {
+func TestRemainingWarmupIsNotAChange(t *testing.T) {
 	s := newFakeEnvironment(t)
 	name, warming := serviceNames(1, 1)[0], server("a")
 	warming.Warmup = time.Second
@@ -138,20 +138,20 @@
 	assert.Equal(t, len(s.published), 2)
 }
 
-func TestWhatDidNotGetThroughIsSentAgain(t *testing.T) {
+func TestFailedPublicationIsRepeated(t *testing.T) {
 	s := newFakeEnvironment(t)
 	s.failPublish[0] = true
 	s.lists = map[string][]protocol.Server{serviceNames(0, 1)[0]: {server("a")}, serviceNames(3, 1)[0]: {server("b")}}
 	l := New(s, s, minListInterval)
 	l.ListOnce(t.Context())
-	assert.Equal(t, len(s.published), 1, "the other partition has its part")
+	assert.Equal(t, len(s.published), 1, "the other partition must still be published")
 	s.failPublish[0] = false
 	l.ListOnce(t.Context())
 	assert.Equal(t, len(s.published), 2)
 	assert.Equal(t, s.published[1].partition, 0)
 }
 
-func TestDutyIsHandedOnAfterFailuresInARow(t *testing.T) {
+func TestTaskIsHandedOnAfterConsecutiveFailures(t *testing.T) {
 	s := newFakeEnvironment(t)
 	l := New(s, s, minListInterval)
 	fail := func(times int) {
@@ -164,20 +164,20 @@
 	fail(maxConsecutiveFailures - 1)
 	l.ListOnce(t.Context())
 	fail(maxConsecutiveFailures - 1)
-	assert.Equal(t, s.givenUp, 0, "one success counts")
+	assert.Equal(t, s.giveUps, 0, "a success must reset the count")
 	fail(1)
-	assert.Equal(t, s.givenUp, 1)
+	assert.Equal(t, s.giveUps, 1)
 	fail(maxConsecutiveFailures - 1)
-	assert.Equal(t, s.givenUp, 1, "the next one has as many again")
+	assert.Equal(t, s.giveUps, 1, "the count must restart after handing the task on")
 	s.epoch = 0
 	l.ListOnce(t.Context())
 	s.epoch = 5
 	fail(1)
-	assert.Equal(t, s.givenUp, 1, "what failed before the duty was lost doesn't count")
+	assert.Equal(t, s.giveUps, 1, "failures before the task was lost must not count")
 }
 
-// A platform that can't be read takes no server away.
-func TestFailureChangesNoList(t *testing.T) {
+// A failed listing must not remove any servers.
+func TestFailedListingChangesNothing(t *testing.T) {
 	s := newFakeEnvironment(t)
 	name := serviceNames(0, 1)[0]
 	s.lists = map[string][]protocol.Server{name: {server("a")}}
@@ -197,7 +197,7 @@
 	assert.Equal(t, s.listings, 1)
 }
 
-func TestPauseFollowsFromTheDrainBound(t *testing.T) {
+func TestIntervalFollowsFromTheDrainBound(t *testing.T) {
 	for drain, want := range map[time.Duration]time.Duration{
 		0: minListInterval, time.Second: minListInterval, 3 * time.Second: 750 * time.Millisecond,
 		4 * time.Second: maxListInterval, time.Hour: maxListInterval,
--- a/internal/barograph/node/addresses.go
+++ b/internal/barograph/node/addresses.go
@@ -14,12 +14,11 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// addressesName is the name under which the known nodes are kept on disk.
+// knownNodesFile is the name under which the known nodes are stored.
 const knownNodesFile = "nodes"
 
-// Addresses knows where the nodes of the control plane are reached. It is kept on disk,
-// since after a loss of power the directory can be read only once a quorum has found
-// itself again.
+// AddressBook holds the addresses of the control plane's nodes. It is stored on disk because
+// after a power failure the directory can be read only once a quorum has formed again.
 type AddressBook struct {
 	store durable.Store
 
@@ -27,12 +26,12 @@
 	nodes map[replica.NodeID]protocol.Node
 }
 
-// LoadAddresses returns what the store holds.
+// LoadAddressBook reads the known nodes from the store.
 func LoadAddressBook(store durable.Store) (*AddressBook, error) {
 	a := &AddressBook{store: store, nodes: map[replica.NodeID]protocol.Node{}}
 	text, err := store.Read(knownNodesFile)
 	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, durable.ErrTorn) {
-		return a, nil // it is only a help: the seeds know more
+		return a, nil // not essential: the seeds know more
 	}
 	if err != nil {
 		return nil, errors.Wrap(err, "read known nodes")
@@ -47,8 +46,8 @@
 	return a, nil
 }
 
-// Learn takes nodes on and tells whether one of them was new. A later incarnation takes
-// the place of an earlier one.
+// Learn adds nodes and reports whether anything changed. A later incarnation of a machine
+// replaces the earlier one.
 func (a *AddressBook) Learn(nodes ...protocol.Node) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,14 +63,14 @@
 	return changed
 }
 
-// Save makes what is known durable.
+// Save stores the known nodes.
 func (a *AddressBook) Save() error {
 	text, err := cbor.Marshal(a.All())
 	if err != nil {
 		return errors.Wrap(err, "encode known nodes")
 	}
 	if err := a.store.Write(knownNodesFile, text); err != nil {
-		return errors.Wrap(err, "keep known nodes")
+		return errors.Wrap(err, "store known nodes")
 	}
 	return nil
 }
@@ -84,7 +83,7 @@
 	return n, ok
 }
 
-// All returns all known nodes in the order of their ids.
+// All returns all known nodes, sorted by id.
 func (a *AddressBook) All() []protocol.Node {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/barograph/node/calls.go
+++ b/internal/barograph/node/calls.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	// tryPause is how long a call waits before it looks for a group's owner again.
+	// retryInterval is how long a call waits before it looks for a group's leader again.
 	retryInterval = 25 * time.Millisecond
-	// tryWithin bounds one try at one node. One that froze must not use up the whole time.
+	// attemptTimeout bounds one attempt at one node, so that a frozen node does not use up the
+	// caller's whole time.
 	attemptTimeout = 800 * time.Millisecond
 )
 
-// ErrUncertain tells that a command may or may not have been carried out.
-var ErrUnknownOutcome = errors.New("the outcome of the command isn't known")
+// ErrUnknownOutcome reports that a command may or may not have been applied.
+var ErrUnknownOutcome = errors.New("the outcome of the command is unknown")
 
-// ErrNobody tells that no owner was found in time: nothing was carried out.
-var ErrNoLeader = errors.New("the group has no owner that can be reached")
+// ErrNoLeader reports that no leader was found in time and nothing was applied.
+var ErrNoLeader = errors.New("the group has no reachable leader")
 
-// replicaCalls are the calls that members of groups make to each other.
+// replicaService serves the calls between members of groups.
 type replicaService struct{ node *Node }
 
-// Hello introduces two processes to each other.
+// Hello exchanges the identities of two processes and returns the known nodes.
 func (c *replicaService) Hello(args *protocol.HelloArgs, reply *protocol.HelloReply) error {
 	c.node.learnNodes(args.Self)
 	reply.Self = c.node.Self
@@ -37,13 +38,13 @@
 	return nil
 }
 
-// Deliver takes messages of other members in.
+// Deliver accepts messages of other members.
 func (c *replicaService) Deliver(args *protocol.DeliverArgs, _ *protocol.Nothing) error {
 	c.node.Host.Deliver(args.Messages)
 	return nil
 }
 
-// Propose hands a command to a group that this node owns.
+// Propose proposes a command to a group that this node leads.
 func (c *replicaService) Propose(args *protocol.ProposeArgs, reply *protocol.ProposeReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Within)
 	defer cancel()
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// Index proves that this node owns a group, and tells how far it has applied.
+// Index confirms that this node leads a group, and returns its applied index.
 func (c *replicaService) Index(args *protocol.IndexArgs, reply *protocol.IndexReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Within)
 	defer cancel()
@@ -65,50 +66,50 @@
 	return nil
 }
 
-// OutcomeOf gives a failure the form that calls hand back, and who is the owner where that is
-// known. A proposal that a deposed owner took may still come into force.
+// OutcomeOf converts an error to the outcome sent in replies, with the leader if it is known.
+// A proposal that a deposed leader accepted may still be committed.
 func OutcomeOf(err error) (protocol.Outcome, replica.NodeID) {
-	var notOwner *replica.NotLeaderError
-	owner := replica.NodeID(0)
-	if errors.As(err, &notOwner) {
-		owner = notOwner.Leader
+	var notLeader *replica.NotLeaderError
+	leader := replica.NodeID(0)
+	if errors.As(err, &notLeader) {
+		leader = notLeader.Leader
 	}
 	var unknown *host.UnknownOutcomeError
 	switch {
 	case err == nil:
 		return protocol.Done, 0
 	case errors.As(err, &unknown):
-		return protocol.Unknown, owner
-	case notOwner != nil:
-		return protocol.NotOwner, owner
+		return protocol.Unknown, leader
+	case notLeader != nil:
+		return protocol.NotOwner, leader
 	}
 	return protocol.Unavailable, 0
 }
 
-// Submit has a command carried out by the group's owner, wherever that is, and returns
-// the result of its application. Commands must be such that a second application changes
-// nothing: one whose outcome is unknown is handed in again.
+// Submit has the group's leader apply a command, on whichever node it is, and returns the
+// result. Commands must be idempotent: one whose outcome is unknown is submitted again.
 func (n *Node) Submit(ctx context.Context, group replica.GroupID, command []byte) ([]byte, error) {
-	uncertain := false
+	mayBeApplied := false
 	var result []byte
 	err := n.callLeader(ctx, group, func(ctx context.Context, at protocol.Node) (protocol.Outcome, replica.NodeID) {
 		var outcome protocol.Outcome
-		var owner replica.NodeID
-		result, outcome, owner = n.propose(ctx, at, group, command)
-		uncertain = uncertain || outcome == protocol.Unknown
-		return outcome, owner
+		var leader replica.NodeID
+		result, outcome, leader = n.propose(ctx, at, group, command)
+		mayBeApplied = mayBeApplied || outcome == protocol.Unknown
+		return outcome, leader
 	})
-	if err != nil && uncertain {
+	if err != nil && mayBeApplied {
 		return nil, ErrUnknownOutcome
 	}
 	return result, err
 }
 
+// propose proposes a command at one node.
 func (n *Node) propose(ctx context.Context, at protocol.Node, group replica.GroupID, command []byte) ([]byte, protocol.Outcome, replica.NodeID) {
 	if at.ID == n.Self.ID {
 		result, err := n.Host.Propose(ctx, group, command)
-		outcome, owner := OutcomeOf(err)
-		return result, outcome, owner
+		outcome, leader := OutcomeOf(err)
+		return result, outcome, leader
 	}
 	args := protocol.ProposeArgs{Group: group, Command: command, Within: attemptTimeout}
 	var reply protocol.ProposeReply
@@ -119,7 +120,7 @@
 	return reply.Result, reply.Outcome, reply.Owner
 }
 
-// callOutcome tells what is known of a call that failed on its way.
+// callOutcome returns what is known after a call failed in transit.
 func callOutcome(err error) protocol.Outcome {
 	if errors.Is(err, link.ErrUnreachable) {
 		return protocol.Unavailable
@@ -127,8 +128,8 @@
 	return protocol.Unknown
 }
 
-// Confirm waits until this node has applied all that the group had committed when it was
-// called. It fails where no owner answers.
+// ReadBarrier waits until this node has applied everything that the group had committed when
+// ReadBarrier was called. It fails if no leader responds.
 func (n *Node) ReadBarrier(ctx context.Context, group replica.GroupID) error {
 	var index uint64
 	err := n.callLeader(ctx, group, func(ctx context.Context, at protocol.Node) (protocol.Outcome, replica.NodeID) {
@@ -163,8 +164,8 @@
 	}
 }
 
-// find tries the owner of a group, as far as it is known, then the other nodes that may
-// know it, until the call is done or ctx ends.
+// callLeader calls try with the leader of a group, as far as it is known, then with other
+// nodes that may know it, until the outcome is Done or ctx ends.
 func (n *Node) callLeader(ctx context.Context, group replica.GroupID, try func(context.Context, protocol.Node) (protocol.Outcome, replica.NodeID)) error {
 	hint := n.leaderOf(group)
 	others := 0
@@ -175,12 +176,12 @@
 			others++
 		}
 		attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
-		outcome, owner := try(attemptCtx, at)
+		outcome, leader := try(attemptCtx, at)
 		cancel()
 		if outcome == protocol.Done {
 			return nil
 		}
-		if hint = owner; owner == 0 || owner == at.ID {
+		if hint = leader; leader == 0 || leader == at.ID {
 			hint = 0
 			if local := n.leaderOf(group); local != at.ID {
 				hint = local
@@ -195,7 +196,7 @@
 	}
 }
 
-// ownerOf is the owner of a group as far as this node knows, 0: not at all.
+// leaderOf returns the leader of a group as far as this node knows, otherwise 0.
 func (n *Node) leaderOf(group replica.GroupID) replica.NodeID {
 	status, err := n.Host.Status(group)
 	if err != nil {
@@ -204,8 +205,8 @@
 	return status.Leader
 }
 
-// another picks one of the nodes that may know a group's owner, in turn.
-func (n *Node) fallbackNode(group replica.GroupID, turn int) protocol.Node {
+// fallbackNode returns one of the nodes that may know a group's leader, in rotation.
+func (n *Node) fallbackNode(group replica.GroupID, attempt int) protocol.Node {
 	var nodes []protocol.Node
 	if status, err := n.Host.Status(group); err == nil {
 		for _, id := range status.Members.Voters {
@@ -224,5 +225,5 @@
 	if len(nodes) == 0 {
 		return n.Self
 	}
-	return nodes[turn%len(nodes)]
+	return nodes[attempt%len(nodes)]
 }
--- a/internal/barograph/node/hello.go
+++ b/internal/barograph/node/hello.go
@@ -11,44 +11,45 @@
 )
 
 const (
-	// helloWithin bounds one introduction.
+	// helloTimeout bounds one Hello call.
 	helloTimeout = 500 * time.Millisecond
-	// helloPause is between two rounds of introductions until the node has met a core node,
-	// and helloRest from then on: a node that came back elsewhere makes itself known sooner.
+	// helloRetryInterval is the time between two rounds of Hello calls until a node has responded,
+	// helloInterval the time from then on. A node that came back at another address calls sooner
+	// by itself.
 	helloRetryInterval = 100 * time.Millisecond
 	helloInterval      = 10 * time.Second
 )
 
-// learn takes a node's address on, and keeps it where it is news.
+// learnNodes adds nodes to the address book and stores it if it changed.
 func (n *Node) learnNodes(nodes ...protocol.Node) {
 	if !n.Addresses.Learn(nodes...) {
 		return
 	}
 	if err := n.Addresses.Save(); err != nil {
-		klog.ErrorS(err, "The known nodes can't be kept")
+		klog.ErrorS(err, "Storing the known nodes failed")
 	}
 }
 
-// Learn takes the directory's nodes on.
+// Learn adds the directory's nodes to the address book.
 func (n *Node) Learn(d protocol.Directory) { n.learnNodes(d.Nodes...) }
 
-// introduce tells the seeds and all known nodes who this one is, until ctx ends. After a
-// start it goes on until one has answered.
+// introduce sends Hello to the seeds and all known nodes periodically until ctx ends. Rounds
+// are frequent until a node has responded.
 func (n *Node) introduce(ctx context.Context) {
 	for {
-		rest := helloRetryInterval
+		interval := helloRetryInterval
 		for _, address := range n.peerAddresses() {
 			if n.hello(ctx, address) {
-				rest = helloInterval
+				interval = helloInterval
 			}
 		}
-		if !wait.For(ctx, rest) {
+		if !wait.For(ctx, interval) {
 			return
 		}
 	}
 }
 
-// elsewhere lists the addresses of the seeds and of the known nodes, without this one's.
+// peerAddresses returns the addresses of the seeds and the known nodes, except this node's.
 func (n *Node) peerAddresses() []string {
 	var addresses []string
 	seen := map[string]bool{n.Self.Address: true}
@@ -67,6 +68,7 @@
 	return addresses
 }
 
+// hello exchanges identities with the process at an address, and reports whether it responded.
 func (n *Node) hello(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
@@ -76,7 +78,7 @@
 		return false
 	}
 	for _, o := range reply.Nodes {
-		// Who is told of by others may be of the past: only the unknown is taken on.
+		// What others know may be outdated, so only unknown machines are added.
 		if _, known := n.Addresses.Find(o.ID); !known && !n.knowsOtherIncarnation(o) {
 			n.learnNodes(o)
 		}
@@ -85,7 +87,7 @@
 	return true
 }
 
-// contradicts tells whether another incarnation of a node is known already.
+// knowsOtherIncarnation reports whether an incarnation of the same machine is known.
 func (n *Node) knowsOtherIncarnation(o protocol.Node) bool {
 	for _, known := range n.Addresses.All() {
 		if known.SameMachine(o) {
--- a/internal/barograph/node/liveness.go
+++ b/internal/barograph/node/liveness.go
@@ -10,37 +10,37 @@
 )
 
 const (
-	// aliveWithin is how long a node may take to say that it is there.
+	// probeTimeout is how long a node may take to answer a liveness probe.
 	probeTimeout = 250 * time.Millisecond
-	// handOverWithin is how long a process that ends waits for others to own its groups.
+	// handOverTimeout is how long an ending process waits until other nodes lead its groups.
 	handOverTimeout      = 400 * time.Millisecond
 	handOverPollInterval = 20 * time.Millisecond
 )
 
-// Alive returns those of the nodes that answer now. It is asked only where a group needs
-// another member: a directory also holds nodes that are down.
+// Alive returns those of the nodes that respond now. It is called only when a group needs
+// another member, since a directory also lists nodes that are down.
 func (n *Node) Alive(ctx context.Context, nodes []protocol.Node) []protocol.Node {
-	answers := make([]bool, len(nodes))
+	responds := make([]bool, len(nodes))
 	var done sync.WaitGroup
 	for i, o := range nodes {
 		if o.ID == n.Self.ID {
-			answers[i] = true
+			responds[i] = true
 			continue
 		}
-		done.Go(func() { answers[i] = n.answers(ctx, o) })
+		done.Go(func() { responds[i] = n.responds(ctx, o) })
 	}
 	done.Wait()
 	var alive []protocol.Node
 	for i, o := range nodes {
-		if answers[i] {
+		if responds[i] {
 			alive = append(alive, o)
 		}
 	}
 	return alive
 }
 
-// answers tells whether that very incarnation of a node is there.
-func (n *Node) answers(ctx context.Context, o protocol.Node) bool {
+// responds reports whether the given incarnation of a node responds.
+func (n *Node) responds(ctx context.Context, o protocol.Node) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	args := protocol.HelloArgs{Self: n.Self}
@@ -49,27 +49,27 @@
 	return err == nil && reply.Self.ID == o.ID
 }
 
-// HandOver gives the groups that this node owns to others, as far as that goes quickly:
-// a process that is told to end needn't be missed first.
+// TransferLeaderships transfers this node's leaderships to other nodes within a short time,
+// so that the groups need not detect the end of this process by a timeout.
 func (n *Node) TransferLeaderships() {
 	for until := time.Now().Add(handOverTimeout); time.Now().Before(until); time.Sleep(handOverPollInterval) {
-		owned := 0
+		led := 0
 		for _, status := range n.Host.Statuses() {
 			if !status.LeaderReady {
 				continue
 			}
-			owned++
+			led++
 			if to := successor(status); to != 0 {
 				n.Host.TransferLeadership(status.Group, to)
 			}
 		}
-		if owned == 0 {
+		if led == 0 {
 			return
 		}
 	}
 }
 
-// successor is the voter that holds most of an owner's log, 0 where there is none.
+// successor returns the other voter that holds most of the leader's log, 0 if there is none.
 func successor(s replica.Status) replica.NodeID {
 	best := replica.NodeID(0)
 	for _, id := range s.Members.Voters {
--- a/internal/barograph/node/node.go
+++ b/internal/barograph/node/node.go
@@ -1,6 +1,5 @@
-// Package node is what every process of the control plane is made of, whatever it keeps:
-// its identity, the nodes it knows, the groups it is a member of and the calls by which
-// it reaches their owners.
+// Package node is the common part of every control plane process: its identity, the nodes it
+// knows, the groups it is a member of, and the calls to the leaders of groups.
 package node
 
 import (
@@ -21,8 +20,8 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// Timing is what the groups of a class of nodes keep. Followers of turns learn with the next
-// message what is committed; news of the configuration go out at once.
+// Timing returns the timing of the groups of a class of nodes. Followers of turn groups learn
+// the commit index with the next message; configuration changes are sent at once.
 func Timing(class protocol.Class) replica.Timing {
 	return replica.Timing{
 		HeartbeatInterval: 100 * time.Millisecond,
@@ -34,20 +33,20 @@
 	}
 }
 
-// bulkStale is how long a connection that carries bulk may be silent with calls under way.
+// bulkStaleTimeout is how long a connection for bulk data may be silent with calls in flight.
 const bulkStaleTimeout = 5 * time.Second
 
-// Silent is how long a member may say nothing before it counts as lost.
+// MemberLostAfter is how long a member may be silent before it counts as lost.
 const MemberLostAfter = 1500 * time.Millisecond
 
-// Options are what a Node is made of.
+// Options configure a Node.
 type Options struct {
 	Name, Zone string
 	Class      protocol.Class
 	Address    string // of the net/rpc listener
 	DataDir    string
-	// First tells that the whole system starts for the first time, with empty disks: ids
-	// then follow from addresses, so that all know the first members.
+	// Bootstrap states that the whole system starts for the first time, with empty disks. Node
+	// ids are then derived from addresses, so that all nodes know the first members.
 	Bootstrap      bool
 	Seeds          []string // net/rpc addresses of core nodes
 	OnUnknownGroup func(replica.GroupID) bool
@@ -60,18 +59,18 @@
 	Addresses *AddressBook
 	Pool      *link.Pool
 
-	bulk  *link.Pool // for what would hold up heartbeats
+	bulk  *link.Pool // for data that would delay heartbeats
 	seeds []string
 	store store.Store
 	start time.Time
 }
 
-// FirstID is the id that a node of this class and address has at the first start.
+// BootstrapID returns the id that a node with this class and address has at the first start.
 func BootstrapID(class protocol.Class, address string) replica.NodeID {
 	return replica.NodeID(hashing.Sum64(string(rune('0'+class))+"|"+address) | 1)
 }
 
-// Open opens the node's disk and takes its identity from there.
+// Open opens the node's disk and reads its identity.
 func Open(o Options) (*Node, error) {
 	n := &Node{seeds: o.Seeds, start: time.Now()}
 	disk, err := openStore(o.DataDir)
@@ -85,13 +84,13 @@
 	}
 	n.Self = protocol.Node{ID: id, Name: o.Name, Class: o.Class, Address: o.Address, Zone: o.Zone}
 	if n.Addresses, err = LoadAddressBook(durable.Folder(o.DataDir)); err != nil {
-		klog.ErrorS(err, "The known nodes can't be read: the seeds are asked")
+		klog.ErrorS(err, "Reading the known nodes failed; relying on the seeds")
 		n.Addresses, _ = LoadAddressBook(&durable.Memory{})
 		n.Addresses.store = durable.Folder(o.DataDir)
 	}
 	if o.Bootstrap {
 		for _, seed := range o.Seeds {
-			// Their names are learnt when they introduce themselves.
+			// Their names become known with their Hello calls.
 			n.Addresses.Learn(protocol.Node{ID: BootstrapID(protocol.Core, seed), Name: seed, Class: protocol.Core, Address: seed})
 		}
 	}
@@ -107,15 +106,16 @@
 	return n, nil
 }
 
-// The pauses between tries to open a store on a full disk.
+// Backoff between attempts to open a store on a full disk.
 const (
 	minOpenBackoff = 50 * time.Millisecond
 	maxOpenBackoff = 2 * time.Second
 )
 
-// openStore opens the store in a folder. Where there is none yet and no room for one, it waits.
+// openStore opens the store in a folder. If there is no store yet and the disk is full, it
+// retries with a backoff.
 func openStore(folder string) (store.Store, error) {
-	for pause := minOpenBackoff; ; pause = min(2*pause, maxOpenBackoff) {
+	for backoff := minOpenBackoff; ; backoff = min(2*backoff, maxOpenBackoff) {
 		disk, err := store.Open(folder)
 		if err == nil {
 			return disk, nil
@@ -123,13 +123,13 @@
 		if !errors.Is(err, store.ErrFull) {
 			return nil, err
 		}
-		klog.ErrorS(err, "The disk is full: this node starts once there is room", "pause", pause)
-		time.Sleep(pause)
+		klog.ErrorS(err, "The disk is full; the node starts once there is space", "pause", backoff)
+		time.Sleep(backoff)
 	}
 }
 
-// identity returns the id that the disk holds, or gives it one. An empty disk means that
-// votes and copies are forgotten: the node is another one then.
+// identity returns the id stored on the disk, or creates one. An empty disk means that votes
+// and copies are lost, so the node gets a new identity.
 func identity(disk store.Store, o Options) (replica.NodeID, error) {
 	id, held, err := disk.Identity()
 	if err != nil || held {
@@ -141,11 +141,10 @@
 	return id, disk.SetIdentity(id)
 }
 
-// Now is the node's steady clock.
+// Now is the node's monotonic clock.
 func (n *Node) Now() time.Duration { return time.Since(n.start) }
 
-// Serve answers the calls of other nodes and runs the groups until ctx ends or the disk
-// fails.
+// Serve serves the calls of other nodes and runs the groups until ctx ends or the disk fails.
 func (n *Node) Serve(ctx context.Context, l net.Listener, services map[string]any) error {
 	all := map[string]any{"Replica": &replicaService{n}}
 	for name, s := range services {
--- a/internal/barograph/node/node_test.go
+++ b/internal/barograph/node/node_test.go
@@ -19,22 +19,22 @@
 	return protocol.Node{ID: id, Name: name, Class: protocol.Core, Address: address}
 }
 
-func TestLaterIncarnationTakesTheEarliersPlace(t *testing.T) {
+func TestLaterIncarnationReplacesTheEarlier(t *testing.T) {
 	a, err := LoadAddressBook(&durable.Memory{})
 	assert.NilError(t, err)
 	assert.Assert(t, a.Learn(core(1, "a", "h:1"), core(2, "b", "h:2")))
-	assert.Assert(t, !a.Learn(core(1, "a", "h:1")), "it is no news")
-	assert.Assert(t, !a.Learn(core(0, "c", "h:3"), core(4, "c", "")), "nobody can be reached so")
+	assert.Assert(t, !a.Learn(core(1, "a", "h:1")), "the node is known already")
+	assert.Assert(t, !a.Learn(core(0, "c", "h:3"), core(4, "c", "")), "a node without id or address must be ignored")
 	assert.Assert(t, a.Learn(core(3, "a", "h:9")))
 	_, known := a.Find(1)
 	assert.Assert(t, !known)
 	assert.DeepEqual(t, a.All(), []protocol.Node{core(2, "b", "h:2"), core(3, "a", "h:9")})
-	assert.Assert(t, a.Learn(core(3, "a", "h:7")), "it moved")
+	assert.Assert(t, a.Learn(core(3, "a", "h:7")), "the address has changed")
 	n, _ := a.Find(3)
 	assert.Equal(t, n.Address, "h:7")
 }
 
-func TestKnownNodesOutliveTheProcess(t *testing.T) {
+func TestKnownNodesSurviveARestart(t *testing.T) {
 	disk := &durable.Memory{}
 	a, err := LoadAddressBook(disk)
 	assert.NilError(t, err)
@@ -45,27 +45,27 @@
 	assert.DeepEqual(t, again.All(), a.All())
 }
 
-func TestUnreadableNodesAreAFailure(t *testing.T) {
+func TestUnreadableKnownNodesFail(t *testing.T) {
 	disk := &durable.Memory{}
 	assert.NilError(t, disk.Write(knownNodesFile, []byte("no nodes")))
 	_, err := LoadAddressBook(disk)
 	assert.ErrorContains(t, err, "read known nodes")
 }
 
-func TestFirstIdsFollowFromClassAndAddress(t *testing.T) {
+func TestBootstrapIDDependsOnClassAndAddress(t *testing.T) {
 	id := BootstrapID(protocol.Core, "h:1")
 	assert.Equal(t, id, BootstrapID(protocol.Core, "h:1"))
 	assert.Assert(t, id != 0 && id != BootstrapID(protocol.Storage, "h:1") && id != BootstrapID(protocol.Core, "h:2"))
 }
 
-// What is told of a failure decides whether a call may be made again elsewhere and whether an
-// operator is refused: nothing that may have been done counts as not done.
-func TestOutcomes(t *testing.T) {
+// Outcomes decide whether a call may be repeated at another node and whether an operator's
+// call is rejected. What may have been applied must never count as not applied.
+func TestErrorsMapToOutcomes(t *testing.T) {
 	deposed := &host.UnknownOutcomeError{Cause: &replica.NotLeaderError{Leader: 7}}
 	for _, c := range []struct {
-		err   error
-		want  protocol.Outcome
-		owner replica.NodeID
+		err    error
+		want   protocol.Outcome
+		leader replica.NodeID
 	}{
 		{nil, protocol.Done, 0},
 		{&replica.NotLeaderError{Leader: 7}, protocol.NotOwner, 7},
@@ -77,20 +77,20 @@
 		{host.ErrGroupNotFound, protocol.Unavailable, 0},
 		{replica.ErrTransferInProgress, protocol.Unavailable, 0},
 	} {
-		outcome, owner := OutcomeOf(c.err)
+		outcome, leader := OutcomeOf(c.err)
 		assert.Equal(t, outcome, c.want, "%v", c.err)
-		assert.Equal(t, owner, c.owner, "%v", c.err)
+		assert.Equal(t, leader, c.leader, "%v", c.err)
 	}
 	assert.Equal(t, callOutcome(&link.UnreachableError{Cause: link.ErrBackoff}), protocol.Unavailable)
 	assert.Equal(t, callOutcome(&link.UncertainError{Cause: context.Canceled}), protocol.Unknown)
 	assert.Equal(t, callOutcome(&link.RemoteError{}), protocol.Unknown)
 }
 
-func TestTimingHoldsTogether(t *testing.T) {
+func TestTimingIsConsistent(t *testing.T) {
 	for _, class := range []protocol.Class{protocol.Core, protocol.Storage} {
 		timing := Timing(class)
 		assert.Assert(t, timing.LeaseDuration < timing.ElectionTimeout)
-		assert.Assert(t, 2*timing.HeartbeatInterval <= timing.LeaseDuration, "one heartbeat may get lost")
+		assert.Assert(t, 2*timing.HeartbeatInterval <= timing.LeaseDuration, "one lost heartbeat must not end the lease")
 		assert.Assert(t, timing.LostAfter > timing.ElectionTimeout+timing.ElectionJitter)
 		assert.Assert(t, timing.ElectionJitter > 0)
 	}
--- a/internal/barograph/node/transport.go
+++ b/internal/barograph/node/transport.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// deliverWithin bounds one delivery, and perMegabyte is added for what it carries, so that a
-	// narrow link can take it: what is later is sent anew by the group.
+	// deliveryTimeout bounds one delivery. deliveryTimeoutPerMiB is added for its payload, so that
+	// a slow link can carry it. The group resends what does not arrive in time.
 	deliveryTimeout       = time.Second
 	deliveryTimeoutPerMiB = time.Second
-	// deliveriesMost is how many deliveries to one node may be under way on each of the two
-	// connections. More would only queue behind a node that doesn't read; groups send again what
-	// is lost.
+	// maxDeliveriesInFlight is how many deliveries to one node may be in flight on each of the two
+	// connections. More would only queue behind a node that does not read. Groups resend what is
+	// lost.
 	maxDeliveriesInFlight = 16
 )
 
-// transport carries messages between members of groups. It never blocks, and loses what
-// can't be sent. Parts of snapshots have a connection of their own, so that heartbeats don't
-// queue behind them; entries go with the heartbeats, in whose order they are awaited.
+// transport carries messages between members of groups. It never blocks and drops what cannot
+// be sent. Parts of snapshots use a connection of their own, so that heartbeats do not queue
+// behind them. Log entries share the heartbeats' connection, because their order relative to
+// the heartbeats matters.
 type transport struct {
 	addresses *AddressBook
 	regular   lane
@@ -35,7 +36,7 @@
 	pool *link.Pool
 
 	mu       sync.Mutex
-	inFlight map[replica.NodeID]int // deliveries under way
+	inFlight map[replica.NodeID]int // deliveries in flight
 }
 
 // Send implements host.Transport.
@@ -59,13 +60,14 @@
 	}
 }
 
-// send delivers messages of some size in bytes, unless too many are under way.
+// send delivers messages with a payload of size bytes, unless too many are in flight.
 func (l *lane) send(to protocol.Node, messages []replica.Message, size int) {
 	if l.tryStart(to.ID) {
 		go l.deliver(to, messages, deliveryTimeout+deliveryTimeoutPerMiB*time.Duration(size)/(1<<20))
 	}
 }
 
+// tryStart counts a new delivery, or returns false if too many are in flight.
 func (l *lane) tryStart(to replica.NodeID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,12 +81,13 @@
 	return true
 }
 
-func (l *lane) deliver(to protocol.Node, messages []replica.Message, within time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// deliver makes one delivery.
+func (l *lane) deliver(to protocol.Node, messages []replica.Message, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	args := protocol.DeliverArgs{Messages: messages}
 	var reply protocol.Nothing
-	// A delivery that fails is lost: the groups send again.
+	// A failed delivery is lost. The groups resend it.
 	_ = l.pool.Call(ctx, to.Address, "Replica.Deliver", &args, &reply)
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/barograph/repair/random_test.go
+++ b/internal/barograph/repair/random_test.go
@@ -12,9 +12,9 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// Whatever happens, each change holds what check asks for; and once all is calm the group has
-// its size, without lost, retired or surplus members, and comes to rest.
-func TestPlansOfRandomGroups(t *testing.T) {
+// Under random faults each change must pass check. Once the faults end, the group must reach
+// its size and stop changing, without lost, retiring or surplus voters.
+func TestRandomFaultsEndInAStableGroup(t *testing.T) {
 	for seed := range uint64(1000) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		g := newGroup(t, 1+random.IntN(5), 5+random.IntN(4))
@@ -32,7 +32,8 @@
 	}
 }
 
-// upset makes something else of the group, and keeps a majority of its voters.
+// injectFault changes the state of a random node or of the group. A majority of the voters
+// stays up.
 func (g *group) injectFault(random *rand.Rand, next *int) {
 	target := g.nodes[random.IntN(len(g.nodes))]
 	switch random.IntN(7) {
@@ -55,7 +56,7 @@
 	}
 }
 
-// wipe has a machine lose its disk and come back as another node.
+// wipeDisk makes a machine lose its disk and return as another node.
 func (g *group) wipeDisk(target protocol.Node, next *int) {
 	before := maps.Clone(g.down)
 	if g.down[target.ID] = true; target.ID == g.self || g.countUp(g.members) < g.members.Quorum()+1 {
@@ -70,14 +71,14 @@
 	g.nodes[at] = replacement
 }
 
-// retire has a machine emptied, where enough are left.
+// retire marks a machine as retiring if enough others remain.
 func (g *group) retire(target protocol.Node) {
 	if len(g.nodes)-len(g.retiring) > 5 && !slices.Contains(g.retiring, target.Name) {
 		g.retiring = append(slices.Clone(g.retiring), target.Name)
 	}
 }
 
-// elect gives the group another owner, who knows nothing of the one before.
+// electLeader gives the group another leader, which has a new Planner.
 func (g *group) electLeader(random *rand.Rand) {
 	voter := g.members.Voters[random.IntN(len(g.members.Voters))]
 	if _, known := findNode(g.nodes, voter); !known || g.down[voter] {
@@ -89,7 +90,7 @@
 	}
 }
 
-// calm ends all troubles but lost disks.
+// endFaults ends all faults except lost disks.
 func (g *group) endFaults() {
 	clear(g.lag)
 	for id := range g.down {
@@ -102,19 +103,20 @@
 	}
 }
 
+// checkStable verifies the members of a group that no longer changes.
 func (g *group) checkStable(seed uint64) {
 	g.t.Helper()
 	assert.Equal(g.t, len(g.members.Voters), g.targetVoters, "seed %d: %v", seed, g.members)
 	for _, id := range g.members.All() {
 		n, known := findNode(g.nodes, id)
-		assert.Assert(g.t, known, "seed %d: %d is gone: %v", seed, id, g.members)
+		assert.Assert(g.t, known, "seed %d: member %d is no longer in the directory: %v", seed, id, g.members)
 		retired := slices.Contains(g.retiring, n.Name)
-		assert.Assert(g.t, !retired || g.members.IsLearner(id), "seed %d: %d is to be emptied: %v", seed, id, g.members)
+		assert.Assert(g.t, !retired || g.members.IsLearner(id), "seed %d: voter %d is retiring: %v", seed, id, g.members)
 	}
 	if g.allAsLearners {
 		assert.Equal(g.t, len(g.members.All()), len(g.nodes), "seed %d", seed)
 		return
 	}
-	// One that was invited in place of a voter that came back goes on to follow.
+	// A learner that was invited to replace a voter that came back may remain.
 	assert.Assert(g.t, len(g.members.Learners) <= 1, "seed %d: %v", seed, g.members)
 }
--- a/internal/barograph/repair/repair.go
+++ b/internal/barograph/repair/repair.go
@@ -1,6 +1,6 @@
-// Package repair decides how the members of a group change: who takes the place of a
-// member that is lost, retired or surplus. It is pure; the group's owner asks it again
-// and again and makes one change at a time, so that any two quorums overlap.
+// Package repair plans membership changes of a group: which node replaces a voter that is
+// lost, retiring or surplus. It is pure. The group's leader calls it periodically and makes
+// one change at a time, so that any two consecutive quorums overlap.
 package repair
 
 import (
@@ -13,47 +13,49 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// catchUpWithin is how long a learner may take to be heard from before another is tried.
+// learnerContactTimeout is how long a new learner may take to respond before another node is
+// tried.
 const learnerContactTimeout = 1500 * time.Millisecond
 
-// lagMost is how many committed entries a learner may lack to become a voter. While commands
-// come in all the time it always lacks the newest ones; they are on their way to it.
+// maxPromotionLag is how many committed entries a learner may lack when it becomes a voter.
+// Under constant load it always lacks the newest ones, which are already on their way.
 const maxPromotionLag = 64
 
-// View is what a group's owner knows.
+// View is what the leader of a group knows.
 type View struct {
 	Status        replica.Status
 	Now           time.Duration
 	LostAfter     time.Duration   // a voter not heard from for this long counts as lost
-	Nodes         []protocol.Node // that may be members, of the right class
-	Alive         []protocol.Node // those of them that answer, where Wanting says so
-	Retiring      []string        // names of nodes that must not be
-	TargetVoters  int             // how many there should be
-	AllAsLearners bool            // all other nodes follow as learners
+	Nodes         []protocol.Node // nodes of the right class that may be members
+	Alive         []protocol.Node // those of Nodes that respond; needed only if NeedsVoter returns true
+	Retiring      []string        // names of nodes that must not be voters
+	TargetVoters  int             // how many voters the group should have
+	AllAsLearners bool            // all other nodes are learners
 }
 
-// Planner remembers who was tried in vain. The zero value is ready to use. Each group has
-// its own.
+// Planner remembers which nodes were invited as learners and which did not respond. The zero
+// value is ready to use. Each group has its own Planner.
 type Planner struct {
-	invited  map[replica.NodeID]time.Duration // since when a node is a learner that is to vote
-	timedOut map[replica.NodeID]time.Duration // when a node did not catch up in time
+	invited  map[replica.NodeID]time.Duration // when a node became a learner that is to become a voter
+	timedOut map[replica.NodeID]time.Duration // when an invited node was given up
 }
 
-// Plan returns the members that the group should have next, and whether they differ.
+// Plan returns the members that the group should have next, and whether they differ from the
+// current ones.
 func (p *Planner) Plan(v View) (replica.Members, bool) {
-	now := v.Status.Members
+	current := v.Status.Members
 	if !v.Status.LeaderReady || v.Status.ChangePending {
-		return now, false
+		return current, false
 	}
 	p.initMaps()
 	lost := p.lost(v)
-	sound := len(now.Voters) - len(lost)
+	healthy := len(current.Voters) - len(lost)
 	switch {
-	case len(lost) > 0 && len(now.Voters) > v.TargetVoters, len(lost) > 0 && sound >= v.TargetVoters:
-		return withoutMember(now, lost[0]), true
-	case len(now.Voters) > v.TargetVoters:
-		return withoutMember(now, p.surplusVoter(v)), true
-	case sound < v.TargetVoters:
+	case len(lost) > 0 && len(current.Voters) > v.TargetVoters, len(lost) > 0 && healthy >= v.TargetVoters:
+		return withoutMember(current, lost[0]), true
+	case len(current.Voters) > v.TargetVoters:
+		return withoutMember(current, p.surplusVoter(v)), true
+	case healthy < v.TargetVoters:
 		if next, ok := p.promote(v); ok {
 			return next, true
 		}
@@ -64,8 +66,7 @@
 	return p.planLearners(v)
 }
 
-// Wanting tells whether the group needs another member: who of the nodes answers must be
-// known for Plan then.
+// NeedsVoter reports whether the group needs another voter. If so, Plan needs View.Alive.
 func (p *Planner) NeedsVoter(v View) bool {
 	return v.Status.LeaderReady && !v.Status.ChangePending && len(v.Status.Members.Voters)-len(p.lost(v)) < v.TargetVoters
 }
@@ -77,9 +78,10 @@
 	}
 }
 
-// lost lists the voters that need a successor, those first that are gone for good.
+// lost lists the voters that need a replacement: first those no longer in the directory, then
+// silent ones, then retiring ones.
 func (p *Planner) lost(v View) []replica.NodeID {
-	var gone, silent, retired []replica.NodeID
+	var gone, silent, retiring []replica.NodeID
 	for _, id := range v.Status.Members.Voters {
 		n, known := findNode(v.Nodes, id)
 		switch {
@@ -88,14 +90,14 @@
 		case id != v.Status.Self && v.Now-v.Status.LastHeard[id] > v.LostAfter:
 			silent = append(silent, id)
 		case known && slices.Contains(v.Retiring, n.Name):
-			retired = append(retired, id)
+			retiring = append(retiring, id)
 		}
 	}
-	return slices.Concat(gone, silent, retired)
+	return slices.Concat(gone, silent, retiring)
 }
 
-// surplus is the voter that the group can best do without: the last in its order, never
-// the owner.
+// surplusVoter returns the voter to remove: the last one in the group's rendezvous order,
+// never the leader.
 func (p *Planner) surplusVoter(v View) replica.NodeID {
 	voters := slices.DeleteFunc(slices.Clone(v.Status.Members.Voters), func(id replica.NodeID) bool { return id == v.Status.Self })
 	ranked := hashing.Rank(string(v.Status.Group), voters, func(id replica.NodeID) uint64 { return uint64(id) })
@@ -104,56 +106,56 @@
 
 // promote makes a learner that has caught up a voter.
 func (p *Planner) promote(v View) (replica.Members, bool) {
-	now := v.Status.Members
+	current := v.Status.Members
 	for _, n := range p.candidates(v) {
-		if !slices.Contains(now.Learners, n.ID) || !heard(v, n.ID) || !hasCaughtUp(v, n.ID) {
+		if !slices.Contains(current.Learners, n.ID) || !heardRecently(v, n.ID) || !hasCaughtUp(v, n.ID) {
 			continue
 		}
 		delete(p.invited, n.ID)
-		next := replica.Members{Voters: append(slices.Clone(now.Voters), n.ID)}
-		next.Learners = slices.DeleteFunc(slices.Clone(now.Learners), func(id replica.NodeID) bool { return id == n.ID })
+		next := replica.Members{Voters: append(slices.Clone(current.Voters), n.ID)}
+		next.Learners = slices.DeleteFunc(slices.Clone(current.Learners), func(id replica.NodeID) bool { return id == n.ID })
 		return next, true
 	}
-	return now, false
+	return current, false
 }
 
-// invite makes a node a learner, or gives up one that isn't heard from.
+// invite makes a node a learner, or gives up one that does not respond.
 func (p *Planner) invite(v View) (replica.Members, bool) {
-	now := v.Status.Members
+	current := v.Status.Members
 	for _, id := range slices.Sorted(maps.Keys(p.invited)) {
-		if !slices.Contains(now.Learners, id) {
+		if !slices.Contains(current.Learners, id) {
 			delete(p.invited, id)
 			continue
 		}
 		if n, known := findNode(v.Nodes, id); !known || slices.Contains(v.Retiring, n.Name) {
-			delete(p.invited, id) // it is to be emptied, or came back as another
-			return withoutMember(now, id), true
+			delete(p.invited, id) // it is retiring, or its machine came back as another node
+			return withoutMember(current, id), true
 		}
-		if heard(v, id) || v.Now-p.invited[id] < learnerContactTimeout {
-			return now, false // it is on its way
+		if heardRecently(v, id) || v.Now-p.invited[id] < learnerContactTimeout {
+			return current, false // it is still catching up
 		}
 		delete(p.invited, id)
 		p.timedOut[id] = v.Now
-		return withoutMember(now, id), true
+		return withoutMember(current, id), true
 	}
 	for _, n := range p.candidates(v) {
 		if at, tried := p.timedOut[n.ID]; tried && v.Now-at < 2*learnerContactTimeout {
 			continue
 		}
-		if slices.Contains(now.Learners, n.ID) {
+		if slices.Contains(current.Learners, n.ID) {
 			if v.AllAsLearners {
-				continue // it follows anyhow and will catch up
+				continue // it is a learner anyway and will catch up
 			}
-			p.invited[n.ID] = v.Now // by an earlier owner
-			return now, false
+			p.invited[n.ID] = v.Now // invited by an earlier leader
+			return current, false
 		}
 		p.invited[n.ID] = v.Now
-		return replica.Members{Voters: now.Voters, Learners: append(slices.Clone(now.Learners), n.ID)}, true
+		return replica.Members{Voters: current.Voters, Learners: append(slices.Clone(current.Learners), n.ID)}, true
 	}
-	return now, false
+	return current, false
 }
 
-// candidates are the nodes that may become voters, in the group's order.
+// candidates returns the nodes that may become voters, in the group's rendezvous order.
 func (p *Planner) candidates(v View) []protocol.Node {
 	var nodes []protocol.Node
 	for _, n := range v.Alive {
@@ -164,17 +166,17 @@
 	return hashing.Rank(string(v.Status.Group), nodes, func(n protocol.Node) uint64 { return uint64(n.ID) })
 }
 
-// learners keeps the learners as they should be: all other nodes, or none but those that
-// are to vote.
+// planLearners corrects the set of learners: all nodes that are not voters if AllAsLearners
+// is set, otherwise only those that are to become voters.
 func (p *Planner) planLearners(v View) (replica.Members, bool) {
-	now := v.Status.Members
+	current := v.Status.Members
 	var want []replica.NodeID
 	for _, n := range v.Nodes {
-		if v.AllAsLearners && !slices.Contains(now.Voters, n.ID) {
+		if v.AllAsLearners && !slices.Contains(current.Voters, n.ID) {
 			want = append(want, n.ID)
 		}
 	}
-	for _, id := range now.Learners {
+	for _, id := range current.Learners {
 		_, invited := p.invited[id]
 		_, known := findNode(v.Nodes, id)
 		if !v.AllAsLearners && invited && known {
@@ -182,11 +184,11 @@
 		}
 	}
 	slices.Sort(want)
-	have := slices.Sorted(slices.Values(now.Learners))
+	have := slices.Sorted(slices.Values(current.Learners))
 	if slices.Equal(want, have) {
-		return now, false
+		return current, false
 	}
-	return replica.Members{Voters: now.Voters, Learners: want}, true
+	return replica.Members{Voters: current.Voters, Learners: want}, true
 }
 
 func findNode(nodes []protocol.Node, id replica.NodeID) (protocol.Node, bool) {
@@ -197,12 +199,14 @@
 	return nodes[at], true
 }
 
-func heard(v View, id replica.NodeID) bool {
+// heardRecently reports whether a node responded within half the time after which it counts
+// as lost.
+func heardRecently(v View, id replica.NodeID) bool {
 	at, ok := v.Status.LastHeard[id]
 	return ok && v.Now-at <= v.LostAfter/2
 }
 
-// caughtUp tells whether a learner holds all that is committed, but for the newest entries.
+// hasCaughtUp reports whether a learner holds all committed entries except the newest ones.
 func hasCaughtUp(v View, id replica.NodeID) bool {
 	matched := v.Status.MatchIndex[id]
 	return matched > 0 && matched+maxPromotionLag >= v.Status.CommitIndex
--- a/internal/barograph/repair/repair_test.go
+++ b/internal/barograph/repair/repair_test.go
@@ -14,10 +14,11 @@
 
 const (
 	lostAfter    = 1500 * time.Millisecond
-	planInterval = 150 * time.Millisecond // between two looks of the owner
+	planInterval = 150 * time.Millisecond // between two calls of Plan
 )
 
-// group is a group as its owner sees it: nodes that follow, lag, fall silent or get lost.
+// group simulates a group as its leader sees it. Nodes can lag, stop responding or lose their
+// disks.
 type group struct {
 	t             *testing.T
 	planner       *Planner
@@ -31,8 +32,8 @@
 	down          map[replica.NodeID]bool
 	lag           map[replica.NodeID]uint64 // entries that a member lacks
 	heard         map[replica.NodeID]time.Duration
-	falselyAlive  map[replica.NodeID]bool // is down, and still seems to answer
-	answered      map[replica.NodeID]bool // has answered since it was invited
+	falselyAlive  map[replica.NodeID]bool // is down but still listed as alive
+	answered      map[replica.NodeID]bool // has responded since it was invited
 	commit        uint64
 	changes       []replica.Members
 }
@@ -78,12 +79,13 @@
 	}
 }
 
-// alive are the nodes that answer, or seemed to.
+// alive returns the nodes that respond, and those falsely reported as alive.
 func (g *group) alive() []protocol.Node {
 	return slices.DeleteFunc(slices.Clone(g.nodes), func(n protocol.Node) bool { return g.down[n.ID] && !g.falselyAlive[n.ID] })
 }
 
-// look lets the owner look once, and carries out what it wants.
+// planOnce advances the clock, calls Plan once and applies the change. It reports whether
+// there was one.
 func (g *group) planOnce() bool {
 	g.t.Helper()
 	g.now += planInterval
@@ -99,7 +101,7 @@
 	g.check(next)
 	for _, id := range next.Learners {
 		if !g.members.Contains(id) {
-			g.heard[id], g.answered[id] = g.now, false // as an owner counts a new member
+			g.heard[id], g.answered[id] = g.now, false // a leader counts a new member as heard from
 		}
 	}
 	g.members = next
@@ -107,26 +109,26 @@
 	return true
 }
 
-// check holds a change to what no change may do.
+// check verifies the safety conditions of a change.
 func (g *group) check(next replica.Members) {
 	g.t.Helper()
-	now := g.members
-	assert.Assert(g.t, quorumsOverlap(now, next), "quorums of %v and %v need not overlap", now, next)
+	current := g.members
+	assert.Assert(g.t, quorumsOverlap(current, next), "quorums of %v and %v do not always overlap", current, next)
 	assert.Assert(g.t, len(next.Voters) > 0)
 	all := next.All()
 	slices.Sort(all)
-	assert.Equal(g.t, len(slices.Compact(all)), len(next.All()), "a node stands twice: %v", next)
+	assert.Equal(g.t, len(slices.Compact(all)), len(next.All()), "a node is listed twice: %v", next)
 	for _, id := range next.Voters {
-		if !now.IsVoter(id) {
-			assert.Assert(g.t, now.IsLearner(id) && g.answered[id] && g.now-g.heard[id] < lostAfter, "%d becomes a voter unheard: %v", id, now)
+		if !current.IsVoter(id) {
+			assert.Assert(g.t, current.IsLearner(id) && g.answered[id] && g.now-g.heard[id] < lostAfter, "%d becomes a voter without having responded: %v", id, current)
 		}
 	}
-	if g.countReachable(now) >= now.Quorum() {
-		assert.Assert(g.t, g.countReachable(next) >= next.Quorum(), "%v has a majority, %v has none; down: %v", now, next, g.down)
+	if g.countReachable(current) >= current.Quorum() {
+		assert.Assert(g.t, g.countReachable(next) >= next.Quorum(), "%v has a reachable majority, %v has none; down: %v", current, next, g.down)
 	}
 }
 
-// well counts the voters that the owner was in touch with of late.
+// countReachable counts the voters that the leader has heard from recently.
 func (g *group) countReachable(m replica.Members) int {
 	count := 0
 	for _, id := range m.Voters {
@@ -147,7 +149,7 @@
 	return count
 }
 
-// overlap tries all pairs of quorums.
+// quorumsOverlap reports whether every quorum of a overlaps every quorum of b.
 func quorumsOverlap(a, b replica.Members) bool {
 	for _, one := range quorums(a) {
 		for _, other := range quorums(b) {
@@ -175,7 +177,7 @@
 	return found
 }
 
-// rest looks until nothing is due for long, or fails.
+// planUntilStable calls Plan until no change is due for a while. It fails if that never happens.
 func (g *group) planUntilStable() {
 	g.t.Helper()
 	quiet := 0
@@ -186,7 +188,7 @@
 			return
 		}
 	}
-	g.t.Fatalf("comes to no rest: %v, changes %v", g.members, g.changes)
+	g.t.Fatalf("members keep changing: %v, changes %v", g.members, g.changes)
 }
 
 func (g *group) hasVoters(ids ...replica.NodeID) {
@@ -194,23 +196,23 @@
 	assert.DeepEqual(g.t, slices.Sorted(slices.Values(g.members.Voters)), ids)
 }
 
-func TestSoundGroupStaysAsItIs(t *testing.T) {
+func TestHealthyGroupDoesNotChange(t *testing.T) {
 	g := newGroup(t, 3, 5)
 	for range 100 {
 		assert.Assert(t, !g.planOnce(), "%v", g.changes)
 	}
 }
 
-func TestGroupGrowsToItsSize(t *testing.T) {
+func TestGroupGrowsToTargetSize(t *testing.T) {
 	g := newGroup(t, 1, 5)
 	g.targetVoters = 3
 	g.planUntilStable()
 	assert.Equal(t, len(g.members.Voters), 3)
 	assert.Equal(t, len(g.members.Learners), 0)
-	assert.Equal(t, len(g.changes), 4, "two are invited and promoted")
+	assert.Equal(t, len(g.changes), 4, "two nodes must be invited and promoted")
 }
 
-func TestGroupShrinksToItsSizeWithoutItsOwner(t *testing.T) {
+func TestShrinkingGroupKeepsItsLeader(t *testing.T) {
 	g := newGroup(t, 5, 5)
 	g.targetVoters, g.self = 3, 5
 	g.planUntilStable()
@@ -223,10 +225,10 @@
 	g.down[2] = true
 	g.planUntilStable()
 	g.hasVoters(1, 3, 4)
-	assert.Equal(t, len(g.changes), 3, "invited, promoted, the lost one out: %v", g.changes)
+	assert.Equal(t, len(g.changes), 3, "want invitation, promotion and removal of the lost voter: %v", g.changes)
 }
 
-func TestSilentVoterStaysWhereNobodyCanTakeItsPlace(t *testing.T) {
+func TestSilentVoterStaysWithoutAReplacement(t *testing.T) {
 	g := newGroup(t, 3, 3)
 	g.down[2] = true
 	g.planUntilStable()
@@ -234,7 +236,7 @@
 	assert.Equal(t, len(g.changes), 0)
 }
 
-func TestLostDiskIsReplacedByWhatCameBack(t *testing.T) {
+func TestVoterWithLostDiskIsReplacedByItsNewIncarnation(t *testing.T) {
 	g := newGroup(t, 3, 3)
 	g.down[2] = true
 	replacement := machine(2)
@@ -263,7 +265,7 @@
 	g.hasVoters(4, 5, 6)
 }
 
-func TestLearnerThatIsNeverHeardIsGivenUpForAnother(t *testing.T) {
+func TestUnresponsiveLearnerIsReplaced(t *testing.T) {
 	g := newGroup(t, 3, 5)
 	g.down[2] = true
 	first := g.planner.candidates(g.view())[0].ID
@@ -273,15 +275,15 @@
 	assert.Equal(t, len(g.members.Learners), 0)
 }
 
-func TestNodeThatIsNotThereIsNotInvited(t *testing.T) {
+func TestUnavailableNodeIsNotInvited(t *testing.T) {
 	g := newGroup(t, 3, 4)
 	g.down[2], g.down[4] = true, true
 	g.planUntilStable()
 	assert.Equal(t, len(g.changes), 0)
 }
 
-// An invited node that misses one question goes on to catch up.
-func TestInvitedNodeThatSeemsAwayForAMomentStays(t *testing.T) {
+// An invited node that misses one probe must be allowed to catch up.
+func TestBrieflyUnavailableLearnerStays(t *testing.T) {
 	g := newGroup(t, 3, 4)
 	g.down[2] = true
 	for len(g.members.Learners) == 0 {
@@ -293,8 +295,8 @@
 	assert.Assert(t, !g.planOnce(), "%v", g.changes)
 }
 
-// A node that is invited and then to be emptied must not stand in another's way.
-func TestInvitedNodeThatRetiresMakesWayForAnother(t *testing.T) {
+// A node that starts retiring after its invitation must not block another candidate.
+func TestRetiringLearnerIsReplaced(t *testing.T) {
 	g := newGroup(t, 3, 5)
 	g.down[2] = true
 	for len(g.members.Learners) == 0 {
@@ -308,8 +310,8 @@
 	assert.Equal(t, len(g.members.Learners), 0)
 }
 
-// A new owner goes on with whom the one before invited.
-func TestNewOwnerKeepsTheLearnerThatIsOnItsWay(t *testing.T) {
+// A new leader must continue with the learner that the previous leader invited.
+func TestNewLeaderKeepsTheInvitedLearner(t *testing.T) {
 	g := newGroup(t, 3, 4)
 	g.down[2] = true
 	for len(g.members.Learners) == 0 {
@@ -327,8 +329,8 @@
 	g.hasVoters(1, 3, 4)
 }
 
-// In a group that takes commands all the time a learner always lacks the newest ones.
-func TestLearnerThatLacksTheNewestEntriesOnlyBecomesAVoter(t *testing.T) {
+// Under constant load a learner always lacks the newest entries.
+func TestSlightlyLaggingLearnerBecomesAVoter(t *testing.T) {
 	g := newGroup(t, 3, 4)
 	g.down[2] = true
 	g.lag[4] = 20
@@ -336,7 +338,7 @@
 	g.hasVoters(1, 3, 4)
 }
 
-func TestLearnerThatIsFarBehindBecomesNoVoter(t *testing.T) {
+func TestFarLaggingLearnerDoesNotBecomeAVoter(t *testing.T) {
 	g := newGroup(t, 3, 4)
 	g.down[2] = true
 	g.lag[4] = 900
@@ -345,7 +347,7 @@
 	assert.DeepEqual(t, g.members.Learners, []replica.NodeID{4})
 }
 
-func TestEveryoneFollows(t *testing.T) {
+func TestAllOtherNodesBecomeLearners(t *testing.T) {
 	g := newGroup(t, 3, 6)
 	g.allAsLearners = true
 	g.planUntilStable()
@@ -356,7 +358,7 @@
 	assert.DeepEqual(t, g.members.Learners, []replica.NodeID{4, 5})
 }
 
-func TestNothingIsDueAtAnOwnerThatIsNotSettled(t *testing.T) {
+func TestNoPlanWhileTheLeaderIsNotReadyOrAChangeIsPending(t *testing.T) {
 	for _, change := range []func(*replica.Status){
 		func(s *replica.Status) { s.LeaderReady = false },
 		func(s *replica.Status) { s.ChangePending = true },
@@ -370,7 +372,7 @@
 	}
 }
 
-// A node that falls silent again and again is replaced once, and then stays out.
+// A node that repeatedly stops responding must be replaced once and then stay out.
 func TestFlappingNodeIsReplacedOnce(t *testing.T) {
 	g := newGroup(t, 3, 4)
 	for range 20 {
@@ -387,7 +389,7 @@
 	assert.Assert(t, len(g.changes) <= 3, "%d changes: %v", len(g.changes), g.changes)
 }
 
-// Shorter silences change nothing at all.
+// Silences shorter than the limit must change nothing.
 func TestShortSilencesChangeNothing(t *testing.T) {
 	g := newGroup(t, 3, 5)
 	for i := range 300 {
--- a/internal/barograph/revisions/benchmark_test.go
+++ b/internal/barograph/revisions/benchmark_test.go
@@ -9,8 +9,8 @@
 	"pipitmux/internal/station/scaletest"
 )
 
-// BenchmarkApply is one change of the configuration, and the state's snapshot after a day's
-// changes, by the number of routes: docs/CAPACITY.md.
+// BenchmarkApply measures one configuration change by the number of routes, and the snapshot
+// of the state by the number of remembered changes. The results are in docs/CAPACITY.md.
 func BenchmarkApply(b *testing.B) {
 	for _, routes := range []int{15, 1000, 6700} {
 		b.Run(fmt.Sprintf("change/routes=%d", routes), func(b *testing.B) { benchmarkChange(b, routes) })
@@ -25,13 +25,13 @@
 	bytes := 0
 	revision := uint64(0)
 	for b.Loop() {
-		change, err := m.Change(revision, revision+1, scaletest.Configuration(int(revision+1), routes))
+		change, err := m.NewChange(revision, revision+1, scaletest.Configuration(int(revision+1), routes))
 		assert.NilError(b, err)
 		command := Command{Change: change}
 		text, err := command.Encode()
 		assert.NilError(b, err)
 		if m.Apply(text)[0] != byte(Accepted) {
-			b.Fatal("not taken")
+			b.Fatal("change was not accepted")
 		}
 		revision++
 		bytes = len(text)
--- a/internal/barograph/revisions/membership_test.go
+++ b/internal/barograph/revisions/membership_test.go
@@ -9,7 +9,8 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// dealt is a machine with four storage nodes and one partition, kept by the first three.
+// newAssignedMachine returns a machine with four storage nodes and one partition, whose voters
+// are the first three.
 func newAssignedMachine(t *testing.T) *Machine {
 	m := New(nil)
 	for i, name := range []string{"s1", "s2", "s3", "s4"} {
@@ -26,7 +27,7 @@
 
 func retire(name string) Command { return Command{Retire: &Retirement{Node: name, MinRemaining: 3}} }
 
-func TestNodeThatIsToBeEmptiedIsNotAnnounced(t *testing.T) {
+func TestRetiringNodeCannotBeAnnounced(t *testing.T) {
 	m := newAssignedMachine(t)
 	assert.Equal(t, apply(t, m, retire("s4")), Accepted)
 	assert.Equal(t, apply(t, m, membershipUpdate(5, 0, true, 1, 2, 3, 4)), Conflict)
@@ -34,21 +35,21 @@
 	assert.Assert(t, emptied)
 }
 
-func TestAnnouncedNodeIsNotEmptied(t *testing.T) {
+func TestAnnouncedNodeDoesNotCountAsEmptied(t *testing.T) {
 	m := newAssignedMachine(t)
 	assert.Equal(t, apply(t, m, membershipUpdate(5, 0, true, 1, 2, 3, 4)), Accepted)
 	assert.Equal(t, apply(t, m, retire("s4")), Accepted)
 	emptied, _ := m.Emptied("s4")
 	assert.Assert(t, !emptied)
-	assert.Equal(t, apply(t, m, membershipUpdate(5, 1, true, 1, 2, 3, 4)), Accepted, "it stands there already")
+	assert.Equal(t, apply(t, m, membershipUpdate(5, 1, true, 1, 2, 3, 4)), Accepted, "the node is listed already")
 	assert.Equal(t, apply(t, m, membershipUpdate(5, 2, false, 1, 2, 3)), Accepted, "withdrawn")
 	emptied, _ = m.Emptied("s4")
 	assert.Assert(t, emptied)
 	assert.Equal(t, apply(t, m, membershipUpdate(5, 3, true, 1, 2, 3, 4)), Conflict)
 }
 
-// What is told late, or twice, takes nothing back.
-func TestMembersAreToldInOrder(t *testing.T) {
+// Late and repeated updates must not revert the directory.
+func TestOutdatedMembershipUpdatesAreRejected(t *testing.T) {
 	m := newAssignedMachine(t)
 	assert.Equal(t, apply(t, m, membershipUpdate(5, 0, false, 1, 2, 3)), Accepted)
 	assert.Equal(t, apply(t, m, membershipUpdate(5, 1, true, 1, 2, 3, 4)), Accepted)
@@ -60,8 +61,8 @@
 	assert.Equal(t, len(m.Directory().Partitions[0].Voters), 3)
 }
 
-// What is in force is told, whoever is to be emptied.
-func TestMembersInForceAreToldInAnyCase(t *testing.T) {
+// Members that are in force are recorded even when one of them is retiring.
+func TestMembersInForceAreRecordedWhileRetiring(t *testing.T) {
 	m := newAssignedMachine(t)
 	assert.Equal(t, apply(t, m, retire("s4")), Accepted)
 	assert.Equal(t, apply(t, m, membershipUpdate(5, 0, false, 1, 2, 4)), Accepted)
@@ -69,7 +70,7 @@
 	assert.Assert(t, !emptied)
 }
 
-func TestNothingIsEmptiedBeforeThePartitionsAreDealtOut(t *testing.T) {
+func TestNodeIsNotEmptiedBeforePartitionsAreAssigned(t *testing.T) {
 	m := New(nil)
 	for i, name := range []string{"s1", "s2", "s3", "s4"} {
 		n := node(i+1, name, protocol.Storage)
--- a/internal/barograph/revisions/revisions.go
+++ b/internal/barograph/revisions/revisions.go
@@ -1,5 +1,5 @@
-// Package revisions is the state machine of the configuration's partition: the newest
-// configuration, which changes were taken, and the directory of the control plane's
+// Package revisions is the state machine of the configuration group: the newest
+// configuration, the changes that were accepted, and the directory of the control plane's
 // nodes. It is pure and deterministic.
 package revisions
 
@@ -16,68 +16,68 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// maxRememberedChanges is how many changes are remembered, so that one that is sent again is
-// acknowledged again: more than a day's.
+// maxRememberedChanges is how many accepted changes are remembered, so that a repeated one is
+// acknowledged again. It exceeds the number of changes in a day.
 const maxRememberedChanges = 20000
 
 // Digest identifies a change by its bytes.
 type Digest [sha256.Size]byte
 
-// Change is a configuration that takes the place of the one at Base. Machine.Change makes it.
+// Change replaces the configuration at revision Base. Machine.NewChange builds it.
 type Change struct {
 	Base, Revision uint64
-	Digest         Digest // of the base and the body
-	Patch          []byte // the body as its difference to the one at Base; empty: Base was left long ago
+	Digest         Digest // of Base and the new body
+	Patch          []byte // difference from the body at Base; empty if Base is no longer current
 }
 
-// Command is one step of the machine. One of the pointers is set.
+// Command is one entry of the group's log. Exactly one field is set.
 type Command struct {
 	Change     *Change           `cbor:"1,keyasint,omitempty"`
 	Register   *protocol.Node    `cbor:"2,keyasint,omitempty"`
 	Assign     *Assignment       `cbor:"3,keyasint,omitempty"`
 	Membership *MembershipUpdate `cbor:"4,keyasint,omitempty"`
 	Retire     *Retirement       `cbor:"5,keyasint,omitempty"`
-	Forget     replica.NodeID    `cbor:"6,keyasint,omitempty"` // a node that is gone for good
+	Forget     replica.NodeID    `cbor:"6,keyasint,omitempty"` // a node that was removed permanently
 }
 
-// Assignment gives the partitions of the turns their first members. It counts once.
+// Assignment sets the initial members of the turn partitions. It takes effect once.
 type Assignment struct{ Partitions [][]replica.NodeID }
 
-// MembershipUpdate tells that a partition of the turns has other members, or is about to have them: a
-// node becomes a voter only after an announcement of it was taken, so that a retirement that
-// is asked for before is known to who would make it one, and one that is asked for later waits
-// until the node has left again.
+// MembershipUpdate records that a turn partition has other members or is about to have them.
+// A node becomes a voter only after its announcement was accepted. A retirement requested
+// before is therefore known to the leader that would add the node, and one requested later
+// does not complete until the node has left again.
 type MembershipUpdate struct {
 	Partition int
-	Change    uint64 // index in the partition's log up to which all is committed
-	Step      uint64 // one more than the directory has at that index, any where it has an earlier one
-	Announced bool   `cbor:"Ahead"` // they are about to be the members
+	Change    uint64 // commit index of the partition's log
+	Step      uint64 // one more than the directory's step at that index; any value if the directory has an earlier index
+	Announced bool   `cbor:"Ahead"` // the voters are announced, not yet in force
 	Voters    []replica.NodeID
 }
 
-// Retirement asks for a storage node to be emptied.
+// Retirement requests that a storage node be emptied.
 type Retirement struct {
 	Node         string
-	MinRemaining int `cbor:"Least"` // storage nodes that must be left
+	MinRemaining int `cbor:"Least"` // storage nodes that must remain
 }
 
-// Result is what came of a command.
+// Result is the outcome of a command.
 type Result uint8
 
-// The results of commands.
+// The results of commands. Their values are stored in replies.
 const (
 	Accepted      Result = iota + 1
-	Conflict             // another version is current
+	Conflict             // another revision or a newer state is current
 	StaleRevision        // the revision isn't above the current one
-	UnknownNode          // no such node
-	TooFewNodes          // too few nodes would be left
+	UnknownNode          // no such node or partition
+	TooFewNodes          // too few nodes would remain
 	Unreadable
 )
 
-// Bytes is the form in which a result is handed back.
+// Bytes encodes the result.
 func (r Result) Bytes() []byte { return []byte{byte(r)} }
 
-// ReadResult reads a result that was handed back.
+// ReadResult decodes a result.
 func ReadResult(text []byte) (Result, error) {
 	if len(text) != 1 || text[0] == 0 || Result(text[0]) > Unreadable {
 		return 0, &ResultError{Length: len(text)}
@@ -85,15 +85,15 @@
 	return Result(text[0]), nil
 }
 
-// ResultError tells of a result that can't be read.
+// ResultError reports a result that cannot be decoded.
 type ResultError struct{ Length int }
 
-func (e *ResultError) Error() string { return "the result of a command can't be read" }
+func (e *ResultError) Error() string { return "cannot decode the result of a command" }
 
-// state is what snapshots hold.
+// state is the content of a snapshot. CBOR stores the fields under their Go names or tags.
 type state struct {
 	Revision        uint64
-	PackedBody      []byte   `cbor:"Packed"` // the body as a patch without a base
+	PackedBody      []byte   `cbor:"Packed"` // the body as a patch without a base; nil until needed
 	AcceptedChanges []Digest `cbor:"Taken"`  // oldest first
 	Directory       protocol.Directory
 }
@@ -107,8 +107,8 @@
 	changed         func()
 }
 
-// New returns an empty Machine. It calls changed, where not nil, after each step that
-// changes its state.
+// New returns an empty Machine. If changed is not nil, it is called after each change of the
+// state.
 func New(changed func()) *Machine {
 	if changed == nil {
 		changed = func() {}
@@ -116,7 +116,7 @@
 	return &Machine{acceptedDigests: map[Digest]struct{}{}, changed: changed}
 }
 
-// Encode gives a command the form that Apply takes.
+// Encode encodes a command for Apply.
 func (c *Command) Encode() ([]byte, error) {
 	text, err := cbor.Marshal(c)
 	if err != nil {
@@ -125,7 +125,7 @@
 	return text, nil
 }
 
-// Apply takes a command and returns its Result.
+// Apply applies an encoded command and returns its encoded Result.
 func (m *Machine) Apply(text []byte) []byte {
 	var command Command
 	if err := cbor.Unmarshal(text, &command); err != nil {
@@ -156,9 +156,8 @@
 	return Unreadable
 }
 
-// replace is a compare-and-set on the revision. A change that was taken is
-// acknowledged whenever it comes again: by its base and its bytes it is known to be
-// that very one.
+// applyChange is a compare-and-set on the revision. A change that was accepted before is
+// acknowledged again: its digest, over base and bytes, identifies it.
 func (m *Machine) applyChange(c *Change) Result {
 	if _, ok := m.acceptedDigests[c.Digest]; ok {
 		return Accepted
@@ -186,7 +185,7 @@
 	return Accepted
 }
 
-// DigestOf identifies the change of a base to a body.
+// DigestOf identifies the change from revision base to body.
 func DigestOf(base uint64, body []byte) Digest {
 	sum := sha256.New()
 	sum.Write(binary.BigEndian.AppendUint64(nil, base))
@@ -194,10 +193,10 @@
 	return Digest(sum.Sum(nil))
 }
 
-// Change makes the change of a base to a body. The base must be or have been in force here: one
-// that was left can't be changed any more, so that nothing but the digest is of interest then.
-// Fails with patch.ErrTooLong.
-func (m *Machine) Change(base, revision uint64, body []byte) (*Change, error) {
+// NewChange returns the change from revision base to body. base must be the current revision
+// or a former one. A former base cannot be changed any more, so the change then has no patch.
+// It fails with patch.ErrTooLong.
+func (m *Machine) NewChange(base, revision uint64, body []byte) (*Change, error) {
 	c := &Change{Base: base, Revision: revision, Digest: DigestOf(base, body)}
 	if base != m.state.Revision {
 		return c, nil
@@ -210,7 +209,7 @@
 	return c, nil
 }
 
-// register takes a node on. An earlier incarnation of it has gone for good.
+// register adds a node to the directory and removes its earlier incarnation.
 func (m *Machine) register(n protocol.Node) Result {
 	nodes := slices.DeleteFunc(slices.Clone(m.state.Directory.Nodes), func(o protocol.Node) bool {
 		return o.ID == n.ID || o.SameMachine(n)
@@ -235,7 +234,7 @@
 	if to.Partition < 0 || to.Partition >= len(m.state.Directory.Partitions) {
 		return UnknownNode
 	}
-	// The directory is handed out by reference: what is handed out stays as it is.
+	// Callers hold references to the directory, so it is copied before a change.
 	partitions := slices.Clone(m.state.Directory.Partitions)
 	p := &partitions[to.Partition]
 	if to.Change < p.Change || to.Change == p.Change && to.Step != p.Step+1 {
@@ -250,7 +249,7 @@
 	return Accepted
 }
 
-// addsRetiring tells whether a node that is to be emptied would become a voter.
+// addsRetiring reports whether a retiring node would become a voter.
 func (m *Machine) addsRetiring(from, to []replica.NodeID) bool {
 	return slices.ContainsFunc(m.state.Directory.Nodes, func(n protocol.Node) bool {
 		return slices.Contains(m.state.Directory.Retiring, n.Name) && slices.Contains(to, n.ID) && !slices.Contains(from, n.ID)
@@ -282,7 +281,7 @@
 	return Accepted
 }
 
-// forget takes a node out of the directory. One that keeps a partition stays.
+// forget removes a node from the directory, unless it is a voter of a partition.
 func (m *Machine) forget(id replica.NodeID) Result {
 	for _, p := range m.state.Directory.Partitions {
 		if slices.Contains(p.Voters, id) {
@@ -298,14 +297,14 @@
 	return Accepted
 }
 
-// Configuration returns the newest configuration and its revision, 0: none yet. The
-// bytes must not be changed.
+// Configuration returns the newest configuration and its revision, 0 if there is none. The
+// bytes must not be modified.
 func (m *Machine) Configuration() (revision uint64, body []byte) {
 	return m.state.Revision, m.body
 }
 
-// Since returns the steps that lead from a revision to the newest one, none if it is that. Where
-// they are not known any more it is one step without a base.
+// Since returns the steps from a revision to the newest one, none if it is the newest. If the
+// steps are no longer known, it returns one step without a base.
 func (m *Machine) Since(revision uint64) []Step {
 	if revision == m.state.Revision {
 		return nil
@@ -316,23 +315,23 @@
 	return []Step{{Revision: m.state.Revision, Patch: m.packedBody()}}
 }
 
-// packed is the body as a patch without a base.
+// packedBody returns the body as a patch without a base.
 func (m *Machine) packedBody() []byte {
 	if m.state.PackedBody == nil {
 		text, err := patch.Make(nil, m.body)
 		if err != nil {
-			panic(err) // the body came out of a patch: it isn't too long
+			panic(err) // unreachable: the body came from a patch, so it is not too long
 		}
 		m.state.PackedBody = text
 	}
 	return m.state.PackedBody
 }
 
-// Directory returns the directory. What it refers to must not be changed.
+// Directory returns the directory. The values it refers to must not be modified.
 func (m *Machine) Directory() protocol.Directory { return m.state.Directory }
 
-// Emptied tells whether no partition is kept by the node any more, nor will be, and whether
-// it is known to be retiring. Before the partitions are dealt out it may still get some.
+// Emptied reports whether the node is not and will not become a voter of any partition, and
+// whether it is retiring. Before the partitions are assigned it may still receive some.
 func (m *Machine) Emptied(node string) (emptied, retiring bool) {
 	retiring = slices.Contains(m.state.Directory.Retiring, node)
 	if len(m.state.Directory.Partitions) == 0 {
@@ -351,17 +350,17 @@
 	return true, retiring
 }
 
-// Snapshot returns the state.
+// Snapshot returns the encoded state.
 func (m *Machine) Snapshot() []byte {
 	m.packedBody()
 	text, err := cbor.Marshal(&m.state)
 	if err != nil {
-		panic(err) // the state is made of plain values only
+		panic(err) // unreachable: the state consists of plain values
 	}
 	return text
 }
 
-// Restore takes a state on; an empty one is the state at first.
+// Restore replaces the state with a snapshot. An empty snapshot is the initial state.
 func (m *Machine) Restore(text []byte) error {
 	var next state
 	if len(text) > 0 {
--- a/internal/barograph/revisions/revisions_test.go
+++ b/internal/barograph/revisions/revisions_test.go
@@ -20,15 +20,15 @@
 	return result
 }
 
-// replace applies the change of a base, as a node makes it that has what m has.
+// applyChange applies a change built by a node that has the same state as m.
 func applyChange(t *testing.T, m *Machine, base, revision uint64, body string) Result {
 	t.Helper()
-	c, err := m.Change(base, revision, []byte(body))
+	c, err := m.NewChange(base, revision, []byte(body))
 	assert.NilError(t, err)
 	return apply(t, m, Command{Change: c})
 }
 
-func TestChangesAreComparedAndSet(t *testing.T) {
+func TestChangeRequiresTheCurrentBase(t *testing.T) {
 	m := New(nil)
 	assert.Equal(t, applyChange(t, m, 3, 4, "early"), Conflict)
 	assert.Equal(t, applyChange(t, m, 0, 5, "a"), Accepted)
@@ -40,28 +40,28 @@
 	assert.Equal(t, string(body), "b")
 }
 
-func TestTakenChangeIsAcknowledgedAgain(t *testing.T) {
+func TestRepeatedChangeIsAcknowledged(t *testing.T) {
 	m := New(nil)
-	first, err := m.Change(0, 5, []byte("a"))
+	first, err := m.NewChange(0, 5, []byte("a"))
 	assert.NilError(t, err)
 	assert.Equal(t, apply(t, m, Command{Change: first}), Accepted)
 	assert.Equal(t, applyChange(t, m, 5, 6, "b"), Accepted)
-	assert.Equal(t, apply(t, m, Command{Change: first}), Accepted, "also behind later ones")
-	assert.Equal(t, applyChange(t, m, 0, 5, "a"), Accepted, "made by a node that has gone on")
+	assert.Equal(t, apply(t, m, Command{Change: first}), Accepted, "also after later changes")
+	assert.Equal(t, applyChange(t, m, 0, 5, "a"), Accepted, "built by a node that has a later revision")
 	revision, _ := m.Configuration()
-	assert.Equal(t, revision, uint64(6), "and it doesn't come into force again")
-	assert.Equal(t, applyChange(t, m, 0, 5, "other bytes"), Conflict, "the same number is not the same change")
-	assert.Equal(t, applyChange(t, m, 5, 6, "a"), Conflict, "nor are the same bytes on another base")
+	assert.Equal(t, revision, uint64(6), "the repeated change must not take effect again")
+	assert.Equal(t, applyChange(t, m, 0, 5, "other bytes"), Conflict, "the same revision with other bytes is another change")
+	assert.Equal(t, applyChange(t, m, 5, 6, "a"), Conflict, "the same bytes on another base are another change")
 }
 
-func TestHistoryIsBounded(t *testing.T) {
+func TestRememberedChangesAreBounded(t *testing.T) {
 	m := New(nil)
 	for i := range uint64(maxRememberedChanges + 2) {
 		assert.Equal(t, applyChange(t, m, i, i+1, fmt.Sprint(i)), Accepted)
 	}
 	assert.Equal(t, len(m.state.AcceptedChanges), maxRememberedChanges)
 	assert.Equal(t, len(m.acceptedDigests), maxRememberedChanges)
-	assert.Equal(t, applyChange(t, m, 0, 1, "0"), Conflict, "the oldest are forgotten")
+	assert.Equal(t, applyChange(t, m, 0, 1, "0"), Conflict, "the oldest changes are forgotten")
 	assert.Equal(t, applyChange(t, m, maxRememberedChanges+1, maxRememberedChanges+2, fmt.Sprint(maxRememberedChanges+1)), Accepted)
 }
 
@@ -69,7 +69,7 @@
 	return protocol.Node{ID: replica.NodeID(id), Name: name, Class: class, Address: name + ":1"}
 }
 
-func TestLaterIncarnationTakesTheEarliersPlace(t *testing.T) {
+func TestLaterIncarnationReplacesTheEarlier(t *testing.T) {
 	m := New(nil)
 	for _, n := range []protocol.Node{node(1, "a", protocol.Storage), node(2, "b", protocol.Storage), node(3, "a", protocol.Storage)} {
 		assert.Equal(t, apply(t, m, Command{Register: &n}), Accepted)
@@ -88,17 +88,17 @@
 	apply(t, m, Command{Assign: &Assignment{Partitions: [][]replica.NodeID{{1, 2, 3}, {2, 3, 4}}}})
 	assert.Equal(t, apply(t, m, Command{Retire: &Retirement{Node: "other", MinRemaining: 3}}), UnknownNode)
 	assert.Equal(t, apply(t, m, Command{Retire: &Retirement{Node: "s0", MinRemaining: 3}}), Accepted)
-	assert.Equal(t, apply(t, m, Command{Retire: &Retirement{Node: "s0", MinRemaining: 3}}), Accepted, "again")
+	assert.Equal(t, apply(t, m, Command{Retire: &Retirement{Node: "s0", MinRemaining: 3}}), Accepted, "repeated")
 	assert.Equal(t, apply(t, m, Command{Retire: &Retirement{Node: "s1", MinRemaining: 3}}), TooFewNodes)
 	emptied, retiring := m.Emptied("s0")
 	assert.Assert(t, !emptied && retiring)
 	assert.Equal(t, apply(t, m, Command{Membership: &MembershipUpdate{Partition: 0, Change: 7, Voters: []replica.NodeID{2, 3, 4}}}), Accepted)
 	emptied, _ = m.Emptied("s0")
 	assert.Assert(t, emptied)
-	assert.Equal(t, apply(t, m, Command{Membership: &MembershipUpdate{Partition: 0, Change: 6, Voters: []replica.NodeID{1, 2, 3}}}), Conflict, "news of the past")
+	assert.Equal(t, apply(t, m, Command{Membership: &MembershipUpdate{Partition: 0, Change: 6, Voters: []replica.NodeID{1, 2, 3}}}), Conflict, "outdated update")
 }
 
-func TestDirectoryThatWasHandedOutStaysAsItIs(t *testing.T) {
+func TestReturnedDirectoryIsNotModified(t *testing.T) {
 	m := New(nil)
 	n := node(1, "a", protocol.Storage)
 	apply(t, m, Command{Register: &n})
@@ -108,31 +108,31 @@
 	assert.Equal(t, before.Partitions[0].Voters[0], replica.NodeID(1))
 }
 
-func TestSnapshotHoldsAll(t *testing.T) {
+func TestSnapshotRestoresTheWholeState(t *testing.T) {
 	m := New(nil)
 	n := node(1, "a", protocol.Core)
 	apply(t, m, Command{Register: &n})
 	applyChange(t, m, 0, 5, "a")
-	told := 0
-	other := New(func() { told++ })
+	notifications := 0
+	other := New(func() { notifications++ })
 	assert.NilError(t, other.Restore(m.Snapshot()))
-	assert.Equal(t, told, 1)
+	assert.Equal(t, notifications, 1)
 	assert.DeepEqual(t, other.Directory(), m.Directory())
-	assert.Equal(t, applyChange(t, other, 0, 5, "a"), Accepted, "the history too")
+	assert.Equal(t, applyChange(t, other, 0, 5, "a"), Accepted, "remembered changes are restored, too")
 	assert.DeepEqual(t, other.Snapshot(), m.Snapshot())
 	assert.ErrorContains(t, other.Restore([]byte{0xff}), "restore")
 }
 
 func TestUnreadableCommandChangesNothing(t *testing.T) {
-	m := New(func() { t.Fatal("told of a change") })
+	m := New(func() { t.Fatal("change reported") })
 	_, err := ReadResult(m.Apply([]byte("no command")))
 	assert.NilError(t, err)
 	_, err = ReadResult([]byte{200})
 	assert.ErrorType(t, err, &ResultError{})
 }
 
-// What a node lacks comes as the steps from what it has, or whole.
-func TestStepsLeadToTheNewest(t *testing.T) {
+// A node that is behind gets the steps from its revision, or the whole configuration.
+func TestStepsReachTheNewestConfiguration(t *testing.T) {
 	m := New(nil)
 	bodies := map[uint64]string{0: ""}
 	for i := range uint64(maxSteps + 10) {
@@ -166,7 +166,7 @@
 	assert.Equal(t, len(other.Since(newest)), 1)
 }
 
-func TestLongStepsAreNotRemembered(t *testing.T) {
+func TestStepsAreBoundedBySize(t *testing.T) {
 	var s recentSteps
 	s.add(Step{Base: 1, Revision: 2, Patch: make([]byte, maxStepBytes/2)})
 	s.add(Step{Base: 2, Revision: 3, Patch: make([]byte, maxStepBytes/2+1)})
@@ -176,23 +176,23 @@
 	assert.Equal(t, s.size, 0)
 }
 
-// A change that doesn't fit what is in force changes nothing, alike on all members.
-func TestChangeWhosePatchDoesntFitIsRefusedWhole(t *testing.T) {
+// A patch that does not fit the current configuration must change nothing, on all members alike.
+func TestMismatchedPatchChangesNothing(t *testing.T) {
 	m := New(nil)
 	assert.Equal(t, applyChange(t, m, 0, 5, "first"), Accepted)
-	fitting, err := m.Change(5, 6, []byte("second"))
+	valid, err := m.NewChange(5, 6, []byte("second"))
 	assert.NilError(t, err)
-	foreign, err := New(nil).Change(0, 6, []byte("second"))
+	foreign, err := New(nil).NewChange(0, 6, []byte("second"))
 	assert.NilError(t, err)
 	before := string(m.Snapshot())
 	for name, c := range map[string]Change{
-		"without a patch":    {Base: 5, Revision: 6, Digest: fitting.Digest},
-		"of another base":    {Base: 5, Revision: 6, Digest: fitting.Digest, Patch: foreign.Patch},
-		"cut short":          {Base: 5, Revision: 6, Digest: fitting.Digest, Patch: fitting.Patch[:20]},
-		"of another content": {Base: 5, Revision: 6, Digest: foreign.Digest, Patch: fitting.Patch},
+		"without a patch":    {Base: 5, Revision: 6, Digest: valid.Digest},
+		"of another base":    {Base: 5, Revision: 6, Digest: valid.Digest, Patch: foreign.Patch},
+		"truncated":          {Base: 5, Revision: 6, Digest: valid.Digest, Patch: valid.Patch[:20]},
+		"of another content": {Base: 5, Revision: 6, Digest: foreign.Digest, Patch: valid.Patch},
 	} {
 		assert.Equal(t, apply(t, m, Command{Change: &c}), Unreadable, name)
 		assert.Equal(t, string(m.Snapshot()), before, name)
 	}
-	assert.Equal(t, apply(t, m, Command{Change: fitting}), Accepted)
+	assert.Equal(t, apply(t, m, Command{Change: valid}), Accepted)
 }
--- a/internal/barograph/revisions/steps.go
+++ b/internal/barograph/revisions/steps.go
@@ -2,22 +2,22 @@
 
 import "pipitmux/internal/station/protocol"
 
-// Bounds of the steps that are remembered for those who are a little behind.
+// Bounds of the steps that are kept for nodes that are slightly behind.
 const (
 	maxSteps     = 64
 	maxStepBytes = 256 << 10 // bytes of their patches
 )
 
-// Step leads from one configuration to the next.
+// Step is the patch from one configuration to the next.
 type Step = protocol.ConfigurationStep
 
-// steps are the newest ones, each on the one before it.
+// recentSteps holds the newest steps. The base of each is the revision of the one before it.
 type recentSteps struct {
 	list []Step
 	size int // bytes of their patches
 }
 
-// add takes the newest step on and lets the oldest go.
+// add appends the newest step and drops the oldest ones beyond the bounds.
 func (s *recentSteps) add(next Step) {
 	s.list = append(s.list, next)
 	s.size += len(next.Patch)
@@ -27,7 +27,7 @@
 	}
 }
 
-// from gives the steps from a revision on, false where it isn't among them.
+// from returns the steps that start at a revision, or false if the revision is not their start.
 func (s *recentSteps) from(revision uint64) ([]Step, bool) {
 	for i, step := range s.list {
 		if step.Base == revision {
--- a/internal/barograph/servers/benchmark_test.go
+++ b/internal/barograph/servers/benchmark_test.go
@@ -9,8 +9,9 @@
 	"pipitmux/internal/station/scaletest"
 )
 
-// BenchmarkPublication is one server's change in a service that has a fifth of so many
-// servers: its encoding, its application and the bytes of its entry. docs/CAPACITY.md.
+// BenchmarkPublication measures a change of one server in the service that has a fifth of all
+// servers: encoding, application and the size of the log entry. The results are in
+// docs/CAPACITY.md.
 func BenchmarkPublication(b *testing.B) {
 	for _, count := range []int{10, 100, 1000, 3900} {
 		b.Run(fmt.Sprintf("servers=%d", count), func(b *testing.B) { benchmarkPublication(b, count) })
@@ -26,7 +27,7 @@
 		text, err := p.Encode()
 		assert.NilError(b, err)
 		if m.Apply(text)[0] != Applied[0] {
-			b.Fatal("refused")
+			b.Fatal("publication was rejected")
 		}
 		bytes = len(text)
 	}
--- a/internal/barograph/servers/servers.go
+++ b/internal/barograph/servers/servers.go
@@ -1,5 +1,5 @@
-// Package servers is the state machine of a partition of the services: which servers
-// each service has. It is pure and deterministic.
+// Package servers is the state machine of a partition of the services: the servers of each
+// service. It is pure and deterministic.
 package servers
 
 import (
@@ -12,20 +12,20 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// Publication brings the servers of services as the holder of the lister's duty saw them.
+// Publication carries the servers of services as the holder of the lister's task saw them.
 type Publication struct {
-	Epoch    uint64 // of the duty: what an earlier holder sends late is refused
-	Sequence uint64 // rises with each publication of an epoch
+	Epoch    uint64 // of the task: late publications of an earlier holder are rejected
+	Sequence uint64 // increases with each publication of an epoch
 	Services []Service
 }
 
-// Service is the whole list of one service.
+// Service is the complete server list of one service.
 type Service struct {
 	Name    string
 	Servers []protocol.Server
 }
 
-// Encode gives a publication the form that Apply takes.
+// Encode encodes a publication for Apply.
 func (p *Publication) Encode() ([]byte, error) {
 	text, err := cbor.Marshal(p)
 	if err != nil {
@@ -34,9 +34,10 @@
 	return text, nil
 }
 
+// state is the content of a snapshot. CBOR stores the fields under their Go names.
 type state struct {
 	Epoch, Sequence uint64
-	Version         uint64 // counts the changes
+	Version         uint64 // incremented with each change of a list
 	Lists           []protocol.ServerList
 }
 
@@ -46,7 +47,7 @@
 	changed func()
 }
 
-// New returns an empty Machine. It calls changed, where not nil, after each change.
+// New returns an empty Machine. If changed is not nil, it is called after each change.
 func New(changed func()) *Machine {
 	if changed == nil {
 		changed = func() {}
@@ -54,13 +55,14 @@
 	return &Machine{changed: changed}
 }
 
-// Applied and Refused are the results of Apply.
+// Applied and Rejected are the results of Apply.
 var (
 	Applied  = []byte{1}
 	Rejected = []byte{0}
 )
 
-// Apply takes a publication.
+// Apply applies an encoded publication. It rejects one that is unreadable or not newer than
+// the last one.
 func (m *Machine) Apply(text []byte) []byte {
 	var p Publication
 	if err := cbor.Unmarshal(text, &p); err != nil {
@@ -77,10 +79,11 @@
 	return Applied
 }
 
+// setServers replaces the list of a service. An empty list removes the service.
 func (m *Machine) setServers(s Service) {
 	m.state.Version++
 	list := protocol.ServerList{Service: s.Name, Version: m.state.Version, Servers: s.Servers}
-	// What was handed out stays as it is.
+	// Callers hold references to the lists, so they are copied before a change.
 	lists := slices.Clone(m.state.Lists)
 	at, found := slices.BinarySearchFunc(lists, s.Name, func(l protocol.ServerList, name string) int {
 		return cmp.Compare(l.Service, name)
@@ -96,20 +99,20 @@
 	m.state.Lists = lists
 }
 
-// Lists returns the lists of all services of the partition, by name, and the version of
-// the partition. What is returned must not be changed.
+// Lists returns the lists of all services of the partition, sorted by name, and the
+// partition's version. The lists must not be modified.
 func (m *Machine) Lists() ([]protocol.ServerList, uint64) { return m.state.Lists, m.state.Version }
 
-// Snapshot returns the state.
+// Snapshot returns the encoded state.
 func (m *Machine) Snapshot() []byte {
 	text, err := cbor.Marshal(&m.state)
 	if err != nil {
-		panic(err) // the state is made of plain values only
+		panic(err) // unreachable: the state consists of plain values
 	}
 	return text
 }
 
-// Restore takes a state on; an empty one is the state at first.
+// Restore replaces the state with a snapshot. An empty snapshot is the initial state.
 func (m *Machine) Restore(text []byte) error {
 	var next state
 	if len(text) > 0 {
--- a/internal/barograph/servers/servers_test.go
+++ b/internal/barograph/servers/servers_test.go
@@ -24,22 +24,22 @@
 	return s
 }
 
-func TestPublicationsOfThePastAreRefused(t *testing.T) {
-	told := 0
-	m := New(func() { told++ })
+func TestOutdatedPublicationsAreRejected(t *testing.T) {
+	notifications := 0
+	m := New(func() { notifications++ })
 	assert.DeepEqual(t, apply(t, m, 2, 5, service("p", "a")), Applied)
 	for _, past := range [][2]uint64{{2, 5}, {2, 4}, {1, 9}} {
 		assert.DeepEqual(t, apply(t, m, past[0], past[1], service("p", "x")), Rejected)
 	}
 	assert.DeepEqual(t, apply(t, m, 2, 6, service("p", "b")), Applied)
-	assert.DeepEqual(t, apply(t, m, 3, 1, service("p", "c")), Applied) // a new epoch begins anew
-	assert.Equal(t, told, 3)
+	assert.DeepEqual(t, apply(t, m, 3, 1, service("p", "c")), Applied) // the sequence starts again in a new epoch
+	assert.Equal(t, notifications, 3)
 	lists, version := m.Lists()
 	assert.Equal(t, lists[0].Servers[0].ID, "c")
 	assert.Equal(t, version, uint64(3))
 }
 
-func TestServicesComeAndGo(t *testing.T) {
+func TestServicesAreAddedAndRemoved(t *testing.T) {
 	m := New(nil)
 	apply(t, m, 1, 1, service("q", "a"), service("p", "b"), service("none"))
 	before, _ := m.Lists()
@@ -50,17 +50,17 @@
 	assert.Equal(t, len(after), 1)
 	assert.Equal(t, len(after[0].Servers), 2)
 	assert.Equal(t, after[0].Version, version)
-	assert.Equal(t, len(before), 2, "what was handed out stays as it is")
+	assert.Equal(t, len(before), 2, "returned lists must not be modified")
 	assert.Equal(t, len(before[1].Servers), 1)
 }
 
-func TestSnapshotHoldsAll(t *testing.T) {
+func TestSnapshotRestoresTheWholeState(t *testing.T) {
 	m := New(nil)
 	apply(t, m, 4, 7, service("p", "a"))
-	told := 0
-	other := New(func() { told++ })
+	notifications := 0
+	other := New(func() { notifications++ })
 	assert.NilError(t, other.Restore(m.Snapshot()))
-	assert.Equal(t, told, 1)
+	assert.Equal(t, notifications, 1)
 	assert.DeepEqual(t, other.Snapshot(), m.Snapshot())
 	assert.DeepEqual(t, apply(t, other, 4, 7, service("p", "b")), Rejected)
 	assert.NilError(t, other.Restore(nil))
@@ -69,7 +69,7 @@
 	assert.ErrorContains(t, other.Restore([]byte{0xff}), "restore")
 }
 
-func TestUnreadablePublicationIsRefused(t *testing.T) {
-	m := New(func() { t.Fatal("told of a change") })
+func TestUnreadablePublicationIsRejected(t *testing.T) {
+	m := New(func() { t.Fatal("change reported") })
 	assert.DeepEqual(t, m.Apply([]byte("no publication")), Rejected)
 }
--- a/internal/barograph/simulation/configuration_test.go
+++ b/internal/barograph/simulation/configuration_test.go
@@ -201,7 +201,7 @@
 	if at := n.member(protocol.ConfigurationGroup); at != nil {
 		m = at.stateMachine.(*revisions.Machine)
 	}
-	c, err := m.Change(o.base, o.newRevision, []byte(o.body))
+	c, err := m.NewChange(o.base, o.newRevision, []byte(o.body))
 	c.Digest = s.digestOf(o)
 	if newest, _ := m.Configuration(); err == nil && newest < o.base {
 		c.Patch, err = patch.Make([]byte(o.baseBody), []byte(o.body))
--- a/internal/barograph/turns/benchmark_test.go
+++ b/internal/barograph/turns/benchmark_test.go
@@ -9,14 +9,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// Sizes of a turn in the benchmarks: docs/CAPACITY.md.
+// Sizes of the turns in the benchmarks. docs/CAPACITY.md gives the reasons.
 const (
 	inputBytes       = 2000
 	outputBytes      = 600
-	longProgramTurns = 570 // of the longest programs
+	longProgramTurns = 570 // turns of the longest programs
 )
 
-// filled is a machine with programs of so many turns each.
+// newFilledMachine returns a machine with programs of turnsEach turns.
 func newFilledMachine(b *testing.B, programs, turnsEach int) *Machine {
 	m := New(zeroClock)
 	for p := range programs {
@@ -33,8 +33,8 @@
 	return m
 }
 
-// BenchmarkTurn is a turn's two commands, encoded and applied, by how many turns its program
-// has behind it.
+// BenchmarkTurn measures encoding and applying the two commands of a turn, by the number of
+// earlier turns of its program.
 func BenchmarkTurn(b *testing.B) {
 	for _, behind := range []int{1, 57, longProgramTurns} {
 		b.Run(fmt.Sprintf("behind=%d", behind), func(b *testing.B) { benchmarkTurn(b, behind) })
@@ -50,11 +50,11 @@
 	for i := 0; b.Loop(); i++ {
 		id := fmt.Sprintf("program-00000-more-%07d", i)
 		admission := Command{Admit: &Admission{Program: "program-00000", Attempt: id, Previous: previous, Budget: 1 << 62, MaxTokens: 200, Retention: time.Minute}}
-		ending := Command{Finish: &Completion{
+		completion := Command{Finish: &Completion{
 			Program: "program-00000", Attempt: id, Complete: true, Tokens: 150, Previous: previous, Input: input, Output: output, Retention: time.Minute,
 		}}
 		bytes = 0
-		for _, c := range []Command{admission, ending} {
+		for _, c := range []Command{admission, completion} {
 			text, err := c.Encode()
 			assert.NilError(b, err)
 			bytes += len(text)
@@ -71,7 +71,7 @@
 	b.ReportMetric(float64(bytes), "entry-bytes")
 }
 
-// BenchmarkHistory is the text of a line of turns.
+// BenchmarkHistory measures assembling the history of a turn.
 func BenchmarkHistory(b *testing.B) {
 	for _, length := range []int{1, 57, longProgramTurns} {
 		b.Run(fmt.Sprintf("turns=%d", length), func(b *testing.B) {
@@ -92,8 +92,8 @@
 	}
 }
 
-// BenchmarkSnapshot is the whole state of a partition, written and read, by its number of
-// turns. A partition's calls wait meanwhile.
+// BenchmarkSnapshot measures writing and reading the whole state of a partition, by its
+// number of turns. The partition's calls wait meanwhile.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, programs := range []int{10, 100, 1000} {
 		const turnsEach = 20
@@ -120,7 +120,7 @@
 	}
 }
 
-// heap is what the process holds in memory.
+// heap returns the bytes of live heap objects.
 func heap() uint64 {
 	runtime.GC()
 	var s runtime.MemStats
--- a/internal/barograph/turns/turns.go
+++ b/internal/barograph/turns/turns.go
@@ -1,7 +1,7 @@
-// Package turns is the state machine of a partition of the turns: what was said in each
-// line of a program, and what the program may still put out. It is pure and
-// deterministic, but for the time at which a program was last touched on this node,
-// which decides nothing here: it only tells the owner what to propose to forget.
+// Package turns is the state machine of a turn partition: the conversation history of each
+// program's turns and each program's token budget. It is pure and deterministic, except for
+// the time of a program's last use on this node. That time affects no result: the leader
+// alone uses it, to propose which programs to forget.
 package turns
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Admission reserves a turn's tokens.
+// Admission reserves the tokens of a turn before it starts.
 type Admission struct {
 	Program   string        `cbor:"1,keyasint"`
 	Attempt   string        `cbor:"2,keyasint"`
@@ -20,38 +20,38 @@
 	Budget    uint64        `cbor:"5,keyasint"`
 	MaxTokens uint64        `cbor:"6,keyasint"`
 	Retention time.Duration `cbor:"7,keyasint"`
-	Token     uint64        `cbor:"8,keyasint"` // drawn by who asks: the same when it asks again
+	Token     uint64        `cbor:"8,keyasint"` // chosen at random by the caller, the same in a repeated call
 }
 
-// Ending ends a try, and keeps its turn where that was answered whole.
+// Completion ends an attempt. It stores the turn if the turn was answered completely.
 type Completion struct {
 	Program   string        `cbor:"1,keyasint"`
 	Attempt   string        `cbor:"2,keyasint"`
 	Complete  bool          `cbor:"3,keyasint,omitempty"`
 	Tokens    uint64        `cbor:"4,keyasint"`
 	Previous  string        `cbor:"5,keyasint,omitempty"`
-	Imported  []byte        `cbor:"6,keyasint,omitempty"` // all that was said before, kept with the turn
+	Imported  []byte        `cbor:"6,keyasint,omitempty"` // the whole previous history, stored with the turn
 	Input     []byte        `cbor:"7,keyasint,omitempty"`
 	Output    []byte        `cbor:"8,keyasint,omitempty"`
 	Retention time.Duration `cbor:"9,keyasint"`
-	Token     uint64        `cbor:"10,keyasint"` // of the try's admission: no other node ends it
+	Token     uint64        `cbor:"10,keyasint"` // of the attempt's admission, so that no other node can end it
 }
 
-// Command is one step of the machine. One of the fields is set.
+// Command is one entry of the partition's log. Exactly one field is set.
 type Command struct {
 	Admit  *Admission    `cbor:"1,keyasint,omitempty"`
 	Finish *Completion   `cbor:"2,keyasint,omitempty"`
 	Forget []IdleProgram `cbor:"3,keyasint,omitempty"`
 }
 
-// Rest is a program that nothing is heard of. It is forgotten unless something has been
-// since.
+// IdleProgram is a program whose retention has passed. It is forgotten unless it was used
+// again in the meantime.
 type IdleProgram struct {
 	Program string `cbor:"1,keyasint"`
-	Steps   uint64 `cbor:"2,keyasint"` // of the program, when it rested
+	Steps   uint64 `cbor:"2,keyasint"` // of the program when it was found idle
 }
 
-// Encode gives a command the form that Apply takes.
+// Encode encodes a command for Apply.
 func (c *Command) Encode() ([]byte, error) {
 	text, err := cbor.Marshal(c)
 	if err != nil {
@@ -60,24 +60,24 @@
 	return text, nil
 }
 
-// Result is what came of a command.
+// Result is the outcome of a command.
 type Result uint8
 
-// The results of commands.
+// The results of commands. Their values are stored in replies.
 const (
 	Accepted        Result = iota + 1 // reserved, or ended
-	BudgetExhausted                   // the budget holds no further turn
-	UnknownTurn                       // the partition holds no such turn
-	AttemptClosed                     // the try has ended before, or is another node's
-	Unreadable                        // no command
+	BudgetExhausted                   // the budget does not allow another turn
+	UnknownTurn                       // the partition does not hold the turn
+	AttemptClosed                     // the attempt has already ended or belongs to another node
+	Unreadable                        // the command cannot be decoded
 )
 
-// ResultError tells of a result that can't be read.
+// ResultError reports a result that cannot be decoded.
 type ResultError struct{ Length int }
 
-func (e *ResultError) Error() string { return "the result of a command can't be read" }
+func (e *ResultError) Error() string { return "cannot decode the result of a command" }
 
-// ReadResult reads what Apply returned.
+// ReadResult decodes what Apply returned.
 func ReadResult(text []byte) (Result, error) {
 	if len(text) != 1 || text[0] == 0 || Result(text[0]) >= Unreadable {
 		return 0, &ResultError{Length: len(text)}
@@ -85,7 +85,7 @@
 	return Result(text[0]), nil
 }
 
-// turn is a turn that was answered whole.
+// turn is a turn that was answered completely.
 type turn struct {
 	Program  string `cbor:"1,keyasint"`
 	Previous string `cbor:"2,keyasint,omitempty"`
@@ -94,23 +94,24 @@
 	Output   []byte `cbor:"5,keyasint,omitempty"`
 }
 
-// program is a program's budget, and which tries count towards it.
+// program is a program's budget and its attempts.
 type program struct {
 	SpentTokens  uint64                 `cbor:"1,keyasint"`
-	Reservations map[string]reservation `cbor:"2,keyasint,omitempty"` // by try
-	Ended        map[string]struct{}    `cbor:"3,keyasint,omitempty"` // tries that ended
+	Reservations map[string]reservation `cbor:"2,keyasint,omitempty"` // by attempt
+	Ended        map[string]struct{}    `cbor:"3,keyasint,omitempty"` // attempts that have ended
 	Turns        []string               `cbor:"4,keyasint,omitempty"`
 	Retention    time.Duration          `cbor:"5,keyasint"`
-	Steps        uint64                 `cbor:"6,keyasint"` // that concerned it
+	Steps        uint64                 `cbor:"6,keyasint"` // commands that concerned the program
 	lastUsed     time.Duration
 }
 
-// hold is what a try that hasn't ended may put out at most, and whose it is.
+// reservation is the most an open attempt may produce, and the token of its owner.
 type reservation struct {
 	MaxTokens uint64 `cbor:"1,keyasint"`
 	Token     uint64 `cbor:"2,keyasint"`
 }
 
+// state is the content of a snapshot.
 type state struct {
 	Programs map[string]*program `cbor:"1,keyasint"`
 	Turns    map[string]*turn    `cbor:"2,keyasint"`
@@ -122,8 +123,8 @@
 	now   func() time.Duration
 }
 
-// New returns an empty Machine. The clock is steady and read only to tell which programs
-// rest: see Resting.
+// New returns an empty Machine. now is a monotonic clock. It only determines which programs
+// are idle: see IdlePrograms.
 func New(now func() time.Duration) *Machine {
 	m := &Machine{now: now}
 	m.state = emptyState()
@@ -134,7 +135,7 @@
 	return state{Programs: map[string]*program{}, Turns: map[string]*turn{}}
 }
 
-// Apply takes a command and returns its Result.
+// Apply applies an encoded command and returns its encoded Result.
 func (m *Machine) Apply(text []byte) []byte {
 	var c Command
 	if err := cbor.Unmarshal(text, &c); err != nil {
@@ -156,6 +157,7 @@
 	return Accepted
 }
 
+// program returns the named program and marks it as used. It creates the program if needed.
 func (m *Machine) program(name string, retention time.Duration) *program {
 	p := m.state.Programs[name]
 	if p == nil {
@@ -167,21 +169,22 @@
 	return p
 }
 
-// touch notes that a program goes on.
+// markUsed records that a program is still in use.
 func (m *Machine) markUsed(p *program) {
 	p.Steps++
 	p.lastUsed = m.now()
 }
 
-// admit reserves the most that a turn may put out. Each try counts at its most until it
-// has ended: no node's death gives any of it back. Told again, it has no further effect.
+// admit reserves the most a turn may produce. Each attempt counts with its maximum until it
+// has ended, so the failure of a node returns nothing to the budget. A repeated admission has
+// no further effect.
 func (m *Machine) admit(a *Admission) Result {
 	if a.Previous != "" && !a.Imported {
 		before := m.state.Turns[a.Previous]
 		if before == nil {
 			return UnknownTurn
 		}
-		m.markUsed(m.state.Programs[before.Program]) // its text is needed until the end of this try
+		m.markUsed(m.state.Programs[before.Program]) // its text is needed until this attempt ends
 	}
 	p := m.program(a.Program, a.Retention)
 	if _, ended := p.Ended[a.Attempt]; ended {
@@ -189,7 +192,7 @@
 	}
 	if held, reserved := p.Reservations[a.Attempt]; reserved {
 		if held.Token != a.Token {
-			return AttemptClosed // another node has the same try: it would run twice
+			return AttemptClosed // another node runs the same attempt: it would run twice
 		}
 		return Accepted
 	}
@@ -200,7 +203,7 @@
 	return Accepted
 }
 
-// counted is what was put out, with every open try at its most.
+// spentAndReserved returns the tokens produced, with each open attempt at its maximum.
 func (p *program) spentAndReserved() uint64 {
 	sum := p.SpentTokens
 	for _, held := range p.Reservations {
@@ -209,9 +212,9 @@
 	return sum
 }
 
-// end settles a try to what was handed out, once. A whole turn whose line was forgotten in
-// the meantime is not kept, since nobody could go on from it: the try stays open then, to be
-// ended with all that was said before, or as one that brought nothing.
+// finish settles an attempt to the tokens that were produced, once. A complete turn whose
+// history was forgotten in the meantime is not stored, since no turn could continue it. The
+// attempt then stays open, to be finished with the whole history or as a failed one.
 func (m *Machine) finish(e *Completion) Result {
 	p := m.program(e.Program, e.Retention)
 	if _, ended := p.Ended[e.Attempt]; ended {
@@ -221,7 +224,7 @@
 		return Accepted
 	}
 	if held, reserved := p.Reservations[e.Attempt]; reserved && held.Token != e.Token {
-		return AttemptClosed // it goes on at another node
+		return AttemptClosed // another node runs the attempt
 	}
 	if e.Complete && m.lacksHistory(e) {
 		return UnknownTurn
@@ -235,13 +238,13 @@
 	return Accepted
 }
 
-// breaks tells whether a turn would be kept without what was said before it.
+// lacksHistory reports whether a turn would be stored without its history.
 func (m *Machine) lacksHistory(e *Completion) bool {
 	return e.Previous != "" && len(e.Imported) == 0 && m.state.Turns[e.Previous] == nil
 }
 
-// keep keeps a turn. What it goes on from may be another program's, which is forgotten at
-// a time of its own: then the turn takes the whole text along.
+// storeTurn stores a turn. Its previous turn may belong to another program, which may be
+// forgotten earlier: the turn is then stored with its whole history.
 func (m *Machine) storeTurn(p *program, e *Completion) {
 	t := &turn{Program: e.Program, Previous: e.Previous, Imported: e.Imported, Input: e.Input, Output: e.Output}
 	if before := m.state.Turns[e.Previous]; before != nil && before.Program != e.Program && len(e.Imported) == 0 {
@@ -251,6 +254,7 @@
 	p.Turns = append(p.Turns, e.Attempt)
 }
 
+// forget drops a program and its turns, unless it was used since it was found idle.
 func (m *Machine) forget(r IdleProgram) {
 	name := r.Program
 	p := m.state.Programs[name]
@@ -263,17 +267,17 @@
 	delete(m.state.Programs, name)
 }
 
-// History returns what was said up to the end of a turn: the oldest input, the data of
-// its events, and so on. It is false where the partition doesn't hold the turn.
+// History returns the conversation up to the end of a turn: input and output of each turn,
+// oldest first. It returns false if the partition does not hold the whole history.
 func (m *Machine) History(attempt string) ([]byte, bool) {
-	var line []*turn
+	var chain []*turn
 	size := 0
 	for id := attempt; id != ""; {
 		t := m.state.Turns[id]
 		if t == nil {
 			return nil, false
 		}
-		line = append(line, t)
+		chain = append(chain, t)
 		size += len(t.Imported) + len(t.Input) + len(t.Output)
 		if len(t.Imported) > 0 {
 			break
@@ -281,31 +285,31 @@
 		id = t.Previous
 	}
 	text := make([]byte, 0, size)
-	for i := len(line) - 1; i >= 0; i-- {
-		text = append(text, line[i].Imported...)
-		text = append(text, line[i].Input...)
-		text = append(text, line[i].Output...)
+	for i := len(chain) - 1; i >= 0; i-- {
+		text = append(text, chain[i].Imported...)
+		text = append(text, chain[i].Input...)
+		text = append(text, chain[i].Output...)
 	}
 	return text, true
 }
 
-// Resting returns programs that nothing was heard of for as long as they are kept, and
-// slack longer, at most so many.
-func (m *Machine) IdlePrograms(slack time.Duration, most int) []IdleProgram {
-	var resting []IdleProgram
+// IdlePrograms returns at most limit programs that were not used for their retention plus
+// slack.
+func (m *Machine) IdlePrograms(slack time.Duration, limit int) []IdleProgram {
+	var idle []IdleProgram
 	now := m.now()
 	for name, p := range m.state.Programs {
-		if now-p.lastUsed > p.Retention+p.extraRetention()+slack && len(resting) < most {
-			resting = append(resting, IdleProgram{Program: name, Steps: p.Steps})
+		if now-p.lastUsed > p.Retention+p.extraRetention()+slack && len(idle) < limit {
+			idle = append(idle, IdleProgram{Program: name, Steps: p.Steps})
 		}
 	}
-	return resting
+	return idle
 }
 
-// openMost is how long a try may be open: no stream takes longer.
+// maxAttemptDuration is how long an attempt may be open: no stream takes longer.
 const maxAttemptDuration = time.Hour
 
-// open is how much longer a program is kept for the sake of tries that haven't ended.
+// extraRetention is how much longer a program is kept because it has open attempts.
 func (p *program) extraRetention() time.Duration {
 	if len(p.Reservations) == 0 {
 		return 0
@@ -313,22 +317,22 @@
 	return maxAttemptDuration
 }
 
-// Size is how many turns and programs are held.
+// Size returns the number of turns and programs held.
 func (m *Machine) Size() (turns, programs int) {
 	return len(m.state.Turns), len(m.state.Programs)
 }
 
-// Snapshot returns the state.
+// Snapshot returns the encoded state.
 func (m *Machine) Snapshot() []byte {
 	text, err := cbor.Marshal(&m.state)
 	if err != nil {
-		panic(err) // the state is made of plain values only
+		panic(err) // unreachable: the state consists of plain values
 	}
 	return text
 }
 
-// Restore takes a state on; an empty one is the state at first. All programs count as
-// touched now: they are kept longer, never shorter.
+// Restore replaces the state with a snapshot. An empty snapshot is the initial state. All
+// programs count as used now, so they are kept longer, never shorter.
 func (m *Machine) Restore(text []byte) error {
 	next := emptyState()
 	if len(text) > 0 {
--- a/internal/barograph/turns/turns_test.go
+++ b/internal/barograph/turns/turns_test.go
@@ -32,7 +32,7 @@
 	return Command{Finish: &Completion{Program: program, Attempt: attempt, Tokens: tokens}}
 }
 
-func TestHistoryIsTheLineFromTheOldestTurnOn(t *testing.T) {
+func TestHistoryStartsWithTheOldestTurn(t *testing.T) {
 	m := New(zeroClock)
 	assert.Equal(t, apply(t, m, completeTurn("p", "a", "", "in1", "out1\n", 1)), Accepted)
 	assert.Equal(t, apply(t, m, completeTurn("p", "b", "a", "in2", "out2\n", 1)), Accepted)
@@ -41,12 +41,12 @@
 	assert.Assert(t, found)
 	assert.Equal(t, string(text), "in1out1\nin2out2\n")
 	text, _ = m.History("c")
-	assert.Equal(t, string(text), "in1out1\nbranchx\n", "a branch holds its parent's line alone")
+	assert.Equal(t, string(text), "in1out1\nbranchx\n", "a branch includes only the history of its parent")
 	_, found = m.History("d")
 	assert.Assert(t, !found)
 }
 
-func TestTurnOfAnotherProgramOutlivesIt(t *testing.T) {
+func TestContinuationOutlivesAForgottenProgram(t *testing.T) {
 	m := New(zeroClock)
 	apply(t, m, completeTurn("p", "a", "", "in1", "out1\n", 1))
 	apply(t, m, completeTurn("q", "b", "a", "in2", "out2\n", 1))
@@ -58,7 +58,7 @@
 	assert.Assert(t, !found)
 }
 
-func TestImportedHistoryStandsFirst(t *testing.T) {
+func TestImportedHistoryPrecedesTheTurn(t *testing.T) {
 	m := New(zeroClock)
 	c := completeTurn("q", "b", "elsewhere", "in2", "out2\n", 1)
 	c.Finish.Imported = []byte("before")
@@ -72,36 +72,36 @@
 	m := New(zeroClock)
 	assert.Equal(t, apply(t, m, admit("p", "a", "unknown", 100, 40)), UnknownTurn)
 	assert.Equal(t, apply(t, m, admit("p", "a", "", 100, 40)), Accepted)
-	assert.Equal(t, apply(t, m, admit("p", "a", "", 100, 40)), Accepted, "told again it counts once")
+	assert.Equal(t, apply(t, m, admit("p", "a", "", 100, 40)), Accepted, "a repeated admission must count once")
 	assert.Equal(t, apply(t, m, admit("p", "b", "", 100, 60)), Accepted)
 	assert.Equal(t, apply(t, m, admit("p", "c", "", 100, 1)), BudgetExhausted)
 	assert.Equal(t, apply(t, m, completeTurn("p", "a", "", "i", "o", 10)), Accepted)
-	assert.Equal(t, apply(t, m, admit("p", "c", "a", 100, 30)), Accepted, "what a turn didn't put out is free again")
+	assert.Equal(t, apply(t, m, admit("p", "c", "a", 100, 30)), Accepted, "tokens that a turn did not produce return to the budget")
 	assert.Equal(t, apply(t, m, admit("p", "d", "a", 100, 1)), BudgetExhausted)
 	assert.Equal(t, apply(t, m, failedAttempt("p", "b", 0)), Accepted)
-	assert.Equal(t, apply(t, m, admit("p", "b", "", 100, 1)), AttemptClosed, "a try that ended doesn't begin again")
+	assert.Equal(t, apply(t, m, admit("p", "b", "", 100, 1)), AttemptClosed, "an attempt that ended must not start again")
 }
 
-func TestEndBeforeItsAdmission(t *testing.T) {
+func TestAdmissionAfterCompletionReservesNothing(t *testing.T) {
 	m := New(zeroClock)
 	assert.Equal(t, apply(t, m, failedAttempt("p", "a", 0)), Accepted)
-	assert.Equal(t, apply(t, m, admit("p", "a", "", 100, 40)), AttemptClosed, "an admission that was overtaken reserves nothing")
+	assert.Equal(t, apply(t, m, admit("p", "a", "", 100, 40)), AttemptClosed, "an admission that arrives after its completion must reserve nothing")
 	assert.Equal(t, apply(t, m, admit("p", "b", "", 100, 100)), Accepted)
 }
 
-func TestEndCountsOnce(t *testing.T) {
+func TestRepeatedCompletionCountsOnce(t *testing.T) {
 	m := New(zeroClock)
 	apply(t, m, admit("p", "a", "", 100, 40))
 	assert.Equal(t, apply(t, m, completeTurn("p", "a", "", "i", "o", 40)), Accepted)
 	assert.Equal(t, apply(t, m, completeTurn("p", "a", "", "i", "o", 40)), Accepted)
 	assert.Equal(t, apply(t, m, admit("p", "b", "", 100, 60)), Accepted)
 	assert.Equal(t, apply(t, m, failedAttempt("p", "b", 60)), Accepted)
-	assert.Equal(t, apply(t, m, completeTurn("p", "b", "", "i", "o", 60)), AttemptClosed, "a try that was given up is no turn")
+	assert.Equal(t, apply(t, m, completeTurn("p", "b", "", "i", "o", 60)), AttemptClosed, "an abandoned attempt must not become a turn")
 }
 
-// Whatever comes in whatever order, what is handed out never exceeds the budget, since no
-// turn puts out more than its most.
-func TestBudgetIsNeverOverdrawn(t *testing.T) {
+// Whatever the order of commands, the tokens produced must not exceed the budget, because no
+// turn produces more than its maximum.
+func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(zeroClock)
 		budget := uint64(rapid.IntRange(0, 200).Draw(t, "budget"))
@@ -131,60 +131,61 @@
 				}
 			}
 			if out > budget {
-				t.Fatalf("%d tokens handed out of %d", out, budget)
+				t.Fatalf("%d tokens produced, budget %d", out, budget)
 			}
 		}
 	})
 }
 
-func TestForgetsOnlyWhatRests(t *testing.T) {
+func TestOnlyIdleProgramsAreForgotten(t *testing.T) {
 	now := time.Duration(0)
 	m := New(func() time.Duration { return now })
 	apply(t, m, completeTurn("old", "a", "", "i", "o", 1))
 	now = 50 * time.Second
 	apply(t, m, completeTurn("new", "b", "", "i", "o", 1))
 	now = 75 * time.Second
-	resting := m.IdlePrograms(10*time.Second, 10)
-	assert.DeepEqual(t, resting, []IdleProgram{{Program: "old", Steps: 1}})
+	idle := m.IdlePrograms(10*time.Second, 10)
+	assert.DeepEqual(t, idle, []IdleProgram{{Program: "old", Steps: 1}})
 	assert.Equal(t, len(m.IdlePrograms(20*time.Second, 10)), 0)
-	apply(t, m, Command{Forget: append(resting, IdleProgram{Program: "unknown"})})
+	apply(t, m, Command{Forget: append(idle, IdleProgram{Program: "unknown"})})
 	turns, programs := m.Size()
 	assert.Equal(t, turns, 1)
 	assert.Equal(t, programs, 1)
 }
 
-// What comes between the look at a program and its end goes before.
-func TestProgramThatGoesOnIsNotForgotten(t *testing.T) {
+// A program that is used between the check for idle programs and the command that forgets it
+// must be kept.
+func TestProgramUsedAgainIsNotForgotten(t *testing.T) {
 	now := time.Duration(0)
 	m := New(func() time.Duration { return now })
 	apply(t, m, completeTurn("p", "a", "", "i", "o", 1))
 	apply(t, m, completeTurn("q", "b", "", "i", "o", 1))
 	now = 2 * time.Minute
-	resting := m.IdlePrograms(0, 10)
-	assert.Equal(t, len(resting), 2)
+	idle := m.IdlePrograms(0, 10)
+	assert.Equal(t, len(idle), 2)
 	apply(t, m, admit("p", "c", "a", 100, 10))
 	apply(t, m, admit("r", "d", "b", 100, 10))
-	apply(t, m, Command{Forget: resting})
+	apply(t, m, Command{Forget: idle})
 	_, found := m.History("a")
-	assert.Assert(t, found, "its own next turn")
+	assert.Assert(t, found, "the program has a newer turn")
 	_, found = m.History("b")
-	assert.Assert(t, found, "another program's turn goes on from it")
+	assert.Assert(t, found, "another program's turn continues it")
 	now = 4 * time.Minute
-	assert.Equal(t, len(m.IdlePrograms(0, 10)), 1, "a try that is open keeps its program: only q rests")
+	assert.Equal(t, len(m.IdlePrograms(0, 10)), 1, "an open attempt keeps its program, so only q is idle")
 }
 
-func TestTryOfAnotherNodeIsRefused(t *testing.T) {
+func TestAttemptOfAnotherNodeIsRejected(t *testing.T) {
 	m := New(zeroClock)
 	first := admit("p", "a", "", 100, 40)
 	first.Admit.Token = 1
 	assert.Equal(t, apply(t, m, first), Accepted)
-	assert.Equal(t, apply(t, m, first), Accepted, "asked again")
+	assert.Equal(t, apply(t, m, first), Accepted, "repeated")
 	second := admit("p", "a", "", 100, 40)
 	second.Admit.Token = 2
 	assert.Equal(t, apply(t, m, second), AttemptClosed)
 }
 
-func TestSnapshotHoldsAll(t *testing.T) {
+func TestSnapshotRestoresTheWholeState(t *testing.T) {
 	m := New(zeroClock)
 	apply(t, m, completeTurn("p", "a", "", strings.Repeat("x", 1000), "o\n", 7))
 	apply(t, m, admit("p", "b", "a", 100, 50))
@@ -193,7 +194,7 @@
 	text, found := other.History("a")
 	assert.Assert(t, found)
 	assert.Equal(t, len(text), 1002)
-	assert.Equal(t, apply(t, other, admit("p", "c", "a", 100, 44)), BudgetExhausted, "the open try still counts")
+	assert.Equal(t, apply(t, other, admit("p", "c", "a", 100, 44)), BudgetExhausted, "the open attempt must still count")
 	assert.Equal(t, apply(t, other, admit("p", "c", "a", 100, 43)), Accepted)
 	assert.ErrorContains(t, other.Restore([]byte{0xff}), "restore")
 }
