--- a/cmd/barograph/main.go
+++ b/cmd/barograph/main.go
@@ -29,15 +29,16 @@
 // version is what the version command prints.
 const version = "0.1"
 
+// commands are the subcommands. kong derives their names and flags from the field names.
 type commands struct {
-	Coordinate coordinateCommand `cmd:"" help:"Keep configuration, services and duties, and answer the operators (core machines)."`
-	Keep       keepCommand       `cmd:"" help:"Keep turns and budgets (storage machines)."`
-	Check      checkCommand      `cmd:"" help:"Check a settings file or an operators' configuration and say what is wrong with it."`
+	Coordinate coordinateCommand `cmd:"" help:"Replicate configuration, services and singleton tasks, and answer the operators (core machines)."`
+	Keep       keepCommand       `cmd:"" help:"Replicate turns and budgets (storage machines)."`
+	Check      checkCommand      `cmd:"" help:"Check a settings file or an operators' configuration and report errors."`
 	Version    versionCommand    `cmd:"" help:"Print the version."`
 }
 
 type coordinateCommand struct {
-	LogLevel slog.Level `default:"info" help:"Least level of log lines: debug, info, warn or error."`
+	LogLevel slog.Level `default:"info" help:"Minimum level of log lines: debug, info, warn or error."`
 }
 
 // Run implements the command.
@@ -73,12 +74,12 @@
 	server := operators.NewServer(operators.Options{Authority: core})
 	defer server.Close()
 	go server.Serve(api)
-	klog.InfoS("Keeps configuration and services", "id", n.Self.ID, "address", options.Address, "first", options.Bootstrap)
+	klog.InfoS("Replicating configuration and services", "id", n.Self.ID, "address", options.Address, "first", options.Bootstrap)
 	return ignoreShutdown(ctx, core.Run(ctx, l, platform.New(s.CloudAPI.Address)))
 }
 
 type keepCommand struct {
-	LogLevel slog.Level `default:"info" help:"Least level of log lines: debug, info, warn or error."`
+	LogLevel slog.Level `default:"info" help:"Minimum level of log lines: debug, info, warn or error."`
 }
 
 // Run implements the command.
@@ -110,11 +111,11 @@
 	if err != nil {
 		return errors.Wrap(err, "listen for other processes")
 	}
-	klog.InfoS("Keeps turns", "id", n.Self.ID, "address", options.Address)
+	klog.InfoS("Replicating turns", "id", n.Self.ID, "address", options.Address)
 	return ignoreShutdown(ctx, k.Run(ctx, l))
 }
 
-// ended tells an end that was asked for from a failure.
+// ignoreShutdown returns nil if the process was asked to end, otherwise the error.
 func ignoreShutdown(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
@@ -122,6 +123,7 @@
 	return err
 }
 
+// nodeOptions returns the options of a node that stores data, from the settings.
 func nodeOptions(s *settings.Settings, class protocol.Class, offset int) (node.Options, error) {
 	if s.DataDir == "" {
 		return node.Options{}, &settings.FieldError{File: settings.Path(), Key: "dataDir", Reason: "must be given: this role keeps data"}
--- a/internal/barograph/coordinator/authority.go
+++ b/internal/barograph/coordinator/authority.go
@@ -11,8 +11,8 @@
 	"pipitmux/internal/station/routing"
 )
 
-// orderWithin is how long an order may take here. The caller goes on to another node
-// after a second of silence.
+// commandTimeout bounds an operator's call on this node. A caller that hears nothing for a
+// second goes on to another node.
 const commandTimeout = 3 * time.Second
 
 // Replace implements operators.Authority.
@@ -42,7 +42,7 @@
 	return operators.ReplaceOutcome{Result: operators.ReplaceUncertain}
 }
 
-// change makes the difference that goes into the log, on a base that was reached here.
+// newChange builds the log entry for a change from a base that this node has reached.
 func (c *Coordinator) newChange(base, revision uint64, body []byte) (change *revisions.Change, err error) {
 	c.node.Host.ReadLocal(protocol.ConfigurationGroup, func(m host.StateMachine) {
 		change, err = m.(*revisions.Machine).NewChange(base, revision, body)
@@ -50,9 +50,9 @@
 	return change, err
 }
 
-// reached tells whether a revision is or was in force. A change on one that isn't yet must
-// not get into the log: a try that a frozen process finds late could come into force there
-// after another try of the same change was refused.
+// hasReached reports whether a revision is or was in force. A change on a future base must not
+// enter the log: a late attempt from a frozen process could then take effect after another
+// attempt of the same change was rejected.
 func (c *Coordinator) hasReached(ctx context.Context, revision uint64) (bool, error) {
 	if c.revision() >= revision {
 		return true, nil
@@ -65,7 +65,7 @@
 	return c.revision() >= revision, nil
 }
 
-// revision is the newest one that this node has applied.
+// revision returns the newest revision that this node has applied.
 func (c *Coordinator) revision() (revision uint64) {
 	c.node.Host.ReadLocal(protocol.ConfigurationGroup, func(m host.StateMachine) {
 		revision, _ = m.(*revisions.Machine).Configuration()
@@ -73,7 +73,7 @@
 	return revision
 }
 
-// order has a command carried out and returns its result, 0 where that isn't known.
+// execute submits a command and returns its result, 0 if the result is unknown.
 func (c *Coordinator) execute(ctx context.Context, command *revisions.Command) revisions.Result {
 	text, err := command.Encode()
 	if err != nil {
--- a/internal/barograph/coordinator/benchmark_test.go
+++ b/internal/barograph/coordinator/benchmark_test.go
@@ -9,16 +9,16 @@
 	"pipitmux/internal/station/scaletest"
 )
 
-// coreNodes are how many core nodes the benchmark's tier has, and losses how many machines
-// may be lost at once.
+// coreNodes is the number of core nodes in the benchmark, toleratedLosses the number of
+// machines that may be lost at once.
 const (
 	coreNodes       = 8
 	toleratedLosses = 1
 )
 
-// BenchmarkPlacement deals out the partitions of the turns over so many storage nodes in 15
-// zones of 7 regions, and tells how many of them the loss of one zone or region leaves
-// without a majority of their members, in the mean and at worst. docs/CAPACITY.md.
+// BenchmarkPlacement assigns the turn partitions to storage nodes in 15 zones of 7 regions. It
+// reports how many partitions lose the majority of their members with one zone or region, on
+// average and at worst. The results are in docs/CAPACITY.md.
 func BenchmarkPlacement(b *testing.B) {
 	for _, storageNodes := range []int{30, 100, 372} {
 		b.Run(fmt.Sprintf("storages=%d", storageNodes), func(b *testing.B) { benchmarkPlacement(b, storageNodes) })
@@ -46,7 +46,8 @@
 	}
 }
 
-// stopped counts the partitions that have most of their members in one place.
+// partitionsWithoutMajority returns the mean and the maximum, over all places, of the number of
+// partitions that have most of their members in the place.
 func partitionsWithoutMajority(partitions [][]replica.NodeID, nodes []protocol.Node, placeOf func(protocol.Node) string) (mean, worst float64) {
 	places := map[replica.NodeID]string{}
 	lost := map[string]float64{}
--- a/internal/barograph/coordinator/calls.go
+++ b/internal/barograph/coordinator/calls.go
@@ -10,16 +10,16 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// confirmWithin is how long a question waits for proof that what is known here is the newest.
+// readBarrierTimeout is how long a Watch call waits for proof that this node's state is current.
 const readBarrierTimeout = 600 * time.Millisecond
 
-// controlCalls are the calls that other processes make to a core node.
+// controlService serves the calls of other processes to a core node.
 type controlService struct{ c *Coordinator }
 
-// Watch answers with what is newer than the caller has, when there is something, or when this
-// node can't vouch any more that there is nothing.
+// Watch returns what is newer than the caller's state, as soon as there is something. It also
+// returns when this node can no longer vouch that there is nothing newer.
 func (s *controlService) Watch(args *protocol.WatchArgs, reply *protocol.WatchReply) error {
-	came := time.Now()
+	received := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), args.Wait)
 	defer cancel()
 	if args.Confirmed {
@@ -27,28 +27,28 @@
 	}
 	for {
 		changed := s.c.updates.changed()
-		// Held goes first: a process that stands still amid this looks older, not younger.
-		reply.Held = time.Since(came)
-		answer := s.c.fillReply(args, reply) || args.Confirmed
-		if answer || ctx.Err() != nil {
+		// Held is measured first, so that a process paused in between appears older, not younger.
+		reply.Held = time.Since(received)
+		respond := s.c.fillReply(args, reply) || args.Confirmed
+		if respond || ctx.Err() != nil {
 			return nil
 		}
 		s.c.waitForChange(ctx, changed, reply)
 	}
 }
 
-// look fills in what is newer and how far it is vouched for, and tells whether that is to be
-// answered at once.
+// fillReply sets what is newer and whether this node vouches for it. It reports whether the
+// reply is to be sent now.
 func (c *Coordinator) fillReply(args *protocol.WatchArgs, reply *protocol.WatchReply) bool {
-	// The age goes first: what is read after it is as recent at least.
+	// The staleness is taken first: the state read after it is at least as recent.
 	reply.Age = c.staleness()
 	reply.Vouched = reply.Age <= c.staleAfter
 	newer := c.collectChanges(args, reply)
 	return newer || reply.Vouched == args.Patient
 }
 
-// rest waits for newer, until what was vouched for may lapse, or until the question has waited
-// for long enough.
+// waitForChange waits for a change, until this node may no longer vouch for its state, or until
+// the call's time is over.
 func (c *Coordinator) waitForChange(ctx context.Context, changed <-chan struct{}, reply *protocol.WatchReply) {
 	again := time.NewTimer(c.staleAfter - min(reply.Age, c.staleAfter/2))
 	defer again.Stop()
@@ -59,7 +59,7 @@
 	}
 }
 
-// age is how old what this node tells may be, over all groups that it tells of.
+// staleness is the bound on the age of this node's state, over all groups it reports.
 func (c *Coordinator) staleness() time.Duration {
 	staleness := c.node.Host.Staleness(protocol.ConfigurationGroup)
 	for partition := range protocol.ServicePartitions {
@@ -74,7 +74,7 @@
 	return c.node.ReadBarrier(ctx, protocol.ConfigurationGroup) == nil
 }
 
-// collect fills in what is newer, and tells whether anything is.
+// collectChanges sets what is newer in the reply, and reports whether anything is.
 func (c *Coordinator) collectChanges(args *protocol.WatchArgs, reply *protocol.WatchReply) bool {
 	newer := false
 	c.node.Host.ReadLocal(protocol.ConfigurationGroup, func(m host.StateMachine) {
--- a/internal/barograph/coordinator/coordinator.go
+++ b/internal/barograph/coordinator/coordinator.go
@@ -1,6 +1,6 @@
-// Package coordinator is a core node: it keeps the configuration, the services and the
-// duties in groups with the other core nodes, answers the operators, and tells all other
-// processes what is new.
+// Package coordinator is a core node: with the other core nodes it replicates the
+// configuration, the services and the singleton tasks, answers the operators, and tells all
+// other processes what changed.
 package coordinator
 
 import (
@@ -24,38 +24,38 @@
 )
 
 const (
-	// leastVoters is the size of a group that bears one loss.
+	// minVoters is the size of a group that tolerates one loss.
 	minVoters = 3
-	// repairEvery is how often an owner looks whether its group needs another member.
+	// repairInterval is how often a leader checks whether its group needs another member.
 	repairInterval = 250 * time.Millisecond
-	// registerPause is the pause before a node that isn't in the directory yet tries again.
+	// registerRetryInterval is how often a node checks whether the directory lists it.
 	registerRetryInterval = 200 * time.Millisecond
-	// settledFor is how long no new storage node may have come before the partitions of the
-	// turns are dealt out for the first time, and settledMost when that is done though
-	// fewer came than there should be.
+	// storageSettleTime is how long the number of storage nodes must be unchanged before the turn
+	// partitions are assigned for the first time. If fewer nodes registered than a group needs,
+	// they are assigned after maxStorageSettleTime.
 	storageSettleTime    = 700 * time.Millisecond
 	maxStorageSettleTime = 5 * time.Second
-	// submitWithin bounds a command of this node's own.
+	// submitTimeout bounds a command that this node itself submits.
 	submitTimeout = 2 * time.Second
 )
 
 // Coordinator is a core node.
 type Coordinator struct {
 	node            *node.Node
-	toleratedLosses int // of machines, to be borne at once
+	toleratedLosses int // number of machines that may be lost at once
 	updates         *notifier
-	// staleAfter is the age at which this node no longer vouches for what it tells.
+	// staleAfter is the staleness from which this node no longer vouches for its state.
 	staleAfter   time.Duration
-	listInterval time.Duration // how often the platform is asked, while the duty is held
+	listInterval time.Duration // time between two listings while the lister's task is held
 
 	mu                    sync.Mutex
 	planners              map[replica.GroupID]*repair.Planner
-	storageCountChangedAt time.Time // when the number of storage nodes changed last
+	storageCountChangedAt time.Time // when storageCount last changed
 	storageCount          int
 	startedAt             time.Time
 }
 
-// Options are what a Coordinator needs.
+// Options configure a Coordinator.
 type Options struct {
 	Node            *node.Node
 	ToleratedLosses int
@@ -65,24 +65,25 @@
 	// ConfigApply is how soon after its acknowledgement a configuration must be in force
 	// everywhere; 0 for DefaultConfigApply.
 	ConfigApply time.Duration
-	// Drain is how soon after the platform's list shows it a draining server must get nothing
-	// new; 0 where that isn't known.
+	// DrainBound is how soon a draining server must receive no new requests after the platform's
+	// list shows it as draining; 0 if unknown.
 	DrainBound time.Duration
 }
 
-// DefaultConfigApply is the time for which operators commonly ask.
+// DefaultConfigApply is the usual bound on putting a configuration into force.
 const DefaultConfigApply = 2 * time.Second
 
-// The part of that time after which a core node that hears no owner sends its askers elsewhere:
-// a second question, its answer and what they do with it must fit into the rest. An election
-// and the first proofs after it take 0.9 s, so that with the usual bounds most are not noticed.
+// A core node that hears from no leader stops vouching after ConfigApply/staleAfterDivisor, so
+// that its callers turn to another node: a second call, its reply and its handling must fit
+// into the remaining time. An election and the first confirmed lease after it take 0.9 s, so
+// with the usual bounds most elections go unnoticed.
 const (
 	staleAfterDivisor = 2
 	minStaleAfter     = 400 * time.Millisecond
 	maxStaleAfter     = 2 * time.Second
 )
 
-// StaleAfter is the age at which a core node no longer vouches for what it tells.
+// StaleAfter returns the staleness from which a core node no longer vouches for its state.
 func StaleAfter(configApply time.Duration) time.Duration {
 	if configApply <= 0 {
 		configApply = DefaultConfigApply
@@ -90,7 +91,7 @@
 	return min(max(configApply/staleAfterDivisor, minStaleAfter), maxStaleAfter)
 }
 
-// New restores or begins the groups of a core node.
+// New restores or creates the groups of a core node.
 func New(o Options) (*Coordinator, error) {
 	c := &Coordinator{node: o.Node, toleratedLosses: o.ToleratedLosses, updates: newNotifier(), planners: map[replica.GroupID]*repair.Planner{}, startedAt: time.Now(), staleAfter: StaleAfter(o.ConfigApply), listInterval: lister.Interval(o.DrainBound)}
 	var first replica.Members
@@ -108,7 +109,7 @@
 	return c, nil
 }
 
-// Groups lists the groups that the core nodes keep.
+// Groups returns the groups of the core nodes.
 func Groups() []replica.GroupID {
 	groups := []replica.GroupID{protocol.ConfigurationGroup, protocol.ListerDuty}
 	for partition := range protocol.ServicePartitions {
@@ -117,6 +118,7 @@
 	return groups
 }
 
+// newStateMachine returns the empty state machine of a group.
 func (c *Coordinator) newStateMachine(group replica.GroupID) host.StateMachine {
 	switch group {
 	case protocol.ConfigurationGroup:
@@ -127,7 +129,8 @@
 	return servers.New(c.updates.notifyAll)
 }
 
-// dutyMachine is the state of a duty: there is none, the group's owner holds it.
+// emptyStateMachine belongs to the group of a singleton task, which has no state: the group's
+// leader holds the task.
 type emptyStateMachine struct{}
 
 func (emptyStateMachine) Apply([]byte) []byte  { return nil }
@@ -146,25 +149,25 @@
 	return c.node.Serve(ctx, l, map[string]any{"Control": &controlService{c}})
 }
 
-// register has this node stand in the directory.
+// register keeps this node registered in the directory.
 func (c *Coordinator) register(ctx context.Context) {
 	Register(ctx, c.node, c.Directory)
 }
 
-// Register has a node of the control plane stand in the directory, and sees to it that
-// it goes on to, until ctx ends.
+// Register adds a node of the control plane to the directory, and adds it again whenever it is
+// missing, until ctx ends.
 func Register(ctx context.Context, n *node.Node, directory func() protocol.Directory) {
 	command := revisions.Command{Register: &n.Self}
 	text, err := command.Encode()
 	if err != nil {
-		klog.ErrorS(err, "This node can't be registered")
+		klog.ErrorS(err, "Encoding this node's registration failed")
 		return
 	}
 	for ctx.Err() == nil {
 		if d := directory(); !slices.Contains(d.Nodes, n.Self) {
 			submitCtx, cancel := context.WithTimeout(ctx, submitTimeout)
 			if _, err := n.Submit(submitCtx, protocol.ConfigurationGroup, text); err != nil {
-				klog.V(1).InfoS("Not registered yet", "cause", err)
+				klog.V(1).InfoS("Registering this node failed; will retry", "cause", err)
 			}
 			cancel()
 		}
@@ -175,7 +178,7 @@
 	}
 }
 
-// learn takes on where the nodes of the directory are reached.
+// learnDirectory copies the addresses of the directory's nodes to the address book.
 func (c *Coordinator) learnDirectory(ctx context.Context) {
 	version := uint64(0)
 	for {
@@ -192,14 +195,14 @@
 	}
 }
 
-// Directory is the directory as far as this node knows.
+// Directory returns the directory as far as this node knows it.
 func (c *Coordinator) Directory() protocol.Directory {
 	var d protocol.Directory
 	c.node.Host.ReadLocal(protocol.ConfigurationGroup, func(m host.StateMachine) { d = m.(*revisions.Machine).Directory() })
 	return d
 }
 
-// tend sees to the groups that this node owns, until ctx ends.
+// maintainGroups checks the members of the groups that this node leads, until ctx ends.
 func (c *Coordinator) maintainGroups(ctx context.Context) {
 	tick := time.NewTicker(repairInterval)
 	defer tick.Stop()
@@ -217,7 +220,7 @@
 	}
 }
 
-// repair makes one change to a group's members where one is due.
+// repair makes one membership change of a group if one is due.
 func (c *Coordinator) repair(ctx context.Context, group replica.GroupID, d protocol.Directory) {
 	status, err := c.node.Host.Status(group)
 	if err != nil || !status.LeaderReady {
@@ -225,7 +228,7 @@
 	}
 	cores := NodesOfClass(d, protocol.Core)
 	if len(cores) < minVoters && group != protocol.ConfigurationGroup || len(cores) == 0 {
-		return // the directory has yet to fill
+		return // the core nodes have not registered yet
 	}
 	view := repair.View{Status: status, Now: c.node.Now(), LostAfter: node.MemberLostAfter, Nodes: c.withUnregisteredVoters(cores, status), TargetVoters: FeasibleVoters(c.toleratedLosses, len(cores)), AllAsLearners: true}
 	submitCtx, cancel := context.WithTimeout(ctx, submitTimeout)
@@ -238,10 +241,11 @@
 		return
 	}
 	err = c.node.Host.ChangeMembers(submitCtx, group, next)
-	klog.InfoS("The members of a group change", "group", group, "from", status.Members, "to", next, "cause", err)
+	klog.InfoS("Changing the members of a group", "group", group, "from", status.Members, "to", next, "cause", err)
 }
 
-// withFirst adds the first members that have not registered yet: they are no strangers.
+// withUnregisteredVoters adds the initial voters that have not registered yet, so that they
+// are not treated as lost.
 func (c *Coordinator) withUnregisteredVoters(cores []protocol.Node, status replica.Status) []protocol.Node {
 	nodes := slices.Clone(cores)
 	for _, id := range status.Members.Voters {
@@ -254,21 +258,20 @@
 	return nodes
 }
 
-// OfClass lists the directory's nodes of a class.
+// NodesOfClass returns the directory's nodes of a class.
 func NodesOfClass(d protocol.Directory, class protocol.Class) []protocol.Node {
 	return slices.DeleteFunc(slices.Clone(d.Nodes), func(n protocol.Node) bool { return n.Class != class })
 }
 
-// VotersWanted is how many voters a group should have where so many nodes may be lost at
-// once.
+// TargetVoters returns how many voters a group should have to tolerate a number of losses.
 func TargetVoters(toleratedLosses int) int { return max(2*toleratedLosses+1, minVoters) }
 
-// Voters is how many voters a group can have of them where so many nodes are there.
+// FeasibleVoters returns how many voters a group can have with the given number of nodes.
 func FeasibleVoters(toleratedLosses, nodes int) int {
 	return min(TargetVoters(toleratedLosses), max(nodes, 1))
 }
 
-// assign deals out the partitions of the turns once, when the storage nodes have come.
+// assignPartitions assigns the turn partitions once, when the storage nodes have registered.
 func (c *Coordinator) assignPartitions(ctx context.Context, d protocol.Directory) {
 	if len(d.Partitions) > 0 {
 		return
@@ -284,11 +287,11 @@
 		assignment.Partitions = append(assignment.Partitions, ranked[:FeasibleVoters(c.toleratedLosses, len(nodes))])
 	}
 	if err := c.submit(ctx, &revisions.Command{Assign: assignment}); err != nil {
-		klog.ErrorS(err, "The partitions of the turns aren't dealt out yet")
+		klog.ErrorS(err, "Assigning the turn partitions failed; will retry")
 	}
 }
 
-// settled tells whether as many storage nodes have come as will.
+// storageSettled reports whether no more storage nodes are expected to register soon.
 func (c *Coordinator) storageSettled(nodes int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -300,6 +303,7 @@
 	return now.Sub(c.storageCountChangedAt) >= storageSettleTime && (enough || now.Sub(c.startedAt) >= maxStorageSettleTime)
 }
 
+// submit submits a command to the configuration group.
 func (c *Coordinator) submit(ctx context.Context, command *revisions.Command) error {
 	text, err := command.Encode()
 	if err != nil {
--- a/internal/barograph/coordinator/coordinator_test.go
+++ b/internal/barograph/coordinator/coordinator_test.go
@@ -16,11 +16,12 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// testWithin bounds each wait of a test that should not wait.
+// testTimeout bounds waits that normally end at once.
 const testTimeout = 20 * time.Second
 
-// alone starts a core node that is the only one. Where runs is false its groups have no owner.
-func newSingleNode(t *testing.T, runs bool) *Coordinator {
+// newSingleNode starts a core node that is the only one. If run is false its groups have no
+// leader.
+func newSingleNode(t *testing.T, run bool) *Coordinator {
 	t.Helper()
 	const address = "127.0.0.1:1"
 	n, err := node.Open(node.Options{Name: "c", Class: protocol.Core, Address: address, DataDir: t.TempDir(), Bootstrap: true, Seeds: []string{address}})
@@ -29,7 +30,7 @@
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
-	if runs {
+	if run {
 		done.Go(func() { n.Host.Run(ctx) })
 	}
 	t.Cleanup(func() {
@@ -39,7 +40,7 @@
 		n.Close()
 	})
 	for _, group := range Groups() {
-		if runs {
+		if run {
 			awaitLeader(t, n, group)
 		}
 	}
@@ -58,7 +59,7 @@
 		select {
 		case <-changed:
 		case <-time.After(testTimeout):
-			t.Fatal("no owner")
+			t.Fatal("no leader elected")
 		}
 	}
 }
@@ -73,19 +74,19 @@
 	_, err := c.Show(ctx)
 	assert.ErrorIs(t, err, operators.ErrNoConfiguration)
 	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, operators.ReplaceAccepted)
-	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, operators.ReplaceAccepted, "sent again")
+	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, operators.ReplaceAccepted, "repeated")
 	assert.Equal(t, c.Replace(ctx, 0, configuration(6)).Result, operators.ReplaceConflict)
 	assert.Equal(t, c.Replace(ctx, 5, configuration(5)).Result, operators.ReplaceInvalid)
 	assert.Equal(t, c.Replace(ctx, 5, []byte("{")).Result, operators.ReplaceInvalid)
 	assert.Equal(t, c.Replace(ctx, 5, configuration(9)).Result, operators.ReplaceAccepted)
-	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, operators.ReplaceAccepted, "sent again, though another is in force")
+	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, operators.ReplaceAccepted, "repeated while another configuration is in force")
 	body, err := c.Show(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), string(configuration(9)))
 }
 
-// A change on a base that isn't in force must not stand in the log: a late try of it could
-// come into force once the base has, though it was refused.
+// A change on a base that is not in force must not enter the log. A late attempt could take
+// effect once the base is in force, although the change was rejected.
 func TestChangeOnAFutureBaseIsNotProposed(t *testing.T) {
 	c := newSingleNode(t, true)
 	before, err := c.node.Host.Status(protocol.ConfigurationGroup)
@@ -96,8 +97,8 @@
 	assert.Equal(t, after.LastIndex, before.LastIndex)
 }
 
-// Without an owner nothing is refused.
-func TestNothingIsDecidedWithoutAnOwner(t *testing.T) {
+// Without a leader no call may be finally rejected.
+func TestNothingIsDecidedWithoutALeader(t *testing.T) {
 	c := newSingleNode(t, false)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -113,7 +114,7 @@
 	assert.Assert(t, !held)
 }
 
-func TestDutyIsHeldByTheOwner(t *testing.T) {
+func TestLeaderHoldsTheListerTask(t *testing.T) {
 	c := newSingleNode(t, true)
 	epoch, held := (&listerTask{c}).Held()
 	assert.Assert(t, held)
@@ -131,11 +132,11 @@
 	assert.ErrorIs(t, err, operators.ErrUnknownNode)
 	assert.Equal(t, c.RetireBegin(ctx, "other", 0), operators.RetireUnknownNode)
 	assert.Equal(t, c.RetireBegin(ctx, "s0", 0), operators.RetireAccepted)
-	assert.Equal(t, c.RetireBegin(ctx, "s0", 0), operators.RetireAccepted, "again")
+	assert.Equal(t, c.RetireBegin(ctx, "s0", 0), operators.RetireAccepted, "repeated")
 	assert.Equal(t, c.RetireBegin(ctx, "s1", 0), operators.RetireTooFew)
 	state, err := c.RetireShow(ctx, "s0")
 	assert.NilError(t, err)
-	assert.Equal(t, state, operators.RetireInProgress, "the partitions aren't dealt out yet")
+	assert.Equal(t, state, operators.RetireInProgress, "the partitions are not assigned yet")
 	assert.NilError(t, c.submit(ctx, &revisions.Command{Assign: &revisions.Assignment{Partitions: [][]replica.NodeID{{1, 2, 3}, {2, 3, 4}}}}))
 	state, err = c.RetireShow(ctx, "s0")
 	assert.NilError(t, err)
@@ -146,7 +147,7 @@
 	assert.Equal(t, state, operators.RetireCompleted)
 }
 
-func TestNewsWakeAllWhoWait(t *testing.T) {
+func TestNotifierWakesAllWaiters(t *testing.T) {
 	n := newNotifier()
 	first, second := n.changed(), n.changed()
 	n.notifyAll()
@@ -154,7 +155,7 @@
 	<-second
 	select {
 	case <-n.changed():
-		t.Fatal("there is nothing newer")
+		t.Fatal("woken without a change")
 	default:
 	}
 }
--- a/internal/barograph/coordinator/gone_nodes.go
+++ b/internal/barograph/coordinator/gone_nodes.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// goneEvery is how often the directory's nodes are asked whether they are there, and
-	// goneAfter how long one may say nothing before it is forgotten: longer than any repair
-	// of a machine that comes back with its disk and its name.
+	// goneCheckInterval is how often the directory's nodes are probed. removeAfter is how long one
+	// may be silent before it is removed: longer than any repair of a machine that comes back with
+	// its disk and its name.
 	goneCheckInterval = 15 * time.Second
 	removeAfter       = 10 * time.Minute
 )
 
-// graveyard remembers since when nodes say nothing.
+// silenceTracker records since when nodes have not responded.
 type silenceTracker map[replica.NodeID]time.Time
 
-// due notes who answers now and returns who has been silent for too long.
+// observe records which nodes respond now and returns those that have been silent too long.
 func (g silenceTracker) observe(now time.Time, nodes, alive []protocol.Node) []replica.NodeID {
 	var gone []replica.NodeID
 	for _, n := range nodes {
@@ -40,8 +40,8 @@
 	return gone
 }
 
-// clear takes nodes that are gone for good out of the directory, while this node owns the
-// configuration.
+// removeGoneNodes removes nodes that are permanently gone from the directory, while this node
+// leads the configuration group.
 func (c *Coordinator) removeGoneNodes(ctx context.Context) {
 	tick := time.NewTicker(goneCheckInterval)
 	defer tick.Stop()
@@ -60,7 +60,7 @@
 		nodes := c.Directory().Nodes
 		for _, id := range silent.observe(time.Now(), nodes, c.node.Alive(ctx, nodes)) {
 			err := c.submit(ctx, &revisions.Command{Forget: id})
-			klog.InfoS("A node that is gone leaves the directory", "id", id, "cause", err)
+			klog.InfoS("Removing a gone node from the directory", "id", id, "cause", err)
 			delete(silent, id)
 		}
 	}
--- a/internal/barograph/coordinator/lister_task.go
+++ b/internal/barograph/coordinator/lister_task.go
@@ -13,15 +13,15 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// listerDuty is the duty of the lister: the owner of its group holds it, in the epoch of
-// its term.
+// listerTask is the lister's singleton task. The leader of its group holds it, and its epoch is
+// the leader's term.
 type listerTask struct{ c *Coordinator }
 
-// heldWithin bounds the look at the duty's group.
+// leadershipCheckTimeout bounds the check whether this node still leads the task's group.
 const leadershipCheckTimeout = 100 * time.Millisecond
 
-// Held implements lister.Task. The owner holds the duty under its lease only: one that was
-// cut off or frozen may not know yet that another holds it.
+// Held implements lister.Task. The leader holds the task only under its lease: a node that was
+// partitioned or frozen may not know yet that another node holds it.
 func (d *listerTask) Held() (epoch uint64, ok bool) {
 	status, err := d.c.node.Host.Status(protocol.ListerDuty)
 	if err != nil || !status.LeaderReady {
@@ -61,14 +61,14 @@
 	}
 	for _, id := range nextVoters(status.Members.Voters, d.c.node.Self.ID) {
 		if err := d.c.node.Host.TransferLeadership(protocol.ListerDuty, id); err == nil {
-			klog.InfoS("The lister's duty is handed over", "to", id)
+			klog.InfoS("Handed the lister's task to another node", "to", id)
 			return
 		}
 	}
 }
 
-// heirs are the other voters, from the one after self on and round: a duty that all hand on
-// in this order comes to each of them.
+// nextVoters returns the other voters in order, starting after self and wrapping around. A task
+// that is handed on repeatedly in this order reaches every voter.
 func nextVoters(voters []replica.NodeID, self replica.NodeID) []replica.NodeID {
 	at := slices.Index(voters, self)
 	return slices.Concat(voters[at+1:], voters[:max(at, 0)])
--- a/internal/barograph/coordinator/lister_task_test.go
+++ b/internal/barograph/coordinator/lister_task_test.go
@@ -9,9 +9,9 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-// A duty that is handed on again and again reaches every voter, also where only one of them
-// can carry it out.
-func TestHeirsReachEverybody(t *testing.T) {
+// A task that is handed on repeatedly must reach every voter, even if only one of them can
+// carry it out.
+func TestHandingOnReachesEveryVoter(t *testing.T) {
 	for size := 1; size <= 7; size++ {
 		var voters []replica.NodeID
 		for i := range size {
@@ -26,10 +26,10 @@
 	}
 }
 
-func TestHeirsAreTheOthers(t *testing.T) {
+func TestNextVotersAreTheOtherVoters(t *testing.T) {
 	voters := []replica.NodeID{4, 9, 2}
 	assert.DeepEqual(t, nextVoters(voters, 9), []replica.NodeID{2, 4})
 	assert.DeepEqual(t, nextVoters(voters, 2), []replica.NodeID{4, 9})
 	assert.DeepEqual(t, nextVoters(voters, 77), voters)
-	assert.Assert(t, slices.Equal(voters, []replica.NodeID{4, 9, 2}), "the voters stay as they are")
+	assert.Assert(t, slices.Equal(voters, []replica.NodeID{4, 9, 2}), "the voters must not be modified")
 }
--- a/internal/barograph/coordinator/notifier.go
+++ b/internal/barograph/coordinator/notifier.go
@@ -8,7 +8,7 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// notifier wakes all who wait for news.
+// notifier wakes all goroutines that wait for a change.
 type notifier struct {
 	mu   sync.Mutex
 	next chan struct{}
@@ -16,7 +16,7 @@
 
 func newNotifier() *notifier { return &notifier{next: make(chan struct{})} }
 
-// tell wakes all who wait.
+// notifyAll wakes all waiters.
 func (n *notifier) notifyAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -24,14 +24,14 @@
 	n.next = make(chan struct{})
 }
 
-// changed returns a channel that is closed with the next news.
+// changed returns a channel that is closed at the next change.
 func (n *notifier) changed() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.next
 }
 
-// hashingRank lists the ids of nodes in a group's order.
+// rankNodes returns the ids of nodes in a group's rendezvous order.
 func rankNodes(group replica.GroupID, nodes []protocol.Node) []replica.NodeID {
 	ranked := hashing.Rank(string(group), nodes, func(n protocol.Node) uint64 { return uint64(n.ID) })
 	ids := make([]replica.NodeID, 0, len(ranked))
--- a/internal/barograph/keeper/calls.go
+++ b/internal/barograph/keeper/calls.go
@@ -12,10 +12,10 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// turnCalls are the calls that data-plane nodes make to a storage node.
+// turnsService serves the calls of data plane nodes to a storage node.
 type turnsService struct{ k *Keeper }
 
-// Admit reserves a turn's tokens and tells what was said before.
+// Admit reserves a turn's tokens and returns the history it continues.
 func (s *turnsService) Admit(args *protocol.AdmitArgs, reply *protocol.AdmitReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Within)
 	defer cancel()
@@ -39,21 +39,21 @@
 	return nil
 }
 
-// Finish ends a try, and keeps its turn where that was answered whole.
+// Finish ends an attempt, and stores its turn if the turn was answered completely.
 func (s *turnsService) Finish(args *protocol.FinishArgs, reply *protocol.FinishReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Within)
 	defer cancel()
 	group := protocol.TurnGroup(args.Partition)
-	ending := &turns.Completion{
+	completion := &turns.Completion{
 		Program: args.Program, Attempt: args.Attempt, Complete: args.Whole, Tokens: args.Tokens, Previous: args.Previous,
 		Imported: args.Imported, Input: args.Input, Output: args.Output, Retention: args.Keep, Token: args.Token,
 	}
-	result, err := s.k.propose(ctx, group, &turns.Command{Finish: ending})
+	result, err := s.k.propose(ctx, group, &turns.Command{Finish: completion})
 	reply.Outcome, reply.Owner = outcomeOf(result, err)
 	return nil
 }
 
-// Find looks for a turn in all partitions that this node surely owns.
+// Find looks for a turn in all partitions that this node certainly leads.
 func (s *turnsService) Find(args *protocol.FindArgs, reply *protocol.FindReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Within)
 	defer cancel()
@@ -78,6 +78,7 @@
 	return nil
 }
 
+// propose proposes a command to a partition's group on this node.
 func (k *Keeper) propose(ctx context.Context, group replica.GroupID, command *turns.Command) (turns.Result, error) {
 	text, err := command.Encode()
 	if err != nil {
@@ -90,6 +91,7 @@
 	return turns.ReadResult(answer)
 }
 
+// turnOutcomes maps results of the state machine to the outcomes sent in replies.
 var turnOutcomes = map[turns.Result]protocol.TurnOutcome{
 	turns.Accepted:        protocol.TurnGranted,
 	turns.BudgetExhausted: protocol.TurnSpent,
@@ -97,12 +99,13 @@
 	turns.AttemptClosed:   protocol.TurnClosed,
 }
 
+// outcomeOf returns the outcome to send in a reply, and the leader if it is known.
 func outcomeOf(result turns.Result, err error) (protocol.TurnOutcome, replica.NodeID) {
 	if err == nil {
 		return turnOutcomes[result], 0
 	}
-	var unread *turns.ResultError
-	if errors.As(err, &unread) {
+	var resultError *turns.ResultError
+	if errors.As(err, &resultError) {
 		return protocol.TurnUnavailable, 0
 	}
 	switch outcome, owner := node.OutcomeOf(err); outcome {
--- a/internal/barograph/keeper/calls_test.go
+++ b/internal/barograph/keeper/calls_test.go
@@ -13,14 +13,14 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// Only what the partition's log has said is final; nothing that may have been done counts as
-// not done.
-func TestOutcomes(t *testing.T) {
+// Only a result from the partition's log is final. What may have been applied must never count
+// as not applied.
+func TestResultsMapToOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		result turns.Result
 		err    error
 		want   protocol.TurnOutcome
-		owner  replica.NodeID
+		leader replica.NodeID
 	}{
 		{turns.Accepted, nil, protocol.TurnGranted, 0},
 		{turns.BudgetExhausted, nil, protocol.TurnSpent, 0},
@@ -33,8 +33,8 @@
 		{0, host.ErrGroupNotFound, protocol.TurnUnavailable, 0},
 		{0, host.ErrOverloaded, protocol.TurnUnavailable, 0},
 	} {
-		outcome, owner := outcomeOf(c.result, c.err)
+		outcome, leader := outcomeOf(c.result, c.err)
 		assert.Equal(t, outcome, c.want, "%v", c.err)
-		assert.Equal(t, owner, c.owner, "%v", c.err)
+		assert.Equal(t, leader, c.leader, "%v", c.err)
 	}
 }
--- a/internal/barograph/keeper/keeper.go
+++ b/internal/barograph/keeper/keeper.go
@@ -1,5 +1,5 @@
-// Package keeper is a storage node: with others of its class it keeps the turns of
-// programs and what the programs may still put out.
+// Package keeper is a storage node: with others of its class it replicates the turns of
+// programs and the programs' remaining token budgets.
 package keeper
 
 import (
@@ -25,15 +25,15 @@
 )
 
 const (
-	// repairEvery is how often an owner looks whether its partition needs another member.
+	// repairInterval is how often a leader checks whether its partition needs another member.
 	repairInterval = 150 * time.Millisecond
-	// forgetEvery is how often an owner looks for programs that are kept no longer.
+	// forgetInterval is how often a leader looks for programs whose retention has passed.
 	forgetInterval = 5 * time.Second
-	// keepLonger is added to the time for which programs are kept, and forgetMost how many
-	// are forgotten at once.
+	// retentionSlack is added to the retention of programs. maxForgottenAtOnce is how many are
+	// forgotten with one command.
 	retentionSlack     = 10 * time.Second
 	maxForgottenAtOnce = 64
-	// submitWithin bounds a command of this node's own.
+	// submitTimeout bounds a command that this node itself submits.
 	submitTimeout = 2 * time.Second
 )
 
@@ -44,12 +44,12 @@
 	follower        *follow.Follower
 
 	mu             sync.Mutex
-	openPartitions map[int]bool // partitions whose group is open here
+	openPartitions map[int]bool // partitions whose group runs here
 	planners       map[int]*repair.Planner
-	reported       map[int]uint64 // the change of members that the directory was told of
+	reported       map[int]uint64 // not read: membership changes that were reported to the directory
 }
 
-// Options are what a Keeper needs.
+// Options configure a Keeper.
 type Options struct {
 	Node            *node.Node
 	Name            string
@@ -57,7 +57,7 @@
 	Seeds           []string
 }
 
-// New restores the groups that the disk holds.
+// New restores the groups that are stored on the disk.
 func New(o Options) (*Keeper, error) {
 	k := &Keeper{node: o.Node, toleratedLosses: o.ToleratedLosses, openPartitions: map[int]bool{}, planners: map[int]*repair.Planner{}, reported: map[int]uint64{}}
 	k.follower = follow.New(follow.Options{Name: o.Name, Seeds: o.Seeds, Slots: o.ToleratedLosses + 1, DirectoryOnly: true, Pool: o.Node.Pool, Told: k.applyUpdate})
@@ -73,7 +73,7 @@
 	return k, nil
 }
 
-// open opens the group of a partition, with its first members where it is new.
+// open starts the group of a partition, with its initial members if it is new.
 func (k *Keeper) open(partition int, first replica.Members) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -88,34 +88,34 @@
 	return nil
 }
 
-// Follow opens the group of a partition that another member speaks of. It is for
-// host.Options.Unknown.
+// JoinGroup starts the group of a partition that another member mentions. It is meant for
+// host.Options.OnUnknownGroup.
 func (k *Keeper) JoinGroup(group replica.GroupID) bool {
 	partition, ok := protocol.TurnPartitionOf(group)
 	if !ok {
 		return false
 	}
 	if err := k.open(partition, replica.Members{}); err != nil {
-		klog.ErrorS(err, "A partition can't be followed", "partition", partition)
+		klog.ErrorS(err, "Joining a partition's group failed", "partition", partition)
 		return false
 	}
 	return true
 }
 
-// told takes news of the control plane.
+// applyUpdate applies an update from the control plane.
 func (k *Keeper) applyUpdate(n follow.News) {
 	if n.Directory == nil {
 		return
 	}
 	k.node.Learn(*n.Directory)
 	for partition, p := range n.Directory.Partitions {
-		// Who finds itself among the first members begins the group; a later member is
-		// brought in by the group's owner.
+		// An initial member creates the group itself. A later member is added by the
+		// group's leader.
 		if p.Change != 0 || !slices.Contains(p.Voters, k.node.Self.ID) {
 			continue
 		}
 		if err := k.open(partition, replica.Members{Voters: p.Voters}); err != nil {
-			klog.ErrorS(err, "A partition can't be opened", "partition", partition)
+			klog.ErrorS(err, "Starting a partition's group failed", "partition", partition)
 		}
 	}
 }
@@ -131,8 +131,9 @@
 	return k.node.Serve(ctx, l, map[string]any{"Turns": &turnsService{k}})
 }
 
-func (k *Keeper) runEvery(ctx context.Context, pause time.Duration, step func(context.Context)) {
-	tick := time.NewTicker(pause)
+// runEvery calls step at a fixed interval until ctx ends.
+func (k *Keeper) runEvery(ctx context.Context, interval time.Duration, step func(context.Context)) {
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -144,13 +145,14 @@
 	}
 }
 
+// partitions returns the partitions whose groups run here, in order.
 func (k *Keeper) partitions() []int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Sorted(maps.Keys(k.openPartitions))
 }
 
-// tend sees to the members of the partitions that this node owns.
+// maintainPartitions checks the members of the partitions that this node leads.
 func (k *Keeper) maintainPartitions(ctx context.Context) {
 	directory := k.follower.Directory()
 	if len(directory.Partitions) == 0 {
@@ -167,8 +169,8 @@
 	done.Wait()
 }
 
-// repair makes one change to a partition's members where one is due, and has the
-// directory tell of changes that are made.
+// repair makes one membership change of a partition if one is due, and reports changed members
+// to the directory.
 func (k *Keeper) repair(ctx context.Context, partition int, status replica.Status, d protocol.Directory) {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
@@ -198,7 +200,7 @@
 		return
 	}
 	err := k.node.Host.ChangeMembers(ctx, protocol.TurnGroup(partition), next)
-	klog.InfoS("The members of a partition change", "partition", partition, "from", status.Members, "to", next, "cause", err)
+	klog.InfoS("Changing the members of a partition", "partition", partition, "from", status.Members, "to", next, "cause", err)
 }
 
 func (k *Keeper) planner(partition int) *repair.Planner {
@@ -207,8 +209,8 @@
 	return k.planners[partition]
 }
 
-// handOver gives the ownership away where this node is to be emptied and others can do
-// without it.
+// transferLeadership gives up the leadership if this node is retiring and another voter is
+// ready to lead.
 func (k *Keeper) transferLeadership(status replica.Status, d protocol.Directory) bool {
 	if !slices.Contains(d.Retiring, k.node.Self.Name) {
 		return false
@@ -223,9 +225,9 @@
 	return false
 }
 
-// report has the directory tell who keeps a partition now, also where somebody who was
-// announced didn't become a voter. Who still is to become one stays announced: if it were taken
-// back first, an announcement whose answer is lost could undo itself again and again.
+// reportMembers updates the directory with a partition's current voters, also when an announced
+// node did not become a voter. A node that is still to become one stays announced: if the
+// announcement were reverted first, one whose reply is lost could revert itself repeatedly.
 func (k *Keeper) reportMembers(ctx context.Context, partition int, status replica.Status, d protocol.Directory) {
 	listed := d.Partitions[partition]
 	if status.ChangePending || slices.Equal(listed.Voters, status.Members.Voters) {
@@ -236,15 +238,16 @@
 		update.Step = listed.Step + 1
 	}
 	if _, err := k.submitMembership(ctx, update); err != nil {
-		klog.V(1).InfoS("The directory isn't told of a partition's members yet", "partition", partition, "cause", err)
+		klog.V(1).InfoS("Reporting a partition's members to the directory failed; will retry", "partition", partition, "cause", err)
 	}
 }
 
-// announce has the directory tell who is about to become a voter of a partition. Where it is
-// false nobody may: the directory is another by now, or the node is to be emptied.
+// announceVoter announces in the directory which node is about to become a voter of a partition.
+// If it returns false, the node must not become one: the directory has changed, or the node is
+// retiring.
 func (k *Keeper) announceVoter(ctx context.Context, partition int, status replica.Status, d protocol.Directory, next replica.Members) bool {
 	if len(next.Voters) <= len(status.Members.Voters) {
-		return true // nobody becomes a voter: one comes or goes at a time
+		return true // no new voter: a change adds or removes one node
 	}
 	update := &revisions.MembershipUpdate{Partition: partition, Change: status.CommitIndex, Announced: true, Voters: next.Voters}
 	if listed := d.Partitions[partition]; listed.Change == status.CommitIndex {
@@ -252,14 +255,14 @@
 	}
 	result, err := k.submitMembership(ctx, update)
 	if err != nil || result != revisions.Accepted {
-		klog.V(1).InfoS("A partition gets no new voter yet", "partition", partition, "result", result, "cause", err)
+		klog.V(1).InfoS("Announcing a partition's new voter failed; will retry", "partition", partition, "result", result, "cause", err)
 		return false
 	}
 	now, err := k.node.Host.Status(status.Group)
 	return err == nil && now.Term == status.Term && now.MembersIndex == status.MembersIndex
 }
 
-// move tells the directory of a partition's members.
+// submitMembership submits a partition's members to the directory.
 func (k *Keeper) submitMembership(ctx context.Context, update *revisions.MembershipUpdate) (revisions.Result, error) {
 	command := revisions.Command{Membership: update}
 	text, err := command.Encode()
@@ -273,7 +276,8 @@
 	return revisions.ReadResult(answer)
 }
 
-// forget drops programs that are kept no longer, in the partitions that this node owns.
+// forgetIdlePrograms drops programs whose retention has passed, in the partitions that this
+// node leads.
 func (k *Keeper) forgetIdlePrograms(ctx context.Context) {
 	for _, partition := range k.partitions() {
 		group := protocol.TurnGroup(partition)
@@ -281,14 +285,14 @@
 		if err != nil || !status.LeaderReady {
 			continue
 		}
-		var resting []turns.IdleProgram
+		var idle []turns.IdleProgram
 		k.node.Host.ReadLocal(group, func(m host.StateMachine) {
-			resting = m.(*turns.Machine).IdlePrograms(retentionSlack, maxForgottenAtOnce)
+			idle = m.(*turns.Machine).IdlePrograms(retentionSlack, maxForgottenAtOnce)
 		})
-		if len(resting) == 0 {
+		if len(idle) == 0 {
 			continue
 		}
-		command := turns.Command{Forget: resting}
+		command := turns.Command{Forget: idle}
 		if text, err := command.Encode(); err == nil {
 			submitCtx, cancel := context.WithTimeout(ctx, submitTimeout)
 			k.node.Host.Propose(submitCtx, group, text)
--- a/internal/barograph/keeper/keeper_test.go
+++ b/internal/barograph/keeper/keeper_test.go
@@ -13,10 +13,10 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// testWithin bounds each wait of a test that should not wait.
+// testTimeout bounds waits that normally end at once.
 const testTimeout = 20 * time.Second
 
-// alone starts a storage node that keeps two partitions by itself.
+// newSingleNode starts a storage node that runs two partitions alone.
 func newSingleNode(t *testing.T) (*Keeper, *turnsService) {
 	t.Helper()
 	n, err := node.Open(node.Options{Name: "s", Class: protocol.Storage, Address: "127.0.0.1:1", DataDir: t.TempDir(), Bootstrap: true})
@@ -53,7 +53,7 @@
 		select {
 		case <-changed:
 		case <-time.After(testTimeout):
-			t.Fatal("no owner")
+			t.Fatal("no leader elected")
 		}
 	}
 }
@@ -81,38 +81,38 @@
 	return reply
 }
 
-func TestTurnGoesOnFromWhatWasSaid(t *testing.T) {
+func TestTurnContinuesTheHistory(t *testing.T) {
 	_, calls := newSingleNode(t)
 	first := protocol.AdmitArgs{Program: "p", Attempt: "a", Budget: 10, Most: 6, Token: 1}
 	assert.Equal(t, calls.admit(t, first).Outcome, protocol.TurnGranted)
-	assert.Equal(t, calls.admit(t, first).Outcome, protocol.TurnGranted, "asked again")
+	assert.Equal(t, calls.admit(t, first).Outcome, protocol.TurnGranted, "repeated")
 	assert.Equal(t, calls.admit(t, protocol.AdmitArgs{Program: "p", Attempt: "b", Budget: 10, Most: 5, Token: 2}).Outcome, protocol.TurnSpent)
-	whole := protocol.FinishArgs{Program: "p", Attempt: "a", Whole: true, Tokens: 2, Input: []byte("in,"), Output: []byte("out"), Token: 1}
-	assert.Equal(t, calls.finish(t, whole), protocol.TurnGranted)
-	assert.Equal(t, calls.finish(t, whole), protocol.TurnGranted, "told again")
+	completion := protocol.FinishArgs{Program: "p", Attempt: "a", Whole: true, Tokens: 2, Input: []byte("in,"), Output: []byte("out"), Token: 1}
+	assert.Equal(t, calls.finish(t, completion), protocol.TurnGranted)
+	assert.Equal(t, calls.finish(t, completion), protocol.TurnGranted, "repeated")
 	next := protocol.AdmitArgs{Program: "p", Attempt: "b", Previous: "a", Budget: 10, Most: 8, Token: 2}
 	reply := calls.admit(t, next)
 	assert.Equal(t, reply.Outcome, protocol.TurnGranted)
 	assert.Equal(t, string(reply.History), "in,out")
 	next.Known = true
-	assert.Equal(t, len(calls.admit(t, next).History), 0, "it is at hand")
+	assert.Equal(t, len(calls.admit(t, next).History), 0, "the caller has the history")
 	next.Attempt, next.Previous = "c", "none"
 	assert.Equal(t, calls.admit(t, next).Outcome, protocol.TurnMissing)
 }
 
-func TestTurnIsFoundWhereverItIsKept(t *testing.T) {
+func TestTurnIsFoundInEveryPartition(t *testing.T) {
 	_, calls := newSingleNode(t)
 	assert.Equal(t, len(calls.find(t, "a").Without), 2)
 	admission := protocol.AdmitArgs{Partition: 1, Program: "p", Attempt: "a", Budget: 10, Most: 6}
 	assert.Equal(t, calls.admit(t, admission).Outcome, protocol.TurnGranted)
-	ending := protocol.FinishArgs{Partition: 1, Program: "p", Attempt: "a", Whole: true, Output: []byte("out")}
-	assert.Equal(t, calls.finish(t, ending), protocol.TurnGranted)
+	completion := protocol.FinishArgs{Partition: 1, Program: "p", Attempt: "a", Whole: true, Output: []byte("out")}
+	assert.Equal(t, calls.finish(t, completion), protocol.TurnGranted)
 	reply := calls.find(t, "a")
 	assert.Assert(t, reply.Found)
 	assert.Equal(t, string(reply.History), "out")
 }
 
-func TestPartitionThatIsNotHeldIsUnavailable(t *testing.T) {
+func TestPartitionWithoutGroupIsUnavailable(t *testing.T) {
 	k, calls := newSingleNode(t)
 	assert.Equal(t, calls.admit(t, protocol.AdmitArgs{Partition: 5}).Outcome, protocol.TurnUnavailable)
 	assert.Assert(t, !k.JoinGroup("services-1"))
--- a/internal/barograph/operators/authority.go
+++ b/internal/barograph/operators/authority.go
@@ -1,14 +1,14 @@
 // Package operators is the HTTP API through which operators replace and show the
-// configuration and retire nodes. It reads calls, holds them to bounds, refuses what
-// cannot be right, and puts the rest to an Authority.
+// configuration and retire nodes. It reads and bounds calls, rejects invalid ones, and passes
+// the rest to an Authority.
 //
-//	POST /api/Configuration.Replace    200 taken, 400 invalid, 412 conflict, 413, 503
+//	POST /api/Configuration.Replace    200 accepted, 400 invalid, 412 conflict, 413, 503
 //	GET  /api/Configuration.Show       200 with the bytes as they were sent, 404 none yet, 503
 //	POST /api/Retire.Begin/{node}      200 accepted, 400, 404 unknown node, 409 too few nodes, 413, 503
 //	GET  /api/Retire.Show/{node}       200, 404 unknown node, 503
 //
-// Status 503 says that the outcome is not known or that nobody can decide now: the same
-// call may be made again. Another refusal is final.
+// Status 503 means that the outcome is unknown or that the call cannot be decided now: the
+// same call may be repeated. Any other error is final.
 package operators
 
 import (
@@ -18,68 +18,68 @@
 	"github.com/go-faster/errors"
 )
 
-// Failures that an Authority's Show and RetireShow give. Any other counts as ErrUnavailable.
+// Errors returned by Show and RetireShow of an Authority. Any other counts as ErrUnavailable.
 var (
 	ErrNoConfiguration = errors.New("no configuration yet")
 	ErrUnknownNode     = errors.New("unknown node")
 	ErrUnavailable     = errors.New("cannot be decided now")
 )
 
-// Authority decides what operators ask for. Its methods are called by many goroutines
-// at once, and return soon after the context has ended.
+// Authority decides the operators' calls. Its methods are called concurrently and return soon
+// after the context has ended.
 type Authority interface {
-	// Replace makes a body, which routing.Parse has read without error, the newest
-	// configuration, if the newest one's revision is base (0: there is none).
+	// Replace makes body, which routing.Parse has accepted, the newest configuration if the
+	// newest revision is base (0 if there is none).
 	Replace(ctx context.Context, base uint64, body []byte) ReplaceOutcome
-	// Show returns the newest configuration byte for byte as it was sent, or ErrNone or
-	// ErrUnavailable. The bytes are not changed by either side.
+	// Show returns the newest configuration byte for byte as it was sent, or ErrNoConfiguration
+	// or ErrUnavailable. Neither side modifies the bytes.
 	Show(ctx context.Context) ([]byte, error)
-	// RetireBegin has a node give up its work within the deadline.
+	// RetireBegin starts emptying a node, with a deadline.
 	RetireBegin(ctx context.Context, node string, deadline time.Duration) RetireOutcome
-	// RetireShow tells how far a node's retirement is, or ErrUnknownNode or ErrUnavailable.
+	// RetireShow returns the state of a node's retirement, or ErrUnknownNode or ErrUnavailable.
 	RetireShow(ctx context.Context, node string) (RetireState, error)
 }
 
-// ReplaceResult says what became of a call to Replace.
+// ReplaceResult is the result of a call to Replace.
 type ReplaceResult uint8
 
-// The results of Replace. The zero value is the one that promises nothing.
+// The results of Replace. The zero value promises nothing.
 const (
-	ReplaceUncertain ReplaceResult = iota // the outcome is not known, or nobody can decide now
-	ReplaceAccepted                       // it is durable, and the newest
+	ReplaceUncertain ReplaceResult = iota // the outcome is unknown, or the call cannot be decided now
+	ReplaceAccepted                       // it is durable and was made the newest
 	ReplaceConflict                       // another revision than base is the newest
-	ReplaceInvalid                        // it can never be taken
+	ReplaceInvalid                        // it can never be accepted
 )
 
-// String names the result.
+// String returns the name of the result as it appears in logs.
 func (r ReplaceResult) String() string {
 	return nameOf([]string{"uncertain", "taken", "conflict", "invalid"}, int(r))
 }
 
-// ReplaceOutcome is a result with its reason in words, which may be empty.
+// ReplaceOutcome is a result and its reason, which may be empty.
 type ReplaceOutcome struct {
 	Result ReplaceResult
 	Reason string
 }
 
-// RetireOutcome says what became of a call to RetireBegin.
+// RetireOutcome is the result of a call to RetireBegin.
 type RetireOutcome uint8
 
-// The outcomes of RetireBegin. The zero value is the one that promises nothing.
+// The outcomes of RetireBegin. The zero value promises nothing.
 const (
-	RetireUncertain   RetireOutcome = iota // the outcome is not known, or nobody can decide now
+	RetireUncertain   RetireOutcome = iota // the outcome is unknown, or the call cannot be decided now
 	RetireAccepted                         // the retirement is durable and has begun, or had begun before
 	RetireUnknownNode                      // there is no such node
-	RetireTooFew                           // too few nodes would be left
+	RetireTooFew                           // too few nodes would remain
 )
 
-// String names the outcome.
+// String returns the name of the outcome as it appears in logs.
 func (o RetireOutcome) String() string {
 	return nameOf([]string{"uncertain", "accepted", "unknown node", "too few"}, int(o))
 }
 
-// nameOf gives a value's name, or the first one's for a value that has none: it is
-// treated alike.
+// nameOf returns the name of a value, or the first name for an unknown value, which is treated
+// like the zero value.
 func nameOf(names []string, value int) string {
 	if value >= len(names) {
 		return names[0]
@@ -87,11 +87,11 @@
 	return names[value]
 }
 
-// RetireState says how far a retirement is.
+// RetireState is the progress of a retirement.
 type RetireState uint8
 
 // The states of a retirement.
 const (
-	RetireInProgress RetireState = iota + 1 // the node still has work
-	RetireCompleted                         // it has none, and may be switched off
+	RetireInProgress RetireState = iota + 1 // the node still holds partitions
+	RetireCompleted                         // the node holds none and may be switched off
 )
--- a/internal/barograph/operators/body.go
+++ b/internal/barograph/operators/body.go
@@ -10,44 +10,44 @@
 	"github.com/go-faster/errors"
 )
 
-// Failures of reading a body.
+// Errors of reading a body.
 var (
 	errTooLarge   = errors.New("body is too large")
-	errIncomplete = errors.New("body did not come whole") // nothing is wrong with what came
+	errIncomplete = errors.New("body did not come whole") // what arrived may be valid
 	errMalformed  = errors.New("body is malformed")
 	errBusy       = errors.New("too many bodies are being read")
 )
 
-// maxDrained bounds what is read of a body that is refused as too large. A client reads
-// the refusal only once it has sent its body.
+// maxDiscarded bounds how much of a too large body is read and discarded. A client reads the
+// error only after it has sent its body.
 const maxDiscarded = 64 << 20
 
-// expectContinue is the header value of a client that waits before it sends its body.
+// expectContinue is the Expect header of a client that waits before it sends its body.
 const expectContinue = "100-continue"
 
-// readBody reads a call's body of at most a number of bytes.
-func readBody(request *http.Request, most int64) ([]byte, error) {
-	if request.ContentLength > most {
+// readBody reads the body of a call, up to maxBytes.
+func readBody(request *http.Request, maxBytes int64) ([]byte, error) {
+	if request.ContentLength > maxBytes {
 		discardBody(request)
 		return nil, errTooLarge
 	}
 	var body bytes.Buffer
-	// ReadFrom wants some room even at the end.
+	// ReadFrom needs spare capacity even at the end.
 	body.Grow(int(max(request.ContentLength, 0)) + bytes.MinRead)
-	_, err := body.ReadFrom(io.LimitReader(request.Body, most+1))
+	_, err := body.ReadFrom(io.LimitReader(request.Body, maxBytes+1))
 	if err != nil {
-		return nil, bodyFailure(err)
+		return nil, bodyError(err)
 	}
-	if int64(body.Len()) > most {
+	if int64(body.Len()) > maxBytes {
 		discardBody(request)
 		return nil, errTooLarge
 	}
 	return body.Bytes(), nil
 }
 
-// bodyFailure tells a body that is broken from one whose connection is: only the first
-// is the call's own fault.
-func bodyFailure(err error) error {
+// bodyError distinguishes a malformed body from a broken connection. Only the former is the
+// caller's fault.
+func bodyError(err error) error {
 	timed, ok := errors.Into[interface {
 		error
 		Timeout() bool
@@ -58,17 +58,17 @@
 	return errors.Wrap(errMalformed, err.Error())
 }
 
-// drain passes over the rest of a body, unless the client waits to be asked for it.
+// discardBody reads the rest of a body, unless the client waits for permission to send it.
 func discardBody(request *http.Request) {
 	if request.Header.Get("Expect") == expectContinue && request.ContentLength > 0 {
 		return
 	}
-	// What cannot be read need not be: the connection is closed then.
+	// An error can be ignored: the connection is closed afterwards.
 	_, _ = io.CopyN(io.Discard, request.Body, maxDiscarded)
 }
 
-// reserve takes memory for a body out of what all may have. It waits as long as a
-// decision may take. What is too large will not be kept and needs none.
+// reserveMemory reserves memory for a body from the server's limit. It waits for at most the
+// time of a decision. A body that is too large is not stored and needs none.
 func (s *Server) reserveMemory(request *http.Request) (release func(), err error) {
 	size := request.ContentLength
 	switch {
@@ -85,11 +85,12 @@
 	return func() { s.bodies.Release(size) }, nil
 }
 
-// deciding gives the Authority its time. The connection's time for reading does not run
-// against it, and neither does an operator that has closed its half of the connection.
+// decisionContext returns the context of an Authority's decision. The connection's read
+// deadline is extended to cover it. The context does not end when the operator closes its half
+// of the connection.
 func (s *Server) decisionContext(response http.ResponseWriter, request *http.Request) (context.Context, context.CancelFunc) {
 	until := time.Now().Add(s.options.DecisionTimeout + s.options.ResponseTimeout)
-	// A connection without deadlines, such as a test's, needs none.
+	// A connection that does not support deadlines, as in tests, needs none.
 	_ = http.NewResponseController(response).SetReadDeadline(until)
 	return context.WithTimeout(context.WithoutCancel(request.Context()), s.options.DecisionTimeout)
 }
--- a/internal/barograph/operators/calls.go
+++ b/internal/barograph/operators/calls.go
@@ -16,10 +16,10 @@
 	"pipitmux/internal/station/routing"
 )
 
-// BaseRevisionHeader has the revision that a configuration replaces.
+// BaseRevisionHeader is the header with the revision that a configuration replaces.
 const BaseRevisionHeader = "Oakseam-Base-Revision"
 
-// The paths of the calls, and the name of the node in them.
+// The paths of the calls, and the name of the node parameter in them.
 const (
 	pathReplace     = "/api/Configuration.Replace"
 	pathShow        = "/api/Configuration.Show"
@@ -31,7 +31,7 @@
 // maxRetireBody bounds the body of Retire.Begin, in bytes.
 const maxRetireBody = 16 << 10
 
-// Reasons of refusals.
+// Reasons of rejections. They are part of the API.
 var (
 	errBaseRevision = errors.New(BaseRevisionHeader + ": must be one whole number")
 	errConflict     = errors.New("another configuration is the newest")
@@ -40,12 +40,12 @@
 	errDeadline     = errors.New("deadlineS: must be a number of seconds, not below 0")
 )
 
-// tree has the handler of each call.
+// tree returns the handlers of the calls.
 func (s *Server) tree() *matcher.Tree[matcher.Handler] {
 	tree := new(matcher.Tree[matcher.Handler])
 	add := func(method, pattern string, handler matcher.Handler) {
 		if err := tree.Add(method, pattern, handler); err != nil {
-			panic(err) // the patterns are fixed
+			panic(err) // unreachable: the patterns are constant
 		}
 	}
 	add(http.MethodPost, pathReplace, s.replace)
@@ -80,10 +80,11 @@
 	defer cancel()
 	outcome := s.options.Authority.Replace(ctx, base, body)
 	klog.InfoS("Operators' configuration", "base", base, "bytes", len(body), "result", outcome.Result, "reason", outcome.Reason)
-	answerReplace(response, outcome)
+	writeReplaceOutcome(response, outcome)
 }
 
-// baseRevision reads the header; a call without it replaces nothing, revision 0.
+// baseRevision reads the header. Without it the call expects that there is no configuration
+// (revision 0).
 func baseRevision(header http.Header) (uint64, error) {
 	values := header.Values(BaseRevisionHeader)
 	if len(values) == 0 {
@@ -96,7 +97,7 @@
 	return base, nil
 }
 
-func answerReplace(response http.ResponseWriter, outcome ReplaceOutcome) {
+func writeReplaceOutcome(response http.ResponseWriter, outcome ReplaceOutcome) {
 	switch outcome.Result {
 	case ReplaceAccepted:
 		writeJSON(response, http.StatusOK, emptyBody{})
@@ -109,7 +110,7 @@
 	}
 }
 
-// because gives the reason in words, or the general one where there is none.
+// reasonOr returns the reason as an error, or a general one if it is empty.
 func reasonOr(reason string, general error) error {
 	if reason == "" {
 		return general
@@ -147,10 +148,10 @@
 	node := values.Get(pathNode)
 	outcome := s.options.Authority.RetireBegin(ctx, node, deadline)
 	klog.InfoS("Operators' retirement", "node", node, "deadline", deadline, "outcome", outcome)
-	answerRetire(response, outcome)
+	writeRetireOutcome(response, outcome)
 }
 
-func answerRetire(response http.ResponseWriter, outcome RetireOutcome) {
+func writeRetireOutcome(response http.ResponseWriter, outcome RetireOutcome) {
 	switch outcome {
 	case RetireAccepted:
 		writeJSON(response, http.StatusOK, emptyBody{})
@@ -163,22 +164,22 @@
 	}
 }
 
-// retireDeadline reads {"deadlineS":10}. A call without a body or without the key has
-// the standard deadline.
+// retireDeadline reads {"deadlineS":10}. A call without a body or without the key gets the
+// default deadline.
 func (s *Server) retireDeadline(body []byte) (time.Duration, error) {
 	if len(bytes.TrimSpace(body)) == 0 {
 		return s.options.RetireDeadline, nil
 	}
-	var order struct {
+	var arguments struct {
 		DeadlineS *float64 `json:"deadlineS"`
 	}
-	if err := json.Unmarshal(body, &order); err != nil {
+	if err := json.Unmarshal(body, &arguments); err != nil {
 		return 0, errors.Wrap(errDeadline, err.Error())
 	}
-	if order.DeadlineS == nil {
+	if arguments.DeadlineS == nil {
 		return s.options.RetireDeadline, nil
 	}
-	nanoseconds := *order.DeadlineS * float64(time.Second)
+	nanoseconds := *arguments.DeadlineS * float64(time.Second)
 	if nanoseconds < 0 {
 		return 0, errDeadline
 	}
--- a/internal/barograph/operators/connections.go
+++ b/internal/barograph/operators/connections.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// bounded accepts no more than a number of connections at once. Others wait in the
+// boundedListener limits the number of open connections. More connections wait in the
 // listener's queue until one is closed.
 type boundedListener struct {
 	net.Listener
@@ -14,15 +14,15 @@
 	once   sync.Once
 }
 
-func newBoundedListener(listener net.Listener, most int) *boundedListener {
+func newBoundedListener(listener net.Listener, maxConnections int) *boundedListener {
 	return &boundedListener{
 		Listener: listener,
-		slots:    make(chan struct{}, most),
+		slots:    make(chan struct{}, maxConnections),
 		closed:   make(chan struct{}),
 	}
 }
 
-// Accept waits for a place, then for a connection.
+// Accept waits for a free slot, then for a connection.
 func (b *boundedListener) Accept() (net.Conn, error) {
 	select {
 	case b.slots <- struct{}{}:
@@ -37,7 +37,7 @@
 	return &boundedConn{Conn: accepted, release: sync.OnceFunc(b.release)}, nil
 }
 
-// Close ends each Accept.
+// Close ends pending calls of Accept.
 func (b *boundedListener) Close() error {
 	b.once.Do(func() { close(b.closed) })
 	return b.Listener.Close()
@@ -45,21 +45,21 @@
 
 func (b *boundedListener) release() { <-b.slots }
 
-// placed is a connection that gives its place free when it is closed.
+// boundedConn is a connection that frees its slot when it is closed.
 type boundedConn struct {
 	net.Conn
 	release func()
 }
 
-// Close closes the connection, once or more often.
+// Close closes the connection. It may be called more than once.
 func (p *boundedConn) Close() error {
 	err := p.Conn.Close()
 	p.release()
 	return err
 }
 
-// CloseWrite ends the connection's one half, so that net/http can let a client read an
-// answer before it closes the other.
+// CloseWrite closes the write half, so that net/http lets a client read the response before it
+// closes the connection.
 func (p *boundedConn) CloseWrite() error {
 	if half, ok := p.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
--- a/internal/barograph/operators/connections_test.go
+++ b/internal/barograph/operators/connections_test.go
@@ -11,7 +11,7 @@
 
 var errStopped = errors.New("stopped")
 
-// pipes is a listener that has a connection ready at any time, or a failure.
+// fakeListener always has a connection ready, or fails.
 type fakeListener struct {
 	accepted int
 	fails    bool
@@ -30,7 +30,7 @@
 
 func (p *fakeListener) Addr() net.Addr { return nil }
 
-func TestBoundedWaitsForAPlace(t *testing.T) {
+func TestBoundedListenerWaitsForAFreeSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inner := new(fakeListener)
 		listener := newBoundedListener(inner, 2)
@@ -49,7 +49,7 @@
 		assert.NilError(t, <-third)
 		assert.Equal(t, inner.accepted, 3)
 
-		// Closing twice gives one place free, not two.
+		// Closing twice must free one slot, not two.
 		_ = first.Close()
 		fourth := make(chan error, 1)
 		go func() {
@@ -63,7 +63,7 @@
 	})
 }
 
-func TestBoundedKeepsThePlaceOfAFailure(t *testing.T) {
+func TestFailedAcceptFreesItsSlot(t *testing.T) {
 	inner := &fakeListener{fails: true}
 	listener := newBoundedListener(inner, 1)
 	for range 3 {
--- a/internal/barograph/operators/fake_authority_test.go
+++ b/internal/barograph/operators/fake_authority_test.go
@@ -14,13 +14,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// testWithin bounds each wait of a test that should not wait.
+// testTimeout bounds waits that normally end at once.
 const testTimeout = 20 * time.Second
 
-// valid is a configuration that routing takes, with spaces that have to be kept.
+// valid is a configuration that routing accepts, with spaces that must be preserved.
 const valid = "{ \"configRevision\": 3,\n \"virtualServers\": [], \"pools\": [], \"new\": [1.50] }\n"
 
-// standIn is an Authority that answers as it is told and keeps what it was asked.
+// fakeAuthority is an Authority that returns set results and records its calls.
 type fakeAuthority struct {
 	replace   ReplaceOutcome
 	shown     []byte
@@ -65,14 +65,14 @@
 	return s.state, s.stateErr
 }
 
-// asked gives how often Replace was called.
+// replaceCalls returns how often Replace was called.
 func (s *fakeAuthority) replaceCalls() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.replaces
 }
 
-// serve runs a server on loopback for the time of a test and returns its address.
+// serve runs a server on loopback during a test and returns its address.
 func serve(t *testing.T, options Options) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,7 +87,7 @@
 	return listener.Addr().String()
 }
 
-// connection speaks to a server byte by byte.
+// connection sends raw requests to a server.
 type connection struct {
 	*net.TCPConn
 	t      *testing.T
@@ -109,7 +109,7 @@
 	assert.NilError(c.t, err)
 }
 
-// answer reads one answer and its body, and checks that it states its length.
+// readResponse reads a response and its body, and checks that it has a Content-Length.
 func (c *connection) readResponse(method string) (*http.Response, string) {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
--- a/internal/barograph/operators/response.go
+++ b/internal/barograph/operators/response.go
@@ -8,35 +8,36 @@
 	"github.com/go-faster/errors"
 )
 
-// refusal is the body of each answer that is not a success.
+// errorBody is the body of each response that is not a success.
 type errorBody struct {
 	ErrorMessage string `json:"errorMessage"`
 }
 
-// acknowledgement is the body of a success that has nothing to tell.
+// emptyBody is the body of a success without data.
 type emptyBody struct{}
 
-// retirement is the body of a success of Retire.Show.
+// retirementBody is the body of a successful Retire.Show.
 type retirementBody struct {
 	MemberState string `json:"memberState"`
 }
 
-// The member states that operators read.
+// The states of a retiring node in Retire.Show.
 const (
 	memberStateRolling   = "rolling"
 	memberStateCompleted = "completed"
 )
 
-// write sends a JSON body.
+// writeBody sends a JSON body.
 func writeBody(response http.ResponseWriter, status int, body []byte) {
 	header := response.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	response.WriteHeader(status)
-	// An operator that is gone does not read the answer.
+	// An error means that the client is gone and does not read the response.
 	_, _ = response.Write(body)
 }
 
+// writeJSON encodes a value and sends it.
 func writeJSON(response http.ResponseWriter, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -45,13 +46,13 @@
 	writeBody(response, status, body)
 }
 
-// refuse sends a refusal with its reason.
+// writeError sends an error response with its reason.
 func writeError(response http.ResponseWriter, status int, err error) {
 	writeJSON(response, status, errorBody{ErrorMessage: err.Error()})
 }
 
-// refuseBody answers a call whose body could not be read. The connection is closed
-// after it, since what follows on it may be the rest of the body.
+// writeBodyError responds to a call whose body could not be read. The connection is closed
+// afterwards, because the rest of the body may still follow on it.
 func writeBodyError(response http.ResponseWriter, err error) {
 	status := http.StatusServiceUnavailable
 	switch {
--- a/internal/barograph/operators/server.go
+++ b/internal/barograph/operators/server.go
@@ -13,7 +13,7 @@
 	"pipitmux/internal/station/matcher"
 )
 
-// What stands where Options leave a value at 0.
+// Defaults of Options.
 const (
 	DefaultMaxBodyBytes     = 8 << 20
 	DefaultMaxBufferedBytes = 32 << 20
@@ -27,23 +27,22 @@
 	DefaultRetireDeadline   = 30 * time.Second
 )
 
-// Options are what a Server needs to know. All but Authority may be left at 0 for the
-// defaults.
+// Options configure a Server. All except Authority may be 0 for the defaults.
 type Options struct {
 	Authority        Authority
-	MaxBodyBytes     int64         // bytes of a configuration
-	MaxBufferedBytes int64         // bytes of all configurations that are being read or decided at once, at least MaxBody
-	MaxConnections   int           // more wait to be accepted
-	MaxHeaderBytes   int           // bytes of a call's head; net/http allows 4 KiB above it
-	HeaderTimeout    time.Duration // for a call's head to come
-	BodyTimeout      time.Duration // from then for its body to come
-	DecisionTimeout  time.Duration // for the Authority, and before for memory for the body
-	ResponseTimeout  time.Duration // for the answer to go out
-	IdleTimeout      time.Duration // until a connection without a call is closed
-	RetireDeadline   time.Duration // deadline of a retirement that states none
+	MaxBodyBytes     int64         // bytes of one configuration
+	MaxBufferedBytes int64         // bytes of all configurations being read or decided at once, at least MaxBodyBytes
+	MaxConnections   int           // open connections; more wait to be accepted
+	MaxHeaderBytes   int           // bytes of a request header; net/http allows 4 KiB more
+	HeaderTimeout    time.Duration // time to read a request header
+	BodyTimeout      time.Duration // time after that to read the body
+	DecisionTimeout  time.Duration // time for the Authority, and before it for reserving memory
+	ResponseTimeout  time.Duration // time to write the response
+	IdleTimeout      time.Duration // time until an idle connection is closed
+	RetireDeadline   time.Duration // default deadline of a retirement
 }
 
-// completed puts the defaults in.
+// withDefaults replaces unset values by the defaults.
 func (o Options) withDefaults() Options {
 	setDefault(&o.MaxBodyBytes, DefaultMaxBodyBytes)
 	setDefault(&o.MaxBufferedBytes, DefaultMaxBufferedBytes)
@@ -59,9 +58,9 @@
 	return o
 }
 
-func setDefault[T int | int64 | time.Duration](value *T, standard T) {
+func setDefault[T int | int64 | time.Duration](value *T, defaultValue T) {
 	if *value <= 0 {
-		*value = standard
+		*value = defaultValue
 	}
 }
 
@@ -72,7 +71,7 @@
 	bodies  *semaphore.Weighted // bytes of configurations in memory
 }
 
-// NewServer makes a server that does not listen yet.
+// NewServer returns a server that does not listen yet.
 func NewServer(options Options) *Server {
 	options = options.withDefaults()
 	server := &Server{options: options, bodies: semaphore.NewWeighted(options.MaxBufferedBytes)}
@@ -90,11 +89,11 @@
 	return server
 }
 
-// Handler returns the API without the bounds on connections and heads.
+// Handler returns the API without the limits on connections and headers.
 func (s *Server) Handler() http.Handler { return s.http.Handler }
 
-// Serve accepts connections until Close or Shutdown, then returns nil; another failure
-// of the listener it returns.
+// Serve accepts connections until Close or Shutdown, then returns nil. It returns any other
+// error of the listener.
 func (s *Server) Serve(listener net.Listener) error {
 	err := s.http.Serve(newBoundedListener(listener, s.options.MaxConnections))
 	if errors.Is(err, http.ErrServerClosed) {
@@ -103,11 +102,11 @@
 	return errors.Wrap(err, "serve operators")
 }
 
-// Close stops listening and closes all connections, also those with calls under way.
+// Close stops listening and closes all connections, including those with calls in progress.
 func (s *Server) Close() error { return s.http.Close() }
 
-// Shutdown stops listening, waits for the calls under way until the context ends, and
-// closes all connections.
+// Shutdown stops listening, waits for calls in progress until the context ends, and closes all
+// connections.
 func (s *Server) Shutdown(ctx context.Context) error {
 	err := s.http.Shutdown(ctx)
 	if err == nil {
--- a/internal/barograph/operators/server_test.go
+++ b/internal/barograph/operators/server_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestReplaceReadsTheBaseRevision(t *testing.T) {
+func TestReplaceValidatesTheBaseRevision(t *testing.T) {
 	cases := []struct {
 		header string
 		status int
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestReplaceRefusesWhatRoutingRefuses(t *testing.T) {
+func TestReplaceRejectsInvalidConfigurations(t *testing.T) {
 	authority := &fakeAuthority{replace: ReplaceOutcome{Result: ReplaceAccepted}}
 	connected := dial(t, serve(t, Options{Authority: authority}))
 	bodies := map[string]string{
@@ -90,35 +90,35 @@
 	assert.Equal(t, authority.replaceCalls(), 0)
 }
 
-// padded gives a valid configuration of a size.
+// paddedConfiguration returns a valid configuration of the given size.
 func paddedConfiguration(size int) string { return valid + strings.Repeat(" ", size-len(valid)) }
 
-func TestReplaceBoundsTheBody(t *testing.T) {
-	const most = 100000
+func TestReplaceLimitsTheBodySize(t *testing.T) {
+	const maxBytes = 100000
 	cases := []struct {
 		name, header string
 		size         int
 		chunked      bool
 		status       int
 	}{
-		{"at the bound", "", most, false, 200},
-		{"at the bound, in chunks", "", most, true, 200},
-		{"a byte above", "", most + 1, false, 413},
-		{"a byte above, in chunks", "", most + 1, true, 413},
-		{"far above", "", 100 * most, false, 413},
-		{"far above, in chunks", "", 100 * most, true, 413},
+		{"at the limit", "", maxBytes, false, 200},
+		{"at the limit, in chunks", "", maxBytes, true, 200},
+		{"a byte above", "", maxBytes + 1, false, 413},
+		{"a byte above, in chunks", "", maxBytes + 1, true, 413},
+		{"far above", "", 100 * maxBytes, false, 413},
+		{"far above, in chunks", "", 100 * maxBytes, true, 413},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			authority := &fakeAuthority{replace: ReplaceOutcome{Result: ReplaceAccepted}}
-			connected := dial(t, serve(t, Options{Authority: authority, MaxBodyBytes: most}))
+			connected := dial(t, serve(t, Options{Authority: authority, MaxBodyBytes: maxBytes}))
 			var body io.Reader = strings.NewReader(paddedConfiguration(c.size))
 			if c.chunked {
 				body = io.MultiReader(body) // of unknown length
 			}
 			request, err := http.NewRequest("POST", "http://operators/api/Configuration.Replace", body)
 			assert.NilError(t, err)
-			// The whole body is sent before the answer is read.
+			// The whole body is sent before the response is read.
 			assert.NilError(t, request.Write(connected))
 			response, text := connected.readResponse("POST")
 			assert.Equal(t, response.StatusCode, c.status, text)
@@ -128,24 +128,24 @@
 	}
 }
 
-func TestReplaceRefusesAtOnceWhoWaitsToSend(t *testing.T) {
+func TestTooLargeBodyIsRejectedBeforeItIsSent(t *testing.T) {
 	connected := dial(t, serve(t, Options{Authority: new(fakeAuthority)}))
 	connected.send("POST /api/Configuration.Replace HTTP/1.1\r\nHost: o\r\nExpect: 100-continue\r\nContent-Length: 99999999\r\n\r\n")
 	response, _ := connected.readResponse("POST")
 	assert.Equal(t, response.StatusCode, 413)
 }
 
-func TestReplaceBodyNotWhole(t *testing.T) {
+func TestReplaceWithIncompleteBody(t *testing.T) {
 	const head = "POST /api/Configuration.Replace HTTP/1.1\r\nHost: o\r\n"
 	cases := []struct {
 		name, text string
-		half       bool // the operator closes its half
+		half       bool // the client closes its write half
 		status     int
 	}{
-		{"cut by the operator", head + "Content-Length: 100\r\n\r\n" + `{"configRevision":1}`, true, 503},
+		{"closed by the client", head + "Content-Length: 100\r\n\r\n" + `{"configRevision":1}`, true, 503},
 		{"stalled", head + "Content-Length: 100\r\n\r\n" + `{"configRevision":1}`, false, 503},
-		{"chunks cut", head + "Transfer-Encoding: chunked\r\n\r\n14\r\n" + `{"configRevision":1}`, true, 503},
-		{"chunks that are none", head + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n", false, 400},
+		{"chunks truncated", head + "Transfer-Encoding: chunked\r\n\r\n14\r\n" + `{"configRevision":1}`, true, 503},
+		{"invalid chunks", head + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n", false, 400},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestReplaceOutlivesTheOperatorsHalf(t *testing.T) {
+func TestReplaceContinuesAfterTheClientHalfCloses(t *testing.T) {
 	authority := &fakeAuthority{replace: ReplaceOutcome{Result: ReplaceAccepted}}
 	var failure error
 	authority.onReplace = func(ctx context.Context) { failure = ctx.Err() }
@@ -176,10 +176,10 @@
 	assert.NilError(t, failure)
 }
 
-func TestReplaceGivesTheAuthorityItsTime(t *testing.T) {
+func TestDecisionTimeoutIsIndependentOfTheBodyTimeout(t *testing.T) {
 	authority := new(fakeAuthority)
 	authority.onReplace = func(ctx context.Context) { <-ctx.Done() }
-	// The time for the body ends before that for the decision.
+	// The body timeout ends before the decision timeout.
 	options := Options{
 		Authority: authority, HeaderTimeout: 50 * time.Millisecond, BodyTimeout: 50 * time.Millisecond,
 		DecisionTimeout: 300 * time.Millisecond,
@@ -193,7 +193,7 @@
 	assert.Equal(t, authority.replaceCalls(), 2)
 }
 
-func TestReplaceBoundsBodiesTogether(t *testing.T) {
+func TestReplaceLimitsTheMemoryOfAllBodies(t *testing.T) {
 	entered, leave := make(chan struct{}), make(chan struct{})
 	authority := &fakeAuthority{replace: ReplaceOutcome{Result: ReplaceAccepted}}
 	authority.onReplace = func(context.Context) {
@@ -320,7 +320,7 @@
 	}
 }
 
-func TestOtherCalls(t *testing.T) {
+func TestUnknownPathsAndMethods(t *testing.T) {
 	cases := []struct {
 		line, allow string
 		status      int
@@ -346,7 +346,7 @@
 	}
 }
 
-func TestGarbageIsRefused(t *testing.T) {
+func TestMalformedRequestsAreRejected(t *testing.T) {
 	address := serve(t, Options{Authority: new(fakeAuthority), MaxHeaderBytes: 1000})
 	cases := map[string]string{
 		"no HTTP":         "\x16\x03\x01\x00\xff garbage\r\n\r\n",
@@ -367,7 +367,7 @@
 	}
 }
 
-func TestHalfHeadIsClosed(t *testing.T) {
+func TestIncompleteHeaderIsTimedOut(t *testing.T) {
 	address := serve(t, Options{Authority: new(fakeAuthority), HeaderTimeout: 50 * time.Millisecond, MaxConnections: 1})
 	for _, text := range []string{"", "GET /api/Conf", "GET / HTTP/1.1\r\nHost: o\r\nX: "} {
 		connected := dial(t, address)
@@ -375,7 +375,7 @@
 		_, err := io.ReadAll(connected)
 		assert.NilError(t, err)
 	}
-	// Each of them gave its place free.
+	// Each connection must have freed its slot.
 	status, _ := dial(t, address).call("GET", "/", "", "")
 	assert.Equal(t, status, 404)
 }
@@ -401,7 +401,7 @@
 	assert.NilError(t, <-ended)
 }
 
-func TestServeReturnsAFailure(t *testing.T) {
+func TestServeReturnsListenerErrors(t *testing.T) {
 	err := NewServer(Options{Authority: new(fakeAuthority)}).Serve(&fakeListener{fails: true})
 	assert.ErrorIs(t, err, errStopped)
 }
