--- a/internal/barograph/coordinator/authority.go
+++ b/internal/barograph/coordinator/authority.go
@@ -81,11 +81,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	answer, err := c.node.Submit(ctx, protocol.ConfigurationGroup, text)
+	reply, err := c.node.Submit(ctx, protocol.ConfigurationGroup, text)
 	if err != nil {
 		return 0
 	}
-	result, err := revisions.ReadResult(answer)
+	result, err := revisions.ReadResult(reply)
 	if err != nil {
 		return 0
 	}
--- a/internal/barograph/coordinator/calls.go
+++ b/internal/barograph/coordinator/calls.go
@@ -14,7 +14,7 @@
 const readBarrierTimeout = 600 * time.Millisecond
 
 // controlService serves the calls of other processes to a core node.
-type controlService struct{ c *Coordinator }
+type controlService struct{ coordinator *Coordinator }
 
 // Watch returns what is newer than the caller's state, as soon as there is something. It also
 // returns when this node can no longer vouch that there is nothing newer.
@@ -23,22 +23,23 @@
 	ctx, cancel := context.WithTimeout(context.Background(), args.Wait)
 	defer cancel()
 	if args.Confirmed {
-		reply.Confirmed = s.c.readBarrier(ctx)
+		reply.Confirmed = s.coordinator.readBarrier(ctx)
 	}
 	for {
-		changed := s.c.updates.changed()
+		changed := s.coordinator.updates.changed()
 		// Held is measured first, so that a process paused in between appears older, not younger.
 		reply.Held = time.Since(received)
-		respond := s.c.fillReply(args, reply) || args.Confirmed
+		respond := s.coordinator.fillReply(args, reply) || args.Confirmed
 		if respond || ctx.Err() != nil {
 			return nil
 		}
-		s.c.waitForChange(ctx, changed, reply)
+		s.coordinator.waitForChange(ctx, changed, reply)
 	}
 }
 
-// fillReply sets what is newer and whether this node vouches for it. It reports whether the
-// reply is to be sent now.
+// fillReply sets what is newer and whether this node vouches for its state. It reports whether
+// the reply is to be sent now: when something is newer, or as soon as this node vouches (for a
+// patient call) or does not vouch (for any other call).
 func (c *Coordinator) fillReply(args *protocol.WatchArgs, reply *protocol.WatchReply) bool {
 	// The staleness is taken first: the state read after it is at least as recent.
 	reply.Age = c.staleness()
@@ -50,11 +51,11 @@
 // waitForChange waits for a change, until this node may no longer vouch for its state, or until
 // the call's time is over.
 func (c *Coordinator) waitForChange(ctx context.Context, changed <-chan struct{}, reply *protocol.WatchReply) {
-	again := time.NewTimer(c.staleAfter - min(reply.Age, c.staleAfter/2))
-	defer again.Stop()
+	recheck := time.NewTimer(c.staleAfter - min(reply.Age, c.staleAfter/2))
+	defer recheck.Stop()
 	select {
 	case <-changed:
-	case <-again.C:
+	case <-recheck.C:
 	case <-ctx.Done():
 	}
 }
@@ -68,6 +69,7 @@
 	return staleness
 }
 
+// readBarrier reports whether this node's configuration was proven current in time.
 func (c *Coordinator) readBarrier(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, readBarrierTimeout)
 	defer cancel()
--- a/internal/barograph/coordinator/calls_test.go
+++ b/internal/barograph/coordinator/calls_test.go
@@ -27,21 +27,21 @@
 // Without a leader a core node cannot vouch that nothing is newer, and must say so at once.
 func TestNodeWithoutLeaderDoesNotVouch(t *testing.T) {
 	c := newSingleNode(t, false)
-	reply, took := watch(t, c, protocol.WatchArgs{Wait: testTimeout})
-	assert.Assert(t, !reply.Vouched && took < testTimeout/2, "%+v after %v", reply, took)
-	reply, took = watch(t, c, protocol.WatchArgs{Patient: true, Wait: 20 * time.Millisecond})
-	assert.Assert(t, !reply.Vouched && took >= 20*time.Millisecond, "%+v after %v", reply, took)
+	reply, elapsed := watch(t, c, protocol.WatchArgs{Wait: testTimeout})
+	assert.Assert(t, !reply.Vouched && elapsed < testTimeout/2, "%+v after %v", reply, elapsed)
+	reply, elapsed = watch(t, c, protocol.WatchArgs{Patient: true, Wait: 20 * time.Millisecond})
+	assert.Assert(t, !reply.Vouched && elapsed >= 20*time.Millisecond, "%+v after %v", reply, elapsed)
 	reply, _ = watch(t, c, protocol.WatchArgs{Confirmed: true, Wait: 20 * time.Millisecond})
 	assert.Assert(t, !reply.Vouched && !reply.Confirmed)
 }
 
 func TestLeaderVouchesForItsState(t *testing.T) {
 	c := newSingleNode(t, true)
-	reply, took := watch(t, c, protocol.WatchArgs{Wait: 20 * time.Millisecond})
-	assert.Assert(t, reply.Vouched && reply.Age <= c.staleAfter && took >= 20*time.Millisecond, "%+v after %v", reply, took)
-	assert.Assert(t, reply.Held <= took)
-	reply, took = watch(t, c, protocol.WatchArgs{Patient: true, Wait: testTimeout})
-	assert.Assert(t, reply.Vouched && took < testTimeout/2, "a patient call must return once the node can vouch")
+	reply, elapsed := watch(t, c, protocol.WatchArgs{Wait: 20 * time.Millisecond})
+	assert.Assert(t, reply.Vouched && reply.Age <= c.staleAfter && elapsed >= 20*time.Millisecond, "%+v after %v", reply, elapsed)
+	assert.Assert(t, reply.Held <= elapsed)
+	reply, elapsed = watch(t, c, protocol.WatchArgs{Patient: true, Wait: testTimeout})
+	assert.Assert(t, reply.Vouched && elapsed < testTimeout/2, "a patient call must return once the node can vouch")
 }
 
 func TestStaleAfterFollowsFromTheConfigApplyBound(t *testing.T) {
--- a/internal/barograph/coordinator/coordinator.go
+++ b/internal/barograph/coordinator/coordinator.go
@@ -92,16 +92,16 @@
 }
 
 // New restores or creates the groups of a core node.
-func New(o Options) (*Coordinator, error) {
-	c := &Coordinator{node: o.Node, toleratedLosses: o.ToleratedLosses, updates: newNotifier(), planners: map[replica.GroupID]*repair.Planner{}, startedAt: time.Now(), staleAfter: StaleAfter(o.ConfigApply), listInterval: lister.Interval(o.DrainBound)}
+func New(options Options) (*Coordinator, error) {
+	c := &Coordinator{node: options.Node, toleratedLosses: options.ToleratedLosses, updates: newNotifier(), planners: map[replica.GroupID]*repair.Planner{}, startedAt: time.Now(), staleAfter: StaleAfter(options.ConfigApply), listInterval: lister.Interval(options.DrainBound)}
 	var first replica.Members
-	if o.Bootstrap {
-		for _, s := range o.Seeds {
+	if options.Bootstrap {
+		for _, s := range options.Seeds {
 			first.Voters = append(first.Voters, node.BootstrapID(protocol.Core, s))
 		}
 	}
 	for _, group := range Groups() {
-		if err := o.Node.Host.Add(group, first, nil, c.newStateMachine(group)); err != nil {
+		if err := options.Node.Host.Add(group, first, nil, c.newStateMachine(group)); err != nil {
 			return nil, errors.Wrap(err, string(group))
 		}
 		c.planners[group] = &repair.Planner{}
@@ -164,7 +164,7 @@
 		return
 	}
 	for ctx.Err() == nil {
-		if d := directory(); !slices.Contains(d.Nodes, n.Self) {
+		if current := directory(); !slices.Contains(current.Nodes, n.Self) {
 			submitCtx, cancel := context.WithTimeout(ctx, submitTimeout)
 			if _, err := n.Submit(submitCtx, protocol.ConfigurationGroup, text); err != nil {
 				klog.V(1).InfoS("Registering this node failed; will retry", "cause", err)
@@ -183,9 +183,9 @@
 	version := uint64(0)
 	for {
 		changed := c.updates.changed()
-		if d := c.Directory(); d.Version != version {
-			version = d.Version
-			c.node.Learn(d)
+		if directory := c.Directory(); directory.Version != version {
+			version = directory.Version
+			c.node.Learn(directory)
 		}
 		select {
 		case <-changed:
@@ -197,9 +197,9 @@
 
 // Directory returns the directory as far as this node knows it.
 func (c *Coordinator) Directory() protocol.Directory {
-	var d protocol.Directory
-	c.node.Host.ReadLocal(protocol.ConfigurationGroup, func(m host.StateMachine) { d = m.(*revisions.Machine).Directory() })
-	return d
+	var directory protocol.Directory
+	c.node.Host.ReadLocal(protocol.ConfigurationGroup, func(m host.StateMachine) { directory = m.(*revisions.Machine).Directory() })
+	return directory
 }
 
 // maintainGroups checks the members of the groups that this node leads, until ctx ends.
@@ -221,12 +221,12 @@
 }
 
 // repair makes one membership change of a group if one is due.
-func (c *Coordinator) repair(ctx context.Context, group replica.GroupID, d protocol.Directory) {
+func (c *Coordinator) repair(ctx context.Context, group replica.GroupID, directory protocol.Directory) {
 	status, err := c.node.Host.Status(group)
 	if err != nil || !status.LeaderReady {
 		return
 	}
-	cores := NodesOfClass(d, protocol.Core)
+	cores := NodesOfClass(directory, protocol.Core)
 	if len(cores) < minVoters && group != protocol.ConfigurationGroup || len(cores) == 0 {
 		return // the core nodes have not registered yet
 	}
@@ -241,7 +241,7 @@
 		return
 	}
 	err = c.node.Host.ChangeMembers(submitCtx, group, next)
-	klog.InfoS("Changing the members of a group", "group", group, "from", status.Members, "to", next, "cause", err)
+	klog.InfoS("Membership change of a group", "group", group, "from", status.Members, "to", next, "cause", err)
 }
 
 // withUnregisteredVoters adds the initial voters that have not registered yet, so that they
@@ -259,8 +259,8 @@
 }
 
 // NodesOfClass returns the directory's nodes of a class.
-func NodesOfClass(d protocol.Directory, class protocol.Class) []protocol.Node {
-	return slices.DeleteFunc(slices.Clone(d.Nodes), func(n protocol.Node) bool { return n.Class != class })
+func NodesOfClass(directory protocol.Directory, class protocol.Class) []protocol.Node {
+	return slices.DeleteFunc(slices.Clone(directory.Nodes), func(n protocol.Node) bool { return n.Class != class })
 }
 
 // TargetVoters returns how many voters a group should have to tolerate a number of losses.
@@ -272,12 +272,12 @@
 }
 
 // assignPartitions assigns the turn partitions once, when the storage nodes have registered.
-func (c *Coordinator) assignPartitions(ctx context.Context, d protocol.Directory) {
-	if len(d.Partitions) > 0 {
+func (c *Coordinator) assignPartitions(ctx context.Context, directory protocol.Directory) {
+	if len(directory.Partitions) > 0 {
 		return
 	}
 	status, err := c.node.Host.Status(protocol.ConfigurationGroup)
-	nodes := NodesOfClass(d, protocol.Storage)
+	nodes := NodesOfClass(directory, protocol.Storage)
 	if err != nil || !status.LeaderReady || len(nodes) == 0 || !c.storageSettled(len(nodes)) {
 		return
 	}
--- a/internal/barograph/coordinator/gone_nodes.go
+++ b/internal/barograph/coordinator/gone_nodes.go
@@ -24,15 +24,15 @@
 type silenceTracker map[replica.NodeID]time.Time
 
 // observe records which nodes respond now and returns those that have been silent too long.
-func (g silenceTracker) observe(now time.Time, nodes, alive []protocol.Node) []replica.NodeID {
+func (s silenceTracker) observe(now time.Time, nodes, alive []protocol.Node) []replica.NodeID {
 	var gone []replica.NodeID
 	for _, n := range nodes {
-		since, silent := g[n.ID]
+		since, silent := s[n.ID]
 		switch {
 		case slices.Contains(alive, n):
-			delete(g, n.ID)
+			delete(s, n.ID)
 		case !silent:
-			g[n.ID] = now
+			s[n.ID] = now
 		case now.Sub(since) >= removeAfter:
 			gone = append(gone, n.ID)
 		}
@@ -60,7 +60,7 @@
 		nodes := c.Directory().Nodes
 		for _, id := range silent.observe(time.Now(), nodes, c.node.Alive(ctx, nodes)) {
 			err := c.submit(ctx, &revisions.Command{Forget: id})
-			klog.InfoS("Removing a gone node from the directory", "id", id, "cause", err)
+			klog.InfoS("Removal of a gone node from the directory", "id", id, "cause", err)
 			delete(silent, id)
 		}
 	}
--- a/internal/barograph/coordinator/lister_task.go
+++ b/internal/barograph/coordinator/lister_task.go
@@ -15,52 +15,52 @@
 
 // listerTask is the lister's singleton task. The leader of its group holds it, and its epoch is
 // the leader's term.
-type listerTask struct{ c *Coordinator }
+type listerTask struct{ coordinator *Coordinator }
 
 // leadershipCheckTimeout bounds the check whether this node still leads the task's group.
 const leadershipCheckTimeout = 100 * time.Millisecond
 
 // Held implements lister.Task. The leader holds the task only under its lease: a node that was
 // partitioned or frozen may not know yet that another node holds it.
-func (d *listerTask) Held() (epoch uint64, ok bool) {
-	status, err := d.c.node.Host.Status(protocol.ListerDuty)
+func (t *listerTask) Held() (epoch uint64, ok bool) {
+	status, err := t.coordinator.node.Host.Status(protocol.ListerDuty)
 	if err != nil || !status.LeaderReady {
 		return 0, false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), leadershipCheckTimeout)
 	defer cancel()
-	err = d.c.node.Host.Read(ctx, protocol.ListerDuty, func(host.StateMachine) {})
+	err = t.coordinator.node.Host.Read(ctx, protocol.ListerDuty, func(host.StateMachine) {})
 	return status.Term, err == nil
 }
 
 // Lists implements lister.Task.
-func (d *listerTask) Lists(partition int) (lists []protocol.ServerList) {
-	d.c.node.Host.ReadLocal(protocol.ServiceGroup(partition), func(m host.StateMachine) {
+func (t *listerTask) Lists(partition int) (lists []protocol.ServerList) {
+	t.coordinator.node.Host.ReadLocal(protocol.ServiceGroup(partition), func(m host.StateMachine) {
 		lists, _ = m.(*servers.Machine).Lists()
 	})
 	return lists
 }
 
 // Publish implements lister.Task.
-func (d *listerTask) Publish(ctx context.Context, partition int, p *servers.Publication) error {
+func (t *listerTask) Publish(ctx context.Context, partition int, p *servers.Publication) error {
 	text, err := p.Encode()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	_, err = d.c.node.Submit(ctx, protocol.ServiceGroup(partition), text)
+	_, err = t.coordinator.node.Submit(ctx, protocol.ServiceGroup(partition), text)
 	return err
 }
 
 // GiveUp implements lister.Task.
-func (d *listerTask) GiveUp() {
-	status, err := d.c.node.Host.Status(protocol.ListerDuty)
+func (t *listerTask) GiveUp() {
+	status, err := t.coordinator.node.Host.Status(protocol.ListerDuty)
 	if err != nil {
 		return
 	}
-	for _, id := range nextVoters(status.Members.Voters, d.c.node.Self.ID) {
-		if err := d.c.node.Host.TransferLeadership(protocol.ListerDuty, id); err == nil {
+	for _, id := range nextVoters(status.Members.Voters, t.coordinator.node.Self.ID) {
+		if err := t.coordinator.node.Host.TransferLeadership(protocol.ListerDuty, id); err == nil {
 			klog.InfoS("Handed the lister's task to another node", "to", id)
 			return
 		}
--- a/internal/barograph/keeper/keeper.go
+++ b/internal/barograph/keeper/keeper.go
@@ -58,10 +58,10 @@
 }
 
 // New restores the groups that are stored on the disk.
-func New(o Options) (*Keeper, error) {
-	k := &Keeper{node: o.Node, toleratedLosses: o.ToleratedLosses, openPartitions: map[int]bool{}, planners: map[int]*repair.Planner{}, reported: map[int]uint64{}}
-	k.follower = follow.New(follow.Options{Name: o.Name, Seeds: o.Seeds, Slots: o.ToleratedLosses + 1, DirectoryOnly: true, Pool: o.Node.Pool, Told: k.applyUpdate})
-	for _, group := range o.Node.Host.StoredGroups() {
+func New(options Options) (*Keeper, error) {
+	k := &Keeper{node: options.Node, toleratedLosses: options.ToleratedLosses, openPartitions: map[int]bool{}, planners: map[int]*repair.Planner{}, reported: map[int]uint64{}}
+	k.follower = follow.New(follow.Options{Name: options.Name, Seeds: options.Seeds, Slots: options.ToleratedLosses + 1, DirectoryOnly: true, Pool: options.Node.Pool, Told: k.applyUpdate})
+	for _, group := range options.Node.Host.StoredGroups() {
 		partition, ok := protocol.TurnPartitionOf(group)
 		if !ok {
 			continue
@@ -171,38 +171,39 @@
 
 // repair makes one membership change of a partition if one is due, and reports changed members
 // to the directory.
-func (k *Keeper) repair(ctx context.Context, partition int, status replica.Status, d protocol.Directory) {
+func (k *Keeper) repair(ctx context.Context, partition int, status replica.Status, directory protocol.Directory) {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	if k.transferLeadership(status, d) {
+	if k.transferLeadership(status, directory) {
 		return
 	}
-	if partition >= len(d.Partitions) {
+	if partition >= len(directory.Partitions) {
 		return
 	}
-	nodes := coordinator.NodesOfClass(d, protocol.Storage)
+	nodes := coordinator.NodesOfClass(directory, protocol.Storage)
 	staying := 0
 	for _, n := range nodes {
-		if !slices.Contains(d.Retiring, n.Name) {
+		if !slices.Contains(directory.Retiring, n.Name) {
 			staying++
 		}
 	}
-	view := repair.View{Status: status, Now: k.node.Now(), LostAfter: node.MemberLostAfter, Nodes: nodes, Retiring: d.Retiring, TargetVoters: coordinator.FeasibleVoters(k.toleratedLosses, staying)}
+	view := repair.View{Status: status, Now: k.node.Now(), LostAfter: node.MemberLostAfter, Nodes: nodes, Retiring: directory.Retiring, TargetVoters: coordinator.FeasibleVoters(k.toleratedLosses, staying)}
 	planner := k.planner(partition)
 	if planner.NeedsVoter(view) {
 		view.Alive = k.node.Alive(ctx, nodes)
 	}
 	next, due := planner.Plan(view)
-	if !slices.Equal(d.Partitions[partition].Voters, next.Voters) {
-		k.reportMembers(ctx, partition, status, d)
+	if !slices.Equal(directory.Partitions[partition].Voters, next.Voters) {
+		k.reportMembers(ctx, partition, status, directory)
 	}
-	if !due || !k.announceVoter(ctx, partition, status, d, next) {
+	if !due || !k.announceVoter(ctx, partition, status, directory, next) {
 		return
 	}
 	err := k.node.Host.ChangeMembers(ctx, protocol.TurnGroup(partition), next)
-	klog.InfoS("Changing the members of a partition", "partition", partition, "from", status.Members, "to", next, "cause", err)
+	klog.InfoS("Membership change of a partition", "partition", partition, "from", status.Members, "to", next, "cause", err)
 }
 
+// planner returns the repair planner of a partition.
 func (k *Keeper) planner(partition int) *repair.Planner {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -211,13 +212,13 @@
 
 // transferLeadership gives up the leadership if this node is retiring and another voter is
 // ready to lead.
-func (k *Keeper) transferLeadership(status replica.Status, d protocol.Directory) bool {
-	if !slices.Contains(d.Retiring, k.node.Self.Name) {
+func (k *Keeper) transferLeadership(status replica.Status, directory protocol.Directory) bool {
+	if !slices.Contains(directory.Retiring, k.node.Self.Name) {
 		return false
 	}
 	for _, id := range status.Members.Voters {
 		n, known := k.node.Addresses.Find(id)
-		if id == k.node.Self.ID || !known || slices.Contains(d.Retiring, n.Name) || status.MatchIndex[id] < status.CommitIndex {
+		if id == k.node.Self.ID || !known || slices.Contains(directory.Retiring, n.Name) || status.MatchIndex[id] < status.CommitIndex {
 			continue
 		}
 		return k.node.Host.TransferLeadership(status.Group, id) == nil
@@ -228,8 +229,8 @@
 // reportMembers updates the directory with a partition's current voters, also when an announced
 // node did not become a voter. A node that is still to become one stays announced: if the
 // announcement were reverted first, one whose reply is lost could revert itself repeatedly.
-func (k *Keeper) reportMembers(ctx context.Context, partition int, status replica.Status, d protocol.Directory) {
-	listed := d.Partitions[partition]
+func (k *Keeper) reportMembers(ctx context.Context, partition int, status replica.Status, directory protocol.Directory) {
+	listed := directory.Partitions[partition]
 	if status.ChangePending || slices.Equal(listed.Voters, status.Members.Voters) {
 		return
 	}
@@ -245,12 +246,12 @@
 // announceVoter announces in the directory which node is about to become a voter of a partition.
 // If it returns false, the node must not become one: the directory has changed, or the node is
 // retiring.
-func (k *Keeper) announceVoter(ctx context.Context, partition int, status replica.Status, d protocol.Directory, next replica.Members) bool {
+func (k *Keeper) announceVoter(ctx context.Context, partition int, status replica.Status, directory protocol.Directory, next replica.Members) bool {
 	if len(next.Voters) <= len(status.Members.Voters) {
 		return true // no new voter: a change adds or removes one node
 	}
 	update := &revisions.MembershipUpdate{Partition: partition, Change: status.CommitIndex, Announced: true, Voters: next.Voters}
-	if listed := d.Partitions[partition]; listed.Change == status.CommitIndex {
+	if listed := directory.Partitions[partition]; listed.Change == status.CommitIndex {
 		update.Step = listed.Step + 1
 	}
 	result, err := k.submitMembership(ctx, update)
@@ -258,8 +259,8 @@
 		klog.V(1).InfoS("Announcing a partition's new voter failed; will retry", "partition", partition, "result", result, "cause", err)
 		return false
 	}
-	now, err := k.node.Host.Status(status.Group)
-	return err == nil && now.Term == status.Term && now.MembersIndex == status.MembersIndex
+	latest, err := k.node.Host.Status(status.Group)
+	return err == nil && latest.Term == status.Term && latest.MembersIndex == status.MembersIndex
 }
 
 // submitMembership submits a partition's members to the directory.
@@ -269,11 +270,11 @@
 	if err != nil {
 		return 0, err
 	}
-	answer, err := k.node.Submit(ctx, protocol.ConfigurationGroup, text)
+	reply, err := k.node.Submit(ctx, protocol.ConfigurationGroup, text)
 	if err != nil {
 		return 0, err
 	}
-	return revisions.ReadResult(answer)
+	return revisions.ReadResult(reply)
 }
 
 // forgetIdlePrograms drops programs whose retention has passed, in the partitions that this
--- a/internal/barograph/node/calls.go
+++ b/internal/barograph/node/calls.go
@@ -168,12 +168,12 @@
 // nodes that may know it, until the outcome is Done or ctx ends.
 func (n *Node) callLeader(ctx context.Context, group replica.GroupID, try func(context.Context, protocol.Node) (protocol.Outcome, replica.NodeID)) error {
 	hint := n.leaderOf(group)
-	others := 0
+	fallbacks := 0
 	for {
 		at, ok := n.Addresses.Find(hint)
 		if !ok {
-			at = n.fallbackNode(group, others)
-			others++
+			at = n.fallbackNode(group, fallbacks)
+			fallbacks++
 		}
 		attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 		outcome, leader := try(attemptCtx, at)
--- a/internal/barograph/node/node.go
+++ b/internal/barograph/node/node.go
@@ -41,10 +41,11 @@
 
 // Options configure a Node.
 type Options struct {
-	Name, Zone string
-	Class      protocol.Class
-	Address    string // of the net/rpc listener
-	DataDir    string
+	Name    string
+	Zone    string
+	Class   protocol.Class
+	Address string // of the net/rpc listener
+	DataDir string
 	// Bootstrap states that the whole system starts for the first time, with empty disks. Node
 	// ids are then derived from addresses, so that all nodes know the first members.
 	Bootstrap      bool
@@ -71,25 +72,25 @@
 }
 
 // Open opens the node's disk and reads its identity.
-func Open(o Options) (*Node, error) {
-	n := &Node{seeds: o.Seeds, start: time.Now()}
-	disk, err := openStore(o.DataDir)
+func Open(options Options) (*Node, error) {
+	n := &Node{seeds: options.Seeds, start: time.Now()}
+	disk, err := openStore(options.DataDir)
 	if err != nil {
 		return nil, errors.Wrap(err, "open store")
 	}
 	n.store = disk
-	id, err := identity(disk, o)
+	id, err := identity(disk, options)
 	if err != nil {
 		return nil, errors.Wrap(err, "identity")
 	}
-	n.Self = protocol.Node{ID: id, Name: o.Name, Class: o.Class, Address: o.Address, Zone: o.Zone}
-	if n.Addresses, err = LoadAddressBook(durable.Folder(o.DataDir)); err != nil {
+	n.Self = protocol.Node{ID: id, Name: options.Name, Class: options.Class, Address: options.Address, Zone: options.Zone}
+	if n.Addresses, err = LoadAddressBook(durable.Folder(options.DataDir)); err != nil {
 		klog.ErrorS(err, "Reading the known nodes failed; relying on the seeds")
 		n.Addresses, _ = LoadAddressBook(&durable.Memory{})
-		n.Addresses.store = durable.Folder(o.DataDir)
+		n.Addresses.store = durable.Folder(options.DataDir)
 	}
-	if o.Bootstrap {
-		for _, seed := range o.Seeds {
+	if options.Bootstrap {
+		for _, seed := range options.Seeds {
 			// Their names become known with their Hello calls.
 			n.Addresses.Learn(protocol.Node{ID: BootstrapID(protocol.Core, seed), Name: seed, Class: protocol.Core, Address: seed})
 		}
@@ -97,7 +98,7 @@
 	n.Addresses.Learn(n.Self)
 	n.Pool, n.bulk = link.NewPool(link.Options{}), link.NewPool(link.Options{Stale: bulkStaleTimeout})
 	n.Host, err = host.New(host.Options{
-		Self: id, Timing: Timing(o.Class), Store: disk, Now: n.Now, Seed: rand.Uint64(), OnUnknownGroup: o.OnUnknownGroup,
+		Self: id, Timing: Timing(options.Class), Store: disk, Now: n.Now, Seed: rand.Uint64(), OnUnknownGroup: options.OnUnknownGroup,
 		Transport: &transport{addresses: n.Addresses, regular: lane{pool: n.Pool}, bulk: lane{pool: n.bulk}},
 	})
 	if err != nil {
@@ -130,13 +131,13 @@
 
 // identity returns the id stored on the disk, or creates one. An empty disk means that votes
 // and copies are lost, so the node gets a new identity.
-func identity(disk store.Store, o Options) (replica.NodeID, error) {
+func identity(disk store.Store, options Options) (replica.NodeID, error) {
 	id, held, err := disk.Identity()
 	if err != nil || held {
 		return id, err
 	}
-	if id = replica.NodeID(rand.Uint64() | 1); o.Bootstrap {
-		id = BootstrapID(o.Class, o.Address)
+	if id = replica.NodeID(rand.Uint64() | 1); options.Bootstrap {
+		id = BootstrapID(options.Class, options.Address)
 	}
 	return id, disk.SetIdentity(id)
 }
--- a/internal/barograph/operators/calls.go
+++ b/internal/barograph/operators/calls.go
@@ -79,7 +79,7 @@
 	ctx, cancel := s.decisionContext(response, request)
 	defer cancel()
 	outcome := s.options.Authority.Replace(ctx, base, body)
-	klog.InfoS("Operators' configuration", "base", base, "bytes", len(body), "result", outcome.Result, "reason", outcome.Reason)
+	klog.InfoS("Operator's call to replace the configuration", "base", base, "bytes", len(body), "result", outcome.Result, "reason", outcome.Reason)
 	writeReplaceOutcome(response, outcome)
 }
 
@@ -147,7 +147,7 @@
 	defer cancel()
 	node := values.Get(pathNode)
 	outcome := s.options.Authority.RetireBegin(ctx, node, deadline)
-	klog.InfoS("Operators' retirement", "node", node, "deadline", deadline, "outcome", outcome)
+	klog.InfoS("Operator's call to retire a node", "node", node, "deadline", deadline, "outcome", outcome)
 	writeRetireOutcome(response, outcome)
 }
 
--- a/internal/barograph/operators/fake_authority_test.go
+++ b/internal/barograph/operators/fake_authority_test.go
@@ -96,11 +96,11 @@
 
 func dial(t *testing.T, address string) *connection {
 	t.Helper()
-	dialled, err := net.Dial("tcp", address)
+	conn, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
-	t.Cleanup(func() { _ = dialled.Close() })
-	assert.NilError(t, dialled.SetDeadline(time.Now().Add(testTimeout)))
-	return &connection{TCPConn: dialled.(*net.TCPConn), t: t, reader: bufio.NewReader(dialled)}
+	t.Cleanup(func() { _ = conn.Close() })
+	assert.NilError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
+	return &connection{TCPConn: conn.(*net.TCPConn), t: t, reader: bufio.NewReader(conn)}
 }
 
 func (c *connection) send(text string) {
--- a/internal/barograph/operators/server_test.go
+++ b/internal/barograph/operators/server_test.go
@@ -31,10 +31,10 @@
 		{ReplaceOutcome{Result: 99}, 503, `{"errorMessage":"cannot be decided now"}`},
 	}
 	authority := new(fakeAuthority)
-	connected := dial(t, serve(t, Options{Authority: authority}))
+	conn := dial(t, serve(t, Options{Authority: authority}))
 	for _, c := range cases {
 		authority.replace = c.outcome
-		status, body := connected.call("POST", "/api/Configuration.Replace", BaseRevisionHeader+":12", valid)
+		status, body := conn.call("POST", "/api/Configuration.Replace", BaseRevisionHeader+":12", valid)
 		assert.Equal(t, status, c.status, "%v", c.outcome)
 		assert.Equal(t, body, c.body)
 		assert.Equal(t, authority.base, uint64(12))
@@ -60,8 +60,8 @@
 	}
 	for _, c := range cases {
 		authority := &fakeAuthority{replace: ReplaceOutcome{Result: ReplaceAccepted}, base: 99}
-		connected := dial(t, serve(t, Options{Authority: authority}))
-		status, body := connected.call("POST", "/api/Configuration.Replace", c.header, valid)
+		conn := dial(t, serve(t, Options{Authority: authority}))
+		status, body := conn.call("POST", "/api/Configuration.Replace", c.header, valid)
 		assert.Equal(t, status, c.status, "%q", c.header)
 		if c.status == 200 {
 			assert.Equal(t, authority.base, c.base, "%q", c.header)
@@ -74,7 +74,7 @@
 
 func TestReplaceRejectsInvalidConfigurations(t *testing.T) {
 	authority := &fakeAuthority{replace: ReplaceOutcome{Result: ReplaceAccepted}}
-	connected := dial(t, serve(t, Options{Authority: authority}))
+	conn := dial(t, serve(t, Options{Authority: authority}))
 	bodies := map[string]string{
 		``:                     "body: ",
 		`{"configRevision":1`:  "body: ",
@@ -83,7 +83,7 @@
 		`{"configRevision":1,"virtualServers":[{"pathPrefix":"/","trafficClass":"streaming"}]}`: "virtualServers[0].timeoutMs: must be above 0",
 	}
 	for body, message := range bodies {
-		status, text := connected.call("POST", "/api/Configuration.Replace", "", body)
+		status, text := conn.call("POST", "/api/Configuration.Replace", "", body)
 		assert.Equal(t, status, 400, "%q", body)
 		assert.Assert(t, strings.HasPrefix(text, `{"errorMessage":"`+message), "%q: %s", body, text)
 	}
@@ -111,7 +111,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			authority := &fakeAuthority{replace: ReplaceOutcome{Result: ReplaceAccepted}}
-			connected := dial(t, serve(t, Options{Authority: authority, MaxBodyBytes: maxBytes}))
+			conn := dial(t, serve(t, Options{Authority: authority, MaxBodyBytes: maxBytes}))
 			var body io.Reader = strings.NewReader(paddedConfiguration(c.size))
 			if c.chunked {
 				body = io.MultiReader(body) // of unknown length
@@ -119,8 +119,8 @@
 			request, err := http.NewRequest("POST", "http://operators/api/Configuration.Replace", body)
 			assert.NilError(t, err)
 			// The whole body is sent before the response is read.
-			assert.NilError(t, request.Write(connected))
-			response, text := connected.readResponse("POST")
+			assert.NilError(t, request.Write(conn))
+			response, text := conn.readResponse("POST")
 			assert.Equal(t, response.StatusCode, c.status, text)
 			assert.Equal(t, response.Close, c.status != 200)
 			assert.Equal(t, authority.replaceCalls(), map[int]int{200: 1, 413: 0}[c.status])
@@ -129,9 +129,9 @@
 }
 
 func TestTooLargeBodyIsRejectedBeforeItIsSent(t *testing.T) {
-	connected := dial(t, serve(t, Options{Authority: new(fakeAuthority)}))
-	connected.send("POST /api/Configuration.Replace HTTP/1.1\r\nHost: o\r\nExpect: 100-continue\r\nContent-Length: 99999999\r\n\r\n")
-	response, _ := connected.readResponse("POST")
+	conn := dial(t, serve(t, Options{Authority: new(fakeAuthority)}))
+	conn.send("POST /api/Configuration.Replace HTTP/1.1\r\nHost: o\r\nExpect: 100-continue\r\nContent-Length: 99999999\r\n\r\n")
+	response, _ := conn.readResponse("POST")
 	assert.Equal(t, response.StatusCode, 413)
 }
 
@@ -151,12 +151,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			authority := new(fakeAuthority)
 			options := Options{Authority: authority, HeaderTimeout: 100 * time.Millisecond, BodyTimeout: 100 * time.Millisecond}
-			connected := dial(t, serve(t, options))
-			connected.send(c.text)
+			conn := dial(t, serve(t, options))
+			conn.send(c.text)
 			if c.half {
-				assert.NilError(t, connected.CloseWrite())
+				assert.NilError(t, conn.CloseWrite())
 			}
-			response, text := connected.readResponse("POST")
+			response, text := conn.readResponse("POST")
 			assert.Equal(t, response.StatusCode, c.status, text)
 			assert.Assert(t, response.Close)
 			assert.Equal(t, authority.replaceCalls(), 0)
@@ -168,10 +168,10 @@
 	authority := &fakeAuthority{replace: ReplaceOutcome{Result: ReplaceAccepted}}
 	var failure error
 	authority.onReplace = func(ctx context.Context) { failure = ctx.Err() }
-	connected := dial(t, serve(t, Options{Authority: authority}))
-	connected.send(fmt.Sprintf("POST /api/Configuration.Replace HTTP/1.1\r\nHost: o\r\nContent-Length: %d\r\n\r\n%s", len(valid), valid))
-	assert.NilError(t, connected.CloseWrite())
-	response, _ := connected.readResponse("POST")
+	conn := dial(t, serve(t, Options{Authority: authority}))
+	conn.send(fmt.Sprintf("POST /api/Configuration.Replace HTTP/1.1\r\nHost: o\r\nContent-Length: %d\r\n\r\n%s", len(valid), valid))
+	assert.NilError(t, conn.CloseWrite())
+	response, _ := conn.readResponse("POST")
 	assert.Equal(t, response.StatusCode, 200)
 	assert.NilError(t, failure)
 }
@@ -184,9 +184,9 @@
 		Authority: authority, HeaderTimeout: 50 * time.Millisecond, BodyTimeout: 50 * time.Millisecond,
 		DecisionTimeout: 300 * time.Millisecond,
 	}
-	connected := dial(t, serve(t, options))
+	conn := dial(t, serve(t, options))
 	for range 2 {
-		status, body := connected.call("POST", "/api/Configuration.Replace", "", valid)
+		status, body := conn.call("POST", "/api/Configuration.Replace", "", valid)
 		assert.Equal(t, status, 503)
 		assert.Equal(t, body, `{"errorMessage":"cannot be decided now"}`)
 	}
@@ -231,11 +231,11 @@
 		{"another failure", nil, io.ErrClosedPipe, 503, `{"errorMessage":"io: read/write on closed pipe"}`},
 	}
 	authority := new(fakeAuthority)
-	connected := dial(t, serve(t, Options{Authority: authority}))
+	conn := dial(t, serve(t, Options{Authority: authority}))
 	for _, c := range cases {
 		authority.shown, authority.showErr = c.shown, c.err
-		connected.send("GET /api/Configuration.Show?now=1 HTTP/1.1\r\nHost: o\r\n\r\n")
-		response, body := connected.readResponse("GET")
+		conn.send("GET /api/Configuration.Show?now=1 HTTP/1.1\r\nHost: o\r\n\r\n")
+		response, body := conn.readResponse("GET")
 		assert.Equal(t, response.StatusCode, c.status, c.name)
 		assert.Equal(t, response.Header.Get("Content-Type"), "application/json")
 		assert.Assert(t, body == c.body, c.name)
@@ -255,10 +255,10 @@
 		{99, 503, `{"errorMessage":"cannot be decided now"}`},
 	}
 	authority := new(fakeAuthority)
-	connected := dial(t, serve(t, Options{Authority: authority}))
+	conn := dial(t, serve(t, Options{Authority: authority}))
 	for _, c := range cases {
 		authority.retire = c.outcome
-		status, body := connected.call("POST", "/api/Retire.Begin/core%201", "", `{"deadlineS":10}`)
+		status, body := conn.call("POST", "/api/Retire.Begin/core%201", "", `{"deadlineS":10}`)
 		assert.Equal(t, status, c.status, "%v", c.outcome)
 		assert.Equal(t, body, c.body)
 		assert.Equal(t, authority.node, "core 1")
@@ -285,8 +285,8 @@
 	}
 	for _, c := range cases {
 		authority := &fakeAuthority{retire: RetireAccepted}
-		connected := dial(t, serve(t, Options{Authority: authority}))
-		status, text := connected.call("POST", "/api/Retire.Begin/n", "", c.body)
+		conn := dial(t, serve(t, Options{Authority: authority}))
+		status, text := conn.call("POST", "/api/Retire.Begin/n", "", c.body)
 		assert.Equal(t, status, c.status, "%.30q", c.body)
 		assert.Equal(t, authority.deadline, c.deadline, "%.30q", c.body)
 		if status == 400 {
@@ -310,10 +310,10 @@
 		{0, nil, 503, `{"errorMessage":"cannot be decided now"}`},
 	}
 	authority := new(fakeAuthority)
-	connected := dial(t, serve(t, Options{Authority: authority}))
+	conn := dial(t, serve(t, Options{Authority: authority}))
 	for _, c := range cases {
 		authority.state, authority.stateErr = c.state, c.err
-		status, body := connected.call("GET", "/api/Retire.Show/core-1", "", "")
+		status, body := conn.call("GET", "/api/Retire.Show/core-1", "", "")
 		assert.Equal(t, status, c.status, "%v %v", c.state, c.err)
 		assert.Equal(t, body, c.body)
 		assert.Equal(t, authority.node, "core-1")
@@ -335,11 +335,11 @@
 		{"GET /api/Configuration.Show/", "", 404},
 		{"OPTIONS *", "", 404},
 	}
-	connected := dial(t, serve(t, Options{Authority: new(fakeAuthority)}))
+	conn := dial(t, serve(t, Options{Authority: new(fakeAuthority)}))
 	for _, c := range cases {
-		connected.send(c.line + " HTTP/1.1\r\nHost: o\r\nContent-Length: 0\r\n\r\n")
+		conn.send(c.line + " HTTP/1.1\r\nHost: o\r\nContent-Length: 0\r\n\r\n")
 		method, _, _ := strings.Cut(c.line, " ")
-		response, body := connected.readResponse(method)
+		response, body := conn.readResponse(method)
 		assert.Equal(t, response.StatusCode, c.status, c.line)
 		assert.Equal(t, response.Header.Get("Allow"), c.allow, c.line)
 		assert.Assert(t, strings.HasPrefix(body, `{"errorMessage":"`), c.line)
@@ -357,9 +357,9 @@
 	}
 	for name, text := range cases {
 		t.Run(name, func(t *testing.T) {
-			connected := dial(t, address)
-			connected.send(text)
-			response, err := http.ReadResponse(connected.reader, nil)
+			conn := dial(t, address)
+			conn.send(text)
+			response, err := http.ReadResponse(conn.reader, nil)
 			assert.NilError(t, err)
 			assert.Assert(t, response.StatusCode >= 400 && response.StatusCode < 500, response.Status)
 			assert.Assert(t, response.Close)
@@ -370,9 +370,9 @@
 func TestIncompleteHeaderIsTimedOut(t *testing.T) {
 	address := serve(t, Options{Authority: new(fakeAuthority), HeaderTimeout: 50 * time.Millisecond, MaxConnections: 1})
 	for _, text := range []string{"", "GET /api/Conf", "GET / HTTP/1.1\r\nHost: o\r\nX: "} {
-		connected := dial(t, address)
-		connected.send(text)
-		_, err := io.ReadAll(connected)
+		conn := dial(t, address)
+		conn.send(text)
+		_, err := io.ReadAll(conn)
 		assert.NilError(t, err)
 	}
 	// Each connection must have freed its slot.
@@ -381,10 +381,10 @@
 }
 
 func TestIdleConnectionIsClosed(t *testing.T) {
-	connected := dial(t, serve(t, Options{Authority: new(fakeAuthority), IdleTimeout: 50 * time.Millisecond}))
-	status, _ := connected.call("GET", "/", "", "")
+	conn := dial(t, serve(t, Options{Authority: new(fakeAuthority), IdleTimeout: 50 * time.Millisecond}))
+	status, _ := conn.call("GET", "/", "", "")
 	assert.Equal(t, status, 404)
-	rest, err := io.ReadAll(connected.reader)
+	rest, err := io.ReadAll(conn.reader)
 	assert.NilError(t, err)
 	assert.Equal(t, len(rest), 0)
 }
--- a/internal/barograph/repair/repair.go
+++ b/internal/barograph/repair/repair.go
@@ -42,33 +42,33 @@
 
 // Plan returns the members that the group should have next, and whether they differ from the
 // current ones.
-func (p *Planner) Plan(v View) (replica.Members, bool) {
-	current := v.Status.Members
-	if !v.Status.LeaderReady || v.Status.ChangePending {
+func (p *Planner) Plan(view View) (replica.Members, bool) {
+	current := view.Status.Members
+	if !view.Status.LeaderReady || view.Status.ChangePending {
 		return current, false
 	}
 	p.initMaps()
-	lost := p.lost(v)
+	lost := p.lost(view)
 	healthy := len(current.Voters) - len(lost)
 	switch {
-	case len(lost) > 0 && len(current.Voters) > v.TargetVoters, len(lost) > 0 && healthy >= v.TargetVoters:
+	case len(lost) > 0 && len(current.Voters) > view.TargetVoters, len(lost) > 0 && healthy >= view.TargetVoters:
 		return withoutMember(current, lost[0]), true
-	case len(current.Voters) > v.TargetVoters:
-		return withoutMember(current, p.surplusVoter(v)), true
-	case healthy < v.TargetVoters:
-		if next, ok := p.promote(v); ok {
+	case len(current.Voters) > view.TargetVoters:
+		return withoutMember(current, p.surplusVoter(view)), true
+	case healthy < view.TargetVoters:
+		if next, ok := p.promote(view); ok {
 			return next, true
 		}
-		if next, ok := p.invite(v); ok {
+		if next, ok := p.invite(view); ok {
 			return next, true
 		}
 	}
-	return p.planLearners(v)
+	return p.planLearners(view)
 }
 
 // NeedsVoter reports whether the group needs another voter. If so, Plan needs View.Alive.
-func (p *Planner) NeedsVoter(v View) bool {
-	return v.Status.LeaderReady && !v.Status.ChangePending && len(v.Status.Members.Voters)-len(p.lost(v)) < v.TargetVoters
+func (p *Planner) NeedsVoter(view View) bool {
+	return view.Status.LeaderReady && !view.Status.ChangePending && len(view.Status.Members.Voters)-len(p.lost(view)) < view.TargetVoters
 }
 
 func (p *Planner) initMaps() {
@@ -80,16 +80,16 @@
 
 // lost lists the voters that need a replacement: first those no longer in the directory, then
 // silent ones, then retiring ones.
-func (p *Planner) lost(v View) []replica.NodeID {
+func (p *Planner) lost(view View) []replica.NodeID {
 	var gone, silent, retiring []replica.NodeID
-	for _, id := range v.Status.Members.Voters {
-		n, known := findNode(v.Nodes, id)
+	for _, id := range view.Status.Members.Voters {
+		n, known := findNode(view.Nodes, id)
 		switch {
-		case !known && id != v.Status.Self:
+		case !known && id != view.Status.Self:
 			gone = append(gone, id)
-		case id != v.Status.Self && v.Now-v.Status.LastHeard[id] > v.LostAfter:
+		case id != view.Status.Self && view.Now-view.Status.LastHeard[id] > view.LostAfter:
 			silent = append(silent, id)
-		case known && slices.Contains(v.Retiring, n.Name):
+		case known && slices.Contains(view.Retiring, n.Name):
 			retiring = append(retiring, id)
 		}
 	}
@@ -98,17 +98,17 @@
 
 // surplusVoter returns the voter to remove: the last one in the group's rendezvous order,
 // never the leader.
-func (p *Planner) surplusVoter(v View) replica.NodeID {
-	voters := slices.DeleteFunc(slices.Clone(v.Status.Members.Voters), func(id replica.NodeID) bool { return id == v.Status.Self })
-	ranked := hashing.Rank(string(v.Status.Group), voters, func(id replica.NodeID) uint64 { return uint64(id) })
+func (p *Planner) surplusVoter(view View) replica.NodeID {
+	voters := slices.DeleteFunc(slices.Clone(view.Status.Members.Voters), func(id replica.NodeID) bool { return id == view.Status.Self })
+	ranked := hashing.Rank(string(view.Status.Group), voters, func(id replica.NodeID) uint64 { return uint64(id) })
 	return ranked[len(ranked)-1]
 }
 
 // promote makes a learner that has caught up a voter.
-func (p *Planner) promote(v View) (replica.Members, bool) {
-	current := v.Status.Members
-	for _, n := range p.candidates(v) {
-		if !slices.Contains(current.Learners, n.ID) || !heardRecently(v, n.ID) || !hasCaughtUp(v, n.ID) {
+func (p *Planner) promote(view View) (replica.Members, bool) {
+	current := view.Status.Members
+	for _, n := range p.candidates(view) {
+		if !slices.Contains(current.Learners, n.ID) || !heardRecently(view, n.ID) || !hasCaughtUp(view, n.ID) {
 			continue
 		}
 		delete(p.invited, n.ID)
@@ -120,66 +120,66 @@
 }
 
 // invite makes a node a learner, or gives up one that does not respond.
-func (p *Planner) invite(v View) (replica.Members, bool) {
-	current := v.Status.Members
+func (p *Planner) invite(view View) (replica.Members, bool) {
+	current := view.Status.Members
 	for _, id := range slices.Sorted(maps.Keys(p.invited)) {
 		if !slices.Contains(current.Learners, id) {
 			delete(p.invited, id)
 			continue
 		}
-		if n, known := findNode(v.Nodes, id); !known || slices.Contains(v.Retiring, n.Name) {
+		if n, known := findNode(view.Nodes, id); !known || slices.Contains(view.Retiring, n.Name) {
 			delete(p.invited, id) // it is retiring, or its machine came back as another node
 			return withoutMember(current, id), true
 		}
-		if heardRecently(v, id) || v.Now-p.invited[id] < learnerContactTimeout {
+		if heardRecently(view, id) || view.Now-p.invited[id] < learnerContactTimeout {
 			return current, false // it is still catching up
 		}
 		delete(p.invited, id)
-		p.timedOut[id] = v.Now
+		p.timedOut[id] = view.Now
 		return withoutMember(current, id), true
 	}
-	for _, n := range p.candidates(v) {
-		if at, tried := p.timedOut[n.ID]; tried && v.Now-at < 2*learnerContactTimeout {
+	for _, n := range p.candidates(view) {
+		if at, tried := p.timedOut[n.ID]; tried && view.Now-at < 2*learnerContactTimeout {
 			continue
 		}
 		if slices.Contains(current.Learners, n.ID) {
-			if v.AllAsLearners {
+			if view.AllAsLearners {
 				continue // it is a learner anyway and will catch up
 			}
-			p.invited[n.ID] = v.Now // invited by an earlier leader
+			p.invited[n.ID] = view.Now // invited by an earlier leader
 			return current, false
 		}
-		p.invited[n.ID] = v.Now
+		p.invited[n.ID] = view.Now
 		return replica.Members{Voters: current.Voters, Learners: append(slices.Clone(current.Learners), n.ID)}, true
 	}
 	return current, false
 }
 
 // candidates returns the nodes that may become voters, in the group's rendezvous order.
-func (p *Planner) candidates(v View) []protocol.Node {
+func (p *Planner) candidates(view View) []protocol.Node {
 	var nodes []protocol.Node
-	for _, n := range v.Alive {
-		if !slices.Contains(v.Status.Members.Voters, n.ID) && !slices.Contains(v.Retiring, n.Name) {
+	for _, n := range view.Alive {
+		if !slices.Contains(view.Status.Members.Voters, n.ID) && !slices.Contains(view.Retiring, n.Name) {
 			nodes = append(nodes, n)
 		}
 	}
-	return hashing.Rank(string(v.Status.Group), nodes, func(n protocol.Node) uint64 { return uint64(n.ID) })
+	return hashing.Rank(string(view.Status.Group), nodes, func(n protocol.Node) uint64 { return uint64(n.ID) })
 }
 
 // planLearners corrects the set of learners: all nodes that are not voters if AllAsLearners
 // is set, otherwise only those that are to become voters.
-func (p *Planner) planLearners(v View) (replica.Members, bool) {
-	current := v.Status.Members
+func (p *Planner) planLearners(view View) (replica.Members, bool) {
+	current := view.Status.Members
 	var want []replica.NodeID
-	for _, n := range v.Nodes {
-		if v.AllAsLearners && !slices.Contains(current.Voters, n.ID) {
+	for _, n := range view.Nodes {
+		if view.AllAsLearners && !slices.Contains(current.Voters, n.ID) {
 			want = append(want, n.ID)
 		}
 	}
 	for _, id := range current.Learners {
 		_, invited := p.invited[id]
-		_, known := findNode(v.Nodes, id)
-		if !v.AllAsLearners && invited && known {
+		_, known := findNode(view.Nodes, id)
+		if !view.AllAsLearners && invited && known {
 			want = append(want, id)
 		}
 	}
@@ -201,15 +201,15 @@
 
 // heardRecently reports whether a node responded within half the time after which it counts
 // as lost.
-func heardRecently(v View, id replica.NodeID) bool {
-	at, ok := v.Status.LastHeard[id]
-	return ok && v.Now-at <= v.LostAfter/2
+func heardRecently(view View, id replica.NodeID) bool {
+	at, ok := view.Status.LastHeard[id]
+	return ok && view.Now-at <= view.LostAfter/2
 }
 
 // hasCaughtUp reports whether a learner holds all committed entries except the newest ones.
-func hasCaughtUp(v View, id replica.NodeID) bool {
-	matched := v.Status.MatchIndex[id]
-	return matched > 0 && matched+maxPromotionLag >= v.Status.CommitIndex
+func hasCaughtUp(view View, id replica.NodeID) bool {
+	matched := view.Status.MatchIndex[id]
+	return matched > 0 && matched+maxPromotionLag >= view.Status.CommitIndex
 }
 
 func withoutMember(m replica.Members, id replica.NodeID) replica.Members {
--- a/internal/barograph/revisions/revisions.go
+++ b/internal/barograph/revisions/revisions.go
@@ -71,7 +71,7 @@
 	StaleRevision        // the revision isn't above the current one
 	UnknownNode          // no such node or partition
 	TooFewNodes          // too few nodes would remain
-	Unreadable
+	Unreadable           // the command cannot be decoded or does not fit the current configuration
 )
 
 // Bytes encodes the result.
--- a/internal/barograph/turns/turns.go
+++ b/internal/barograph/turns/turns.go
@@ -105,7 +105,7 @@
 	lastUsed     time.Duration
 }
 
-// reservation is the most an open attempt may produce, and the token of its owner.
+// reservation is the most an open attempt may produce, and the token of its admission.
 type reservation struct {
 	MaxTokens uint64 `cbor:"1,keyasint"`
 	Token     uint64 `cbor:"2,keyasint"`
