--- a/internal/barograph/lister/lister.go
+++ b/internal/barograph/lister/lister.go
@@ -45,8 +45,8 @@
 }
 
 // Interval returns the time between two listings for a bound on propagating a drain.
-func Interval(drain time.Duration) time.Duration {
-	return min(max(time.Duration(drainBoundShare*float64(drain)), minListInterval), maxListInterval)
+func Interval(drainBound time.Duration) time.Duration {
+	return min(max(time.Duration(drainBoundShare*float64(drainBound)), minListInterval), maxListInterval)
 }
 
 // Lister lists the servers while its node holds the task.
@@ -59,8 +59,8 @@
 }
 
 // New returns a Lister with the given time between two listings.
-func New(p Platform, d Task, interval time.Duration) *Lister {
-	return &Lister{platform: p, task: d, interval: interval}
+func New(platform Platform, task Task, interval time.Duration) *Lister {
+	return &Lister{platform: platform, task: task, interval: interval}
 }
 
 // Run calls ListOnce periodically until ctx ends.
