--- a/cmd/barograph/main.go
+++ b/cmd/barograph/main.go
@@ -29,15 +29,16 @@
 // version is what the version command prints.
 const version = "0.1"
 
+// commands are the subcommands. kong derives their names and flags from the field names.
 type commands struct {
-	Coordinate coordinateCommand `cmd:"" help:"Keep configuration, services and duties, and answer the operators (core machines)."`
-	Keep       keepCommand       `cmd:"" help:"Keep turns and budgets (storage machines)."`
-	Check      checkCommand      `cmd:"" help:"Check a settings file or an operators' configuration and say what is wrong with it."`
+	Coordinate coordinateCommand `cmd:"" help:"Replicate configuration, services and singleton tasks, and answer the operators (core machines)."`
+	Keep       keepCommand       `cmd:"" help:"Replicate turns and budgets (storage machines)."`
+	Check      checkCommand      `cmd:"" help:"Check a settings file or an operators' configuration and report errors."`
 	Version    versionCommand    `cmd:"" help:"Print the version."`
 }
 
 type coordinateCommand struct {
-	LogLevel slog.Level `default:"info" help:"Least level of log lines: debug, info, warn or error."`
+	LogLevel slog.Level `default:"info" help:"Minimum level of log lines: debug, info, warn or error."`
 }
 
 // Run implements the command.
@@ -56,8 +57,8 @@
 	}
 	defer n.Close()
 	core, err := coordinator.New(coordinator.Options{
-		Node: n, Losses: s.FaultTolerance.MachineLosses, First: options.First, Seeds: options.Seeds,
-		ConfigApply: s.Bounds.ConfigApply, Drain: s.Bounds.Drain,
+		Node: n, ToleratedLosses: s.FaultTolerance.MachineLosses, Bootstrap: options.Bootstrap, Seeds: options.Seeds,
+		ConfigApply: s.Bounds.ConfigApply, DrainBound: s.Bounds.Drain,
 	})
 	if err != nil {
 		return err
@@ -73,12 +74,12 @@
 	server := operators.NewServer(operators.Options{Authority: core})
 	defer server.Close()
 	go server.Serve(api)
-	klog.InfoS("Keeps configuration and services", "id", n.Self.ID, "address", options.Address, "first", options.First)
-	return ended(ctx, core.Run(ctx, l, platform.New(s.CloudAPI.Address)))
+	klog.InfoS("Replicating configuration and services", "id", n.Self.ID, "address", options.Address, "first", options.Bootstrap)
+	return ignoreShutdown(ctx, core.Run(ctx, l, platform.New(s.CloudAPI.Address)))
 }
 
 type keepCommand struct {
-	LogLevel slog.Level `default:"info" help:"Least level of log lines: debug, info, warn or error."`
+	LogLevel slog.Level `default:"info" help:"Minimum level of log lines: debug, info, warn or error."`
 }
 
 // Run implements the command.
@@ -91,37 +92,38 @@
 	if err != nil {
 		return err
 	}
-	var keeping atomic.Pointer[keeper.Keeper]
-	options.Unknown = func(group replica.GroupID) bool {
-		k := keeping.Load()
-		return k != nil && k.Follow(group)
+	var running atomic.Pointer[keeper.Keeper]
+	options.OnUnknownGroup = func(group replica.GroupID) bool {
+		k := running.Load()
+		return k != nil && k.JoinGroup(group)
 	}
 	n, err := node.Open(options)
 	if err != nil {
 		return err
 	}
 	defer n.Close()
-	k, err := keeper.New(keeper.Options{Node: n, Name: s.NodeName, Losses: s.FaultTolerance.MachineLosses, Seeds: options.Seeds})
+	k, err := keeper.New(keeper.Options{Node: n, Name: s.NodeName, ToleratedLosses: s.FaultTolerance.MachineLosses, Seeds: options.Seeds})
 	if err != nil {
 		return err
 	}
-	keeping.Store(k)
+	running.Store(k)
 	l, err := link.Listen(options.Address)
 	if err != nil {
 		return errors.Wrap(err, "listen for other processes")
 	}
-	klog.InfoS("Keeps turns", "id", n.Self.ID, "address", options.Address)
-	return ended(ctx, k.Run(ctx, l))
+	klog.InfoS("Replicating turns", "id", n.Self.ID, "address", options.Address)
+	return ignoreShutdown(ctx, k.Run(ctx, l))
 }
 
-// ended tells an end that was asked for from a failure.
-func ended(ctx context.Context, err error) error {
+// ignoreShutdown returns nil if the process was asked to end, otherwise the error.
+func ignoreShutdown(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
+// nodeOptions returns the options of a node that stores data, from the settings.
 func nodeOptions(s *settings.Settings, class protocol.Class, offset int) (node.Options, error) {
 	if s.DataDir == "" {
 		return node.Options{}, &settings.FieldError{File: settings.Path(), Key: "dataDir", Reason: "must be given: this role keeps data"}
@@ -131,7 +133,7 @@
 	}
 	return node.Options{
 		Name: s.NodeName, Zone: s.Zone, Class: class, Address: process.InternalAddress(s, offset), DataDir: s.DataDir,
-		First: s.Bootstrap, Seeds: process.InternalSeeds(s, protocol.CorePort),
+		Bootstrap: s.Bootstrap, Seeds: process.InternalSeeds(s, protocol.CorePort),
 	}, nil
 }
 
--- a/internal/barograph/keeper/keeper.go
+++ b/internal/barograph/keeper/keeper.go
@@ -1,5 +1,5 @@
-// Package keeper is a storage node: with others of its class it keeps the turns of
-// programs and what the programs may still put out.
+// Package keeper is a storage node: with others of its class it replicates the turns of
+// programs and the programs' remaining token budgets.
 package keeper
 
 import (
@@ -25,43 +25,43 @@
 )
 
 const (
-	// repairEvery is how often an owner looks whether its partition needs another member.
-	repairEvery = 150 * time.Millisecond
-	// forgetEvery is how often an owner looks for programs that are kept no longer.
-	forgetEvery = 5 * time.Second
-	// keepLonger is added to the time for which programs are kept, and forgetMost how many
-	// are forgotten at once.
-	keepLonger = 10 * time.Second
-	forgetMost = 64
-	// submitWithin bounds a command of this node's own.
-	submitWithin = 2 * time.Second
+	// repairInterval is how often a leader checks whether its partition needs another member.
+	repairInterval = 150 * time.Millisecond
+	// forgetInterval is how often a leader looks for programs whose retention has passed.
+	forgetInterval = 5 * time.Second
+	// retentionSlack is added to the retention of programs. maxForgottenAtOnce is how many are
+	// forgotten with one command.
+	retentionSlack     = 10 * time.Second
+	maxForgottenAtOnce = 64
+	// submitTimeout bounds a command that this node itself submits.
+	submitTimeout = 2 * time.Second
 )
 
 // Keeper is a storage node.
 type Keeper struct {
-	node     *node.Node
-	losses   int
-	follower *follow.Follower
+	node            *node.Node
+	toleratedLosses int
+	follower        *follow.Follower
 
-	mu       sync.Mutex
-	held     map[int]bool // partitions whose group is open here
-	planners map[int]*repair.Planner
-	reported map[int]uint64 // the change of members that the directory was told of
+	mu             sync.Mutex
+	openPartitions map[int]bool // partitions whose group runs here
+	planners       map[int]*repair.Planner
+	reported       map[int]uint64 // not read: membership changes that were reported to the directory
 }
 
-// Options are what a Keeper needs.
+// Options configure a Keeper.
 type Options struct {
-	Node   *node.Node
-	Name   string
-	Losses int
-	Seeds  []string
+	Node            *node.Node
+	Name            string
+	ToleratedLosses int
+	Seeds           []string
 }
 
-// New restores the groups that the disk holds.
-func New(o Options) (*Keeper, error) {
-	k := &Keeper{node: o.Node, losses: o.Losses, held: map[int]bool{}, planners: map[int]*repair.Planner{}, reported: map[int]uint64{}}
-	k.follower = follow.New(follow.Options{Name: o.Name, Seeds: o.Seeds, Slots: o.Losses + 1, DirectoryOnly: true, Pool: o.Node.Pool, Told: k.told})
-	for _, group := range o.Node.Host.StoredGroups() {
+// New restores the groups that are stored on the disk.
+func New(options Options) (*Keeper, error) {
+	k := &Keeper{node: options.Node, toleratedLosses: options.ToleratedLosses, openPartitions: map[int]bool{}, planners: map[int]*repair.Planner{}, reported: map[int]uint64{}}
+	k.follower = follow.New(follow.Options{Name: options.Name, Seeds: options.Seeds, Slots: options.ToleratedLosses + 1, DirectoryOnly: true, Pool: options.Node.Pool, Told: k.applyUpdate})
+	for _, group := range options.Node.Host.StoredGroups() {
 		partition, ok := protocol.TurnPartitionOf(group)
 		if !ok {
 			continue
@@ -73,49 +73,49 @@
 	return k, nil
 }
 
-// open opens the group of a partition, with its first members where it is new.
+// open starts the group of a partition, with its initial members if it is new.
 func (k *Keeper) open(partition int, first replica.Members) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.held[partition] {
+	if k.openPartitions[partition] {
 		return nil
 	}
 	if err := k.node.Host.Add(protocol.TurnGroup(partition), first, nil, turns.New(k.node.Now)); err != nil {
 		return err
 	}
-	k.held[partition] = true
+	k.openPartitions[partition] = true
 	k.planners[partition] = &repair.Planner{}
 	return nil
 }
 
-// Follow opens the group of a partition that another member speaks of. It is for
-// host.Options.Unknown.
-func (k *Keeper) Follow(group replica.GroupID) bool {
+// JoinGroup starts the group of a partition that another member mentions. It is meant for
+// host.Options.OnUnknownGroup.
+func (k *Keeper) JoinGroup(group replica.GroupID) bool {
 	partition, ok := protocol.TurnPartitionOf(group)
 	if !ok {
 		return false
 	}
 	if err := k.open(partition, replica.Members{}); err != nil {
-		klog.ErrorS(err, "A partition can't be followed", "partition", partition)
+		klog.ErrorS(err, "Joining a partition's group failed", "partition", partition)
 		return false
 	}
 	return true
 }
 
-// told takes news of the control plane.
-func (k *Keeper) told(n follow.News) {
+// applyUpdate applies an update from the control plane.
+func (k *Keeper) applyUpdate(n follow.News) {
 	if n.Directory == nil {
 		return
 	}
 	k.node.Learn(*n.Directory)
 	for partition, p := range n.Directory.Partitions {
-		// Who finds itself among the first members begins the group; a later member is
-		// brought in by the group's owner.
+		// An initial member creates the group itself. A later member is added by the
+		// group's leader.
 		if p.Change != 0 || !slices.Contains(p.Voters, k.node.Self.ID) {
 			continue
 		}
 		if err := k.open(partition, replica.Members{Voters: p.Voters}); err != nil {
-			klog.ErrorS(err, "A partition can't be opened", "partition", partition)
+			klog.ErrorS(err, "Starting a partition's group failed", "partition", partition)
 		}
 	}
 }
@@ -126,13 +126,14 @@
 	defer cancel()
 	go k.follower.Run(ctx)
 	go coordinator.Register(ctx, k.node, k.follower.Directory)
-	go k.every(ctx, repairEvery, k.tend)
-	go k.every(ctx, forgetEvery, k.forget)
-	return k.node.Serve(ctx, l, map[string]any{"Turns": &turnCalls{k}})
+	go k.runEvery(ctx, repairInterval, k.maintainPartitions)
+	go k.runEvery(ctx, forgetInterval, k.forgetIdlePrograms)
+	return k.node.Serve(ctx, l, map[string]any{"Turns": &turnsService{k}})
 }
 
-func (k *Keeper) every(ctx context.Context, pause time.Duration, step func(context.Context)) {
-	tick := time.NewTicker(pause)
+// runEvery calls step at a fixed interval until ctx ends.
+func (k *Keeper) runEvery(ctx context.Context, interval time.Duration, step func(context.Context)) {
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -144,14 +145,15 @@
 	}
 }
 
+// partitions returns the partitions whose groups run here, in order.
 func (k *Keeper) partitions() []int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return slices.Sorted(maps.Keys(k.held))
+	return slices.Sorted(maps.Keys(k.openPartitions))
 }
 
-// tend sees to the members of the partitions that this node owns.
-func (k *Keeper) tend(ctx context.Context) {
+// maintainPartitions checks the members of the partitions that this node leads.
+func (k *Keeper) maintainPartitions(ctx context.Context) {
 	directory := k.follower.Directory()
 	if len(directory.Partitions) == 0 {
 		return
@@ -167,55 +169,56 @@
 	done.Wait()
 }
 
-// repair makes one change to a partition's members where one is due, and has the
-// directory tell of changes that are made.
-func (k *Keeper) repair(ctx context.Context, partition int, status replica.Status, d protocol.Directory) {
-	ctx, cancel := context.WithTimeout(ctx, submitWithin)
+// repair makes one membership change of a partition if one is due, and reports changed members
+// to the directory.
+func (k *Keeper) repair(ctx context.Context, partition int, status replica.Status, directory protocol.Directory) {
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	if k.handOver(status, d) {
+	if k.transferLeadership(status, directory) {
 		return
 	}
-	if partition >= len(d.Partitions) {
+	if partition >= len(directory.Partitions) {
 		return
 	}
-	nodes := coordinator.OfClass(d, protocol.Storage)
+	nodes := coordinator.NodesOfClass(directory, protocol.Storage)
 	staying := 0
 	for _, n := range nodes {
-		if !slices.Contains(d.Retiring, n.Name) {
+		if !slices.Contains(directory.Retiring, n.Name) {
 			staying++
 		}
 	}
-	view := repair.View{Status: status, Now: k.node.Now(), Silent: node.Silent, Nodes: nodes, Retiring: d.Retiring, Voters: coordinator.Voters(k.losses, staying)}
+	view := repair.View{Status: status, Now: k.node.Now(), LostAfter: node.MemberLostAfter, Nodes: nodes, Retiring: directory.Retiring, TargetVoters: coordinator.FeasibleVoters(k.toleratedLosses, staying)}
 	planner := k.planner(partition)
-	if planner.Wanting(view) {
+	if planner.NeedsVoter(view) {
 		view.Alive = k.node.Alive(ctx, nodes)
 	}
 	next, due := planner.Plan(view)
-	if !slices.Equal(d.Partitions[partition].Voters, next.Voters) {
-		k.report(ctx, partition, status, d)
+	if !slices.Equal(directory.Partitions[partition].Voters, next.Voters) {
+		k.reportMembers(ctx, partition, status, directory)
 	}
-	if !due || !k.announce(ctx, partition, status, d, next) {
+	if !due || !k.announceVoter(ctx, partition, status, directory, next) {
 		return
 	}
 	err := k.node.Host.ChangeMembers(ctx, protocol.TurnGroup(partition), next)
-	klog.InfoS("The members of a partition change", "partition", partition, "from", status.Members, "to", next, "cause", err)
+	klog.InfoS("Membership change of a partition", "partition", partition, "from", status.Members, "to", next, "cause", err)
 }
 
+// planner returns the repair planner of a partition.
 func (k *Keeper) planner(partition int) *repair.Planner {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.planners[partition]
 }
 
-// handOver gives the ownership away where this node is to be emptied and others can do
-// without it.
-func (k *Keeper) handOver(status replica.Status, d protocol.Directory) bool {
-	if !slices.Contains(d.Retiring, k.node.Self.Name) {
+// transferLeadership gives up the leadership if this node is retiring and another voter is
+// ready to lead.
+func (k *Keeper) transferLeadership(status replica.Status, directory protocol.Directory) bool {
+	if !slices.Contains(directory.Retiring, k.node.Self.Name) {
 		return false
 	}
 	for _, id := range status.Members.Voters {
 		n, known := k.node.Addresses.Find(id)
-		if id == k.node.Self.ID || !known || slices.Contains(d.Retiring, n.Name) || status.MatchIndex[id] < status.CommitIndex {
+		if id == k.node.Self.ID || !known || slices.Contains(directory.Retiring, n.Name) || status.MatchIndex[id] < status.CommitIndex {
 			continue
 		}
 		return k.node.Host.TransferLeadership(status.Group, id) == nil
@@ -223,73 +226,77 @@
 	return false
 }
 
-// report has the directory tell who keeps a partition now, also where somebody who was
-// announced didn't become a voter. Who still is to become one stays announced: if it were taken
-// back first, an announcement whose answer is lost could undo itself again and again.
-func (k *Keeper) report(ctx context.Context, partition int, status replica.Status, d protocol.Directory) {
-	told := d.Partitions[partition]
-	if status.ChangePending || slices.Equal(told.Voters, status.Members.Voters) {
+// reportMembers updates the directory with a partition's current voters, also when an announced
+// node did not become a voter. A node that is still to become one stays announced: if the
+// announcement were reverted first, one whose reply is lost could revert itself repeatedly.
+func (k *Keeper) reportMembers(ctx context.Context, partition int, status replica.Status, directory protocol.Directory) {
+	listed := directory.Partitions[partition]
+	if status.ChangePending || slices.Equal(listed.Voters, status.Members.Voters) {
 		return
 	}
-	moved := &revisions.Moved{Partition: partition, Change: status.CommitIndex, Voters: status.Members.Voters}
-	if told.Change == status.CommitIndex {
-		moved.Step = told.Step + 1
+	update := &revisions.MembershipUpdate{Partition: partition, Change: status.CommitIndex, Voters: status.Members.Voters}
+	if listed.Change == status.CommitIndex {
+		update.Step = listed.Step + 1
 	}
-	if _, err := k.move(ctx, moved); err != nil {
-		klog.V(1).InfoS("The directory isn't told of a partition's members yet", "partition", partition, "cause", err)
+	if _, err := k.submitMembership(ctx, update); err != nil {
+		klog.V(1).InfoS("Reporting a partition's members to the directory failed; will retry", "partition", partition, "cause", err)
 	}
 }
 
-// announce has the directory tell who is about to become a voter of a partition. Where it is
-// false nobody may: the directory is another by now, or the node is to be emptied.
-func (k *Keeper) announce(ctx context.Context, partition int, status replica.Status, d protocol.Directory, next replica.Members) bool {
+// announceVoter announces in the directory which node is about to become a voter of a partition.
+// If it returns false, the node must not become one: the directory has changed, or the node is
+// retiring.
+func (k *Keeper) announceVoter(ctx context.Context, partition int, status replica.Status, directory protocol.Directory, next replica.Members) bool {
 	if len(next.Voters) <= len(status.Members.Voters) {
-		return true // nobody becomes a voter: one comes or goes at a time
+		return true // no new voter: a change adds or removes one node
 	}
-	moved := &revisions.Moved{Partition: partition, Change: status.CommitIndex, Ahead: true, Voters: next.Voters}
-	if told := d.Partitions[partition]; told.Change == status.CommitIndex {
-		moved.Step = told.Step + 1
+	update := &revisions.MembershipUpdate{Partition: partition, Change: status.CommitIndex, Announced: true, Voters: next.Voters}
+	if listed := directory.Partitions[partition]; listed.Change == status.CommitIndex {
+		update.Step = listed.Step + 1
 	}
-	result, err := k.move(ctx, moved)
-	if err != nil || result != revisions.Taken {
-		klog.V(1).InfoS("A partition gets no new voter yet", "partition", partition, "result", result, "cause", err)
+	result, err := k.submitMembership(ctx, update)
+	if err != nil || result != revisions.Accepted {
+		klog.V(1).InfoS("Announcing a partition's new voter failed; will retry", "partition", partition, "result", result, "cause", err)
 		return false
 	}
-	now, err := k.node.Host.Status(status.Group)
-	return err == nil && now.Term == status.Term && now.MembersIndex == status.MembersIndex
+	latest, err := k.node.Host.Status(status.Group)
+	return err == nil && latest.Term == status.Term && latest.MembersIndex == status.MembersIndex
 }
 
-// move tells the directory of a partition's members.
-func (k *Keeper) move(ctx context.Context, moved *revisions.Moved) (revisions.Result, error) {
-	command := revisions.Command{Moved: moved}
+// submitMembership submits a partition's members to the directory.
+func (k *Keeper) submitMembership(ctx context.Context, update *revisions.MembershipUpdate) (revisions.Result, error) {
+	command := revisions.Command{Membership: update}
 	text, err := command.Encode()
 	if err != nil {
 		return 0, err
 	}
-	answer, err := k.node.Submit(ctx, protocol.ConfigurationGroup, text)
+	reply, err := k.node.Submit(ctx, protocol.ConfigurationGroup, text)
 	if err != nil {
 		return 0, err
 	}
-	return revisions.ReadResult(answer)
+	return revisions.ReadResult(reply)
 }
 
-// forget drops programs that are kept no longer, in the partitions that this node owns.
-func (k *Keeper) forget(ctx context.Context) {
+// forgetIdlePrograms drops programs whose retention has passed, in the partitions that this
+// node leads.
+func (k *Keeper) forgetIdlePrograms(ctx context.Context) {
 	for _, partition := range k.partitions() {
 		group := protocol.TurnGroup(partition)
 		status, err := k.node.Host.Status(group)
 		if err != nil || !status.LeaderReady {
 			continue
 		}
-		var resting []turns.Rest
-		k.node.Host.ReadLocal(group, func(m host.StateMachine) { resting = m.(*turns.Machine).Resting(keepLonger, forgetMost) })
-		if len(resting) == 0 {
+		var idle []turns.IdleProgram
+		k.node.Host.ReadLocal(group, func(m host.StateMachine) {
+			idle = m.(*turns.Machine).IdlePrograms(retentionSlack, maxForgottenAtOnce)
+		})
+		if len(idle) == 0 {
 			continue
 		}
-		command := turns.Command{Forget: resting}
+		command := turns.Command{Forget: idle}
 		if text, err := command.Encode(); err == nil {
-			one, cancel := context.WithTimeout(ctx, submitWithin)
-			k.node.Host.Propose(one, group, text)
+			submitCtx, cancel := context.WithTimeout(ctx, submitTimeout)
+			k.node.Host.Propose(submitCtx, group, text)
 			cancel()
 		}
 	}
--- a/internal/barograph/lister/lister.go
+++ b/internal/barograph/lister/lister.go
@@ -1,5 +1,5 @@
-// Package lister carries out the duty of asking the platform which servers exist. One
-// node holds it at a time; what it sees goes to the owners of the services' partitions.
+// Package lister carries out a singleton task: listing the platform's servers. One node holds
+// the task at a time. It sends what changed to the leaders of the service partitions.
 package lister
 
 import (
@@ -15,14 +15,16 @@
 )
 
 const (
-	// pauseShare is the part of the drain bound that passes between two listings: a drain must
-	// be known everywhere within that bound, also where a listing fails or the duty changes
-	// hands, and each call has a price. leastPause and mostPause bound the pause.
-	pauseShare = 0.25
-	leastPause = 500 * time.Millisecond
-	mostPause  = time.Second
-	// giveUpAfter is how many listings may fail in a row before the duty is handed on.
-	giveUpAfter = 4
+	// drainBoundShare is the part of the drain bound that may pass between two listings. A drain
+	// must be known everywhere within the bound, even when a listing fails or the task moves to
+	// another node; on the other hand each call has a cost. minListInterval and maxListInterval
+	// limit the interval.
+	drainBoundShare = 0.25
+	minListInterval = 500 * time.Millisecond
+	maxListInterval = time.Second
+	// maxConsecutiveFailures is how many listings in a row may fail before the task is handed to
+	// another node.
+	maxConsecutiveFailures = 4
 )
 
 // Platform lists the servers of all services.
@@ -30,43 +32,43 @@
 	List(ctx context.Context) (map[string][]protocol.Server, error)
 }
 
-// Duty is the holder's standing and how its news get out.
-type Duty interface {
-	// Held tells whether this node surely holds the duty now, and in which epoch.
+// Task is the node's hold on the singleton task, and the access to the service partitions.
+type Task interface {
+	// Held reports whether this node certainly holds the task now, and in which epoch.
 	Held() (epoch uint64, ok bool)
-	// Lists returns what a partition holds, as far as this node knows.
+	// Lists returns the lists of a partition, as far as this node knows.
 	Lists(partition int) []protocol.ServerList
-	// Publish hands a publication to a partition's owner.
+	// Publish sends a publication to the leader of a partition.
 	Publish(ctx context.Context, partition int, p *servers.Publication) error
-	// GiveUp hands the duty to another node.
+	// GiveUp hands the task to another node.
 	GiveUp()
 }
 
-// Pause is how long to wait between two listings, so that drains are known within a bound.
-func Pause(drain time.Duration) time.Duration {
-	return min(max(time.Duration(pauseShare*float64(drain)), leastPause), mostPause)
+// Interval returns the time between two listings for a bound on propagating a drain.
+func Interval(drainBound time.Duration) time.Duration {
+	return min(max(time.Duration(drainBoundShare*float64(drainBound)), minListInterval), maxListInterval)
 }
 
-// Lister carries out the duty while its node holds it.
+// Lister lists the servers while its node holds the task.
 type Lister struct {
-	pause    time.Duration
+	interval time.Duration
 	platform Platform
-	duty     Duty
+	task     Task
 	sequence uint64
 	failures int
 }
 
-// New returns a Lister that pauses for so long between two listings.
-func New(p Platform, d Duty, pause time.Duration) *Lister {
-	return &Lister{platform: p, duty: d, pause: pause}
+// New returns a Lister with the given time between two listings.
+func New(platform Platform, task Task, interval time.Duration) *Lister {
+	return &Lister{platform: platform, task: task, interval: interval}
 }
 
-// Run lists while the duty is held, until ctx ends.
+// Run calls ListOnce periodically until ctx ends.
 func (l *Lister) Run(ctx context.Context) {
-	tick := time.NewTicker(l.pause)
+	tick := time.NewTicker(l.interval)
 	defer tick.Stop()
 	for {
-		l.Once(ctx)
+		l.ListOnce(ctx)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -75,47 +77,48 @@
 	}
 }
 
-// Once lists where the duty is held, and publishes what has changed.
-func (l *Lister) Once(ctx context.Context) {
-	epoch, held := l.duty.Held()
+// ListOnce lists the servers if this node holds the task, and publishes the changes.
+func (l *Lister) ListOnce(ctx context.Context) {
+	epoch, held := l.task.Held()
 	if !held {
 		l.failures = 0
 		return
 	}
 	lists, err := l.platform.List(ctx)
 	if err != nil {
-		l.failed(err)
+		l.recordFailure(err)
 		return
 	}
 	l.failures = 0
 	for partition := range protocol.ServicePartitions {
-		changed := differences(partition, l.duty.Lists(partition), lists)
+		changed := changedServices(partition, l.task.Lists(partition), lists)
 		if len(changed) == 0 {
 			continue
 		}
 		l.sequence++
 		p := &servers.Publication{Epoch: epoch, Sequence: l.sequence, Services: changed}
-		if err := l.duty.Publish(ctx, partition, p); err != nil {
-			klog.ErrorS(err, "A change of servers didn't get to its partition; it is sent again", "partition", partition)
+		if err := l.task.Publish(ctx, partition, p); err != nil {
+			klog.ErrorS(err, "Publishing changed servers failed; will retry", "partition", partition)
 		}
 	}
 }
 
-func (l *Lister) failed(err error) {
+// recordFailure counts a failed listing, and hands the task on after too many in a row.
+func (l *Lister) recordFailure(err error) {
 	l.failures++
-	if l.failures < giveUpAfter {
+	if l.failures < maxConsecutiveFailures {
 		return
 	}
 	l.failures = 0
-	klog.ErrorS(err, "The platform's list can't be had from here: the duty goes to another node")
-	l.duty.GiveUp()
+	klog.ErrorS(err, "Listing the platform's servers keeps failing; handing the task to another node")
+	l.task.GiveUp()
 }
 
-// differences lists the services of a partition whose servers differ from what is held.
-func differences(partition int, held []protocol.ServerList, seen map[string][]protocol.Server) []servers.Service {
+// changedServices returns the services of a partition whose servers differ from the held ones.
+func changedServices(partition int, held []protocol.ServerList, seen map[string][]protocol.Server) []servers.Service {
 	var changed []servers.Service
 	for _, h := range held {
-		if !same(h.Servers, seen[h.Service]) {
+		if !sameServers(h.Servers, seen[h.Service]) {
 			changed = append(changed, servers.Service{Name: h.Service, Servers: seen[h.Service]})
 		}
 	}
@@ -129,9 +132,9 @@
 	return changed
 }
 
-// same tells whether two lists say the same. What is left of a server's warm-up passes by
-// itself and is no change.
-func same(a, b []protocol.Server) bool {
+// sameServers reports whether two lists are equal. The remaining warm-up time is ignored,
+// since it passes by itself.
+func sameServers(a, b []protocol.Server) bool {
 	return slices.EqualFunc(a, b, func(x, y protocol.Server) bool {
 		x.Warmup, y.Warmup = 0, 0
 		return x == y
--- a/internal/barograph/operators/connections.go
+++ b/internal/barograph/operators/connections.go
@@ -5,27 +5,27 @@
 	"sync"
 )
 
-// bounded accepts no more than a number of connections at once. Others wait in the
+// boundedListener limits the number of open connections. More connections wait in the
 // listener's queue until one is closed.
-type bounded struct {
+type boundedListener struct {
 	net.Listener
-	places chan struct{} // one element for each open connection
+	slots  chan struct{} // one element for each open connection
 	closed chan struct{}
 	once   sync.Once
 }
 
-func newBounded(listener net.Listener, most int) *bounded {
-	return &bounded{
+func newBoundedListener(listener net.Listener, maxConnections int) *boundedListener {
+	return &boundedListener{
 		Listener: listener,
-		places:   make(chan struct{}, most),
+		slots:    make(chan struct{}, maxConnections),
 		closed:   make(chan struct{}),
 	}
 }
 
-// Accept waits for a place, then for a connection.
-func (b *bounded) Accept() (net.Conn, error) {
+// Accept waits for a free slot, then for a connection.
+func (b *boundedListener) Accept() (net.Conn, error) {
 	select {
-	case b.places <- struct{}{}:
+	case b.slots <- struct{}{}:
 	case <-b.closed:
 		return nil, net.ErrClosed
 	}
@@ -34,33 +34,33 @@
 		b.release()
 		return nil, err
 	}
-	return &placed{Conn: accepted, release: sync.OnceFunc(b.release)}, nil
+	return &boundedConn{Conn: accepted, release: sync.OnceFunc(b.release)}, nil
 }
 
-// Close ends each Accept.
-func (b *bounded) Close() error {
+// Close ends pending calls of Accept.
+func (b *boundedListener) Close() error {
 	b.once.Do(func() { close(b.closed) })
 	return b.Listener.Close()
 }
 
-func (b *bounded) release() { <-b.places }
+func (b *boundedListener) release() { <-b.slots }
 
-// placed is a connection that gives its place free when it is closed.
-type placed struct {
+// boundedConn is a connection that frees its slot when it is closed.
+type boundedConn struct {
 	net.Conn
 	release func()
 }
 
-// Close closes the connection, once or more often.
-func (p *placed) Close() error {
+// Close closes the connection. It may be called more than once.
+func (p *boundedConn) Close() error {
 	err := p.Conn.Close()
 	p.release()
 	return err
 }
 
-// CloseWrite ends the connection's one half, so that net/http can let a client read an
-// answer before it closes the other.
-func (p *placed) CloseWrite() error {
+// CloseWrite closes the write half, so that net/http lets a client read the response before it
+// closes the connection.
+func (p *boundedConn) CloseWrite() error {
 	if half, ok := p.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
 	}
--- a/internal/barograph/operators/connections_test.go
+++ b/internal/barograph/operators/connections_test.go
@@ -11,13 +11,13 @@
 
 var errStopped = errors.New("stopped")
 
-// pipes is a listener that has a connection ready at any time, or a failure.
-type pipes struct {
+// fakeListener always has a connection ready, or fails.
+type fakeListener struct {
 	accepted int
 	fails    bool
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *fakeListener) Accept() (net.Conn, error) {
 	if p.fails {
 		return nil, errStopped
 	}
@@ -26,14 +26,14 @@
 	return ours, nil
 }
 
-func (p *pipes) Close() error { return nil }
+func (p *fakeListener) Close() error { return nil }
 
-func (p *pipes) Addr() net.Addr { return nil }
+func (p *fakeListener) Addr() net.Addr { return nil }
 
-func TestBoundedWaitsForAPlace(t *testing.T) {
+func TestBoundedListenerWaitsForAFreeSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		inner := new(pipes)
-		listener := newBounded(inner, 2)
+		inner := new(fakeListener)
+		listener := newBoundedListener(inner, 2)
 		first, err := listener.Accept()
 		assert.NilError(t, err)
 		_, err = listener.Accept()
@@ -49,7 +49,7 @@
 		assert.NilError(t, <-third)
 		assert.Equal(t, inner.accepted, 3)
 
-		// Closing twice gives one place free, not two.
+		// Closing twice must free one slot, not two.
 		_ = first.Close()
 		fourth := make(chan error, 1)
 		go func() {
@@ -63,9 +63,9 @@
 	})
 }
 
-func TestBoundedKeepsThePlaceOfAFailure(t *testing.T) {
-	inner := &pipes{fails: true}
-	listener := newBounded(inner, 1)
+func TestFailedAcceptFreesItsSlot(t *testing.T) {
+	inner := &fakeListener{fails: true}
+	listener := newBoundedListener(inner, 1)
 	for range 3 {
 		_, err := listener.Accept()
 		assert.ErrorIs(t, err, errStopped)
--- a/internal/barograph/operators/standin_test.go
+++ b/internal/barograph/operators/fake_authority_test.go
@@ -14,21 +14,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// testWithin bounds each wait of a test that should not wait.
-const testWithin = 20 * time.Second
+// testTimeout bounds waits that normally end at once.
+const testTimeout = 20 * time.Second
 
-// valid is a configuration that routing takes, with spaces that have to be kept.
+// valid is a configuration that routing accepts, with spaces that must be preserved.
 const valid = "{ \"configRevision\": 3,\n \"virtualServers\": [], \"pools\": [], \"new\": [1.50] }\n"
 
-// standIn is an Authority that answers as it is told and keeps what it was asked.
-type standIn struct {
-	replace     ReplaceOutcome
-	shown       []byte
-	showErr     error
-	retire      RetireOutcome
-	state       RetireState
-	stateErr    error
-	whileActive func(context.Context) // called within Replace
+// fakeAuthority is an Authority that returns set results and records its calls.
+type fakeAuthority struct {
+	replace   ReplaceOutcome
+	shown     []byte
+	showErr   error
+	retire    RetireOutcome
+	state     RetireState
+	stateErr  error
+	onReplace func(context.Context) // called within Replace
 
 	lock     sync.Mutex
 	replaces int
@@ -38,41 +38,41 @@
 	deadline time.Duration
 }
 
-func (s *standIn) Replace(ctx context.Context, base uint64, body []byte) ReplaceOutcome {
+func (s *fakeAuthority) Replace(ctx context.Context, base uint64, body []byte) ReplaceOutcome {
 	s.lock.Lock()
 	s.replaces++
 	s.base, s.body = base, string(body)
 	s.lock.Unlock()
-	if s.whileActive != nil {
-		s.whileActive(ctx)
+	if s.onReplace != nil {
+		s.onReplace(ctx)
 	}
 	return s.replace
 }
 
-func (s *standIn) Show(context.Context) ([]byte, error) { return s.shown, s.showErr }
+func (s *fakeAuthority) Show(context.Context) ([]byte, error) { return s.shown, s.showErr }
 
-func (s *standIn) RetireBegin(_ context.Context, node string, deadline time.Duration) RetireOutcome {
+func (s *fakeAuthority) RetireBegin(_ context.Context, node string, deadline time.Duration) RetireOutcome {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.node, s.deadline = node, deadline
 	return s.retire
 }
 
-func (s *standIn) RetireShow(_ context.Context, node string) (RetireState, error) {
+func (s *fakeAuthority) RetireShow(_ context.Context, node string) (RetireState, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.node = node
 	return s.state, s.stateErr
 }
 
-// asked gives how often Replace was called.
-func (s *standIn) asked() int {
+// replaceCalls returns how often Replace was called.
+func (s *fakeAuthority) replaceCalls() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.replaces
 }
 
-// serve runs a server on loopback for the time of a test and returns its address.
+// serve runs a server on loopback during a test and returns its address.
 func serve(t *testing.T, options Options) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,7 +87,7 @@
 	return listener.Addr().String()
 }
 
-// connection speaks to a server byte by byte.
+// connection sends raw requests to a server.
 type connection struct {
 	*net.TCPConn
 	t      *testing.T
@@ -96,11 +96,11 @@
 
 func dial(t *testing.T, address string) *connection {
 	t.Helper()
-	dialled, err := net.Dial("tcp", address)
+	conn, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
-	t.Cleanup(func() { _ = dialled.Close() })
-	assert.NilError(t, dialled.SetDeadline(time.Now().Add(testWithin)))
-	return &connection{TCPConn: dialled.(*net.TCPConn), t: t, reader: bufio.NewReader(dialled)}
+	t.Cleanup(func() { _ = conn.Close() })
+	assert.NilError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
+	return &connection{TCPConn: conn.(*net.TCPConn), t: t, reader: bufio.NewReader(conn)}
 }
 
 func (c *connection) send(text string) {
@@ -109,8 +109,8 @@
 	assert.NilError(c.t, err)
 }
 
-// answer reads one answer and its body, and checks that it states its length.
-func (c *connection) answer(method string) (*http.Response, string) {
+// readResponse reads a response and its body, and checks that it has a Content-Length.
+func (c *connection) readResponse(method string) (*http.Response, string) {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	assert.NilError(c.t, err)
@@ -129,6 +129,6 @@
 		request.Header[name] = []string{value}
 	}
 	assert.NilError(c.t, request.Write(c))
-	response, text := c.answer(method)
+	response, text := c.readResponse(method)
 	return response.StatusCode, text
 }
--- a/internal/barograph/repair/repair.go
+++ b/internal/barograph/repair/repair.go
@@ -1,6 +1,6 @@
-// Package repair decides how the members of a group change: who takes the place of a
-// member that is lost, retired or surplus. It is pure; the group's owner asks it again
-// and again and makes one change at a time, so that any two quorums overlap.
+// Package repair plans membership changes of a group: which node replaces a voter that is
+// lost, retiring or surplus. It is pure. The group's leader calls it periodically and makes
+// one change at a time, so that any two consecutive quorums overlap.
 package repair
 
 import (
@@ -13,183 +13,185 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// catchUpWithin is how long a learner may take to be heard from before another is tried.
-const catchUpWithin = 1500 * time.Millisecond
+// learnerContactTimeout is how long a new learner may take to respond before another node is
+// tried.
+const learnerContactTimeout = 1500 * time.Millisecond
 
-// lagMost is how many committed entries a learner may lack to become a voter. While commands
-// come in all the time it always lacks the newest ones; they are on their way to it.
-const lagMost = 64
+// maxPromotionLag is how many committed entries a learner may lack when it becomes a voter.
+// Under constant load it always lacks the newest ones, which are already on their way.
+const maxPromotionLag = 64
 
-// View is what a group's owner knows.
+// View is what the leader of a group knows.
 type View struct {
-	Status   replica.Status
-	Now      time.Duration
-	Silent   time.Duration   // a voter not heard from for this long counts as lost
-	Nodes    []protocol.Node // that may be members, of the right class
-	Alive    []protocol.Node // those of them that answer, where Wanting says so
-	Retiring []string        // names of nodes that must not be
-	Voters   int             // how many there should be
-	Everyone bool            // all other nodes follow as learners
+	Status        replica.Status
+	Now           time.Duration
+	LostAfter     time.Duration   // a voter not heard from for this long counts as lost
+	Nodes         []protocol.Node // nodes of the right class that may be members
+	Alive         []protocol.Node // those of Nodes that respond; needed only if NeedsVoter returns true
+	Retiring      []string        // names of nodes that must not be voters
+	TargetVoters  int             // how many voters the group should have
+	AllAsLearners bool            // all other nodes are learners
 }
 
-// Planner remembers who was tried in vain. The zero value is ready to use. Each group has
-// its own.
+// Planner remembers which nodes were invited as learners and which did not respond. The zero
+// value is ready to use. Each group has its own Planner.
 type Planner struct {
-	invited map[replica.NodeID]time.Duration // since when a node is a learner that is to vote
-	refused map[replica.NodeID]time.Duration // when a node did not catch up in time
+	invited  map[replica.NodeID]time.Duration // when a node became a learner that is to become a voter
+	timedOut map[replica.NodeID]time.Duration // when an invited node was given up
 }
 
-// Plan returns the members that the group should have next, and whether they differ.
-func (p *Planner) Plan(v View) (replica.Members, bool) {
-	now := v.Status.Members
-	if !v.Status.LeaderReady || v.Status.ChangePending {
-		return now, false
+// Plan returns the members that the group should have next, and whether they differ from the
+// current ones.
+func (p *Planner) Plan(view View) (replica.Members, bool) {
+	current := view.Status.Members
+	if !view.Status.LeaderReady || view.Status.ChangePending {
+		return current, false
 	}
-	p.begin()
-	lost := p.lost(v)
-	sound := len(now.Voters) - len(lost)
+	p.initMaps()
+	lost := p.lost(view)
+	healthy := len(current.Voters) - len(lost)
 	switch {
-	case len(lost) > 0 && len(now.Voters) > v.Voters, len(lost) > 0 && sound >= v.Voters:
-		return without(now, lost[0]), true
-	case len(now.Voters) > v.Voters:
-		return without(now, p.surplus(v)), true
-	case sound < v.Voters:
-		if next, ok := p.promote(v); ok {
+	case len(lost) > 0 && len(current.Voters) > view.TargetVoters, len(lost) > 0 && healthy >= view.TargetVoters:
+		return withoutMember(current, lost[0]), true
+	case len(current.Voters) > view.TargetVoters:
+		return withoutMember(current, p.surplusVoter(view)), true
+	case healthy < view.TargetVoters:
+		if next, ok := p.promote(view); ok {
 			return next, true
 		}
-		if next, ok := p.invite(v); ok {
+		if next, ok := p.invite(view); ok {
 			return next, true
 		}
 	}
-	return p.learners(v)
+	return p.planLearners(view)
 }
 
-// Wanting tells whether the group needs another member: who of the nodes answers must be
-// known for Plan then.
-func (p *Planner) Wanting(v View) bool {
-	return v.Status.LeaderReady && !v.Status.ChangePending && len(v.Status.Members.Voters)-len(p.lost(v)) < v.Voters
+// NeedsVoter reports whether the group needs another voter. If so, Plan needs View.Alive.
+func (p *Planner) NeedsVoter(view View) bool {
+	return view.Status.LeaderReady && !view.Status.ChangePending && len(view.Status.Members.Voters)-len(p.lost(view)) < view.TargetVoters
 }
 
-func (p *Planner) begin() {
+func (p *Planner) initMaps() {
 	if p.invited == nil {
 		p.invited = map[replica.NodeID]time.Duration{}
-		p.refused = map[replica.NodeID]time.Duration{}
+		p.timedOut = map[replica.NodeID]time.Duration{}
 	}
 }
 
-// lost lists the voters that need a successor, those first that are gone for good.
-func (p *Planner) lost(v View) []replica.NodeID {
-	var gone, silent, retired []replica.NodeID
-	for _, id := range v.Status.Members.Voters {
-		n, known := find(v.Nodes, id)
+// lost lists the voters that need a replacement: first those no longer in the directory, then
+// silent ones, then retiring ones.
+func (p *Planner) lost(view View) []replica.NodeID {
+	var gone, silent, retiring []replica.NodeID
+	for _, id := range view.Status.Members.Voters {
+		n, known := findNode(view.Nodes, id)
 		switch {
-		case !known && id != v.Status.Self:
+		case !known && id != view.Status.Self:
 			gone = append(gone, id)
-		case id != v.Status.Self && v.Now-v.Status.LastHeard[id] > v.Silent:
+		case id != view.Status.Self && view.Now-view.Status.LastHeard[id] > view.LostAfter:
 			silent = append(silent, id)
-		case known && slices.Contains(v.Retiring, n.Name):
-			retired = append(retired, id)
+		case known && slices.Contains(view.Retiring, n.Name):
+			retiring = append(retiring, id)
 		}
 	}
-	return slices.Concat(gone, silent, retired)
+	return slices.Concat(gone, silent, retiring)
 }
 
-// surplus is the voter that the group can best do without: the last in its order, never
-// the owner.
-func (p *Planner) surplus(v View) replica.NodeID {
-	voters := slices.DeleteFunc(slices.Clone(v.Status.Members.Voters), func(id replica.NodeID) bool { return id == v.Status.Self })
-	ranked := hashing.Rank(string(v.Status.Group), voters, func(id replica.NodeID) uint64 { return uint64(id) })
+// surplusVoter returns the voter to remove: the last one in the group's rendezvous order,
+// never the leader.
+func (p *Planner) surplusVoter(view View) replica.NodeID {
+	voters := slices.DeleteFunc(slices.Clone(view.Status.Members.Voters), func(id replica.NodeID) bool { return id == view.Status.Self })
+	ranked := hashing.Rank(string(view.Status.Group), voters, func(id replica.NodeID) uint64 { return uint64(id) })
 	return ranked[len(ranked)-1]
 }
 
 // promote makes a learner that has caught up a voter.
-func (p *Planner) promote(v View) (replica.Members, bool) {
-	now := v.Status.Members
-	for _, n := range p.candidates(v) {
-		if !slices.Contains(now.Learners, n.ID) || !heard(v, n.ID) || !caughtUp(v, n.ID) {
+func (p *Planner) promote(view View) (replica.Members, bool) {
+	current := view.Status.Members
+	for _, n := range p.candidates(view) {
+		if !slices.Contains(current.Learners, n.ID) || !heardRecently(view, n.ID) || !hasCaughtUp(view, n.ID) {
 			continue
 		}
 		delete(p.invited, n.ID)
-		next := replica.Members{Voters: append(slices.Clone(now.Voters), n.ID)}
-		next.Learners = slices.DeleteFunc(slices.Clone(now.Learners), func(id replica.NodeID) bool { return id == n.ID })
+		next := replica.Members{Voters: append(slices.Clone(current.Voters), n.ID)}
+		next.Learners = slices.DeleteFunc(slices.Clone(current.Learners), func(id replica.NodeID) bool { return id == n.ID })
 		return next, true
 	}
-	return now, false
+	return current, false
 }
 
-// invite makes a node a learner, or gives up one that isn't heard from.
-func (p *Planner) invite(v View) (replica.Members, bool) {
-	now := v.Status.Members
+// invite makes a node a learner, or gives up one that does not respond.
+func (p *Planner) invite(view View) (replica.Members, bool) {
+	current := view.Status.Members
 	for _, id := range slices.Sorted(maps.Keys(p.invited)) {
-		if !slices.Contains(now.Learners, id) {
+		if !slices.Contains(current.Learners, id) {
 			delete(p.invited, id)
 			continue
 		}
-		if n, known := find(v.Nodes, id); !known || slices.Contains(v.Retiring, n.Name) {
-			delete(p.invited, id) // it is to be emptied, or came back as another
-			return without(now, id), true
+		if n, known := findNode(view.Nodes, id); !known || slices.Contains(view.Retiring, n.Name) {
+			delete(p.invited, id) // it is retiring, or its machine came back as another node
+			return withoutMember(current, id), true
 		}
-		if heard(v, id) || v.Now-p.invited[id] < catchUpWithin {
-			return now, false // it is on its way
+		if heardRecently(view, id) || view.Now-p.invited[id] < learnerContactTimeout {
+			return current, false // it is still catching up
 		}
 		delete(p.invited, id)
-		p.refused[id] = v.Now
-		return without(now, id), true
+		p.timedOut[id] = view.Now
+		return withoutMember(current, id), true
 	}
-	for _, n := range p.candidates(v) {
-		if at, tried := p.refused[n.ID]; tried && v.Now-at < 2*catchUpWithin {
+	for _, n := range p.candidates(view) {
+		if at, tried := p.timedOut[n.ID]; tried && view.Now-at < 2*learnerContactTimeout {
 			continue
 		}
-		if slices.Contains(now.Learners, n.ID) {
-			if v.Everyone {
-				continue // it follows anyhow and will catch up
+		if slices.Contains(current.Learners, n.ID) {
+			if view.AllAsLearners {
+				continue // it is a learner anyway and will catch up
 			}
-			p.invited[n.ID] = v.Now // by an earlier owner
-			return now, false
+			p.invited[n.ID] = view.Now // invited by an earlier leader
+			return current, false
 		}
-		p.invited[n.ID] = v.Now
-		return replica.Members{Voters: now.Voters, Learners: append(slices.Clone(now.Learners), n.ID)}, true
+		p.invited[n.ID] = view.Now
+		return replica.Members{Voters: current.Voters, Learners: append(slices.Clone(current.Learners), n.ID)}, true
 	}
-	return now, false
+	return current, false
 }
 
-// candidates are the nodes that may become voters, in the group's order.
-func (p *Planner) candidates(v View) []protocol.Node {
+// candidates returns the nodes that may become voters, in the group's rendezvous order.
+func (p *Planner) candidates(view View) []protocol.Node {
 	var nodes []protocol.Node
-	for _, n := range v.Alive {
-		if !slices.Contains(v.Status.Members.Voters, n.ID) && !slices.Contains(v.Retiring, n.Name) {
+	for _, n := range view.Alive {
+		if !slices.Contains(view.Status.Members.Voters, n.ID) && !slices.Contains(view.Retiring, n.Name) {
 			nodes = append(nodes, n)
 		}
 	}
-	return hashing.Rank(string(v.Status.Group), nodes, func(n protocol.Node) uint64 { return uint64(n.ID) })
+	return hashing.Rank(string(view.Status.Group), nodes, func(n protocol.Node) uint64 { return uint64(n.ID) })
 }
 
-// learners keeps the learners as they should be: all other nodes, or none but those that
-// are to vote.
-func (p *Planner) learners(v View) (replica.Members, bool) {
-	now := v.Status.Members
+// planLearners corrects the set of learners: all nodes that are not voters if AllAsLearners
+// is set, otherwise only those that are to become voters.
+func (p *Planner) planLearners(view View) (replica.Members, bool) {
+	current := view.Status.Members
 	var want []replica.NodeID
-	for _, n := range v.Nodes {
-		if v.Everyone && !slices.Contains(now.Voters, n.ID) {
+	for _, n := range view.Nodes {
+		if view.AllAsLearners && !slices.Contains(current.Voters, n.ID) {
 			want = append(want, n.ID)
 		}
 	}
-	for _, id := range now.Learners {
+	for _, id := range current.Learners {
 		_, invited := p.invited[id]
-		_, known := find(v.Nodes, id)
-		if !v.Everyone && invited && known {
+		_, known := findNode(view.Nodes, id)
+		if !view.AllAsLearners && invited && known {
 			want = append(want, id)
 		}
 	}
 	slices.Sort(want)
-	have := slices.Sorted(slices.Values(now.Learners))
+	have := slices.Sorted(slices.Values(current.Learners))
 	if slices.Equal(want, have) {
-		return now, false
+		return current, false
 	}
-	return replica.Members{Voters: now.Voters, Learners: want}, true
+	return replica.Members{Voters: current.Voters, Learners: want}, true
 }
 
-func find(nodes []protocol.Node, id replica.NodeID) (protocol.Node, bool) {
+func findNode(nodes []protocol.Node, id replica.NodeID) (protocol.Node, bool) {
 	at := slices.IndexFunc(nodes, func(n protocol.Node) bool { return n.ID == id })
 	if at < 0 {
 		return protocol.Node{}, false
@@ -197,18 +199,20 @@
 	return nodes[at], true
 }
 
-func heard(v View, id replica.NodeID) bool {
-	at, ok := v.Status.LastHeard[id]
-	return ok && v.Now-at <= v.Silent/2
+// heardRecently reports whether a node responded within half the time after which it counts
+// as lost.
+func heardRecently(view View, id replica.NodeID) bool {
+	at, ok := view.Status.LastHeard[id]
+	return ok && view.Now-at <= view.LostAfter/2
 }
 
-// caughtUp tells whether a learner holds all that is committed, but for the newest entries.
-func caughtUp(v View, id replica.NodeID) bool {
-	matched := v.Status.MatchIndex[id]
-	return matched > 0 && matched+lagMost >= v.Status.CommitIndex
+// hasCaughtUp reports whether a learner holds all committed entries except the newest ones.
+func hasCaughtUp(view View, id replica.NodeID) bool {
+	matched := view.Status.MatchIndex[id]
+	return matched > 0 && matched+maxPromotionLag >= view.Status.CommitIndex
 }
 
-func without(m replica.Members, id replica.NodeID) replica.Members {
+func withoutMember(m replica.Members, id replica.NodeID) replica.Members {
 	drop := func(ids []replica.NodeID) []replica.NodeID {
 		return slices.DeleteFunc(slices.Clone(ids), func(o replica.NodeID) bool { return o == id })
 	}
