--- a/internal/anemometer/dispatch/capacity_test.go
+++ b/internal/anemometer/dispatch/capacity_test.go
@@ -49,7 +49,7 @@
 		b.Run(fmt.Sprintf("classes/routes=%d", routes), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				assert.Equal(b, len(classesOf(configuration)), scaletest.Models)
+				assert.Equal(b, len(classesOf(configuration)), scaletest.ServiceCount)
 			}
 		})
 	}
--- a/internal/anemometer/edge/edge.go
+++ b/internal/anemometer/edge/edge.go
@@ -81,7 +81,7 @@
 	n.dispatcher = dispatch.New(dispatch.Options{Zone: s.Zone, Name: s.NodeName, Conns: int(serverShare * descriptors), Budget: budget, Count: n.count, Log: log})
 	n.turns = turnclient.New(pool)
 	n.gateway = gateway.New(gateway.Options{Dispatcher: n.dispatcher, Turns: n.turns, Budget: budget, Count: n.count, MaxOpen: openMost, Current: n.current})
-	n.follower = follow.New(follow.Options{Name: s.NodeName, Seeds: seeds, Slots: s.FaultTolerance.MachineLosses + 1, Pool: pool, Told: n.told})
+	n.follower = follow.New(follow.Options{Name: s.NodeName, Seeds: seeds, ConcurrentCalls: s.FaultTolerance.MachineLosses + 1, Pool: pool, OnUpdate: n.told})
 	n.server = ingress.New(ingress.Options{
 		Handler: n.gateway.Handle, RejectAmbiguous: doubtful,
 		MaxSessions: int(clientShare * descriptors), Overflow: overflow,
@@ -125,7 +125,7 @@
 }
 
 // told takes news of the control plane.
-func (n *Node) told(news follow.News) {
+func (n *Node) told(news follow.Update) {
 	switch {
 	case news.Configuration != nil:
 		n.configure(news.Configuration)
@@ -171,7 +171,7 @@
 }
 
 // current tells whether the configuration is recent enough to say of a route that there is none.
-func (n *Node) current() bool { return n.follower.Age() <= n.settings.Bounds.ConfigApply }
+func (n *Node) current() bool { return n.follower.Staleness() <= n.settings.Bounds.ConfigApply }
 
 // lookAlone asks the platform for the servers while no core node vouches for its lists.
 func (n *Node) lookAlone(ctx context.Context) {
@@ -183,7 +183,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if n.follower.Age() < aloneAfter {
+		if n.follower.Staleness() < aloneAfter {
 			continue
 		}
 		lists, err := n.platform.List(ctx)
@@ -204,5 +204,5 @@
 	for p, l := range partitions {
 		n.dispatcher.Servers(p, l)
 	}
-	n.follower.ForgetLists()
+	n.follower.RefreshLists()
 }
--- a/internal/anemometer/gateway/gateway.go
+++ b/internal/anemometer/gateway/gateway.go
@@ -189,7 +189,7 @@
 // count counts the end of a request that wasn't served, and says so in the log now and then.
 func (g *Gateway) count(why string) {
 	g.opt.Count.Add(why)
-	if skipped, ok := journal.Every(why, logEvery); ok {
+	if skipped, ok := journal.Allow(why, logEvery); ok {
 		klog.InfoS("A request is not served", "cause", why, "alike", skipped)
 	}
 }
--- a/internal/anemometer/gateway/gateway_test.go
+++ b/internal/anemometer/gateway/gateway_test.go
@@ -137,11 +137,11 @@
 		find   func(string) ([]byte, bool, error)
 		status int
 	}{
-		{"spent", protocol.AdmitReply{Outcome: protocol.TurnSpent}, nil, nil, http.StatusPaymentRequired},
+		{"spent", protocol.AdmitReply{Outcome: protocol.TurnBudgetExhausted}, nil, nil, http.StatusPaymentRequired},
 		{"nobody answers", protocol.AdmitReply{}, turnclient.ErrUnavailable, nil, http.StatusServiceUnavailable},
 		{"closed", protocol.AdmitReply{Outcome: protocol.TurnClosed}, nil, nil, http.StatusServiceUnavailable},
-		{"surely missing", protocol.AdmitReply{Outcome: protocol.TurnMissing}, nil, nil, http.StatusNotFound},
-		{"perhaps missing", protocol.AdmitReply{Outcome: protocol.TurnMissing}, nil, func(string) ([]byte, bool, error) {
+		{"surely missing", protocol.AdmitReply{Outcome: protocol.TurnNotFound}, nil, nil, http.StatusNotFound},
+		{"perhaps missing", protocol.AdmitReply{Outcome: protocol.TurnNotFound}, nil, func(string) ([]byte, bool, error) {
 			return nil, false, turnclient.ErrUnsure
 		}, http.StatusServiceUnavailable},
 	} {
@@ -159,7 +159,7 @@
 	r := newRig(t, true, stream("one"))
 	r.turns.admit = func(a protocol.AdmitArgs) (protocol.AdmitReply, error) {
 		if !a.Imported {
-			return protocol.AdmitReply{Outcome: protocol.TurnMissing}, nil
+			return protocol.AdmitReply{Outcome: protocol.TurnNotFound}, nil
 		}
 		return protocol.AdmitReply{Outcome: protocol.TurnGranted}, nil
 	}
--- a/internal/anemometer/gateway/turn.go
+++ b/internal/anemometer/gateway/turn.go
@@ -88,7 +88,7 @@
 	if args.Known {
 		reply.History = known
 	}
-	if err == nil && reply.Outcome == protocol.TurnMissing {
+	if err == nil && reply.Outcome == protocol.TurnNotFound {
 		history, found, unsure := t.gateway.opt.Turns.Find(ctx, t.previous)
 		switch {
 		case unsure != nil:
@@ -108,7 +108,7 @@
 		t.settle(0) // a reservation may have been made
 		t.gateway.refuse(t.writer, turnRetryAfter, "answer.no-partition")
 		return nil, false
-	case reply.Outcome == protocol.TurnSpent:
+	case reply.Outcome == protocol.TurnBudgetExhausted:
 		t.gateway.opt.Count.Add("answer.spent")
 		http.Error(t.writer, "the budget is spent", http.StatusPaymentRequired)
 		return nil, false
--- a/internal/anemometer/turnclient/turnclient.go
+++ b/internal/anemometer/turnclient/turnclient.go
@@ -55,7 +55,7 @@
 	defer c.mu.Unlock()
 	c.directory = d
 	maps.DeleteFunc(c.silent, func(id replica.NodeID, _ time.Time) bool {
-		_, known := follow.NodeAddress(&d, id)
+		_, known := follow.FindNode(&d, id)
 		return !known
 	})
 }
@@ -113,7 +113,7 @@
 		outcome, owner := call(one, partition, address)
 		cancel()
 		switch outcome {
-		case protocol.TurnGranted, protocol.TurnSpent, protocol.TurnMissing, protocol.TurnClosed:
+		case protocol.TurnGranted, protocol.TurnBudgetExhausted, protocol.TurnNotFound, protocol.TurnClosed:
 			c.owned(partition, at)
 			return nil
 		}
@@ -141,7 +141,7 @@
 	order := append([]replica.NodeID{c.owners[partition]}, rotated(c.directory.Partitions[partition].Voters, turn)...)
 	for _, mayBeSilent := range []bool{false, true} {
 		for _, id := range order {
-			n, known := follow.NodeAddress(&c.directory, id)
+			n, known := follow.FindNode(&c.directory, id)
 			if known && (mayBeSilent || time.Since(c.silent[id]) >= avoidFor) {
 				return partition, n.ID, n.Address, true
 			}
--- a/internal/anemometer/turnclient/turnclient_test.go
+++ b/internal/anemometer/turnclient/turnclient_test.go
@@ -149,7 +149,7 @@
 }
 
 func TestWhatTheOwnerSaysIsFinal(t *testing.T) {
-	for _, outcome := range []protocol.TurnOutcome{protocol.TurnSpent, protocol.TurnMissing, protocol.TurnClosed} {
+	for _, outcome := range []protocol.TurnOutcome{protocol.TurnBudgetExhausted, protocol.TurnNotFound, protocol.TurnClosed} {
 		c, nodes := start(t, 1)
 		nodes[0].admit = always(outcome)
 		reply, err := c.Admit(patient(t), protocol.AdmitArgs{Program: "p"})
--- a/internal/barograph/coordinator/coordinator.go
+++ b/internal/barograph/coordinator/coordinator.go
@@ -110,7 +110,7 @@
 
 // Groups lists the groups that the core nodes keep.
 func Groups() []replica.GroupID {
-	groups := []replica.GroupID{protocol.ConfigurationGroup, protocol.ListerDuty}
+	groups := []replica.GroupID{protocol.ConfigurationGroup, protocol.ListerTask}
 	for partition := range protocol.ServicePartitions {
 		groups = append(groups, protocol.ServiceGroup(partition))
 	}
@@ -121,7 +121,7 @@
 	switch group {
 	case protocol.ConfigurationGroup:
 		return revisions.New(c.news.tell)
-	case protocol.ListerDuty:
+	case protocol.ListerTask:
 		return dutyMachine{}
 	}
 	return servers.New(c.news.tell)
@@ -246,7 +246,7 @@
 	nodes := slices.Clone(cores)
 	for _, id := range status.Members.Voters {
 		n, known := c.node.Addresses.Find(id)
-		listed := slices.ContainsFunc(cores, func(o protocol.Node) bool { return o.ID == id || known && o.SameMachine(n) })
+		listed := slices.ContainsFunc(cores, func(o protocol.Node) bool { return o.ID == id || known && o.SameNode(n) })
 		if known && !listed {
 			nodes = append(nodes, n)
 		}
--- a/internal/barograph/coordinator/duty.go
+++ b/internal/barograph/coordinator/duty.go
@@ -23,13 +23,13 @@
 // Held implements lister.Duty. The owner holds the duty under its lease only: one that was
 // cut off or frozen may not know yet that another holds it.
 func (d *listerDuty) Held() (epoch uint64, ok bool) {
-	status, err := d.c.node.Host.Status(protocol.ListerDuty)
+	status, err := d.c.node.Host.Status(protocol.ListerTask)
 	if err != nil || !status.LeaderReady {
 		return 0, false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), heldWithin)
 	defer cancel()
-	err = d.c.node.Host.Read(ctx, protocol.ListerDuty, func(host.StateMachine) {})
+	err = d.c.node.Host.Read(ctx, protocol.ListerTask, func(host.StateMachine) {})
 	return status.Term, err == nil
 }
 
@@ -55,12 +55,12 @@
 
 // GiveUp implements lister.Duty.
 func (d *listerDuty) GiveUp() {
-	status, err := d.c.node.Host.Status(protocol.ListerDuty)
+	status, err := d.c.node.Host.Status(protocol.ListerTask)
 	if err != nil {
 		return
 	}
 	for _, id := range heirs(status.Members.Voters, d.c.node.Self.ID) {
-		if err := d.c.node.Host.TransferLeadership(protocol.ListerDuty, id); err == nil {
+		if err := d.c.node.Host.TransferLeadership(protocol.ListerTask, id); err == nil {
 			klog.InfoS("The lister's duty is handed over", "to", id)
 			return
 		}
--- a/internal/barograph/host/round.go
+++ b/internal/barograph/host/round.go
@@ -169,7 +169,7 @@
 		if !errors.Is(err, store.ErrFull) {
 			return err
 		}
-		if skipped, ok := journal.Every("full disk", fullDiskLogInterval); ok {
+		if skipped, ok := journal.Allow("full disk", fullDiskLogInterval); ok {
 			klog.ErrorS(err, "The disk is full; new writes wait for free space", "alike", skipped)
 		}
 		if !h.sleep(ctx, pause) {
--- a/internal/barograph/keeper/calls.go
+++ b/internal/barograph/keeper/calls.go
@@ -34,7 +34,7 @@
 	found := false
 	s.k.node.Host.ReadLocal(group, func(m host.StateMachine) { reply.History, found = m.(*turns.Machine).History(args.Previous) })
 	if !found {
-		reply.Outcome = protocol.TurnMissing
+		reply.Outcome = protocol.TurnNotFound
 	}
 	return nil
 }
@@ -92,8 +92,8 @@
 
 var results = map[turns.Result]protocol.TurnOutcome{
 	turns.Granted: protocol.TurnGranted,
-	turns.Spent:   protocol.TurnSpent,
-	turns.Missing: protocol.TurnMissing,
+	turns.Spent:   protocol.TurnBudgetExhausted,
+	turns.Missing: protocol.TurnNotFound,
 	turns.Closed:  protocol.TurnClosed,
 }
 
--- a/internal/barograph/keeper/calls_test.go
+++ b/internal/barograph/keeper/calls_test.go
@@ -23,8 +23,8 @@
 		owner  replica.NodeID
 	}{
 		{turns.Granted, nil, protocol.TurnGranted, 0},
-		{turns.Spent, nil, protocol.TurnSpent, 0},
-		{turns.Missing, nil, protocol.TurnMissing, 0},
+		{turns.Spent, nil, protocol.TurnBudgetExhausted, 0},
+		{turns.Missing, nil, protocol.TurnNotFound, 0},
 		{turns.Closed, nil, protocol.TurnClosed, 0},
 		{0, &turns.ResultError{}, protocol.TurnUnavailable, 0},
 		{0, &replica.NotLeaderError{Leader: 5}, protocol.TurnNotOwner, 5},
--- a/internal/barograph/keeper/keeper.go
+++ b/internal/barograph/keeper/keeper.go
@@ -60,7 +60,7 @@
 // New restores the groups that the disk holds.
 func New(o Options) (*Keeper, error) {
 	k := &Keeper{node: o.Node, losses: o.Losses, held: map[int]bool{}, planners: map[int]*repair.Planner{}, reported: map[int]uint64{}}
-	k.follower = follow.New(follow.Options{Name: o.Name, Seeds: o.Seeds, Slots: o.Losses + 1, DirectoryOnly: true, Pool: o.Node.Pool, Told: k.told})
+	k.follower = follow.New(follow.Options{Name: o.Name, Seeds: o.Seeds, ConcurrentCalls: o.Losses + 1, DirectoryOnly: true, Pool: o.Node.Pool, OnUpdate: k.told})
 	for _, group := range o.Node.Host.StoredGroups() {
 		partition, ok := protocol.TurnPartitionOf(group)
 		if !ok {
@@ -103,7 +103,7 @@
 }
 
 // told takes news of the control plane.
-func (k *Keeper) told(n follow.News) {
+func (k *Keeper) told(n follow.Update) {
 	if n.Directory == nil {
 		return
 	}
--- a/internal/barograph/keeper/keeper_test.go
+++ b/internal/barograph/keeper/keeper_test.go
@@ -86,7 +86,7 @@
 	first := protocol.AdmitArgs{Program: "p", Attempt: "a", Budget: 10, Most: 6, Token: 1}
 	assert.Equal(t, calls.admit(t, first).Outcome, protocol.TurnGranted)
 	assert.Equal(t, calls.admit(t, first).Outcome, protocol.TurnGranted, "asked again")
-	assert.Equal(t, calls.admit(t, protocol.AdmitArgs{Program: "p", Attempt: "b", Budget: 10, Most: 5, Token: 2}).Outcome, protocol.TurnSpent)
+	assert.Equal(t, calls.admit(t, protocol.AdmitArgs{Program: "p", Attempt: "b", Budget: 10, Most: 5, Token: 2}).Outcome, protocol.TurnBudgetExhausted)
 	whole := protocol.FinishArgs{Program: "p", Attempt: "a", Whole: true, Tokens: 2, Input: []byte("in,"), Output: []byte("out"), Token: 1}
 	assert.Equal(t, calls.finish(t, whole), protocol.TurnGranted)
 	assert.Equal(t, calls.finish(t, whole), protocol.TurnGranted, "told again")
@@ -97,7 +97,7 @@
 	next.Known = true
 	assert.Equal(t, len(calls.admit(t, next).History), 0, "it is at hand")
 	next.Attempt, next.Previous = "c", "none"
-	assert.Equal(t, calls.admit(t, next).Outcome, protocol.TurnMissing)
+	assert.Equal(t, calls.admit(t, next).Outcome, protocol.TurnNotFound)
 }
 
 func TestTurnIsFoundWhereverItIsKept(t *testing.T) {
--- a/internal/barograph/node/addresses.go
+++ b/internal/barograph/node/addresses.go
@@ -57,7 +57,7 @@
 		if n.ID == 0 || n.Address == "" || a.nodes[n.ID] == n {
 			continue
 		}
-		maps.DeleteFunc(a.nodes, func(_ replica.NodeID, o protocol.Node) bool { return o.SameMachine(n) })
+		maps.DeleteFunc(a.nodes, func(_ replica.NodeID, o protocol.Node) bool { return o.SameNode(n) })
 		a.nodes[n.ID] = n
 		changed = true
 	}
--- a/internal/barograph/node/introduce.go
+++ b/internal/barograph/node/introduce.go
@@ -88,7 +88,7 @@
 // contradicts tells whether another incarnation of a node is known already.
 func (n *Node) contradicts(o protocol.Node) bool {
 	for _, known := range n.Addresses.All() {
-		if known.SameMachine(o) {
+		if known.SameNode(o) {
 			return true
 		}
 	}
--- a/internal/barograph/node/node.go
+++ b/internal/barograph/node/node.go
@@ -96,7 +96,7 @@
 		}
 	}
 	n.Addresses.Learn(n.Self)
-	n.Pool, n.bulk = link.NewPool(link.Options{}), link.NewPool(link.Options{Stale: bulkStale})
+	n.Pool, n.bulk = link.NewPool(link.Options{}), link.NewPool(link.Options{StaleAfter: bulkStale})
 	n.Host, err = host.New(host.Options{
 		Self: id, Timing: Timing(o.Class), Store: disk, Now: n.Now, Seed: rand.Uint64(), OnUnknownGroup: o.Unknown,
 		Transport: &transport{addresses: n.Addresses, prompt: lane{pool: n.Pool}, bulk: lane{pool: n.bulk}},
--- a/internal/barograph/revisions/revisions.go
+++ b/internal/barograph/revisions/revisions.go
@@ -213,7 +213,7 @@
 // register takes a node on. An earlier incarnation of it has gone for good.
 func (m *Machine) register(n protocol.Node) Result {
 	nodes := slices.DeleteFunc(slices.Clone(m.state.Directory.Nodes), func(o protocol.Node) bool {
-		return o.ID == n.ID || o.SameMachine(n)
+		return o.ID == n.ID || o.SameNode(n)
 	})
 	m.state.Directory.Nodes = append(nodes, n)
 	m.state.Directory.Version++
--- a/internal/barograph/simulation/configuration_test.go
+++ b/internal/barograph/simulation/configuration_test.go
@@ -141,7 +141,7 @@
 		if n == nil {
 			continue
 		}
-		listed := slices.ContainsFunc(cores, func(o protocol.Node) bool { return o.ID == id || o.SameMachine(n.directoryEntry()) })
+		listed := slices.ContainsFunc(cores, func(o protocol.Node) bool { return o.ID == id || o.SameNode(n.directoryEntry()) })
 		if !listed {
 			nodes = append(nodes, n.directoryEntry())
 		}
--- a/internal/barograph/simulation/edge_test.go
+++ b/internal/barograph/simulation/edge_test.go
@@ -155,12 +155,12 @@
 		switch {
 		case !ok:
 			t.reportTokens()
-		case reply.outcome == protocol.TurnMissing && t.imported == "":
+		case reply.outcome == protocol.TurnNotFound && t.imported == "":
 			t.find(deadline, map[int]bool{})
 		case reply.outcome == protocol.TurnGranted:
 			t.startStreaming(reply.history)
 		default:
-			if reply.outcome == protocol.TurnSpent {
+			if reply.outcome == protocol.TurnBudgetExhausted {
 				t.edge.workload.world.tally.overBudget++
 			}
 			t.close()
@@ -198,7 +198,7 @@
 		if o == protocol.TurnGranted && a.Previous != "" && !a.Imported && !known {
 			found := false
 			if reply.history, found = text(); !found {
-				reply.outcome = protocol.TurnMissing
+				reply.outcome = protocol.TurnNotFound
 			}
 		}
 		answer(reply)
@@ -235,7 +235,7 @@
 				outcome, leader = read(r)
 			}
 			switch outcome {
-			case protocol.TurnGranted, protocol.TurnSpent, protocol.TurnMissing, protocol.TurnClosed:
+			case protocol.TurnGranted, protocol.TurnBudgetExhausted, protocol.TurnNotFound, protocol.TurnClosed:
 				e.leaders[partition] = id
 				done(r, true)
 				return
@@ -257,12 +257,12 @@
 	s := e.workload
 	d := s.registry.views[e.address]
 	partition := d.TurnPartition(p.name)
-	if n, known := follow.NodeAddress(&d, e.leaders[partition]); known {
+	if n, known := follow.FindNode(&d, e.leaders[partition]); known {
 		return partition, s.world.nodeByName(n.Name)
 	}
 	voters := d.Partitions[partition].Voters
 	for i := range voters {
-		if n, known := follow.NodeAddress(&d, voters[(turn+i)%len(voters)]); known {
+		if n, known := follow.FindNode(&d, voters[(turn+i)%len(voters)]); known {
 			return partition, s.world.nodeByName(n.Name)
 		}
 	}
--- a/internal/barograph/simulation/follower_test.go
+++ b/internal/barograph/simulation/follower_test.go
@@ -46,7 +46,7 @@
 // watch handles a watch request on a core node, like package coordinator's Watch.
 func (s *configurationWorkload) watch(n *simulatedNode, request watchRequest, answer func(watchReply)) {
 	if request.confirmed {
-		n.awaitReadIndex(protocol.ConfigurationGroup, follow.Wait/2, func(ok bool) {
+		n.awaitReadIndex(protocol.ConfigurationGroup, follow.LongPollWait/2, func(ok bool) {
 			r := s.currentReply(n)
 			r.confirmed = ok
 			answer(r)
@@ -59,7 +59,7 @@
 		held := n.clock() - arrived
 		r := s.currentReply(n)
 		r.held = held
-		if r.revision > request.revision || r.vouched == request.patient || r.held >= follow.Wait {
+		if r.revision > request.revision || r.vouched == request.patient || r.held >= follow.LongPollWait {
 			answer(r)
 			return
 		}
@@ -137,23 +137,23 @@
 	name, patient := f.sources.Choose(f.now(), f.candidates())
 	at := slices.IndexFunc(w.nodes, func(n *simulatedNode) bool { return n.name() == name })
 	if at < 0 {
-		again(follow.RetryPause)
+		again(follow.RetryDelay)
 		return
 	}
 	request := watchRequest{revision: f.revision, confirmed: !f.confirmed, patient: patient}
 	sent := f.now()
-	call(w, f.address, w.nodes[at], follow.Wait+follow.AnswerWithin, func(answer func(watchReply)) {
+	call(w, f.address, w.nodes[at], follow.LongPollWait+follow.ReplyTimeout, func(answer func(watchReply)) {
 		f.workload.watch(w.nodes[at], request, answer)
 	}, func(r watchReply, ok bool) {
 		if f.incarnation != incarnation {
 			return
 		}
-		f.sources.Free(name)
+		f.sources.Release(name)
 		if f.handleReply(name, sent, r, ok) {
 			again(0)
 			return
 		}
-		again(follow.RetryPause)
+		again(follow.RetryDelay)
 	})
 }
 
@@ -161,7 +161,7 @@
 func (f *follower) handleReply(name string, sent time.Time, r watchReply, ok bool) bool {
 	s := f.workload
 	if !ok {
-		f.sources.Failed(f.now(), name)
+		f.sources.RecordFailure(f.now(), name)
 		return false
 	}
 	trusts := r.confirmed || s.world.bugs.trustOneNode && s.world.Now-f.started > trustOneNodeDelay
@@ -175,10 +175,10 @@
 		f.revision = max(f.revision, r.revision)
 	}
 	if !r.vouched {
-		f.sources.Failed(f.now(), name)
+		f.sources.RecordFailure(f.now(), name)
 		return false
 	}
-	f.sources.Vouched(name, sent, r.held, r.age)
+	f.sources.RecordVouched(name, sent, r.held, r.age)
 	f.checkAge()
 	return f.confirmed
 }
@@ -187,7 +187,7 @@
 // applied longer ago.
 func (f *follower) checkAge() {
 	w := f.workload.world
-	at := w.Now - f.sources.Age(f.now()) - maxClockDrift
+	at := w.Now - f.sources.Staleness(f.now()) - maxClockDrift
 	if newest := f.workload.revisionAt(at); f.confirmed && f.revision < newest {
 		w.Fail("process %d has revision %d and considers it current as of %v, but %d was applied by then", f.address, f.revision, at, newest)
 	}
--- a/internal/barograph/simulation/lister_test.go
+++ b/internal/barograph/simulation/lister_test.go
@@ -78,7 +78,7 @@
 	}
 	s.registry = newRegistry(w)
 	for _, n := range w.nodes {
-		n.bootstrap(protocol.ListerDuty, members.Clone())
+		n.bootstrap(protocol.ListerTask, members.Clone())
 		n.bootstrap(protocol.ServiceGroup(testedPartition), members.Clone())
 		s.registry.subscribe(n.address)
 		n.start()
@@ -116,7 +116,7 @@
 }
 
 func (s *listerWorkload) newStateMachine(_ *simulatedNode, group replica.GroupID) stateMachine {
-	if group == protocol.ListerDuty {
+	if group == protocol.ListerTask {
 		return emptyStateMachine{}
 	}
 	return servers.New(nil)
@@ -178,7 +178,7 @@
 
 // Held implements lister.Duty.
 func (d *fakeDuty) Held() (uint64, bool) {
-	m := d.node.member(protocol.ListerDuty)
+	m := d.node.member(protocol.ListerTask)
 	if m == nil {
 		return 0, false
 	}
@@ -240,7 +240,7 @@
 
 // GiveUp implements lister.Duty.
 func (d *fakeDuty) GiveUp() {
-	m := d.node.member(protocol.ListerDuty)
+	m := d.node.member(protocol.ListerTask)
 	if m == nil {
 		return
 	}
@@ -264,7 +264,7 @@
 // onApplied verifies that no publication of an earlier epoch takes effect after one of a later
 // epoch.
 func (s *listerWorkload) onApplied(m *member, index uint64, command, result []byte) {
-	if m.group == protocol.ListerDuty {
+	if m.group == protocol.ListerTask {
 		return
 	}
 	if known, ok := s.resultByIndex[index]; ok {
@@ -308,7 +308,7 @@
 // recovered reports whether both groups are healthy and all nodes have the platform's servers.
 func (s *listerWorkload) recovered() bool {
 	voters := min(3, len(s.world.nodes))
-	for _, group := range []replica.GroupID{protocol.ListerDuty, protocol.ServiceGroup(testedPartition)} {
+	for _, group := range []replica.GroupID{protocol.ListerTask, protocol.ServiceGroup(testedPartition)} {
 		if !s.world.isHealthy(group, voters, nil) {
 			return false
 		}
--- a/internal/barograph/simulation/turn_attempt_test.go
+++ b/internal/barograph/simulation/turn_attempt_test.go
@@ -197,7 +197,7 @@
 func (p *probes) probeBudget(program *program) {
 	least, most := p.workload.bounds(program)
 	if least <= program.budget {
-		p.probe(program, program.budget-least+1, protocol.TurnSpent)
+		p.probe(program, program.budget-least+1, protocol.TurnBudgetExhausted)
 	}
 	if most < program.budget {
 		p.probe(program, program.budget-most, protocol.TurnGranted)
--- a/internal/barograph/simulation/turns_test.go
+++ b/internal/barograph/simulation/turns_test.go
@@ -285,8 +285,8 @@
 		s.world.Fail("result: %v", err)
 	}
 	return map[turns.Result]protocol.TurnOutcome{
-		turns.Granted: protocol.TurnGranted, turns.Spent: protocol.TurnSpent,
-		turns.Missing: protocol.TurnMissing, turns.Closed: protocol.TurnClosed,
+		turns.Granted: protocol.TurnGranted, turns.Spent: protocol.TurnBudgetExhausted,
+		turns.Missing: protocol.TurnNotFound, turns.Closed: protocol.TurnClosed,
 	}[result]
 }
 
--- a/internal/station/follow/capacity_test.go
+++ b/internal/station/follow/capacity_test.go
@@ -104,7 +104,7 @@
 	for i := range followers {
 		pool := link.NewPool(link.Options{})
 		b.Cleanup(pool.Close)
-		f := New(Options{Name: fmt.Sprintf("edge-%d", i), Seeds: seeds, Slots: slots, Pool: pool, Told: func(n News) {
+		f := New(Options{Name: fmt.Sprintf("edge-%d", i), Seeds: seeds, ConcurrentCalls: slots, Pool: pool, OnUpdate: func(n Update) {
 			if n.Revision == uint64(now.Load()) {
 				told.Add(1)
 			}
--- a/internal/station/follow/follow.go
+++ b/internal/station/follow/follow.go
@@ -21,8 +21,8 @@
 	"pipitmux/internal/wait"
 )
 
-// News is what has changed. Nil fields have not.
-type News struct {
+// Update is what has changed. Nil fields have not.
+type Update struct {
 	Revision      uint64
 	Configuration []byte
 	Directory     *protocol.Directory
@@ -32,14 +32,14 @@
 
 // Options are what a Follower needs.
 type Options struct {
-	Name  string
-	Seeds []string // net/rpc addresses of core nodes
-	Slots int      // nodes asked side by side
+	Name            string
+	Seeds           []string // net/rpc addresses of core nodes
+	ConcurrentCalls int      // nodes asked side by side
 	// DirectoryOnly: neither the configuration nor the servers are of interest.
 	DirectoryOnly bool
 	Pool          *link.Pool
-	// Told gets all news, one at a time.
-	Told func(News)
+	// OnUpdate gets all news, one at a time.
+	OnUpdate func(Update)
 }
 
 // Follower follows the control plane.
@@ -67,23 +67,23 @@
 // Run asks until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	var done sync.WaitGroup
-	for slot := range max(f.opt.Slots, 1) {
+	for slot := range max(f.opt.ConcurrentCalls, 1) {
 		done.Go(func() { f.ask(ctx, slot) })
 	}
 	done.Wait()
 }
 
-// Age is how old what was told may be: everything that had come into force before is known.
+// Staleness is how old what was told may be: everything that had come into force before is known.
 // It counts from the start of the process until a first answer was vouched for.
-func (f *Follower) Age() time.Duration {
+func (f *Follower) Staleness() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.sources.Age(time.Now())
+	return f.sources.Staleness(time.Now())
 }
 
-// ForgetLists has the lists of all services told anew once a node vouches for them: what the
+// RefreshLists has the lists of all services told anew once a node vouches for them: what the
 // process goes by has come from elsewhere meanwhile, and is newer than what others may tell.
-func (f *Follower) ForgetLists() {
+func (f *Follower) RefreshLists() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.replaced = true
@@ -100,11 +100,11 @@
 	for ctx.Err() == nil {
 		address, patient := f.choose()
 		if address == "" {
-			wait.For(ctx, RetryPause)
+			wait.For(ctx, RetryDelay)
 			continue
 		}
 		if !f.question(ctx, address, patient) {
-			wait.For(ctx, RetryPause)
+			wait.For(ctx, RetryDelay)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 			addresses = append(addresses, n.Address)
 		}
 	}
-	if len(addresses) == 0 || f.sources.Lost(time.Now()) {
+	if len(addresses) == 0 || f.sources.NeedSeeds(time.Now()) {
 		for _, s := range f.opt.Seeds {
 			if !slices.Contains(addresses, s) {
 				addresses = append(addresses, s)
@@ -138,7 +138,7 @@
 func (f *Follower) question(ctx context.Context, address string, patient bool) bool {
 	defer f.free(address)
 	args := f.args(patient)
-	ctx, cancel := context.WithTimeout(ctx, Wait+AnswerWithin)
+	ctx, cancel := context.WithTimeout(ctx, LongPollWait+ReplyTimeout)
 	defer cancel()
 	var reply protocol.WatchReply
 	sent := time.Now()
@@ -153,7 +153,7 @@
 	defer f.mu.Unlock()
 	args := protocol.WatchArgs{
 		Node: f.opt.Name, Revision: f.revision, Directory: f.directory.Version, Services: f.services,
-		Confirmed: !f.confirmed, DirectoryOnly: f.opt.DirectoryOnly, Patient: patient, Wait: Wait,
+		Confirmed: !f.confirmed, DirectoryOnly: f.opt.DirectoryOnly, Patient: patient, Wait: LongPollWait,
 	}
 	if f.whole {
 		args.Revision = 0
@@ -171,16 +171,16 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil || !reply.Vouched {
-		f.sources.Failed(time.Now(), address)
+		f.sources.RecordFailure(time.Now(), address)
 		return
 	}
-	f.sources.Vouched(address, sent, reply.Held, reply.Age)
+	f.sources.RecordVouched(address, sent, reply.Held, reply.Age)
 }
 
 func (f *Follower) free(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sources.Free(address)
+	f.sources.Release(address)
 }
 
 // take tells what is news and returns whether the answer was of use.
@@ -188,7 +188,7 @@
 	f.told.Lock()
 	defer f.told.Unlock()
 	for _, n := range f.merge(reply) {
-		f.opt.Told(n)
+		f.opt.OnUpdate(n)
 	}
 	return reply.Vouched && f.isConfirmed()
 }
@@ -199,26 +199,26 @@
 	return f.confirmed
 }
 
-func (f *Follower) merge(reply *protocol.WatchReply) []News {
+func (f *Follower) merge(reply *protocol.WatchReply) []Update {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var news []News
+	var news []Update
 	if !f.confirmed && reply.Confirmed {
 		f.confirmed = true
 		klog.InfoS("The control plane answers", "revision", reply.Revision)
 	}
 	if f.confirmed && reply.Revision > f.revision && f.follow(reply) {
-		news = append(news, News{Revision: f.revision, Configuration: f.body})
+		news = append(news, Update{Revision: f.revision, Configuration: f.body})
 	}
 	if reply.Directory != nil && reply.Directory.Version > f.directory.Version {
 		f.directory = *reply.Directory
-		news = append(news, News{Directory: reply.Directory})
+		news = append(news, Update{Directory: reply.Directory})
 	}
 	return append(news, f.mergeLists(reply)...)
 }
 
 // mergeLists takes the lists of servers on that are newer.
-func (f *Follower) mergeLists(reply *protocol.WatchReply) (news []News) {
+func (f *Follower) mergeLists(reply *protocol.WatchReply) (news []Update) {
 	if f.replaced && !reply.Vouched {
 		return nil
 	}
@@ -233,7 +233,7 @@
 		lists := slices.DeleteFunc(slices.Clone(reply.Lists), func(l protocol.ServerList) bool {
 			return protocol.ServicePartition(l.Service) != partition
 		})
-		news = append(news, News{Lists: lists, Partition: partition})
+		news = append(news, Update{Lists: lists, Partition: partition})
 	}
 	return news
 }
@@ -270,8 +270,8 @@
 	return true
 }
 
-// NodeAddress finds a node of the directory by its id.
-func NodeAddress(d *protocol.Directory, id replica.NodeID) (protocol.Node, bool) {
+// FindNode finds a node of the directory by its id.
+func FindNode(d *protocol.Directory, id replica.NodeID) (protocol.Node, bool) {
 	at := slices.IndexFunc(d.Nodes, func(n protocol.Node) bool { return n.ID == id })
 	if at < 0 {
 		return protocol.Node{}, false
--- a/internal/station/follow/follow_test.go
+++ b/internal/station/follow/follow_test.go
@@ -70,11 +70,11 @@
 }
 
 // begin starts a Follower of the nodes, and gives what it tells.
-func begin(t *testing.T, slots int, seeds ...string) (*Follower, <-chan News) {
+func begin(t *testing.T, slots int, seeds ...string) (*Follower, <-chan Update) {
 	t.Helper()
-	told := make(chan News, 1000)
+	told := make(chan Update, 1000)
 	pool := link.NewPool(link.Options{})
-	f := New(Options{Name: "edge", Seeds: seeds, Slots: slots, Pool: pool, Told: func(n News) { told <- n }})
+	f := New(Options{Name: "edge", Seeds: seeds, ConcurrentCalls: slots, Pool: pool, OnUpdate: func(n Update) { told <- n }})
 	ctx, cancel := context.WithCancel(t.Context())
 	var done sync.WaitGroup
 	done.Go(func() { f.Run(ctx) })
@@ -86,14 +86,14 @@
 	return f, told
 }
 
-func next(t *testing.T, told <-chan News) News {
+func next(t *testing.T, told <-chan Update) Update {
 	t.Helper()
 	select {
 	case n := <-told:
 		return n
 	case <-time.After(testWithin):
 		t.Fatal("nothing is told")
-		return News{}
+		return Update{}
 	}
 }
 
@@ -202,7 +202,7 @@
 	})
 	f, told := begin(t, 1, c.address)
 	assert.Equal(t, next(t, told).Partition, 2)
-	f.ForgetLists()
+	f.RefreshLists()
 	close(forgotten)
 	assert.Equal(t, next(t, told).Partition, 2)
 }
@@ -215,7 +215,7 @@
 	reply.Services[1], reply.Services[2] = 7, 5
 	assert.Equal(t, len(f.merge(reply)), 2)
 	assert.Equal(t, len(f.merge(reply)), 0)
-	f.ForgetLists()
+	f.RefreshLists()
 	assert.Equal(t, f.args(false).Services, [protocol.ServicePartitions]uint64{})
 	assert.Equal(t, f.args(true).Services, reply.Services)
 	assert.Equal(t, len(f.merge(&protocol.WatchReply{Services: reply.Services})), 0, "from behind a cut")
@@ -275,7 +275,7 @@
 	await(t, reached)
 	assert.Equal(t, next(t, told).Revision, uint64(8))
 	assert.Equal(t, seed.asked.Load(), int32(1))
-	assert.Assert(t, f.Age() < testWithin)
+	assert.Assert(t, f.Staleness() < testWithin)
 }
 
 // chosen is the node that a Follower asks next.
@@ -338,7 +338,7 @@
 	cutOff, sound := startCore(t, answer(4, unproven)), startCore(t, answer(7, 0))
 	f, told := begin(t, 1, cutOff.address, sound.address)
 	assert.Equal(t, next(t, told).Revision, uint64(7))
-	assert.Assert(t, f.Age() < testWithin)
+	assert.Assert(t, f.Staleness() < testWithin)
 	lone, _ := begin(t, 1, cutOff.address)
 	for cutOff.asked.Load() < 3 {
 		runtime.Gosched()
@@ -352,11 +352,11 @@
 	f.sources.vouched = time.Now().Add(-time.Hour)
 	sent := time.Now().Add(-10 * time.Second)
 	f.note("a", sent, &protocol.WatchReply{Vouched: true, Held: 3 * time.Second, Age: time.Second}, nil)
-	assert.Assert(t, f.Age() >= 8*time.Second && f.Age() < time.Minute, "%v", f.Age())
+	assert.Assert(t, f.Staleness() >= 8*time.Second && f.Staleness() < time.Minute, "%v", f.Staleness())
 	f.note("a", sent, &protocol.WatchReply{Held: 9 * time.Second}, nil)
-	assert.Assert(t, f.Age() >= 8*time.Second, "it didn't vouch")
+	assert.Assert(t, f.Staleness() >= 8*time.Second, "it didn't vouch")
 	f.note("a", sent.Add(-time.Minute), &protocol.WatchReply{Vouched: true}, nil)
-	assert.Assert(t, f.Age() < time.Minute, "an answer that was overtaken")
+	assert.Assert(t, f.Staleness() < time.Minute, "an answer that was overtaken")
 }
 
 // What a single core node has may be of long ago: a process that starts has nothing to hold it to.
@@ -408,9 +408,9 @@
 
 func TestNodeAddress(t *testing.T) {
 	d := directoryOf(1, "a", "b")
-	n, known := NodeAddress(d, 2)
+	n, known := FindNode(d, 2)
 	assert.Assert(t, known)
 	assert.Equal(t, n.Address, "b")
-	_, known = NodeAddress(d, 3)
+	_, known = FindNode(d, 3)
 	assert.Assert(t, !known)
 }
--- a/internal/station/follow/sources.go
+++ b/internal/station/follow/sources.go
@@ -4,12 +4,12 @@
 
 // How a core node is asked.
 const (
-	// Wait is how long a question may stay open without news.
-	Wait = 900 * time.Millisecond
-	// AnswerWithin is how much longer its answer may take.
-	AnswerWithin = 700 * time.Millisecond
-	// RetryPause is the pause after a question that was of no use.
-	RetryPause = 60 * time.Millisecond
+	// LongPollWait is how long a question may stay open without news.
+	LongPollWait = 900 * time.Millisecond
+	// ReplyTimeout is how much longer its answer may take.
+	ReplyTimeout = 700 * time.Millisecond
+	// RetryDelay is the pause after a question that was of no use.
+	RetryDelay = 60 * time.Millisecond
 	// avoidFor is how long a node that was no good source is asked after all others.
 	avoidFor = 3 * time.Second
 )
@@ -51,15 +51,15 @@
 	return best, !bestAt.IsZero()
 }
 
-// Free tells that a node's question is over.
-func (s *Sources) Free(address string) { delete(s.asked, address) }
+// Release tells that a node's question is over.
+func (s *Sources) Release(address string) { delete(s.asked, address) }
 
-// Failed tells that a node didn't answer, or couldn't vouch for its answer.
-func (s *Sources) Failed(now time.Time, address string) { s.failed[address] = now }
+// RecordFailure tells that a node didn't answer, or couldn't vouch for its answer.
+func (s *Sources) RecordFailure(now time.Time, address string) { s.failed[address] = now }
 
-// Vouched tells that a node vouched for its answer: it had held the question for that long, and
+// RecordVouched tells that a node vouched for its answer: it had held the question for that long, and
 // what it told was of that age at the most. Call it when the process goes by the answer's news.
-func (s *Sources) Vouched(address string, sent time.Time, held, age time.Duration) {
+func (s *Sources) RecordVouched(address string, sent time.Time, held, age time.Duration) {
 	delete(s.failed, address)
 	// The question came after it was sent, whatever the answer's way back took.
 	if recent := sent.Add(held - age); recent.After(s.vouched) {
@@ -67,10 +67,10 @@
 	}
 }
 
-// Age is how old what is known may be: everything that had come into force before is known. It
+// Staleness is how old what is known may be: everything that had come into force before is known. It
 // counts from the start of the process until a first answer was vouched for.
-func (s *Sources) Age(now time.Time) time.Duration { return now.Sub(s.vouched) }
+func (s *Sources) Staleness(now time.Time) time.Duration { return now.Sub(s.vouched) }
 
-// Lost tells whether nobody has vouched for so long that other nodes than those that are known
+// NeedSeeds tells whether nobody has vouched for so long that other nodes than those that are known
 // of may have to be asked.
-func (s *Sources) Lost(now time.Time) bool { return s.Age(now) > avoidFor }
+func (s *Sources) NeedSeeds(now time.Time) bool { return s.Staleness(now) > avoidFor }
--- a/internal/station/journal/every.go
+++ b/internal/station/journal/every.go
@@ -38,11 +38,11 @@
 	return &Limiter{now: now, keys: make(map[string]*keyState)}
 }
 
-// Every tells whether a line of a key may be written now, and if so, how many
+// Allow tells whether a line of a key may be written now, and if so, how many
 // lines of the key were held back since the last one. A line let through
 // starts a new interval. The counts of keys that were forgotten while at their
 // bound are given with the next line of those limited together.
-func (l *Limiter) Every(key string, interval time.Duration) (skipped int, ok bool) {
+func (l *Limiter) Allow(key string, interval time.Duration) (skipped int, ok bool) {
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,11 +95,11 @@
 // process is the Limiter of the process.
 var process = NewLimiter(nil)
 
-// Every is Limiter.Every of the one Limiter that a process shares:
+// Allow is Limiter.Allow of the one Limiter that a process shares:
 //
-//	if skipped, ok := journal.Every("dial "+address, time.Second); ok {
+//	if skipped, ok := journal.Allow("dial "+address, time.Second); ok {
 //		klog.ErrorS(err, "dial failed", "address", address, "skipped", skipped)
 //	}
-func Every(key string, interval time.Duration) (skipped int, ok bool) {
-	return process.Every(key, interval)
+func Allow(key string, interval time.Duration) (skipped int, ok bool) {
+	return process.Allow(key, interval)
 }
--- a/internal/station/journal/journal_test.go
+++ b/internal/station/journal/journal_test.go
@@ -113,20 +113,20 @@
 func TestEveryCountsWhatIsLeftOut(t *testing.T) {
 	at := newClock()
 	limiter := journal.NewLimiter(at.now)
-	skipped, ok := limiter.Every("dial", time.Second)
+	skipped, ok := limiter.Allow("dial", time.Second)
 	assert.Assert(t, ok)
 	assert.Equal(t, skipped, 0)
 	for range 3 {
-		_, ok = limiter.Every("dial", time.Second)
+		_, ok = limiter.Allow("dial", time.Second)
 		assert.Assert(t, !ok)
 	}
-	_, ok = limiter.Every("other", time.Second)
+	_, ok = limiter.Allow("other", time.Second)
 	assert.Assert(t, ok, "another key has its own interval")
 	at.at = at.at.Add(time.Second - 1)
-	_, ok = limiter.Every("dial", time.Second)
+	_, ok = limiter.Allow("dial", time.Second)
 	assert.Assert(t, !ok)
 	at.at = at.at.Add(1)
-	skipped, ok = limiter.Every("dial", time.Second)
+	skipped, ok = limiter.Allow("dial", time.Second)
 	assert.Assert(t, ok)
 	assert.Equal(t, skipped, 4)
 }
@@ -136,16 +136,16 @@
 	limiter := journal.NewLimiter(at.now)
 	passed := 0
 	for i := range 3 * journal.MaxKeys {
-		if _, ok := limiter.Every(strconv.Itoa(i), time.Minute); ok {
+		if _, ok := limiter.Allow(strconv.Itoa(i), time.Minute); ok {
 			passed++
 		}
 	}
 	assert.Equal(t, passed, journal.MaxKeys+1, "keys beyond the bound are limited together")
 	at.at = at.at.Add(time.Minute)
-	skipped, ok := limiter.Every("fresh", time.Minute)
+	skipped, ok := limiter.Allow("fresh", time.Minute)
 	assert.Assert(t, ok, "keys whose interval is over make room")
 	assert.Equal(t, skipped, 0)
-	skipped, ok = limiter.Every("fresh", time.Minute)
+	skipped, ok = limiter.Allow("fresh", time.Minute)
 	assert.Assert(t, !ok)
 	assert.Equal(t, skipped, 0)
 }
@@ -159,7 +159,7 @@
 	for caller := range callers {
 		group.Go(func() {
 			for range calls {
-				if _, ok := limiter.Every("one", time.Second); ok {
+				if _, ok := limiter.Allow("one", time.Second); ok {
 					passed[caller]++
 				}
 			}
@@ -172,15 +172,15 @@
 	}
 	assert.Equal(t, total, 1)
 	at.at = at.at.Add(time.Second)
-	skipped, ok := limiter.Every("one", time.Second)
+	skipped, ok := limiter.Allow("one", time.Second)
 	assert.Assert(t, ok)
 	assert.Equal(t, skipped, callers*calls-1)
 }
 
 func TestProcessLimiter(t *testing.T) {
 	key := t.Name()
-	_, ok := journal.Every(key, time.Hour)
+	_, ok := journal.Allow(key, time.Hour)
 	assert.Assert(t, ok)
-	_, ok = journal.Every(key, time.Hour)
+	_, ok = journal.Allow(key, time.Hour)
 	assert.Assert(t, !ok)
 }
--- a/internal/station/link/codec.go
+++ b/internal/station/link/codec.go
@@ -75,10 +75,10 @@
 // then come within as long.
 func (c *serverCodec) await() error {
 	for {
-		_ = c.socket.SetReadDeadline(time.Now().Add(c.limits.Idle))
+		_ = c.socket.SetReadDeadline(time.Now().Add(c.limits.IdleTimeout))
 		_, err := c.reader.Peek(1)
 		if err == nil {
-			return c.socket.SetReadDeadline(time.Now().Add(c.limits.Idle))
+			return c.socket.SetReadDeadline(time.Now().Add(c.limits.IdleTimeout))
 		}
 		onlyThis := len(c.slots) == 1
 		if onlyThis || !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -107,7 +107,7 @@
 	if err != nil {
 		return c.end(err)
 	}
-	_ = c.socket.SetWriteDeadline(time.Now().Add(c.limits.Write))
+	_ = c.socket.SetWriteDeadline(time.Now().Add(c.limits.WriteTimeout))
 	_, err = c.socket.Write(frame)
 	c.encoder.release()
 	if err != nil {
--- a/internal/station/link/connection.go
+++ b/internal/station/link/connection.go
@@ -321,9 +321,9 @@
 		return false
 	}
 	if len(c.calls) > 0 {
-		return now.Sub(c.heardAt) <= c.options.Stale
+		return now.Sub(c.heardAt) <= c.options.StaleAfter
 	}
-	return now.Sub(c.usedAt) <= c.options.Unused
+	return now.Sub(c.usedAt) <= c.options.MaxUnused
 }
 
 // retire ends the connection once no caller waits on it.
--- a/internal/station/link/peer.go
+++ b/internal/station/link/peer.go
@@ -128,11 +128,11 @@
 // failed notes a failed dial and when to dial again. The lock is held.
 func (p *peer) failed(err error) {
 	if p.backoff == 0 {
-		p.backoff = p.options.BackoffFirst
+		p.backoff = p.options.InitialBackoff
 	}
 	p.failure = err
 	p.retryAt = p.options.Now().Add(p.backoff)
-	p.backoff = min(2*p.backoff, p.options.BackoffMost)
+	p.backoff = min(2*p.backoff, p.options.MaxBackoff)
 }
 
 // forget closes the connection, also one that is being dialled.
--- a/internal/station/link/pool.go
+++ b/internal/station/link/pool.go
@@ -13,10 +13,10 @@
 // Options are a Pool's. A zero field has the default that stands beside it.
 type Options struct {
 	DialTimeout        time.Duration // 400 ms, with the greeting
-	BackoffFirst       time.Duration // 50 ms after a failed dial, then doubling
-	BackoffMost        time.Duration // 400 ms
-	Stale              time.Duration // 1.2 s of silence with calls under way
-	Unused             time.Duration // 40 s; an older connection isn't used again; under Limits.Idle
+	InitialBackoff     time.Duration // 50 ms after a failed dial, then doubling
+	MaxBackoff         time.Duration // 400 ms
+	StaleAfter         time.Duration // 1.2 s of silence with calls under way
+	MaxUnused          time.Duration // 40 s; an older connection isn't used again; under Limits.Idle
 	CallsPerConnection int           // 256; further callers wait
 	MessageBytes       int           // 64 MiB, either way; see Limits
 
@@ -28,10 +28,10 @@
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.DialTimeout, 400*time.Millisecond)
-	setDefault(&o.BackoffFirst, 50*time.Millisecond)
-	setDefault(&o.BackoffMost, 400*time.Millisecond)
-	setDefault(&o.Stale, 1200*time.Millisecond)
-	setDefault(&o.Unused, 40*time.Second)
+	setDefault(&o.InitialBackoff, 50*time.Millisecond)
+	setDefault(&o.MaxBackoff, 400*time.Millisecond)
+	setDefault(&o.StaleAfter, 1200*time.Millisecond)
+	setDefault(&o.MaxUnused, 40*time.Second)
 	setDefault(&o.CallsPerConnection, 256)
 	setDefault(&o.MessageBytes, 64<<20)
 	if o.Now == nil {
--- a/internal/station/link/server.go
+++ b/internal/station/link/server.go
@@ -19,8 +19,8 @@
 	CallsPerConnection int           // 256; the next is read once one is answered
 	MessageBytes       int           // 64 MiB; a larger message ends its connection
 	TotalBytes         int           // 128 MiB of requests under way on all connections
-	Idle               time.Duration // 1 min; a connection without calls is then closed
-	Write              time.Duration // 5 s; for a response to be taken by the peer
+	IdleTimeout        time.Duration // 1 min; a connection without calls is then closed
+	WriteTimeout       time.Duration // 5 s; for a response to be taken by the peer
 }
 
 func (l Limits) withDefaults() Limits {
@@ -28,8 +28,8 @@
 	setDefault(&l.CallsPerConnection, 256)
 	setDefault(&l.MessageBytes, 64<<20)
 	setDefault(&l.TotalBytes, 128<<20)
-	setDefault(&l.Idle, time.Minute)
-	setDefault(&l.Write, 5*time.Second)
+	setDefault(&l.IdleTimeout, time.Minute)
+	setDefault(&l.WriteTimeout, 5*time.Second)
 	return l
 }
 
@@ -143,7 +143,7 @@
 func (s *Server) serve(socket net.Conn) {
 	defer s.removeSocket(socket)
 	defer socket.Close()
-	_ = socket.SetWriteDeadline(time.Now().Add(s.limits.Write))
+	_ = socket.SetWriteDeadline(time.Now().Add(s.limits.WriteTimeout))
 	if _, err := socket.Write([]byte(greeting)); err != nil {
 		return
 	}
--- a/internal/station/link/server_test.go
+++ b/internal/station/link/server_test.go
@@ -181,7 +181,7 @@
 }
 
 func TestIdleConnectionIsClosed(t *testing.T) {
-	_, _, address := startWork(t, Limits{Idle: 20 * time.Millisecond})
+	_, _, address := startWork(t, Limits{IdleTimeout: 20 * time.Millisecond})
 	socket := greetedSocket(t, address)
 	assert.NilError(t, socket.SetReadDeadline(time.Now().Add(10*time.Second)))
 	_, err := socket.Read(make([]byte, 1))
--- a/internal/station/matcher/handler.go
+++ b/internal/station/matcher/handler.go
@@ -10,12 +10,12 @@
 // Handler answers an HTTP call whose path has these named segments.
 type Handler func(response http.ResponseWriter, request *http.Request, values Values)
 
-// Refusal answers an HTTP call that no pattern has, with status 404 or 405.
-type Refusal func(response http.ResponseWriter, status int, err error)
+// ErrorHandler answers an HTTP call that no pattern has, with status 404 or 405.
+type ErrorHandler func(response http.ResponseWriter, status int, err error)
 
 // Serve makes an http.Handler of a tree. An answer of status 405 has the header Allow
 // set before refuse is called.
-func Serve(tree *Tree[Handler], refuse Refusal) http.Handler {
+func Serve(tree *Tree[Handler], refuse ErrorHandler) http.Handler {
 	return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		handler, values, err := tree.Match(request.Method, request.URL.EscapedPath())
 		if err == nil {
--- a/internal/station/patch/patch.go
+++ b/internal/station/patch/patch.go
@@ -14,9 +14,9 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// MaxBody bounds what a patch may hold, in bytes. Make refuses more, and Apply stops there
+// MaxBodyBytes bounds what a patch may hold, in bytes. Make refuses more, and Apply stops there
 // whatever a patch says of itself.
-const MaxBody = 64 << 20
+const MaxBodyBytes = 64 << 20
 
 // Failures that errors.Is finds.
 var (
@@ -37,7 +37,7 @@
 	dictionary = 1
 	// The window has to reach back over body and base.
 	windowLeast = 1 << 16
-	windowMost  = 2 * MaxBody
+	windowMost  = 2 * MaxBodyBytes
 	// spareBytes is what reading may hold beyond the length that a patch tells.
 	spareBytes = 1 << 10
 )
@@ -51,7 +51,7 @@
 
 // Make writes the body as its difference to base, which may be empty. Fails with ErrTooLong.
 func Make(base, body []byte) ([]byte, error) {
-	if len(body) > MaxBody || len(base) > MaxBody {
+	if len(body) > MaxBodyBytes || len(base) > MaxBodyBytes {
 		return nil, ErrTooLong
 	}
 	options := []zstd.EOption{
@@ -102,7 +102,7 @@
 	}
 	length := binary.BigEndian.Uint32(patch)
 	before, after := patch[4:4+fingerprintBytes], patch[4+fingerprintBytes:headerBytes]
-	if length > MaxBody {
+	if length > MaxBodyBytes {
 		return nil, ErrDamaged
 	}
 	if held := fingerprintOf(base); !bytes.Equal(held[:], before) {
--- a/internal/station/patch/patch_test.go
+++ b/internal/station/patch/patch_test.go
@@ -68,13 +68,13 @@
 func TestPatchThatLiesAboutItsLengthIsRefused(t *testing.T) {
 	text, err := Make(nil, make([]byte, 1<<20))
 	assert.NilError(t, err)
-	for _, length := range []uint32{0, 10, 1<<20 - 1, 1<<20 + 1, MaxBody + 1, 1<<32 - 1} {
+	for _, length := range []uint32{0, 10, 1<<20 - 1, 1<<20 + 1, MaxBodyBytes + 1, 1<<32 - 1} {
 		lying := append([]byte(nil), text...)
 		binary.BigEndian.PutUint32(lying, length)
 		_, err := Apply(nil, lying)
 		assert.ErrorIs(t, err, ErrDamaged, "%d", length)
 	}
-	_, err = Make(nil, make([]byte, MaxBody+1))
+	_, err = Make(nil, make([]byte, MaxBodyBytes+1))
 	assert.ErrorIs(t, err, ErrTooLong)
 }
 
--- a/internal/station/platform/platform.go
+++ b/internal/station/platform/platform.go
@@ -34,8 +34,8 @@
 
 func (e *StatusError) Error() string { return "the platform answered " + http.StatusText(e.Status) }
 
-// ErrEndless tells of a listing that has more pages than any fleet needs.
-var ErrEndless = errors.New("the platform's list has no end")
+// ErrTooManyPages tells of a listing that has more pages than any fleet needs.
+var ErrTooManyPages = errors.New("the platform's list has no end")
 
 // Client lists servers. Its zero value can't be used.
 type Client struct {
@@ -88,7 +88,7 @@
 		}
 		token = *p.NextToken
 	}
-	return nil, ErrEndless
+	return nil, ErrTooManyPages
 }
 
 func (m *member) server() protocol.Server {
--- a/internal/station/platform/platform_test.go
+++ b/internal/station/platform/platform_test.go
@@ -82,7 +82,7 @@
 		fmt.Fprint(w, `{"members":[],"nextToken":"again"}`)
 	})
 	_, err := c.List(t.Context())
-	assert.ErrorIs(t, err, ErrEndless)
+	assert.ErrorIs(t, err, ErrTooManyPages)
 	assert.Equal(t, calls, pagesMost)
 }
 
--- a/internal/station/process/execute.go
+++ b/internal/station/process/execute.go
@@ -17,7 +17,7 @@
 	command, err := parser.Parse(args)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return ExitMisuse
+		return ExitUsage
 	}
 	err = command.Run()
 	var field *settings.FieldError
@@ -27,7 +27,7 @@
 		return 0
 	case errors.As(err, &field), errors.As(err, &invalid), errors.Is(err, ErrNoSettings):
 		fmt.Fprintln(os.Stderr, err)
-		return ExitMisuse
+		return ExitUsage
 	}
 	klog.ErrorS(err, "Ends")
 	fmt.Fprintln(os.Stderr, err)
--- a/internal/station/process/process.go
+++ b/internal/station/process/process.go
@@ -23,7 +23,7 @@
 // Exit codes of the programs.
 const (
 	ExitFailed = 1 // something broke
-	ExitMisuse = 2 // the command line or a file is at fault
+	ExitUsage  = 2 // the command line or a file is at fault
 )
 
 // memoryShare is the part of the memory limit at which the collector works harder, and
--- a/internal/station/protocol/capacity_test.go
+++ b/internal/station/protocol/capacity_test.go
@@ -45,7 +45,7 @@
 func benchmarkWire(b *testing.B, message any) {
 	bytes := 0
 	for b.Loop() {
-		bytes = scaletest.Wire(message)
+		bytes = scaletest.EncodedSize(message)
 	}
 	b.ReportMetric(float64(bytes), "wire-bytes")
 }
--- a/internal/station/protocol/protocol.go
+++ b/internal/station/protocol/protocol.go
@@ -38,9 +38,9 @@
 	Zone    string
 }
 
-// SameMachine tells whether both are incarnations of one node: a later one takes the
+// SameNode tells whether both are incarnations of one node: a later one takes the
 // place of an earlier one.
-func (n Node) SameMachine(o Node) bool {
+func (n Node) SameNode(o Node) bool {
 	return n.Class == o.Class && (n.Name == o.Name || n.Address == o.Address)
 }
 
@@ -80,7 +80,7 @@
 // Groups of the control plane.
 const (
 	ConfigurationGroup replica.GroupID = "configuration"
-	ListerDuty         replica.GroupID = "duty-lister"
+	ListerTask         replica.GroupID = "duty-lister"
 	// ServicePartitions is how many partitions hold the services.
 	ServicePartitions = 4
 	// turnGroupPrefix stands before a partition's number in the name of its group.
@@ -227,13 +227,13 @@
 
 // The outcomes of calls about turns.
 const (
-	TurnGranted     TurnOutcome = iota + 1 // reserved (Admit) or kept (Finish), durably
-	TurnSpent                              // the budget holds no further turn, nothing is reserved
-	TurnMissing                            // the partition surely holds no such turn
-	TurnClosed                             // the try has ended already
-	TurnNotOwner                           // Owner names a better one where known; nothing was done
-	TurnUnknown                            // it may have been done
-	TurnUnavailable                        // nothing was done
+	TurnGranted         TurnOutcome = iota + 1 // reserved (Admit) or kept (Finish), durably
+	TurnBudgetExhausted                        // the budget holds no further turn, nothing is reserved
+	TurnNotFound                               // the partition surely holds no such turn
+	TurnClosed                                 // the try has ended already
+	TurnNotOwner                               // Owner names a better one where known; nothing was done
+	TurnUnknown                                // it may have been done
+	TurnUnavailable                            // nothing was done
 )
 
 // AdmitArgs asks the owner of a program's partition to reserve a turn's tokens and to
--- a/internal/station/protocol/protocol_test.go
+++ b/internal/station/protocol/protocol_test.go
@@ -50,9 +50,9 @@
 func TestIncarnationsOfOneMachine(t *testing.T) {
 	n := Node{ID: 1, Name: "a", Class: Core, Address: "h:1"}
 	for _, same := range []Node{{ID: 2, Name: "a", Class: Core, Address: "h:2"}, {ID: 2, Name: "b", Class: Core, Address: "h:1"}} {
-		assert.Assert(t, n.SameMachine(same))
+		assert.Assert(t, n.SameNode(same))
 	}
 	for _, other := range []Node{{ID: 1, Name: "b", Class: Core, Address: "h:2"}, {ID: 2, Name: "a", Class: Storage, Address: "h:1"}} {
-		assert.Assert(t, !n.SameMachine(other))
+		assert.Assert(t, !n.SameNode(other))
 	}
 }
--- a/internal/station/scaletest/scaletest.go
+++ b/internal/station/scaletest/scaletest.go
@@ -12,14 +12,14 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// Models is how many services, each with servers of its own, the tier has.
-const Models = 5
+// ServiceCount is how many services, each with servers of its own, the tier has.
+const ServiceCount = 5
 
 // zones is over how many zones servers and nodes are spread.
 const zones = 15
 
 // Service names one of the Models.
-func Service(i int) string { return fmt.Sprintf("model-%d", i%Models) }
+func Service(i int) string { return fmt.Sprintf("model-%d", i%ServiceCount) }
 
 func zone(i int) string { return fmt.Sprintf("region-%d-zone-%d", i%zones%7, i%zones) }
 
@@ -37,9 +37,9 @@
 // Lists spreads so many servers over the Models.
 func Lists(count int) []protocol.ServerList {
 	var lists []protocol.ServerList
-	for model := range Models {
-		own := count / Models
-		if model < count%Models {
+	for model := range ServiceCount {
+		own := count / ServiceCount
+		if model < count%ServiceCount {
 			own++
 		}
 		lists = append(lists, protocol.ServerList{Service: Service(model), Version: 7, Servers: Servers(own)})
@@ -83,7 +83,7 @@
 		fmt.Fprintf(&body, `"timeoutMs":120000,"priority":%d,"poolName":"%s","retryLimit":2,"retained":true,"retentionS":600}`, i%4, Service(i))
 	}
 	body.WriteString(`],"pools":[`)
-	for i := range Models {
+	for i := range ServiceCount {
 		comma(&body, i)
 		fmt.Fprintf(&body, `{"name":"%s","protocol":"h1","engine":{"capacity":8,"streamChunk":1}}`, Service(i))
 	}
@@ -97,9 +97,9 @@
 	}
 }
 
-// Wire is how many bytes a message takes between two processes, in a connection that has
+// EncodedSize is how many bytes a message takes between two processes, in a connection that has
 // carried its type before: gob, as package link has it, without the frame of some 8 bytes.
-func Wire(message any) int {
+func EncodedSize(message any) int {
 	var stream bytes.Buffer
 	encoder := gob.NewEncoder(&stream)
 	if err := encoder.Encode(message); err != nil {
--- a/internal/station/scaletest/scaletest_test.go
+++ b/internal/station/scaletest/scaletest_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestWireCountsAMessageWithoutItsType(t *testing.T) {
-	small, large := Wire(&protocol.AdmitReply{History: make([]byte, 100)}), Wire(&protocol.AdmitReply{History: make([]byte, 1100)})
+	small, large := EncodedSize(&protocol.AdmitReply{History: make([]byte, 100)}), EncodedSize(&protocol.AdmitReply{History: make([]byte, 1100)})
 	assert.Assert(t, small > 100 && small < 120, "%d", small)
 	assert.Assert(t, large-small >= 1000 && large-small < 1010, "%d", large-small)
 }
