--- a/internal/station/link/capacity_test.go
+++ b/internal/station/link/capacity_test.go
@@ -10,11 +10,11 @@
 	"pipitmux/internal/station/link"
 )
 
-// BenchmarkBytes is one call, one at a time, whose arguments and reply both carry so many
-// bytes: docs/CAPACITY.md.
+// BenchmarkBytes makes one call at a time whose arguments and reply both have the given
+// size. The figures are in docs/CAPACITY.md.
 func BenchmarkBytes(b *testing.B) {
 	address, _ := start(b, newService(), link.Limits{})
-	caller := pool(b, link.Options{})
+	caller := newPool(b, link.Options{})
 	for _, size := range []int{0, 2600, 100_000, 1_400_000} {
 		b.Run(fmt.Sprintf("bytes=%d", size), func(b *testing.B) {
 			message := Message{Data: make([]byte, size)}
--- a/internal/station/link/codec.go
+++ b/internal/station/link/codec.go
@@ -11,16 +11,16 @@
 	"github.com/go-faster/errors"
 )
 
-// readBytes is the size of a connection's read buffer.
-const readBytes = 16 << 10
+// readBufferBytes is the size of a connection's read buffer.
+const readBufferBytes = 16 << 10
 
-// serverCodec is net/rpc's view of a connection. net/rpc reads from one
-// goroutine, and writes responses one at a time.
+// serverCodec implements rpc.ServerCodec for a connection. net/rpc reads from
+// one goroutine and writes responses one at a time.
 type serverCodec struct {
 	socket net.Conn
 	limits Limits
-	bytes  *budget
-	slots  chan struct{} // one for each call under way, and one for the next
+	bytes  *byteBudget
+	slots  chan struct{} // one for each call in progress and one for the next
 
 	reader  *bufio.Reader
 	frames  frameReader
@@ -29,31 +29,31 @@
 	body    []byte // of the frame being read
 	encoder encoder
 
-	mu    sync.Mutex
-	taken int            // bytes of the frame being read
-	held  map[uint64]int // bytes of the calls under way, by sequence
+	mu         sync.Mutex
+	frameBytes int            // reserved for the frame being read
+	callBytes  map[uint64]int // reserved for the calls in progress, by sequence
 }
 
 var _ rpc.ServerCodec = (*serverCodec)(nil)
 
-func newServerCodec(socket net.Conn, limits Limits, bytes *budget) *serverCodec {
+func newServerCodec(socket net.Conn, limits Limits, bytes *byteBudget) *serverCodec {
 	codec := &serverCodec{
-		socket:  socket,
-		limits:  limits,
-		bytes:   bytes,
-		slots:   make(chan struct{}, limits.CallsPerConnection),
-		reader:  bufio.NewReaderSize(socket, readBytes),
-		encoder: encoder{limit: limits.MessageBytes},
-		held:    make(map[uint64]int),
+		socket:    socket,
+		limits:    limits,
+		bytes:     bytes,
+		slots:     make(chan struct{}, limits.CallsPerConnection),
+		reader:    bufio.NewReaderSize(socket, readBufferBytes),
+		encoder:   encoder{limit: limits.MessageBytes},
+		callBytes: make(map[uint64]int),
 	}
-	codec.frames = frameReader{from: codec.reader, limit: limits.MessageBytes, take: codec.take}
+	codec.frames = frameReader{from: codec.reader, limit: limits.MessageBytes, reserve: codec.reserve}
 	return codec
 }
 
-// ReadRequestHeader waits for a call's turn and reads its header.
+// ReadRequestHeader waits until another call is allowed and reads its header.
 func (c *serverCodec) ReadRequestHeader(request *rpc.Request) error {
 	c.slots <- struct{}{}
-	if err := c.await(); err != nil {
+	if err := c.awaitFrame(); err != nil {
 		return err
 	}
 	frame, err := c.frames.next()
@@ -65,29 +65,29 @@
 		return err
 	}
 	c.flags, c.body = h.flags, body
-	c.hold(h.sequence)
+	c.assignBytes(h.sequence)
 	request.ServiceMethod, request.Seq = h.text, h.sequence
 	return nil
 }
 
-// await waits for the first byte of a frame. A connection may be silent for as
-// long as it has calls under way, and else for the idle time. The frame must
-// then come within as long.
-func (c *serverCodec) await() error {
+// awaitFrame waits for the first byte of a frame. A connection with calls in
+// progress may be silent without limit, any other for the idle timeout. The
+// frame must then be complete within the idle timeout.
+func (c *serverCodec) awaitFrame() error {
 	for {
 		_ = c.socket.SetReadDeadline(time.Now().Add(c.limits.IdleTimeout))
 		_, err := c.reader.Peek(1)
 		if err == nil {
 			return c.socket.SetReadDeadline(time.Now().Add(c.limits.IdleTimeout))
 		}
-		onlyThis := len(c.slots) == 1
-		if onlyThis || !errors.Is(err, os.ErrDeadlineExceeded) {
+		noCalls := len(c.slots) == 1
+		if noCalls || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
 	}
 }
 
-// ReadRequestBody reads the arguments of the call whose header was read last.
+// ReadRequestBody decodes the arguments of the call whose header was read last.
 func (c *serverCodec) ReadRequestBody(into any) error {
 	err := c.decoder.decode(c.flags, c.body, into)
 	c.body = nil
@@ -98,27 +98,27 @@
 	return err
 }
 
-// WriteResponse answers a call, whose arguments are done with by now, and makes
-// way for the next. Where it fails the connection is of no use.
+// WriteResponse answers a call, whose arguments are no longer needed, and
+// allows the next one. If it fails, it closes the connection.
 func (c *serverCodec) WriteResponse(response *rpc.Response, body any) error {
 	defer func() { <-c.slots }()
-	c.give(response.Seq)
-	frame, err := c.response(response, body)
+	c.releaseCall(response.Seq)
+	frame, err := c.encodeResponse(response, body)
 	if err != nil {
-		return c.end(err)
+		return c.fail(err)
 	}
 	_ = c.socket.SetWriteDeadline(time.Now().Add(c.limits.WriteTimeout))
 	_, err = c.socket.Write(frame)
 	c.encoder.release()
 	if err != nil {
-		return c.end(err)
+		return c.fail(err)
 	}
 	return nil
 }
 
-// response makes a response's frame. A reply that can't be sent is answered
-// with why.
-func (c *serverCodec) response(response *rpc.Response, body any) ([]byte, error) {
+// encodeResponse returns the frame of a response. If the reply cannot be
+// encoded, the response carries the encoding error.
+func (c *serverCodec) encodeResponse(response *rpc.Response, body any) ([]byte, error) {
 	if response.Error == "" {
 		frame, err := c.encoder.frame(header{sequence: response.Seq}, body)
 		if err == nil {
@@ -129,47 +129,47 @@
 	return c.encoder.frame(header{sequence: response.Seq, text: response.Error}, nil)
 }
 
-func (c *serverCodec) end(err error) error {
+func (c *serverCodec) fail(err error) error {
 	_ = c.socket.Close()
 	return errors.Wrap(err, "link: respond")
 }
 
-// Close closes the connection and gives back what its calls held.
+// Close closes the connection and releases the bytes reserved for its calls.
 func (c *serverCodec) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, bytes := range c.held {
-		c.bytes.give(bytes)
+	for _, bytes := range c.callBytes {
+		c.bytes.release(bytes)
 	}
-	c.bytes.give(c.taken)
-	c.taken = 0
-	clear(c.held)
+	c.bytes.release(c.frameBytes)
+	c.frameBytes = 0
+	clear(c.callBytes)
 	return c.socket.Close()
 }
 
-// take takes bytes for the frame being read.
-func (c *serverCodec) take(bytes int) error {
-	if err := c.bytes.take(bytes); err != nil {
+// reserve reserves bytes for the frame being read.
+func (c *serverCodec) reserve(bytes int) error {
+	if err := c.bytes.reserve(bytes); err != nil {
 		return err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.taken += bytes
+	c.frameBytes += bytes
 	return nil
 }
 
-// hold makes the bytes of the frame that was read those of a call.
-func (c *serverCodec) hold(sequence uint64) {
+// assignBytes assigns the bytes reserved for the frame to its call.
+func (c *serverCodec) assignBytes(sequence uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.held[sequence] += c.taken
-	c.taken = 0
+	c.callBytes[sequence] += c.frameBytes
+	c.frameBytes = 0
 }
 
-// give gives back what a call held.
-func (c *serverCodec) give(sequence uint64) {
+// releaseCall releases the bytes reserved for a call.
+func (c *serverCodec) releaseCall(sequence uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bytes.give(c.held[sequence])
-	delete(c.held, sequence)
+	c.bytes.release(c.callBytes[sequence])
+	delete(c.callBytes, sequence)
 }
--- a/internal/station/link/connection.go
+++ b/internal/station/link/connection.go
@@ -11,152 +11,153 @@
 	"github.com/go-faster/errors"
 )
 
-// connection is a Pool's side of one connection: callers add frames to a queue,
-// and one goroutine writes it and one reads the answers.
+// connection is the client side of one connection. Callers append frames to a
+// queue; one goroutine writes the queue and another one reads the replies.
 type connection struct {
 	address string
 	socket  net.Conn
 	options *Options
-	slots   chan struct{} // one for each call that isn't answered yet
-	wake    chan struct{} // the queue isn't empty
-	ended   chan struct{} // closed as the connection ends
-	decoder decoder       // the reader's
+	slots   chan struct{} // one for each unanswered call
+	wake    chan struct{} // signals that the queue is not empty
+	closed  chan struct{} // closed when the connection closes
+	decoder decoder       // used by the reading goroutine
 
-	sending sync.Mutex // makes frames come in the order of their encoding
-	encoder encoder    // under sending
-	last    uint64     // sequence of the last call, under sending
+	sendMu       sync.Mutex // frames are queued in the order of their encoding
+	encoder      encoder    // guarded by sendMu
+	lastSequence uint64     // sequence of the last call; guarded by sendMu
 
-	mu      sync.Mutex // never held while encoding, reading or writing
-	cause   error      // why the connection ended
-	retired bool       // it ends once no caller waits
-	queue   []byte     // frames that the writer hasn't taken
-	queued  uint64     // bytes ever put in the queue
-	written uint64     // bytes ever written
-	calls   map[uint64]*call
-	waiting int       // calls whose callers haven't left
-	heardAt time.Time // of the last read, or of the first call after none
-	usedAt  time.Time // of the last call or answer
+	mu           sync.Mutex // never held while encoding, reading or writing
+	cause        error      // why the connection closed
+	retired      bool       // it closes once no caller waits
+	queue        []byte     // frames not yet taken by the writing goroutine
+	queuedBytes  uint64     // total bytes queued so far
+	writtenBytes uint64     // total bytes written so far
+	calls        map[uint64]*call
+	waiters      int       // calls whose callers still wait
+	lastRead     time.Time // time of the last read, or of the first call after an idle time
+	lastUsed     time.Time // time of the last call or reply
 }
 
-// call is a call that isn't answered yet.
+// call is an unanswered call.
 type call struct {
-	method string
-	reply  reflect.Value // a pointer of the call's own; zero to read over it
-	end    uint64        // written bytes at which the call has gone out whole
-	left   bool          // its caller has left
-	done   chan error    // with room for the outcome
+	method    string
+	reply     reflect.Value // pointer owned by the call; zero if the reply is discarded
+	endOffset uint64        // the call is completely written at this count of written bytes
+	abandoned bool          // its caller no longer waits
+	done      chan error    // buffered, receives the result
 }
 
-// newConnection takes over a socket that was greeted.
+// newConnection returns a connection over a socket whose greeting was read.
 func newConnection(address string, socket net.Conn, options *Options) *connection {
 	now := options.Now()
 	c := &connection{
-		address: address,
-		socket:  socket,
-		options: options,
-		slots:   make(chan struct{}, options.CallsPerConnection),
-		wake:    make(chan struct{}, 1),
-		ended:   make(chan struct{}),
-		encoder: encoder{limit: options.MessageBytes},
-		calls:   make(map[uint64]*call),
-		heardAt: now,
-		usedAt:  now,
+		address:  address,
+		socket:   socket,
+		options:  options,
+		slots:    make(chan struct{}, options.CallsPerConnection),
+		wake:     make(chan struct{}, 1),
+		closed:   make(chan struct{}),
+		encoder:  encoder{limit: options.MessageBytes},
+		calls:    make(map[uint64]*call),
+		lastRead: now,
+		lastUsed: now,
 	}
 	go c.run()
 	return c
 }
 
-// run writes and reads until the connection ends, then settles what is left:
-// only then is it known what was written.
+// run writes and reads until the connection closes, then fails the open calls.
+// Only then is it known how much was written.
 func (c *connection) run() {
 	var loops sync.WaitGroup
-	loops.Go(func() { c.end(c.write()) })
-	loops.Go(func() { c.end(c.read()) })
+	loops.Go(func() { c.close(c.write()) })
+	loops.Go(func() { c.close(c.read()) })
 	loops.Wait()
-	c.settle()
+	c.failOpenCalls()
 }
 
-// call makes a call and waits for its outcome or for ctx.
+// call sends a call and waits for its result or for ctx.
 func (c *connection) call(ctx context.Context, method string, args, reply any) error {
 	if err := c.acquire(ctx); err != nil {
 		return err
 	}
-	one := &call{method: method, done: make(chan error, 1)}
+	pending := &call{method: method, done: make(chan error, 1)}
 	if reply != nil {
-		one.reply = reflect.New(reflect.TypeOf(reply).Elem())
+		pending.reply = reflect.New(reflect.TypeOf(reply).Elem())
 	}
-	sequence, err := c.send(one, args)
+	sequence, err := c.send(pending, args)
 	if err != nil {
 		<-c.slots
 		return err
 	}
 	select {
-	case err = <-one.done:
+	case err = <-pending.done:
 	case <-ctx.Done():
-		err = c.leave(ctx, sequence, one)
+		err = c.abandon(ctx, sequence, pending)
 	}
 	if err == nil && reply != nil {
-		reflect.ValueOf(reply).Elem().Set(one.reply.Elem())
+		reflect.ValueOf(reply).Elem().Set(pending.reply.Elem())
 	}
 	return err
 }
 
-// acquire waits for room for a call.
+// acquire waits until another call is allowed.
 func (c *connection) acquire(ctx context.Context) error {
 	select {
 	case c.slots <- struct{}{}:
 		return nil
-	case <-c.ended:
-		return c.unsent()
+	case <-c.closed:
+		return c.unsentError()
 	case <-ctx.Done():
 		return &UnreachableError{Address: c.address, Cause: ctx.Err()}
 	}
 }
 
-// unsent is the error of a call that the connection ended before.
-func (c *connection) unsent() error {
+// unsentError is the error of a call that was not sent because the connection
+// closed.
+func (c *connection) unsentError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return &UnreachableError{Address: c.address, Cause: c.cause, broke: true}
+	return &UnreachableError{Address: c.address, Cause: c.cause, connectionLost: true}
 }
 
-// send puts a call in the queue.
-func (c *connection) send(one *call, args any) (sequence uint64, err error) {
-	c.sending.Lock()
-	defer c.sending.Unlock()
-	c.last++
-	frame, err := c.encoder.frame(header{sequence: c.last, text: one.method}, args)
+// send encodes a call and queues it.
+func (c *connection) send(pending *call, args any) (sequence uint64, err error) {
+	c.sendMu.Lock()
+	defer c.sendMu.Unlock()
+	c.lastSequence++
+	frame, err := c.encoder.frame(header{sequence: c.lastSequence, text: pending.method}, args)
 	if err != nil {
 		return 0, err
 	}
 	defer c.encoder.release()
-	if err := c.enqueue(c.last, one, frame); err != nil {
+	if err := c.enqueue(c.lastSequence, pending, frame); err != nil {
 		c.encoder.restart()
 		return 0, err
 	}
-	return c.last, nil
+	return c.lastSequence, nil
 }
 
-// enqueue puts a call's frame in the queue, and notes the call.
-func (c *connection) enqueue(sequence uint64, one *call, frame []byte) error {
+// enqueue queues a call's frame and registers the call.
+func (c *connection) enqueue(sequence uint64, pending *call, frame []byte) error {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cause != nil {
-		return &UnreachableError{Address: c.address, Cause: c.cause, broke: true}
+		return &UnreachableError{Address: c.address, Cause: c.cause, connectionLost: true}
 	}
 	if len(c.queue) > 0 && len(c.queue)+len(frame) > c.options.MessageBytes {
 		return &UnreachableError{Address: c.address, Cause: ErrOverloaded}
 	}
 	c.queue = append(c.queue, frame...)
-	c.queued += uint64(len(frame))
-	one.end = c.queued
+	c.queuedBytes += uint64(len(frame))
+	pending.endOffset = c.queuedBytes
 	if len(c.calls) == 0 {
-		c.heardAt = now
+		c.lastRead = now
 	}
-	c.usedAt = now
-	c.calls[sequence] = one
-	c.waiting++
+	c.lastUsed = now
+	c.calls[sequence] = pending
+	c.waiters++
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -164,47 +165,47 @@
 	return nil
 }
 
-// leave makes a call's caller leave, as its context ended. The answer is read
-// over when it comes, and until then the call counts as under way.
-func (c *connection) leave(ctx context.Context, sequence uint64, one *call) error {
+// abandon gives up a call whose context ended. Its reply is discarded when it
+// arrives; until then the call counts as in progress.
+func (c *connection) abandon(ctx context.Context, sequence uint64, pending *call) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case err := <-one.done:
+	case err := <-pending.done:
 		return err
 	default:
 	}
-	if c.calls[sequence] == one {
-		one.left = true
-		c.countOut()
+	if c.calls[sequence] == pending {
+		pending.abandoned = true
+		c.removeWaiter()
 	}
-	return &UncertainError{Address: c.address, Method: one.method, Cause: ctx.Err()}
+	return &UncertainError{Address: c.address, Method: pending.method, Cause: ctx.Err()}
 }
 
-// countOut counts a caller out. The lock is held.
-func (c *connection) countOut() {
-	c.waiting--
-	if c.retired && c.waiting == 0 {
-		c.endLocked(errRetired)
+// removeWaiter decrements the number of waiting callers. c.mu must be held.
+func (c *connection) removeWaiter() {
+	c.waiters--
+	if c.retired && c.waiters == 0 {
+		c.closeLocked(errRetired)
 	}
 }
 
-// write writes the queue until the connection ends.
+// write writes the queue until the connection closes.
 func (c *connection) write() error {
 	var batch []byte
 	for {
 		select {
 		case <-c.wake:
-		case <-c.ended:
+		case <-c.closed:
 			return nil
 		}
-		batch = c.swap(batch)
+		batch = c.takeQueue(batch)
 		if len(batch) == 0 {
 			continue
 		}
 		n, err := c.socket.Write(batch)
 		c.mu.Lock()
-		c.written += uint64(n)
+		c.writtenBytes += uint64(n)
 		c.mu.Unlock()
 		if err != nil {
 			return errors.Wrap(err, "write")
@@ -212,9 +213,10 @@
 	}
 }
 
-// swap takes the queue, and leaves an empty one in the room of an old one.
-func (c *connection) swap(old []byte) []byte {
-	if cap(old) > keepBytes {
+// takeQueue returns the queue and replaces it by an empty one that reuses the
+// memory of old.
+func (c *connection) takeQueue(old []byte) []byte {
+	if cap(old) > maxRetainedBufferBytes {
 		old = nil
 	}
 	c.mu.Lock()
@@ -224,96 +226,99 @@
 	return batch
 }
 
-// read reads answers until the connection ends.
+// read reads replies until the connection closes.
 func (c *connection) read() error {
-	frames := frameReader{from: bufio.NewReaderSize(hearing{c}, readBytes), limit: c.options.MessageBytes}
+	frames := frameReader{from: bufio.NewReaderSize(activityReader{c}, readBufferBytes), limit: c.options.MessageBytes}
 	for {
 		frame, err := frames.next()
 		if err != nil {
 			return errors.Wrap(err, "read")
 		}
-		if err := c.answer(frame); err != nil {
+		if err := c.handleReply(frame); err != nil {
 			return err
 		}
 		frames.release()
 	}
 }
 
-// hearing reads from a connection's socket, and notes when bytes came.
-type hearing struct{ connection *connection }
+// activityReader reads from a connection's socket and records when bytes
+// arrived.
+type activityReader struct{ connection *connection }
 
 // Read implements io.Reader.
-func (h hearing) Read(to []byte) (int, error) {
-	n, err := h.connection.socket.Read(to)
+func (r activityReader) Read(buffer []byte) (int, error) {
+	n, err := r.connection.socket.Read(buffer)
 	if n > 0 {
-		h.connection.heard()
+		r.connection.recordRead()
 	}
 	return n, err
 }
 
-func (c *connection) heard() {
+func (c *connection) recordRead() {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heardAt, c.usedAt = now, now
+	c.lastRead, c.lastUsed = now, now
 }
 
-// answer gives an answer to the call that it is to. An error ends the
-// connection.
-func (c *connection) answer(frame []byte) error {
-	h, body, err := parseHeader(frame)
+// handleReply delivers a reply to its call. The connection closes if it returns
+// an error.
+func (c *connection) handleReply(frame []byte) error {
+	head, body, err := parseHeader(frame)
 	if err != nil {
 		return err
 	}
-	one, left := c.find(h.sequence)
-	if one == nil {
-		return errors.Wrap(ErrMalformed, "answer to no call")
+	pending, abandoned := c.takeCall(head.sequence)
+	if pending == nil {
+		return errors.Wrap(ErrMalformed, "reply to an unknown call")
 	}
 	<-c.slots
-	outcome := c.outcome(one, left, h, body)
-	one.done <- outcome
-	c.answered(left)
-	if errors.Is(outcome, ErrMalformed) {
-		return outcome
+	result := c.decodeReply(pending, abandoned, head, body)
+	pending.done <- result
+	c.finishCall(abandoned)
+	if errors.Is(result, ErrMalformed) {
+		return result
 	}
 	return nil
 }
 
-// find takes a call out, and tells whether its caller has left.
-func (c *connection) find(sequence uint64) (one *call, left bool) {
+// takeCall removes and returns an open call, and reports whether its caller has
+// abandoned it.
+func (c *connection) takeCall(sequence uint64) (pending *call, abandoned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	one = c.calls[sequence]
+	pending = c.calls[sequence]
 	delete(c.calls, sequence)
-	return one, one != nil && one.left
+	return pending, pending != nil && pending.abandoned
 }
 
-// answered counts out a caller that waited until its answer.
-func (c *connection) answered(left bool) {
+// finishCall removes the waiter of a call that was not abandoned.
+func (c *connection) finishCall(abandoned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !left {
-		c.countOut()
+	if !abandoned {
+		c.removeWaiter()
 	}
 }
 
-// outcome reads an answer's body into the call's own reply.
-func (c *connection) outcome(one *call, left bool, h header, body []byte) error {
-	var into any
-	if !left && h.text == "" && one.reply.IsValid() {
-		into = one.reply.Interface()
+// decodeReply decodes the body of a reply into the call's own reply value.
+func (c *connection) decodeReply(pending *call, abandoned bool, head header, body []byte) error {
+	var reply any
+	if !abandoned && head.text == "" && pending.reply.IsValid() {
+		reply = pending.reply.Interface()
 	}
-	if err := c.decoder.decode(h.flags, body, into); err != nil {
-		return &UncertainError{Address: c.address, Method: one.method, Cause: err}
+	if err := c.decoder.decode(head.flags, body, reply); err != nil {
+		return &UncertainError{Address: c.address, Method: pending.method, Cause: err}
 	}
-	if h.text != "" {
-		return &RemoteError{Address: c.address, Method: one.method, Text: h.text}
+	if head.text != "" {
+		return &RemoteError{Address: c.address, Method: pending.method, Text: head.text}
 	}
 	return nil
 }
 
-// usable tells whether further calls may go over the connection: it hasn't
-// ended, isn't silent with calls under way, and wasn't long unused.
+// usable reports whether the connection may carry further calls. It must not be
+// closed or retired, silent for too long with calls in progress, or unused for
+// too long.
 func (c *connection) usable(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -321,48 +326,48 @@
 		return false
 	}
 	if len(c.calls) > 0 {
-		return now.Sub(c.heardAt) <= c.options.StaleAfter
+		return now.Sub(c.lastRead) <= c.options.StaleAfter
 	}
-	return now.Sub(c.usedAt) <= c.options.MaxUnused
+	return now.Sub(c.lastUsed) <= c.options.MaxUnused
 }
 
-// retire ends the connection once no caller waits on it.
+// retire closes the connection once no caller waits for a reply.
 func (c *connection) retire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.retired = true
-	if c.waiting == 0 {
-		c.endLocked(errRetired)
+	if c.waiters == 0 {
+		c.closeLocked(errRetired)
 	}
 }
 
-// end ends the connection. The first cause stands.
-func (c *connection) end(cause error) {
+// close closes the connection. The first cause is kept.
+func (c *connection) close(cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.endLocked(cause)
+	c.closeLocked(cause)
 }
 
-func (c *connection) endLocked(cause error) {
+func (c *connection) closeLocked(cause error) {
 	if c.cause != nil {
 		return
 	}
 	c.cause = cause
-	close(c.ended)
+	close(c.closed)
 	_ = c.socket.Close()
 }
 
-// settle fails the calls that are left: a call that wasn't written whole can't
-// be carried out.
-func (c *connection) settle() {
+// failOpenCalls fails the calls without a reply. A call that was not completely
+// written cannot have been executed.
+func (c *connection) failOpenCalls() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, one := range c.calls {
-		if one.end > c.written {
-			one.done <- &UnreachableError{Address: c.address, Cause: c.cause, broke: true}
+	for _, pending := range c.calls {
+		if pending.endOffset > c.writtenBytes {
+			pending.done <- &UnreachableError{Address: c.address, Cause: c.cause, connectionLost: true}
 			continue
 		}
-		one.done <- &UncertainError{Address: c.address, Method: one.method, Cause: c.cause}
+		pending.done <- &UncertainError{Address: c.address, Method: pending.method, Cause: c.cause}
 	}
 	clear(c.calls)
 }
--- a/internal/station/link/errors.go
+++ b/internal/station/link/errors.go
@@ -6,45 +6,47 @@
 	"github.com/go-faster/errors"
 )
 
-// A failed Call is a *RemoteError (carried out, and answered with an error), an
-// *UncertainError (it may have been carried out) or any other error: then it
-// surely wasn't and won't be.
+// A failed Call returns a *RemoteError (the call was executed and returned an
+// error), an *UncertainError (it may have been executed) or any other error: the
+// call was not executed and will not be.
 var (
-	// ErrUnreachable is found in the error of a call that was never written.
+	// ErrUnreachable means that the call was never written.
 	ErrUnreachable = errors.New("link: unreachable")
-	// ErrBackoff is why a call fails without a dial soon after a failed one.
+	// ErrBackoff means that no dial was tried because another one failed
+	// recently.
 	ErrBackoff = errors.New("link: waiting after a failed dial")
-	// ErrForgotten is why calls fail on a connection that Forget or Close closed.
+	// ErrForgotten means that Forget or Close closed the connection.
 	ErrForgotten = errors.New("link: address forgotten")
-	// ErrTooLarge is a message over the bound on its bytes.
+	// ErrTooLarge means that a message exceeds the size limit.
 	ErrTooLarge = errors.New("link: message too large")
-	// ErrOverloaded is a message that there is no room for now.
-	ErrOverloaded = errors.New("link: too many bytes under way")
-	// ErrMalformed is a message that isn't of the form of a frame.
+	// ErrOverloaded means that the byte limit of all pending messages is
+	// reached.
+	ErrOverloaded = errors.New("link: too many bytes in flight")
+	// ErrMalformed means that a message is not a valid frame.
 	ErrMalformed = errors.New("link: malformed message")
-	// ErrServerClosed is what Serve returns after Close.
+	// ErrServerClosed is returned by Serve after Close.
 	ErrServerClosed = errors.New("link: server closed")
-	// ErrReplyType is a reply that isn't a pointer to write to.
+	// ErrReplyType means that the reply argument is not a non-nil pointer.
 	ErrReplyType = errors.New("link: reply is not a pointer")
 
-	// errNoBody is a message without the body that its reader wants.
+	// errNoBody means that a message lacks the expected body.
 	errNoBody = errors.New("link: no body")
-	// errRetired is why a connection closes that was replaced.
+	// errRetired is the cause when a replaced connection closes.
 	errRetired = errors.New("link: connection replaced")
 )
 
-// UnreachableError is a call that was never written. ErrUnreachable and the
-// cause are found in it by errors.Is.
+// UnreachableError reports a call that was never written. It matches
+// ErrUnreachable and its cause with errors.Is.
 type UnreachableError struct {
 	Address string
 	Cause   error
 
-	// broke tells that the connection had been good until now, so that a new
-	// one may be tried at once.
-	broke bool
+	// connectionLost means that an established connection failed, so a new one
+	// may be tried at once.
+	connectionLost bool
 }
 
-// Error names the address and the cause.
+// Error returns a message with the address and the cause.
 func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("%v: %s: %v", ErrUnreachable, e.Address, e.Cause)
 }
@@ -52,15 +54,15 @@
 // Unwrap returns ErrUnreachable and the cause.
 func (e *UnreachableError) Unwrap() []error { return []error{ErrUnreachable, e.Cause} }
 
-// UncertainError is a call that was written, at least in part, and whose answer
-// didn't come: it may have been carried out, or may still be.
+// UncertainError reports a call that was written but not answered. The call may
+// have been executed, or may still be.
 type UncertainError struct {
 	Address string
 	Method  string
 	Cause   error // the context's error, or why the connection broke
 }
 
-// Error names the call and the cause.
+// Error returns a message with the address, the method and the cause.
 func (e *UncertainError) Error() string {
 	return fmt.Sprintf("link: no answer from %s to %s: %v", e.Address, e.Method, e.Cause)
 }
@@ -68,14 +70,14 @@
 // Unwrap returns the cause.
 func (e *UncertainError) Unwrap() error { return e.Cause }
 
-// RemoteError is the error that a service answered with.
+// RemoteError is an error returned by the called service.
 type RemoteError struct {
 	Address string
 	Method  string
 	Text    string // the text of the service's error
 }
 
-// Error returns the service's text after the call's name.
+// Error returns the service's error text, preceded by method and address.
 func (e *RemoteError) Error() string {
 	return fmt.Sprintf("link: %s at %s: %s", e.Method, e.Address, e.Text)
 }
--- a/internal/station/link/frame.go
+++ b/internal/station/link/frame.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// A frame is one message:
+// A frame holds one message:
 //
-//	length   4 bytes, big-endian; of all that follows
+//	length   4 bytes, big-endian; number of bytes that follow
 //	flags    1 byte
-//	sequence uvarint; of the call
-//	text     uvarint length and bytes; a request's method, a response's error
-//	body     the rest: gob messages, unless flagBodiless is set
+//	sequence uvarint; number of the call
+//	text     uvarint length and bytes; method of a request, error of a response
+//	body     the rest: gob messages; absent if flagBodiless is set
 //
-// The bodies of a connection's one direction are one gob stream, so that types
-// are described once; a frame with flagRestart starts it anew.
+// The bodies of one direction of a connection form a gob stream, so that types
+// are described only once. A frame with flagRestart starts a new stream.
 const (
 	prefixBytes = 4
 
@@ -23,29 +23,30 @@
 	flagBodiless = 1 << 1
 )
 
-// firstStep is how many bytes of a frame are made room for at first; the room
-// then doubles as bytes arrive, whatever the length that the frame claims.
-const firstStep = 4 << 10
+// initialReadBytes is the initial buffer size for a frame. The buffer then
+// doubles as bytes arrive, so that a false length cannot allocate memory.
+const initialReadBytes = 4 << 10
 
-// keepBytes is the largest buffer that is kept from one message to the next.
-const keepBytes = 32 << 10
+// maxRetainedBufferBytes is the largest buffer that is reused for the next
+// message.
+const maxRetainedBufferBytes = 32 << 10
 
-// header is what a frame says before its body.
+// header is the part of a frame before its body.
 type header struct {
 	flags    byte
 	sequence uint64
 	text     string
 }
 
-// appendHeader appends a header's bytes.
-func appendHeader(to []byte, h header) []byte {
-	to = append(to, h.flags)
-	to = binary.AppendUvarint(to, h.sequence)
-	to = binary.AppendUvarint(to, uint64(len(h.text)))
-	return append(to, h.text...)
+// appendHeader appends the encoded header.
+func appendHeader(buffer []byte, h header) []byte {
+	buffer = append(buffer, h.flags)
+	buffer = binary.AppendUvarint(buffer, h.sequence)
+	buffer = binary.AppendUvarint(buffer, uint64(len(h.text)))
+	return append(buffer, h.text...)
 }
 
-// parseHeader takes a frame apart into its header and its body.
+// parseHeader splits a frame into its header and its body.
 func parseHeader(frame []byte) (h header, body []byte, err error) {
 	if len(frame) == 0 {
 		return header{}, nil, ErrMalformed
@@ -74,27 +75,27 @@
 	return value, from[n:], nil
 }
 
-// frameReader reads frames, in room that grows as bytes arrive.
+// frameReader reads frames into a buffer that grows as bytes arrive.
 type frameReader struct {
-	from  io.Reader
-	limit int                   // of bytes after the prefix
-	take  func(bytes int) error // asked before room is made; may be nil
+	from    io.Reader
+	limit   int                   // largest length after the prefix
+	reserve func(bytes int) error // called before the buffer grows; may be nil
 
 	buffer []byte
 }
 
-// next returns the next frame without its prefix. It is good until release.
+// next returns the next frame without its prefix. It is valid until release.
 func (f *frameReader) next() ([]byte, error) {
 	var prefix [prefixBytes]byte
 	if _, err := io.ReadFull(f.from, prefix[:]); err != nil {
 		return nil, err
 	}
-	claimed := binary.BigEndian.Uint32(prefix[:])
-	if uint64(claimed) > uint64(f.limit) {
+	frameLength := binary.BigEndian.Uint32(prefix[:])
+	if uint64(frameLength) > uint64(f.limit) {
 		return nil, ErrTooLarge
 	}
 	f.buffer = f.buffer[:0]
-	for length := int(claimed); len(f.buffer) < length; {
+	for length := int(frameLength); len(f.buffer) < length; {
 		if err := f.grow(length); err != nil {
 			return nil, err
 		}
@@ -102,26 +103,26 @@
 	return f.buffer, nil
 }
 
-// grow reads a further part of a frame: as much again as is there already.
+// grow reads the next part of a frame, as many bytes as were read so far.
 func (f *frameReader) grow(length int) error {
-	have := len(f.buffer)
-	step := min(length-have, max(firstStep, have))
-	if f.take != nil {
-		if err := f.take(step); err != nil {
+	received := len(f.buffer)
+	step := min(length-received, max(initialReadBytes, received))
+	if f.reserve != nil {
+		if err := f.reserve(step); err != nil {
 			return err
 		}
 	}
-	f.buffer = slices.Grow(f.buffer, step)[:have+step]
-	_, err := io.ReadFull(f.from, f.buffer[have:])
+	f.buffer = slices.Grow(f.buffer, step)[:received+step]
+	_, err := io.ReadFull(f.from, f.buffer[received:])
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// release gives a large frame's memory back.
+// release frees the buffer if it is large.
 func (f *frameReader) release() {
-	if cap(f.buffer) > keepBytes {
+	if cap(f.buffer) > maxRetainedBufferBytes {
 		f.buffer = nil
 	}
 }
--- a/internal/station/link/link.go
+++ b/internal/station/link/link.go
@@ -1,11 +1,11 @@
-// Package link carries calls between the system's own processes: net/rpc
-// services over TCP, with bounds on what a peer can make a process hold, and
-// with errors that tell a call that surely wasn't carried out from one that may
-// have been.
+// Package link carries calls between the system's own processes. It serves
+// net/rpc services over TCP, bounds the resources that a peer can consume, and
+// returns errors that distinguish a call that was certainly not executed from
+// one that may have been.
 //
-// A connection starts with a greeting of the server's, so that a dial succeeds
-// only where a process answers; a machine that is dark or a process that is
-// stopped is found before any call is written. After it, each side sends
+// A connection starts with a greeting from the server, so that a dial succeeds
+// only if a process responds. A machine without power or a stopped process is
+// detected before any call is written. After the greeting, both sides send
 // frames: see frame.go.
 package link
 
@@ -19,27 +19,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// greeting is what a server sends first on each connection. Its number changes
-// with the form of the frames.
+// greeting is the first thing that a server sends on each connection. Its
+// number changes with the frame format.
 const greeting = "pmlink1\n"
 
-// Bounds on a peer that says nothing.
+// Time limits for a silent peer.
 const (
-	// userTimeout is how long written bytes may go without the peer's word that
-	// they came (TCP_USER_TIMEOUT, RFC 5482).
+	// userTimeout is how long written bytes may remain unacknowledged
+	// (TCP_USER_TIMEOUT, RFC 5482).
 	userTimeout = 1500 * time.Millisecond
-	// probeInterval is how often a connection without traffic is probed.
+	// probeInterval is the keepalive interval of an idle connection.
 	probeInterval = 2 * time.Second
 )
 
-// probes are the keepalive settings of all connections. The count has no
-// effect where userTimeout is set (tcp(7)).
-var probes = net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval}
+// keepAlive holds the keepalive settings of all connections. The probe count
+// has no effect when TCP_USER_TIMEOUT is set (tcp(7)).
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval}
 
 // Listen listens on host:port with the socket options that a Server's
-// connections want; accepted connections take them over.
+// connections need. Accepted connections inherit them.
 func Listen(address string) (net.Listener, error) {
-	config := net.ListenConfig{Control: setUserTimeout, KeepAliveConfig: probes}
+	config := net.ListenConfig{Control: setUserTimeout, KeepAliveConfig: keepAlive}
 	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "link: listen")
@@ -47,8 +47,8 @@
 	return listener, nil
 }
 
-// Port returns the port at an offset in a range whose first and last ports are
-// given, or 0 where the range has no such port.
+// Port returns the port at an offset in a port range, given by its first and
+// last port, or 0 if the range does not contain it.
 func Port(portRange [2]int, offset int) int {
 	if offset < 0 || offset > portRange[1]-portRange[0] {
 		return 0
@@ -56,7 +56,7 @@
 	return portRange[0] + offset
 }
 
-// setUserTimeout sets TCP_USER_TIMEOUT on a socket that isn't in use yet.
+// setUserTimeout sets TCP_USER_TIMEOUT on a new socket.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failure error
 	err := raw.Control(func(descriptor uintptr) {
--- a/internal/station/link/link_test.go
+++ b/internal/station/link/link_test.go
@@ -16,41 +16,41 @@
 	"pipitmux/internal/station/link"
 )
 
-// patience bounds the waits of the tests, which end long before it.
-const patience = 10 * time.Second
+// testTimeout bounds the waits of the tests. It expires only if a test hangs.
+const testTimeout = 10 * time.Second
 
-// greeting is what a server says first.
+// greeting is the first thing that a server sends.
 const greeting = "pmlink1\n"
 
-// Message goes there and back.
+// Message is the argument and reply type of the test service.
 type Message struct {
 	Number int
 	Text   string
 	Data   []byte
 }
 
-// Unsendable can't be encoded.
+// Unsendable cannot be encoded by gob.
 type Unsendable struct{ Channel chan int }
 
-// Service is what the tests call.
+// Service is the service that the tests call.
 type Service struct {
-	entered chan struct{} // told as Hold begins
-	release chan struct{} // Hold waits for it
-	running atomic.Int32  // calls of Count
-	most    atomic.Int32
+	entered chan struct{} // receives when Hold begins
+	release chan struct{} // Hold blocks on it
+	running atomic.Int32  // calls of Count in progress
+	peak    atomic.Int32  // most calls of Count at the same time
 }
 
 func newService() *Service {
 	return &Service{entered: make(chan struct{}, 1000), release: make(chan struct{})}
 }
 
-// Echo answers what it was asked.
+// Echo returns its arguments.
 func (s *Service) Echo(args *Message, reply *Message) error {
 	*reply = *args
 	return nil
 }
 
-// Hold is Echo after a release.
+// Hold is like Echo, but blocks until it is released.
 func (s *Service) Hold(args *Message, reply *Message) error {
 	s.entered <- struct{}{}
 	<-s.release
@@ -58,29 +58,29 @@
 	return nil
 }
 
-// Fail answers with an error after it wrote its reply.
+// Fail writes its reply and then returns an error.
 func (s *Service) Fail(args *Message, reply *Message) error {
 	*reply = *args
 	return errors.New("refused: " + args.Text)
 }
 
-// Swell answers with as many bytes as it is asked for.
-func (s *Service) Swell(args *Message, reply *Message) error {
+// LargeReply returns args.Number bytes.
+func (s *Service) LargeReply(args *Message, reply *Message) error {
 	reply.Data = make([]byte, args.Number)
 	return nil
 }
 
-// Count notes how many calls of it there are at once.
+// Count records how many calls of it run at the same time.
 func (s *Service) Count(args *Message, reply *Message) error {
 	now := s.running.Add(1)
-	for most := s.most.Load(); now > most && !s.most.CompareAndSwap(most, now); most = s.most.Load() {
+	for peak := s.peak.Load(); now > peak && !s.peak.CompareAndSwap(peak, now); peak = s.peak.Load() {
 	}
 	reply.Number = args.Number
 	s.running.Add(-1)
 	return nil
 }
 
-// start serves a service on loopback until the test ends.
+// start serves a service on the loopback interface until the test ends.
 func start(t testing.TB, service *Service, limits link.Limits) (address string, server *link.Server) {
 	t.Helper()
 	listener, err := link.Listen("127.0.0.1:0")
@@ -101,22 +101,22 @@
 	return listener.Addr().String(), server
 }
 
-// pool makes a Pool that closes as the test ends.
-func pool(t testing.TB, options link.Options) *link.Pool {
+// newPool returns a Pool that is closed when the test ends.
+func newPool(t testing.TB, options link.Options) *link.Pool {
 	t.Helper()
-	made := link.NewPool(options)
-	t.Cleanup(made.Close)
-	return made
+	created := link.NewPool(options)
+	t.Cleanup(created.Close)
+	return created
 }
 
-// patient is a context that ends only where a test hangs.
-func patient(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// testContext returns a context that ends only if the test hangs.
+func testContext(t testing.TB) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// clock is a time that a test moves.
+// clock is a clock that the test advances.
 type clock struct {
 	mu sync.Mutex
 	at time.Time
@@ -146,11 +146,11 @@
 	return errors.As(err, &target)
 }
 
-func TestCallsAtOnce(t *testing.T) {
+func TestConcurrentCallsGetTheirOwnReplies(t *testing.T) {
 	const callers, calls = 16, 100
 	address, _ := start(t, newService(), link.Limits{})
-	caller := pool(t, link.Options{})
-	ctx := patient(t)
+	caller := newPool(t, link.Options{})
+	ctx := testContext(t)
 	var group sync.WaitGroup
 	for n := range callers {
 		group.Go(func() {
@@ -165,11 +165,11 @@
 	group.Wait()
 }
 
-func TestSlowCallHoldsUpNone(t *testing.T) {
+func TestSlowCallDoesNotBlockOthers(t *testing.T) {
 	service := newService()
 	address, _ := start(t, service, link.Limits{})
-	caller := pool(t, link.Options{})
-	ctx := patient(t)
+	caller := newPool(t, link.Options{})
+	ctx := testContext(t)
 	held := make(chan error, 1)
 	var late Message
 	go func() { held <- caller.Call(ctx, address, "Test.Hold", Message{Number: 1}, &late) }()
@@ -182,52 +182,52 @@
 	assert.Equal(t, late.Number, 1)
 }
 
-func TestRemoteError(t *testing.T) {
+func TestRemoteErrorLeavesReplyUnchanged(t *testing.T) {
 	address, _ := start(t, newService(), link.Limits{})
-	caller := pool(t, link.Options{})
+	caller := newPool(t, link.Options{})
 	reply := Message{Number: 7}
-	err := caller.Call(patient(t), address, "Test.Fail", Message{Number: 1, Text: "why"}, &reply)
+	err := caller.Call(testContext(t), address, "Test.Fail", Message{Number: 1, Text: "why"}, &reply)
 	var failure *link.RemoteError
 	assert.Assert(t, errors.As(err, &failure), "%v", err)
 	assert.DeepEqual(t, *failure, link.RemoteError{Address: address, Method: "Test.Fail", Text: "refused: why"})
 	assert.Equal(t, reply.Number, 7)
-	err = caller.Call(patient(t), address, "Test.Missing", Message{}, &reply)
+	err = caller.Call(testContext(t), address, "Test.Missing", Message{}, &reply)
 	assert.Assert(t, remote(err), "%v", err)
-	assert.NilError(t, caller.Call(patient(t), address, "Test.Echo", Message{Number: 3}, &reply))
+	assert.NilError(t, caller.Call(testContext(t), address, "Test.Echo", Message{Number: 3}, &reply))
 	assert.Equal(t, reply.Number, 3)
 }
 
-func TestReplies(t *testing.T) {
+func TestReplyOfWrongTypeFails(t *testing.T) {
 	address, _ := start(t, newService(), link.Limits{})
-	caller := pool(t, link.Options{})
-	assert.NilError(t, caller.Call(patient(t), address, "Test.Echo", Message{Number: 1}, nil))
+	caller := newPool(t, link.Options{})
+	assert.NilError(t, caller.Call(testContext(t), address, "Test.Echo", Message{Number: 1}, nil))
 	var missing *Message
 	for _, reply := range []any{Message{}, missing, 5} {
-		err := caller.Call(patient(t), address, "Test.Echo", Message{}, reply)
+		err := caller.Call(testContext(t), address, "Test.Echo", Message{}, reply)
 		assert.ErrorIs(t, err, link.ErrReplyType)
 	}
 	var other struct{ Number string }
-	err := caller.Call(patient(t), address, "Test.Echo", Message{Number: 1}, &other)
-	assert.Assert(t, uncertain(err), "a reply of another type was carried out: %v", err)
+	err := caller.Call(testContext(t), address, "Test.Echo", Message{Number: 1}, &other)
+	assert.Assert(t, uncertain(err), "the call was executed although its reply has another type: %v", err)
 	var got Message
-	assert.NilError(t, caller.Call(patient(t), address, "Test.Echo", Message{Number: 2}, &got))
+	assert.NilError(t, caller.Call(testContext(t), address, "Test.Echo", Message{Number: 2}, &got))
 	assert.Equal(t, got.Number, 2)
 }
 
-func TestRefusedIsUnreachable(t *testing.T) {
+func TestRefusedConnectionIsUnreachable(t *testing.T) {
 	listener, err := link.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	err = pool(t, link.Options{}).Call(patient(t), address, "Test.Echo", Message{}, nil)
+	err = newPool(t, link.Options{}).Call(testContext(t), address, "Test.Echo", Message{}, nil)
 	assert.ErrorIs(t, err, link.ErrUnreachable)
 	var failure *link.UnreachableError
 	assert.Assert(t, errors.As(err, &failure))
 	assert.Equal(t, failure.Address, address)
 }
 
-// raw listens on loopback and hands each connection to a function.
-func raw(t *testing.T, each func(socket net.Conn)) (address string) {
+// listenRaw listens on the loopback interface and passes each connection to a function.
+func listenRaw(t *testing.T, each func(socket net.Conn)) (address string) {
 	t.Helper()
 	listener, err := link.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
@@ -255,7 +255,7 @@
 
 func drain(socket net.Conn) { _, _ = io.Copy(io.Discard, socket) }
 
-func TestNoGreetingIsUnreachable(t *testing.T) {
+func TestMissingGreetingIsUnreachable(t *testing.T) {
 	cases := map[string]func(socket net.Conn){
 		"silent": drain,
 		"closed": func(net.Conn) {},
@@ -263,35 +263,35 @@
 	}
 	for name, each := range cases {
 		t.Run(name, func(t *testing.T) {
-			address := raw(t, each)
-			caller := pool(t, link.Options{DialTimeout: 30 * time.Millisecond})
-			err := caller.Call(patient(t), address, "Test.Echo", Message{}, nil)
+			address := listenRaw(t, each)
+			caller := newPool(t, link.Options{DialTimeout: 30 * time.Millisecond})
+			err := caller.Call(testContext(t), address, "Test.Echo", Message{}, nil)
 			assert.ErrorIs(t, err, link.ErrUnreachable)
 		})
 	}
 }
 
-func TestServerClosesAfterReading(t *testing.T) {
-	var taken atomic.Int32
-	address := raw(t, func(socket net.Conn) {
+func TestClosedConnectionAfterRequestIsUncertain(t *testing.T) {
+	var received atomic.Int32
+	address := listenRaw(t, func(socket net.Conn) {
 		greet(socket)
 		_, _ = socket.Read(make([]byte, 1<<16))
-		taken.Add(1)
+		received.Add(1)
 	})
-	err := pool(t, link.Options{}).Call(patient(t), address, "Test.Echo", Message{Number: 1}, nil)
+	err := newPool(t, link.Options{}).Call(testContext(t), address, "Test.Echo", Message{Number: 1}, nil)
 	var failure *link.UncertainError
 	assert.Assert(t, errors.As(err, &failure), "%v", err)
 	assert.Equal(t, failure.Address, address)
 	assert.Equal(t, failure.Method, "Test.Echo")
 	assert.Assert(t, !errors.Is(err, link.ErrUnreachable))
-	assert.Equal(t, taken.Load(), int32(1), "a call that may have been carried out isn't made again")
+	assert.Equal(t, received.Load(), int32(1), "a call that may have been executed must not be repeated")
 }
 
-func TestContextEnds(t *testing.T) {
+func TestCanceledCallIsUncertainAndKeepsReply(t *testing.T) {
 	service := newService()
 	address, _ := start(t, service, link.Limits{})
-	caller := pool(t, link.Options{})
-	ctx, cancel := context.WithCancel(patient(t))
+	caller := newPool(t, link.Options{})
+	ctx, cancel := context.WithCancel(testContext(t))
 	left := make(chan error, 1)
 	reply := Message{Number: 7}
 	go func() { left <- caller.Call(ctx, address, "Test.Hold", Message{Number: 1}, &reply) }()
@@ -300,10 +300,10 @@
 	err := <-left
 	assert.Assert(t, uncertain(err), "%v", err)
 	assert.ErrorIs(t, err, context.Canceled)
-	reply.Number = 8 // the caller's again: -race watches
+	reply.Number = 8 // owned by the caller again; the race detector checks this
 	close(service.release)
 	var got Message
-	assert.NilError(t, caller.Call(patient(t), address, "Test.Echo", Message{Number: 2}, &got))
+	assert.NilError(t, caller.Call(testContext(t), address, "Test.Echo", Message{Number: 2}, &got))
 	assert.Equal(t, got.Number, 2)
 	assert.Equal(t, reply.Number, 8)
 	err = caller.Call(ctx, address, "Test.Echo", Message{}, nil)
@@ -311,16 +311,17 @@
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
-// TestLateReplies has callers leave at all moments about their answers'.
-func TestLateReplies(t *testing.T) {
+// Callers time out at all moments around the arrival of their replies. A reply must
+// arrive completely or not at all.
+func TestTimeoutsRacingWithReplies(t *testing.T) {
 	const callers, calls = 8, 150
 	address, _ := start(t, newService(), link.Limits{})
-	caller := pool(t, link.Options{})
+	caller := newPool(t, link.Options{})
 	var group sync.WaitGroup
 	for n := range callers {
 		group.Go(func() {
 			for i := range calls {
-				ctx, cancel := context.WithTimeout(patient(t), time.Duration(n*i)*time.Microsecond)
+				ctx, cancel := context.WithTimeout(testContext(t), time.Duration(n*i)*time.Microsecond)
 				reply := Message{Number: -1}
 				err := caller.Call(ctx, address, "Test.Echo", Message{Number: i}, &reply)
 				cancel()
@@ -332,76 +333,76 @@
 	}
 	group.Wait()
 	var got Message
-	assert.NilError(t, caller.Call(patient(t), address, "Test.Echo", Message{Number: 5}, &got))
+	assert.NilError(t, caller.Call(testContext(t), address, "Test.Echo", Message{Number: 5}, &got))
 	assert.Equal(t, got.Number, 5)
 }
 
-func TestTooLargeRequest(t *testing.T) {
+func TestRequestThatCannotBeEncodedFails(t *testing.T) {
 	address, _ := start(t, newService(), link.Limits{})
-	caller := pool(t, link.Options{MessageBytes: 10_000})
-	err := caller.Call(patient(t), address, "Test.Echo", Message{Data: make([]byte, 10_000)}, nil)
+	caller := newPool(t, link.Options{MessageBytes: 10_000})
+	err := caller.Call(testContext(t), address, "Test.Echo", Message{Data: make([]byte, 10_000)}, nil)
 	assert.ErrorIs(t, err, link.ErrTooLarge)
 	assert.Assert(t, !uncertain(err))
-	err = caller.Call(patient(t), address, "Test.Echo", Unsendable{}, nil)
+	err = caller.Call(testContext(t), address, "Test.Echo", Unsendable{}, nil)
 	assert.ErrorContains(t, err, "encode")
 	assert.Assert(t, !uncertain(err) && !remote(err))
 	for number := range 3 {
 		var got Message
-		assert.NilError(t, caller.Call(patient(t), address, "Test.Echo", Message{Number: number}, &got))
+		assert.NilError(t, caller.Call(testContext(t), address, "Test.Echo", Message{Number: number}, &got))
 		assert.Equal(t, got.Number, number)
 	}
 }
 
-func TestTooLargeAtTheServer(t *testing.T) {
+func TestServerLimitsMessageSize(t *testing.T) {
 	address, _ := start(t, newService(), link.Limits{MessageBytes: 10_000})
-	caller := pool(t, link.Options{})
-	err := caller.Call(patient(t), address, "Test.Swell", Message{Number: 20_000}, nil)
+	caller := newPool(t, link.Options{})
+	err := caller.Call(testContext(t), address, "Test.LargeReply", Message{Number: 20_000}, nil)
 	assert.Assert(t, remote(err), "%v", err)
 	assert.ErrorContains(t, err, "too large")
 	for number := range 3 {
 		var got Message
-		assert.NilError(t, caller.Call(patient(t), address, "Test.Echo", Message{Number: number}, &got))
+		assert.NilError(t, caller.Call(testContext(t), address, "Test.Echo", Message{Number: number}, &got))
 		assert.Equal(t, got.Number, number)
 	}
-	err = caller.Call(patient(t), address, "Test.Echo", Message{Data: make([]byte, 20_000)}, nil)
-	assert.Assert(t, uncertain(err), "the server ends the connection: %v", err)
-	assert.NilError(t, caller.Call(patient(t), address, "Test.Echo", Message{}, nil))
+	err = caller.Call(testContext(t), address, "Test.Echo", Message{Data: make([]byte, 20_000)}, nil)
+	assert.Assert(t, uncertain(err), "the server must close the connection: %v", err)
+	assert.NilError(t, caller.Call(testContext(t), address, "Test.Echo", Message{}, nil))
 }
 
-func TestNoArguments(t *testing.T) {
+func TestMissingArgumentsAreRejected(t *testing.T) {
 	address, _ := start(t, newService(), link.Limits{})
-	caller := pool(t, link.Options{})
-	err := caller.Call(patient(t), address, "Test.Echo", nil, nil)
+	caller := newPool(t, link.Options{})
+	err := caller.Call(testContext(t), address, "Test.Echo", nil, nil)
 	assert.Assert(t, remote(err), "%v", err)
 	assert.ErrorContains(t, err, "no body")
-	assert.NilError(t, caller.Call(patient(t), address, "Test.Echo", Message{}, nil))
+	assert.NilError(t, caller.Call(testContext(t), address, "Test.Echo", Message{}, nil))
 }
 
-// TestMalformedAnswer has a peer answer with a body of no stream.
-func TestMalformedAnswer(t *testing.T) {
-	address := raw(t, func(socket net.Conn) {
+// The peer replies with a body before any gob stream has started.
+func TestMalformedReplyIsUncertain(t *testing.T) {
+	address := listenRaw(t, func(socket net.Conn) {
 		greet(socket)
 		_, _ = socket.Read(make([]byte, 1<<16))
 		_, _ = socket.Write([]byte{0, 0, 0, 4, 0, 1, 0, 0})
 		drain(socket)
 	})
-	err := pool(t, link.Options{}).Call(patient(t), address, "Test.Echo", Message{}, nil)
+	err := newPool(t, link.Options{}).Call(testContext(t), address, "Test.Echo", Message{}, nil)
 	assert.Assert(t, uncertain(err), "%v", err)
 	assert.ErrorIs(t, err, link.ErrMalformed)
 }
 
-func TestLargeMessages(t *testing.T) {
+func TestLargeMessagesRoundTrip(t *testing.T) {
 	address, _ := start(t, newService(), link.Limits{})
-	caller := pool(t, link.Options{})
+	caller := newPool(t, link.Options{})
 	data := bytes.Repeat([]byte("0123456789"), 300_000)
 	for range 3 {
 		var got Message
-		assert.NilError(t, caller.Call(patient(t), address, "Test.Echo", Message{Data: data}, &got))
+		assert.NilError(t, caller.Call(testContext(t), address, "Test.Echo", Message{Data: data}, &got))
 		assert.Assert(t, bytes.Equal(got.Data, data))
 	}
 }
 
-func TestPort(t *testing.T) {
+func TestPortWithinRange(t *testing.T) {
 	cases := []struct{ first, last, offset, want int }{
 		{7380, 7395, 0, 7380},
 		{7380, 7395, 15, 7395},
@@ -414,14 +415,14 @@
 	}
 }
 
-func TestListenFails(t *testing.T) {
+func TestListenRejectsInvalidPort(t *testing.T) {
 	_, err := link.Listen("127.0.0.1:not-a-port")
 	assert.ErrorContains(t, err, "listen")
 }
 
 func BenchmarkCall(b *testing.B) {
 	address, _ := start(b, newService(), link.Limits{})
-	caller := pool(b, link.Options{})
+	caller := newPool(b, link.Options{})
 	message := Message{Data: make([]byte, 400)}
 	b.Run("one", func(b *testing.B) {
 		b.ReportAllocs()
--- a/internal/station/link/peer.go
+++ b/internal/station/link/peer.go
@@ -10,7 +10,7 @@
 	"github.com/go-faster/errors"
 )
 
-// peer is what a Pool knows of an address.
+// peer is the state of a Pool for one address.
 type peer struct {
 	address string
 	options *Options
@@ -18,36 +18,36 @@
 	mu        sync.Mutex
 	forgotten bool
 	current   *connection
-	dialling  *dial         // under way, for all callers; nil if none is
-	failure   error         // of the last dial, if it failed
-	backoff   time.Duration // after the next failure
-	retryAt   time.Time     // until then callers fail without a dial
+	dialing   *dial         // dial in progress, shared by all callers; nil if none
+	failure   error         // error of the last dial, if it failed
+	backoff   time.Duration // backoff after the next failure
+	retryAt   time.Time     // calls before this time fail without a dial
 }
 
-// dial is one dial, which callers share. Its result is set once done closes.
+// dial is one dial, shared by callers. Its result is set when done is closed.
 type dial struct {
 	done       chan struct{}
 	connection *connection
 	err        error
 }
 
-// connect returns the connection there is, or waits for a dial.
+// connect returns the current connection or waits for a dial.
 func (p *peer) connect(ctx context.Context) (*connection, error) {
-	current, dialling, err := p.look()
+	current, dialing, err := p.connectionOrDial()
 	if current != nil || err != nil {
 		return current, err
 	}
 	select {
-	case <-dialling.done:
-		return dialling.connection, dialling.err
+	case <-dialing.done:
+		return dialing.connection, dialing.err
 	case <-ctx.Done():
 		return nil, &UnreachableError{Address: p.address, Cause: ctx.Err()}
 	}
 }
 
-// look returns the connection if it is of use, or else the dial to wait for,
-// which it starts if need be.
-func (p *peer) look() (*connection, *dial, error) {
+// connectionOrDial returns the connection if it is usable, else the dial to wait
+// for, which it starts if necessary.
+func (p *peer) connectionOrDial() (*connection, *dial, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.options.Now()
@@ -58,8 +58,8 @@
 		p.current.retire()
 		p.current = nil
 	}
-	if p.dialling != nil {
-		return nil, p.dialling, nil
+	if p.dialing != nil {
+		return nil, p.dialing, nil
 	}
 	if p.forgotten {
 		return nil, nil, &UnreachableError{Address: p.address, Cause: ErrForgotten}
@@ -67,33 +67,33 @@
 	if now.Before(p.retryAt) {
 		return nil, nil, &UnreachableError{Address: p.address, Cause: errors.Join(ErrBackoff, p.failure)}
 	}
-	p.dialling = &dial{done: make(chan struct{})}
-	go p.dial(p.dialling)
-	return nil, p.dialling, nil
+	p.dialing = &dial{done: make(chan struct{})}
+	go p.dial(p.dialing)
+	return nil, p.dialing, nil
 }
 
-// dial dials, and tells all that wait. It is bounded by the dial timeout alone:
-// the caller that started it may leave.
-func (p *peer) dial(dialling *dial) {
+// dial dials and notifies all waiting callers. Only the dial timeout bounds it,
+// because the caller that started it may give up.
+func (p *peer) dial(dialing *dial) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.options.DialTimeout)
 	defer cancel()
-	defer close(dialling.done)
+	defer close(dialing.done)
 	socket, err := p.open(ctx)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dialling = nil
+	p.dialing = nil
 	if err == nil && p.forgotten {
 		_ = socket.Close()
 		err = ErrForgotten
 	}
 	if err != nil {
-		p.failed(err)
-		dialling.err = &UnreachableError{Address: p.address, Cause: err}
+		p.recordFailure(err)
+		dialing.err = &UnreachableError{Address: p.address, Cause: err}
 		return
 	}
 	p.backoff, p.failure = 0, nil
 	p.current = newConnection(p.address, socket, p.options)
-	dialling.connection = p.current
+	dialing.connection = p.current
 }
 
 // open connects and waits for the server's greeting.
@@ -102,31 +102,32 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "dial")
 	}
-	if err := greeted(ctx, socket); err != nil {
+	if err := readGreeting(ctx, socket); err != nil {
 		_ = socket.Close()
 		return nil, errors.Wrap(err, "greeting")
 	}
 	return socket, nil
 }
 
-// greeted reads the greeting, and leaves the socket without a deadline.
-func greeted(ctx context.Context, socket net.Conn) error {
+// readGreeting reads the greeting and clears the read deadline.
+func readGreeting(ctx context.Context, socket net.Conn) error {
 	deadline, _ := ctx.Deadline()
 	if err := socket.SetReadDeadline(deadline); err != nil {
 		return err
 	}
-	var got [len(greeting)]byte
-	if _, err := io.ReadFull(socket, got[:]); err != nil {
+	var received [len(greeting)]byte
+	if _, err := io.ReadFull(socket, received[:]); err != nil {
 		return err
 	}
-	if string(got[:]) != greeting {
+	if string(received[:]) != greeting {
 		return ErrMalformed
 	}
 	return socket.SetReadDeadline(time.Time{})
 }
 
-// failed notes a failed dial and when to dial again. The lock is held.
-func (p *peer) failed(err error) {
+// recordFailure records a failed dial and the time of the next one. p.mu must be
+// held.
+func (p *peer) recordFailure(err error) {
 	if p.backoff == 0 {
 		p.backoff = p.options.InitialBackoff
 	}
@@ -135,12 +136,12 @@
 	p.backoff = min(2*p.backoff, p.options.MaxBackoff)
 }
 
-// forget closes the connection, also one that is being dialled.
+// forget closes the connection, including one that is being dialed.
 func (p *peer) forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.forgotten = true
 	if p.current != nil {
-		p.current.end(ErrForgotten)
+		p.current.close(ErrForgotten)
 	}
 }
--- a/internal/station/link/pool.go
+++ b/internal/station/link/pool.go
@@ -10,19 +10,19 @@
 	"github.com/go-faster/errors"
 )
 
-// Options are a Pool's. A zero field has the default that stands beside it.
+// Options configure a Pool. Zero fields get the defaults given beside them.
 type Options struct {
-	DialTimeout        time.Duration // 400 ms, with the greeting
-	InitialBackoff     time.Duration // 50 ms after a failed dial, then doubling
+	DialTimeout        time.Duration // 400 ms, including the greeting
+	InitialBackoff     time.Duration // 50 ms after a failed dial; doubles with each further failure
 	MaxBackoff         time.Duration // 400 ms
-	StaleAfter         time.Duration // 1.2 s of silence with calls under way
-	MaxUnused          time.Duration // 40 s; an older connection isn't used again; under Limits.Idle
-	CallsPerConnection int           // 256; further callers wait
-	MessageBytes       int           // 64 MiB, either way; see Limits
+	StaleAfter         time.Duration // 1.2 s; a connection silent for longer with calls in progress is replaced
+	MaxUnused          time.Duration // 40 s; a connection unused for longer is replaced; must be less than Limits.IdleTimeout
+	CallsPerConnection int           // 256; further calls wait
+	MessageBytes       int           // 64 MiB, in both directions; see Limits
 
-	// Now reads the time; time.Now by default.
+	// Now returns the current time; time.Now by default.
 	Now func() time.Time
-	// Dial connects to an address; over TCP by default.
+	// Dial connects to an address; TCP by default.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
@@ -38,14 +38,14 @@
 		o.Now = time.Now
 	}
 	if o.Dial == nil {
-		dialer := &net.Dialer{Control: setUserTimeout, KeepAliveConfig: probes}
+		dialer := &net.Dialer{Control: setUserTimeout, KeepAliveConfig: keepAlive}
 		o.Dial = dialer.DialContext
 	}
 	return o
 }
 
-// Pool calls the services of Servers, over one connection for each address. It
-// is safe for concurrent use.
+// Pool calls the services of Servers over one connection per address. It is safe
+// for concurrent use.
 type Pool struct {
 	options Options
 
@@ -54,33 +54,33 @@
 	peers  map[string]*peer
 }
 
-// NewPool returns a Pool. It dials as calls need it.
+// NewPool returns a Pool. It dials on demand.
 func NewPool(options Options) *Pool {
 	return &Pool{options: options.withDefaults(), peers: make(map[string]*peer)}
 }
 
-// Call calls Name.Method of the Server at host:port and writes its answer to
-// what reply points to, or reads over it where reply is nil. Where Call fails,
-// reply is as it was. Args are read before Call returns and not after.
+// Call calls Name.Method of the Server at host:port and stores the result in the
+// value that reply points to. A nil reply discards the result. If Call fails,
+// reply is unchanged. Call does not read args after it has returned.
 //
-// Errors: ErrUnreachable (in an *UnreachableError) where the call was never
-// written; *UncertainError where it was, and the connection broke, the answer
-// couldn't be read or ctx ended first; *RemoteError where the service answered
-// with an error; any other where the call can't be written as it is.
+// Errors: an *UnreachableError, which matches ErrUnreachable, if the call was
+// never written; an *UncertainError if it was written and the connection failed,
+// the reply could not be decoded or ctx ended first; a *RemoteError if the
+// service returned an error; any other error if the call cannot be encoded.
 func (p *Pool) Call(ctx context.Context, address, method string, args, reply any) error {
-	if reply != nil && !writable(reply) {
+	if reply != nil && !isPointer(reply) {
 		return errors.Wrap(ErrReplyType, method)
 	}
-	err := p.try(ctx, address, method, args, reply)
+	err := p.callOnce(ctx, address, method, args, reply)
 	var unreachable *UnreachableError
-	if errors.As(err, &unreachable) && unreachable.broke && ctx.Err() == nil {
-		return p.try(ctx, address, method, args, reply)
+	if errors.As(err, &unreachable) && unreachable.connectionLost && ctx.Err() == nil {
+		return p.callOnce(ctx, address, method, args, reply)
 	}
 	return err
 }
 
-// try calls once, over the connection there is or a new one.
-func (p *Pool) try(ctx context.Context, address, method string, args, reply any) error {
+// callOnce calls once, over the current connection or a new one.
+func (p *Pool) callOnce(ctx context.Context, address, method string, args, reply any) error {
 	if err := ctx.Err(); err != nil {
 		return &UnreachableError{Address: address, Cause: err}
 	}
@@ -95,14 +95,14 @@
 	return connection.call(ctx, method, args, reply)
 }
 
-// writable tells whether a reply can be written to.
-func writable(reply any) bool {
+// isPointer reports whether reply is a non-nil pointer.
+func isPointer(reply any) bool {
 	pointer := reflect.ValueOf(reply)
 	return pointer.Kind() == reflect.Pointer && !pointer.IsNil()
 }
 
-// Forget closes the connection to an address and forgets what is known of it.
-// Calls under way there fail.
+// Forget closes the connection to an address and discards its state. Calls in
+// progress there fail.
 func (p *Pool) Forget(address string) {
 	p.mu.Lock()
 	peer := p.peers[address]
@@ -113,7 +113,7 @@
 	}
 }
 
-// Close forgets all addresses; later calls fail.
+// Close forgets all addresses. Later calls fail.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	peers := p.peers
@@ -125,7 +125,7 @@
 	}
 }
 
-// peer finds or makes what is known of an address.
+// peer returns the state of an address and creates it if necessary.
 func (p *Pool) peer(address string) (*peer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,7 +135,7 @@
 	if known := p.peers[address]; known != nil {
 		return known, nil
 	}
-	fresh := &peer{address: address, options: &p.options}
-	p.peers[address] = fresh
-	return fresh, nil
+	added := &peer{address: address, options: &p.options}
+	p.peers[address] = added
+	return added, nil
 }
--- a/internal/station/link/server.go
+++ b/internal/station/link/server.go
@@ -12,15 +12,15 @@
 	"github.com/go-faster/errors"
 )
 
-// Limits bound what the peers of a Server can make it hold. A zero field has
-// the default that stands beside it.
+// Limits bound the resources that the peers of a Server can consume. Zero fields
+// get the defaults given beside them.
 type Limits struct {
-	Connections        int           // 2048; one more is closed as it comes
-	CallsPerConnection int           // 256; the next is read once one is answered
-	MessageBytes       int           // 64 MiB; a larger message ends its connection
-	TotalBytes         int           // 128 MiB of requests under way on all connections
-	IdleTimeout        time.Duration // 1 min; a connection without calls is then closed
-	WriteTimeout       time.Duration // 5 s; for a response to be taken by the peer
+	Connections        int           // 2048; further connections are closed at once
+	CallsPerConnection int           // 256; the next call is read when one is answered
+	MessageBytes       int           // 64 MiB; a larger message closes its connection
+	TotalBytes         int           // 128 MiB of requests in progress on all connections
+	IdleTimeout        time.Duration // 1 min; a connection without calls is closed after it
+	WriteTimeout       time.Duration // 5 s; how long the peer may take to accept a response
 }
 
 func (l Limits) withDefaults() Limits {
@@ -33,14 +33,14 @@
 	return l
 }
 
-// setDefault gives a field that is zero a value.
+// setDefault sets a field that is zero.
 func setDefault[T int | time.Duration](field *T, value T) {
 	if *field == 0 {
 		*field = value
 	}
 }
 
-// acceptPause is how long accepting rests when the process is out of
+// acceptPause is the pause after Accept fails because the process is out of file
 // descriptors or memory.
 const acceptPause = 20 * time.Millisecond
 
@@ -48,7 +48,7 @@
 type Server struct {
 	services *rpc.Server
 	limits   Limits
-	bytes    budget
+	bytes    byteBudget
 	closing  chan struct{}
 
 	mu        sync.Mutex
@@ -57,13 +57,13 @@
 	sockets   map[net.Conn]struct{}
 }
 
-// NewServer makes a Server of services by name, with the default Limits. The
-// methods of a service that net/rpc takes are served as Name.Method.
+// NewServer returns a Server with the default Limits for services by name. The
+// methods that net/rpc accepts are served as Name.Method.
 func NewServer(services map[string]any) (*Server, error) {
 	return NewLimitedServer(services, Limits{})
 }
 
-// NewLimitedServer is NewServer with Limits.
+// NewLimitedServer is like NewServer, with the given Limits.
 func NewLimitedServer(services map[string]any, limits Limits) (*Server, error) {
 	server := &Server{
 		services:  rpc.NewServer(),
@@ -72,7 +72,7 @@
 		listeners: make(map[net.Listener]struct{}),
 		sockets:   make(map[net.Conn]struct{}),
 	}
-	server.bytes.left = server.limits.TotalBytes
+	server.bytes.available = server.limits.TotalBytes
 	for _, name := range slices.Sorted(maps.Keys(services)) {
 		if services[name] == nil {
 			return nil, errors.Errorf("link: service %s is nil", name)
@@ -84,8 +84,8 @@
 	return server, nil
 }
 
-// Serve serves a listener's connections until Close, and then returns
-// ErrServerClosed; or until accepting fails. It closes the listener.
+// Serve serves a listener's connections until Close, then returns
+// ErrServerClosed, or until accepting fails. It closes the listener.
 func (s *Server) Serve(listener net.Listener) error {
 	defer listener.Close()
 	if !s.addListener(listener) {
@@ -98,17 +98,18 @@
 			s.start(socket)
 			continue
 		}
-		if !s.rest(err) {
+		if !s.pauseAfter(err) {
 			return s.acceptError(err)
 		}
 	}
 }
 
-// rest waits a little after an error of accepting that passes.
-func (s *Server) rest(err error) bool {
-	passing := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED}
+// pauseAfter waits after a temporary accept error. It returns false for other
+// errors and when the server closes.
+func (s *Server) pauseAfter(err error) bool {
+	temporary := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED}
 	is := func(target error) bool { return errors.Is(err, target) }
-	if !slices.ContainsFunc(passing, is) {
+	if !slices.ContainsFunc(temporary, is) {
 		return false
 	}
 	pause := time.NewTimer(acceptPause)
@@ -130,7 +131,7 @@
 	}
 }
 
-// start serves a connection, or closes it where there is no room.
+// start serves a connection, or closes it if the limit is reached.
 func (s *Server) start(socket net.Conn) {
 	if !s.addSocket(socket) {
 		_ = socket.Close()
@@ -139,7 +140,7 @@
 	go s.serve(socket)
 }
 
-// serve greets a peer and serves it until its connection ends.
+// serve sends the greeting and serves a connection until it ends.
 func (s *Server) serve(socket net.Conn) {
 	defer s.removeSocket(socket)
 	defer socket.Close()
@@ -150,8 +151,8 @@
 	s.services.ServeCodec(newServerCodec(socket, s.limits, &s.bytes))
 }
 
-// Close ends Serve and closes all connections. It doesn't wait for calls under
-// way: their answers go nowhere.
+// Close ends Serve and closes all connections. It does not wait for calls in
+// progress; their replies are discarded.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,26 +203,26 @@
 	delete(s.sockets, socket)
 }
 
-// budget is a number of bytes that connections share.
-type budget struct {
-	mu   sync.Mutex
-	left int
+// byteBudget is a byte limit shared by all connections.
+type byteBudget struct {
+	mu        sync.Mutex
+	available int
 }
 
-// take takes bytes, or none and returns ErrOverloaded.
-func (b *budget) take(bytes int) error {
+// reserve reserves bytes, or returns ErrOverloaded.
+func (b *byteBudget) reserve(bytes int) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if bytes > b.left {
+	if bytes > b.available {
 		return ErrOverloaded
 	}
-	b.left -= bytes
+	b.available -= bytes
 	return nil
 }
 
-// give gives bytes back.
-func (b *budget) give(bytes int) {
+// release returns reserved bytes.
+func (b *byteBudget) release(bytes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left += bytes
+	b.available += bytes
 }
--- a/internal/station/link/server_test.go
+++ b/internal/station/link/server_test.go
@@ -18,20 +18,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// Work is a service of the tests within the package.
+// Work is a service whose calls block until the test releases them.
 type Work struct {
 	entered chan struct{}
 	release chan struct{}
 	mu      sync.Mutex
 	running int
-	most    int
+	peak    int
 }
 
-// Do holds its call until a release.
+// Do blocks until release receives or is closed.
 func (w *Work) Do(args *[]byte, reply *int) error {
 	w.mu.Lock()
 	w.running++
-	w.most = max(w.most, w.running)
+	w.peak = max(w.peak, w.running)
 	w.mu.Unlock()
 	w.entered <- struct{}{}
 	<-w.release
@@ -58,30 +58,30 @@
 	return work, server, listener.Addr().String()
 }
 
-func patientContext(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// greetedSocket connects and reads the greeting.
-func greetedSocket(t *testing.T, address string) net.Conn {
+// dialGreeted connects and reads the greeting.
+func dialGreeted(t *testing.T, address string) net.Conn {
 	t.Helper()
 	socket, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	t.Cleanup(func() { socket.Close() })
-	assert.NilError(t, greeted(patientContext(t), socket))
+	assert.NilError(t, readGreeting(testContext(t), socket))
 	return socket
 }
 
-func TestNewServerRefuses(t *testing.T) {
+func TestNewServerRejectsInvalidServices(t *testing.T) {
 	_, err := NewServer(map[string]any{"None": nil})
 	assert.ErrorContains(t, err, "None")
 	_, err = NewServer(map[string]any{"Empty": struct{}{}})
 	assert.ErrorContains(t, err, "Empty")
 }
 
-func TestServeAfterClose(t *testing.T) {
+func TestServeAfterCloseFailsAndClosesListener(t *testing.T) {
 	server, err := NewServer(nil)
 	assert.NilError(t, err)
 	assert.NilError(t, server.Close())
@@ -93,18 +93,18 @@
 	assert.ErrorIs(t, err, net.ErrClosed)
 }
 
-func TestConnectionsAreBounded(t *testing.T) {
+func TestConnectionLimitClosesExcessConnections(t *testing.T) {
 	_, _, address := startWork(t, Limits{Connections: 2})
-	first := greetedSocket(t, address)
-	greetedSocket(t, address)
+	first := dialGreeted(t, address)
+	dialGreeted(t, address)
 	third, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	defer third.Close()
-	assert.Assert(t, greeted(patientContext(t), third) != nil)
+	assert.Assert(t, readGreeting(testContext(t), third) != nil)
 	assert.NilError(t, first.Close())
 }
 
-func TestCallsPerConnectionAreBounded(t *testing.T) {
+func TestCallsPerConnectionLimit(t *testing.T) {
 	const bound, calls = 3, 10
 	work, _, address := startWork(t, Limits{CallsPerConnection: bound})
 	pool := NewPool(Options{})
@@ -112,7 +112,7 @@
 	var group sync.WaitGroup
 	for range calls {
 		group.Go(func() {
-			assert.Check(t, pool.Call(patientContext(t), address, "Work.Do", []byte{1}, nil))
+			assert.Check(t, pool.Call(testContext(t), address, "Work.Do", []byte{1}, nil))
 		})
 	}
 	for range bound {
@@ -122,43 +122,44 @@
 		work.release <- struct{}{}
 	}
 	group.Wait()
-	assert.Equal(t, work.most, bound)
+	assert.Equal(t, work.peak, bound)
 }
 
-func TestBytesUnderWayAreBounded(t *testing.T) {
+func TestTotalBytesLimitOverAllConnections(t *testing.T) {
 	work, _, address := startWork(t, Limits{TotalBytes: 50_000})
 	first, second := NewPool(Options{}), NewPool(Options{})
 	defer first.Close()
 	defer second.Close()
 	held := make(chan error, 1)
-	go func() { held <- first.Call(patientContext(t), address, "Work.Do", make([]byte, 30_000), nil) }()
+	go func() { held <- first.Call(testContext(t), address, "Work.Do", make([]byte, 30_000), nil) }()
 	<-work.entered
-	err := second.Call(patientContext(t), address, "Work.Do", make([]byte, 30_000), nil)
+	err := second.Call(testContext(t), address, "Work.Do", make([]byte, 30_000), nil)
 	var uncertain *UncertainError
 	assert.Assert(t, errors.As(err, &uncertain), "%v", err)
 	close(work.release)
 	assert.NilError(t, <-held)
 	var length int
-	assert.NilError(t, second.Call(patientContext(t), address, "Work.Do", make([]byte, 30_000), &length))
+	assert.NilError(t, second.Call(testContext(t), address, "Work.Do", make([]byte, 30_000), &length))
 	assert.Equal(t, length, 30_000)
 }
 
-// TestClaimsTakeNoRoom has a peer claim a large message and send little of it.
-func TestClaimsTakeNoRoom(t *testing.T) {
+// A peer states a large message length but sends little of it. The reader must not
+// allocate memory for the stated length.
+func TestStatedLengthAllocatesNothing(t *testing.T) {
 	sent := binary.BigEndian.AppendUint32(nil, 50<<20)
-	sent = append(sent, make([]byte, firstStep)...)
-	var taken int
-	reader := frameReader{from: bytes.NewReader(sent), limit: 64 << 20, take: func(n int) error {
-		taken += n
+	sent = append(sent, make([]byte, initialReadBytes)...)
+	var reserved int
+	reader := frameReader{from: bytes.NewReader(sent), limit: 64 << 20, reserve: func(n int) error {
+		reserved += n
 		return nil
 	}}
 	_, err := reader.next()
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
-	assert.Equal(t, taken, 2*firstStep)
-	assert.Assert(t, cap(reader.buffer) < 10*firstStep)
+	assert.Equal(t, reserved, 2*initialReadBytes)
+	assert.Assert(t, cap(reader.buffer) < 10*initialReadBytes)
 }
 
-func TestMalformedEndsTheConnection(t *testing.T) {
+func TestMalformedFrameClosesConnection(t *testing.T) {
 	frames := map[string][]byte{
 		"too large": {0xff, 0xff, 0xff, 0xff},
 		"empty":     {0, 0, 0, 0},
@@ -170,7 +171,7 @@
 	for name, frame := range frames {
 		t.Run(name, func(t *testing.T) {
 			_, _, address := startWork(t, Limits{})
-			socket := greetedSocket(t, address)
+			socket := dialGreeted(t, address)
 			_, err := socket.Write(frame)
 			assert.NilError(t, err)
 			assert.NilError(t, socket.SetReadDeadline(time.Now().Add(10*time.Second)))
@@ -182,36 +183,36 @@
 
 func TestIdleConnectionIsClosed(t *testing.T) {
 	_, _, address := startWork(t, Limits{IdleTimeout: 20 * time.Millisecond})
-	socket := greetedSocket(t, address)
+	socket := dialGreeted(t, address)
 	assert.NilError(t, socket.SetReadDeadline(time.Now().Add(10*time.Second)))
 	_, err := socket.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// lateSocket lets reads time out a number of times before bytes come.
-type lateSocket struct {
+// delayedSocket times out a number of reads before a byte arrives.
+type delayedSocket struct {
 	net.Conn
 	timeouts int
 }
 
-func (l *lateSocket) Read(to []byte) (int, error) {
-	if l.timeouts > 0 {
-		l.timeouts--
+func (s *delayedSocket) Read(buffer []byte) (int, error) {
+	if s.timeouts > 0 {
+		s.timeouts--
 		return 0, os.ErrDeadlineExceeded
 	}
-	to[0] = 1
+	buffer[0] = 1
 	return 1, nil
 }
 
-func (l *lateSocket) SetReadDeadline(time.Time) error { return nil }
+func (s *delayedSocket) SetReadDeadline(time.Time) error { return nil }
 
-func TestConnectionWithCallsIsNotIdle(t *testing.T) {
+func TestConnectionWithCallsInProgressIsNotIdle(t *testing.T) {
 	limits := Limits{}.withDefaults()
-	codec := newServerCodec(&lateSocket{timeouts: 3}, limits, &budget{})
+	codec := newServerCodec(&delayedSocket{timeouts: 3}, limits, &byteBudget{})
 	codec.slots <- struct{}{}
-	assert.ErrorIs(t, codec.await(), os.ErrDeadlineExceeded)
+	assert.ErrorIs(t, codec.awaitFrame(), os.ErrDeadlineExceeded)
 	codec.slots <- struct{}{}
-	assert.NilError(t, codec.await())
+	assert.NilError(t, codec.awaitFrame())
 }
 
 func userTimeoutOf(t *testing.T, socket net.Conn) int {
@@ -227,22 +228,22 @@
 	return value
 }
 
-func TestUserTimeoutOnBothSides(t *testing.T) {
+func TestTCPUserTimeoutIsSetOnBothSides(t *testing.T) {
 	listener, err := Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
 	options := Options{}.withDefaults()
-	dialled, err := options.Dial(patientContext(t), "tcp", listener.Addr().String())
+	dialed, err := options.Dial(testContext(t), "tcp", listener.Addr().String())
 	assert.NilError(t, err)
-	defer dialled.Close()
+	defer dialed.Close()
 	accepted, err := listener.Accept()
 	assert.NilError(t, err)
 	defer accepted.Close()
-	assert.Equal(t, userTimeoutOf(t, dialled), 1500)
+	assert.Equal(t, userTimeoutOf(t, dialed), 1500)
 	assert.Equal(t, userTimeoutOf(t, accepted), 1500)
 }
 
-// bytesSocket is a connection whose peer sent some bytes and closed.
+// bytesSocket is a connection whose peer sent some bytes and closed it.
 type bytesSocket struct {
 	net.Conn
 	from bytes.Reader
@@ -258,14 +259,14 @@
 // Echo is the service of FuzzServer.
 type Echo struct{}
 
-// Do echoes.
+// Do returns the text of its arguments.
 func (Echo) Do(args *struct{ Text string }, reply *string) error {
 	*reply = args.Text
 	return nil
 }
 
-// FuzzServer feeds bytes to a server's connection: none make it panic, or keep
-// bytes once the connection is over.
+// FuzzServer feeds arbitrary bytes to a server's connection. They must not cause a
+// panic or leave bytes reserved after the connection has closed.
 func FuzzServer(f *testing.F) {
 	maker := encoder{limit: 1 << 16}
 	var seed []byte
@@ -281,11 +282,11 @@
 		const total = 1 << 16
 		services := rpc.NewServer()
 		assert.NilError(t, services.Register(Echo{}))
-		shared := &budget{left: total}
+		shared := &byteBudget{available: total}
 		limits := Limits{MessageBytes: 1 << 14}.withDefaults()
 		socket := &bytesSocket{}
 		socket.from.Reset(sent)
 		services.ServeCodec(newServerCodec(socket, limits, shared))
-		assert.Equal(t, shared.left, total)
+		assert.Equal(t, shared.available, total)
 	})
 }
--- a/internal/station/link/stream.go
+++ b/internal/station/link/stream.go
@@ -8,18 +8,19 @@
 	"github.com/go-faster/errors"
 )
 
-// encoder makes the frames of one direction of a connection.
+// encoder encodes the frames of one direction of a connection.
 type encoder struct {
-	limit int // of a frame's bytes after the prefix
+	limit int // largest length of a frame after the prefix
 
 	buffer bytes.Buffer
 	head   []byte
-	stream *gob.Encoder // nil where the next frame is to start a stream
+	stream *gob.Encoder // nil if the next frame must start a new stream
 }
 
-// frame makes a frame, which is good until the next call. A nil body makes a
-// frame without one. After an error the next frame starts a new stream, as what
-// the failed one described doesn't reach the peer.
+// frame returns an encoded frame, which is valid until the next call. A nil body
+// makes a frame without a body. After an error the next frame starts a new
+// stream, because the peer does not receive the type descriptions of the failed
+// one.
 func (e *encoder) frame(h header, body any) ([]byte, error) {
 	e.release()
 	if body == nil {
@@ -51,27 +52,28 @@
 	return nil
 }
 
-// restart makes the next frame start a new stream: the last one wasn't sent.
+// restart makes the next frame start a new stream, because the last frame was
+// not sent.
 func (e *encoder) restart() { e.stream = nil }
 
-// release empties the buffer, and gives a large one's memory back.
+// release empties the buffer, and frees it if it is large.
 func (e *encoder) release() {
-	if e.buffer.Cap() > keepBytes {
+	if e.buffer.Cap() > maxRetainedBufferBytes {
 		e.buffer = bytes.Buffer{}
 		return
 	}
 	e.buffer.Reset()
 }
 
-// decoder reads the bodies of one direction of a connection.
+// decoder decodes the bodies of one direction of a connection.
 type decoder struct {
 	body   bytes.Reader
 	stream *gob.Decoder
 }
 
-// decode reads a frame's body into a pointer; nil reads over it. It must be
-// called for each frame, in their order. After ErrMalformed the rest of the
-// connection can't be read.
+// decode decodes a frame's body into a pointer; nil discards the body. It must
+// be called for every frame, in order. After ErrMalformed the rest of the
+// connection cannot be decoded.
 func (d *decoder) decode(flags byte, body []byte, into any) error {
 	if flags&flagBodiless != 0 {
 		if into != nil {
@@ -93,8 +95,9 @@
 	return decodeNext(d.stream, into)
 }
 
-// decodeNext reads a stream's next value. gob panics on some bytes that it
-// should refuse, such as the ids of types that were never described.
+// decodeNext decodes the next value of a stream. gob panics on some invalid
+// input, such as ids of types that were never described; the panic becomes an
+// error.
 func decodeNext(stream *gob.Decoder, into any) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -107,8 +110,8 @@
 	return nil
 }
 
-// checkSegments checks that the lengths of the gob messages in a body are of
-// bytes that are there, as gob makes room by what a length claims.
+// checkSegments checks that the gob messages in a body are not longer than the
+// body, because gob allocates memory according to the stated length.
 func checkSegments(body []byte) error {
 	for len(body) > 0 {
 		length, width, ok := segmentLength(body)
@@ -120,8 +123,8 @@
 	return nil
 }
 
-// segmentLength reads gob's form of an unsigned number: a byte of up to 127, or
-// the negated count of the big-endian bytes that follow.
+// segmentLength decodes a gob unsigned integer: a byte of up to 127, or the
+// negated count of the big-endian bytes that follow.
 func segmentLength(from []byte) (length uint64, width int, ok bool) {
 	first := from[0]
 	if first < 1<<7 {
--- a/internal/station/protocol/protocol.go
+++ b/internal/station/protocol/protocol.go
@@ -1,5 +1,8 @@
-// Package protocol holds the messages that the processes of the tier exchange over
-// net/rpc. It knows neither program.
+// Package protocol defines the messages that the processes of the tier exchange over
+// net/rpc. It depends on neither program.
+//
+// The messages are encoded with encoding/gob, which matches types and fields by their Go
+// names. Those names are part of the wire format and must not change.
 package protocol
 
 import (
@@ -12,24 +15,24 @@
 	"pipitmux/internal/station/hashing"
 )
 
-// Class is what a node does in the tier.
+// Class is the role of a node in the tier.
 type Class uint8
 
 // The classes of nodes.
 const (
-	Edge    Class = iota + 1 // carries traffic, keeps nothing
-	Core                     // keeps configuration, services and duties
-	Storage                  // keeps turns and budgets
+	Edge    Class = iota + 1 // carries client traffic, stores nothing
+	Core                     // stores the configuration and the services, runs singleton tasks
+	Storage                  // stores turns and token budgets
 )
 
-// Port offsets in the range that the machine keeps free for the tier, one a role, since
-// two roles of one machine run as two processes.
+// Port offsets within the machine's internal port range. Each role has its own, because two
+// roles on one machine run as two processes.
 const (
 	CorePort    = 0
 	StoragePort = 1
 )
 
-// Node is one incarnation of a node of the control plane, and where it is reached.
+// Node describes one incarnation of a control plane node and its address.
 type Node struct {
 	ID      replica.NodeID
 	Name    string
@@ -38,93 +41,94 @@
 	Zone    string
 }
 
-// SameNode tells whether both are incarnations of one node: a later one takes the
-// place of an earlier one.
-func (n Node) SameNode(o Node) bool {
-	return n.Class == o.Class && (n.Name == o.Name || n.Address == o.Address)
+// SameNode reports whether both are incarnations of one node. A later incarnation replaces
+// an earlier one.
+func (n Node) SameNode(other Node) bool {
+	return n.Class == other.Class && (n.Name == other.Name || n.Address == other.Address)
 }
 
-// PartitionMembers tells who keeps a partition of the turns. Who is about to become a voter
-// stands among the voters before: nobody else is one.
+// PartitionMembers lists the voters of a turn partition. A node is listed before it becomes
+// a voter, so a node that is not listed is not a voter.
 type PartitionMembers struct {
-	Change uint64 // index in the partition's own log up to which all was committed when this was told, 0: as first assigned
-	Step   uint64 // counts what else was told at that index
+	Change uint64 // commit index of the partition's log when this was reported; 0: the initial assignment
+	Step   uint64 // orders reports with the same Change
 	Voters []replica.NodeID
 }
 
-// Directory is what all processes are told of the control plane.
+// Directory describes the control plane to all processes.
 type Directory struct {
 	Version    uint64
-	Nodes      []Node // core and storage
-	Retiring   []string
-	Partitions []PartitionMembers // of the turns, by number; empty: not assigned yet
+	Nodes      []Node             // core and storage nodes
+	Retiring   []string           // names of nodes that are being removed
+	Partitions []PartitionMembers // turn partitions by number; empty: not assigned yet
 }
 
-// Server is one process of a service.
+// Server is one server process of a service.
 type Server struct {
 	ID       string
 	Address  string
 	Zone     string
 	Capacity int
 	Draining bool
-	Warmup   time.Duration // how much longer it was slow when it was listed first
+	Warmup   time.Duration // remaining warm-up time when the server was first listed
 }
 
 // ServerList holds the servers of a service.
 type ServerList struct {
 	Service string
-	Version uint64 // rises with each change
+	Version uint64 // increases with each change
 	Servers []Server
 }
 
-// Groups of the control plane.
+// Raft groups of the control plane.
 const (
 	ConfigurationGroup replica.GroupID = "configuration"
-	ListerTask         replica.GroupID = "duty-lister"
-	// ServicePartitions is how many partitions hold the services.
+	// ListerTask is the group that elects the node that runs the lister.
+	ListerTask replica.GroupID = "duty-lister"
+	// ServicePartitions is the number of service partitions.
 	ServicePartitions = 4
-	// turnGroupPrefix stands before a partition's number in the name of its group.
+	// turnGroupPrefix precedes the partition number in the group name of a turn partition.
 	turnGroupPrefix = "turns-"
-	// The turns and budgets are cut into so many partitions for each storage node that is
-	// there at the first start, within these bounds. The number then stays: it stands in the
-	// directory.
-	partitionsPerNode = 2
-	partitionsLeast   = 8
-	partitionsMost    = 1024
+	// The number of turn partitions is proportional to the number of storage nodes at the
+	// first start, within these bounds. It is recorded in the directory and never changes
+	// afterwards.
+	turnPartitionsPerNode = 2
+	minTurnPartitions     = 8
+	maxTurnPartitions     = 1024
 )
 
-// TurnPartitions is how many partitions of the turns so many storage nodes begin with.
-func TurnPartitions(nodes int) int {
-	return min(max(partitionsPerNode*nodes, partitionsLeast), partitionsMost)
+// TurnPartitions returns the number of turn partitions that a tier starts with.
+func TurnPartitions(storageNodes int) int {
+	return min(max(turnPartitionsPerNode*storageNodes, minTurnPartitions), maxTurnPartitions)
 }
 
-// ServiceGroup names the group of a partition of the services.
+// ServiceGroup returns the group of a service partition.
 func ServiceGroup(partition int) replica.GroupID {
 	return replica.GroupID(fmt.Sprintf("services-%d", partition))
 }
 
-// TurnGroup names the group of a partition of the turns.
+// TurnGroup returns the group of a turn partition.
 func TurnGroup(partition int) replica.GroupID {
 	return replica.GroupID(turnGroupPrefix + strconv.Itoa(partition))
 }
 
-// TurnPartitionOf reads the name of a partition's group; false for any other group.
+// TurnPartitionOf returns the turn partition of a group, or false for any other group.
 func TurnPartitionOf(group replica.GroupID) (int, bool) {
 	number, ok := strings.CutPrefix(string(group), turnGroupPrefix)
 	if !ok {
 		return 0, false
 	}
 	partition, err := strconv.Atoi(number)
-	return partition, err == nil && partition >= 0 && partition < partitionsMost && TurnGroup(partition) == group
+	return partition, err == nil && partition >= 0 && partition < maxTurnPartitions && TurnGroup(partition) == group
 }
 
-// ServicePartition is the partition of a service.
+// ServicePartition returns the partition of a service.
 func ServicePartition(service string) int {
 	return hashing.Partition(service, ServicePartitions)
 }
 
-// TurnPartition is the partition of a program's turns and budget, -1 where the partitions
-// aren't dealt out yet.
+// TurnPartition returns the partition of a program's turns and budget, or -1 if the
+// partitions are not assigned yet.
 func (d *Directory) TurnPartition(program string) int {
 	if len(d.Partitions) == 0 {
 		return -1
@@ -132,164 +136,171 @@
 	return hashing.Partition(program, len(d.Partitions))
 }
 
-// HelloArgs introduces a process of the control plane to another.
+// HelloArgs introduces one control plane process to another.
 type HelloArgs struct{ Self Node }
 
-// HelloReply is who was asked, and whom it knows.
+// HelloReply describes the called node and the nodes that it knows.
 type HelloReply struct {
 	Self  Node
 	Nodes []Node
 }
 
-// DeliverArgs brings messages between members of groups.
+// DeliverArgs carries Raft messages between members of groups.
 type DeliverArgs struct{ Messages []replica.Message }
 
-// Nothing is an empty message.
+// Nothing is an empty reply.
 type Nothing struct{}
 
-// Outcome is how a forwarded call ended.
+// Outcome is the result of a forwarded call. Its values are part of the wire format.
 type Outcome uint8
 
 // The outcomes of a forwarded call.
 const (
 	Done        Outcome = iota + 1
-	NotOwner            // Owner names a better one where it is known; nothing was done
-	Unknown             // it may have been done, or may still be
+	NotOwner            // nothing was done; Owner is the leader if known
+	Unknown             // it may have been done, or may still be done
 	Unavailable         // nothing was done
 )
 
-// ProposeArgs hands a command to a group's owner.
+// ProposeArgs sends a command to a group's leader.
 type ProposeArgs struct {
 	Group   replica.GroupID
 	Command []byte
-	Within  time.Duration
+	Within  time.Duration // timeout of the call
 }
 
-// ProposeReply is the result of the command's application.
+// ProposeReply holds the result of the applied command.
 type ProposeReply struct {
 	Outcome Outcome
-	Owner   replica.NodeID
+	Owner   replica.NodeID // the leader if known
 	Result  []byte
 }
 
-// IndexArgs asks a group's owner how far it has applied, after it has proven that it is the owner.
+// IndexArgs asks a group's leader for a read index, which it returns after it has confirmed
+// its leadership.
 type IndexArgs struct {
 	Group  replica.GroupID
-	Within time.Duration
+	Within time.Duration // timeout of the call
 }
 
-// IndexReply is that index.
+// IndexReply holds the read index.
 type IndexReply struct {
 	Outcome Outcome
-	Owner   replica.NodeID
+	Owner   replica.NodeID // the leader if known
 	Index   uint64
 }
 
-// WatchArgs asks a core node for what is newer than the caller has. The call is answered
-// at once where there is news, else when some comes, or empty after Wait.
+// WatchArgs asks a core node for everything newer than the caller's versions. The reply
+// comes at once if there is something newer, else when there is, or empty after Wait.
 type WatchArgs struct {
 	Node      string
-	Revision  uint64 // of the configuration in force at the caller, 0: none
-	Directory uint64
-	Services  [ServicePartitions]uint64
-	Confirmed bool // the answer's configuration must be no older than the newest at this moment
-	// DirectoryOnly: neither the configuration nor the lists of servers are wanted.
+	Revision  uint64                    // of the configuration in force at the caller, 0: none
+	Directory uint64                    // version of the caller's directory
+	Services  [ServicePartitions]uint64 // versions of the caller's server lists
+	Confirmed bool                      // the reply's configuration must be linearizable: no older than the newest at this moment
+	// DirectoryOnly: the caller wants neither the configuration nor the server lists.
 	DirectoryOnly bool
-	Patient       bool // the caller knows of nobody better: no answer is wanted before there is news or a proof
-	Wait          time.Duration
+	// Patient: the caller knows no better node. The node must not reply before it has something
+	// newer or can prove that its state is recent.
+	Patient bool
+	Wait    time.Duration // how long the call may stay open
 }
 
-// ConfigurationStep leads from the configuration at Base to the one at Revision: a patch of
-// package patch. Base 0: from nothing.
+// ConfigurationStep changes the configuration at revision Base to the one at Revision. Patch
+// is a patch of package patch. Base 0 means that the patch holds the whole configuration.
 type ConfigurationStep struct {
-	Base, Revision uint64
-	Patch          []byte
+	Base     uint64
+	Revision uint64
+	Patch    []byte
 }
 
-// WatchReply holds what is newer. A nil pointer or zero version: nothing.
+// WatchReply holds everything newer than the caller's versions. A nil pointer or a zero
+// version means that there is nothing newer.
 type WatchReply struct {
-	Confirmed bool
-	// Vouched: what the node tells is recent, proven by the owners of the groups. Age is how old
-	// it was at the most when the answer was made, Held how long before that the question came.
-	// A node that can't vouch says so at once, also to questions that wait.
-	Vouched   bool
-	Age, Held time.Duration
-
-	Revision  uint64              // that Steps lead to
-	Steps     []ConfigurationStep // from the caller's revision, or one without a base
+	Confirmed bool // the configuration is linearizable, as requested
+	// Vouched: the leaders of the groups have proven that the state is recent. A node that
+	// cannot prove it replies so at once, also to calls that wait.
+	Vouched bool
+	Age     time.Duration // upper bound on the staleness of the state when the reply was made
+	Held    time.Duration // how long the node held the call before it replied
+
+	Revision  uint64              // revision after Steps
+	Steps     []ConfigurationStep // from the caller's revision, or a single one with Base 0
 	Directory *Directory
-	Services  [ServicePartitions]uint64
-	Lists     []ServerList // of the partitions whose version is newer, whole
+	Services  [ServicePartitions]uint64 // versions of the server lists
+	Lists     []ServerList              // complete lists of the partitions with a newer version
 }
 
-// Where a turn stands at the end of a call.
+// TurnOutcome is the state of a turn at the end of a call. Its values are part of the wire
+// format.
 type TurnOutcome uint8
 
 // The outcomes of calls about turns.
 const (
-	TurnGranted         TurnOutcome = iota + 1 // reserved (Admit) or kept (Finish), durably
-	TurnBudgetExhausted                        // the budget holds no further turn, nothing is reserved
-	TurnNotFound                               // the partition surely holds no such turn
-	TurnClosed                                 // the try has ended already
-	TurnNotOwner                               // Owner names a better one where known; nothing was done
+	TurnGranted         TurnOutcome = iota + 1 // durably reserved (Admit) or stored (Finish)
+	TurnBudgetExhausted                        // the budget allows no further turn, nothing is reserved
+	TurnNotFound                               // the partition certainly holds no such turn
+	TurnClosed                                 // the attempt has already ended
+	TurnNotOwner                               // nothing was done; Owner is the leader if known
 	TurnUnknown                                // it may have been done
 	TurnUnavailable                            // nothing was done
 )
 
-// AdmitArgs asks the owner of a program's partition to reserve a turn's tokens and to
-// tell what was said before.
+// AdmitArgs asks the leader of a program's partition to reserve a turn's tokens and to
+// return the conversation history.
 type AdmitArgs struct {
 	Partition int // of the program
 	Program   string
-	Attempt   string
-	Previous  string // "" at the start of a line
-	Imported  bool   // what was said before is known from another partition
-	Known     bool   // what was said before is at hand: only whether the turn is kept is asked
-	Budget    uint64
-	Most      uint64 // tokens that the turn may put out
-	Keep      time.Duration
-	Token     uint64 // drawn for the try: another node\'s admission of it is told apart
-	Within    time.Duration
+	Attempt   string        // id of the turn
+	Previous  string        // id of the previous turn, "" at the start of a conversation
+	Imported  bool          // the caller has the history from another partition
+	Known     bool          // the caller has the history: only check that the previous turn is still stored
+	Budget    uint64        // token budget of the program
+	Most      uint64        // most tokens that the turn may output
+	Keep      time.Duration // how long the turn is stored
+	Token     uint64        // random id of this admission, tells it from another node's admission of the same turn
+	Within    time.Duration // timeout of the call
 }
 
-// AdmitReply brings the text before the new input.
+// AdmitReply returns the conversation history before the new input.
 type AdmitReply struct {
 	Outcome TurnOutcome
 	Owner   replica.NodeID
 	History []byte
 }
 
-// FinishArgs ends a try. A turn that was answered whole is kept.
+// FinishArgs ends a turn. A turn whose answer is complete is stored.
 type FinishArgs struct {
 	Partition int // of the program
 	Program   string
-	Attempt   string
-	Whole     bool
-	Tokens    uint64 // handed to the client
-	Previous  string
-	Imported  []byte // text before, where it came from another partition
-	Input     []byte
-	Output    []byte // the data of each event, a line feed behind each
-	Token     uint64 // of the admission
-	Keep      time.Duration
-	Within    time.Duration
+	Attempt   string        // id of the turn
+	Whole     bool          // the answer is complete
+	Tokens    uint64        // tokens sent to the client
+	Previous  string        // id of the previous turn
+	Imported  []byte        // history, if it came from another partition
+	Input     []byte        // the client's input
+	Output    []byte        // the data of each event, each followed by a line feed
+	Token     uint64        // AdmitArgs.Token
+	Keep      time.Duration // how long the turn is stored
+	Within    time.Duration // timeout of the call
 }
 
-// FinishReply tells whether the end is durable.
+// FinishReply reports whether the end of the turn is durable.
 type FinishReply struct {
 	Outcome TurnOutcome
 	Owner   replica.NodeID
 }
 
-// FindArgs asks a storage node for a turn in all partitions that it owns.
+// FindArgs asks a storage node to look for a turn in all partitions that it leads.
 type FindArgs struct {
-	Attempt string
-	Within  time.Duration
+	Attempt string        // id of the turn
+	Within  time.Duration // timeout of the call
 }
 
-// FindReply brings the turn's whole text, or the partitions that surely don't hold it.
+// FindReply returns the turn's complete text, or the partitions that certainly do not hold
+// the turn.
 type FindReply struct {
 	Found   bool
 	History []byte
-	Without []int
+	Without []int // partitions that do not hold the turn
 }
--- a/internal/station/protocol/protocol_test.go
+++ b/internal/station/protocol/protocol_test.go
@@ -9,7 +9,7 @@
 	"pipitmux/internal/barograph/replica"
 )
 
-func TestTurnGroupsAreReadBack(t *testing.T) {
+func TestTurnGroupNameRoundTrips(t *testing.T) {
 	for _, partition := range []int{0, 7, 1023} {
 		read, ok := TurnPartitionOf(TurnGroup(partition))
 		assert.Assert(t, ok)
@@ -21,25 +21,25 @@
 	}
 }
 
-func TestTurnPartitionsAreWithinBounds(t *testing.T) {
-	assert.Equal(t, TurnPartitions(0), partitionsLeast)
-	assert.Equal(t, TurnPartitions(3), partitionsLeast)
+func TestTurnPartitionCountIsWithinBounds(t *testing.T) {
+	assert.Equal(t, TurnPartitions(0), minTurnPartitions)
+	assert.Equal(t, TurnPartitions(3), minTurnPartitions)
 	assert.Equal(t, TurnPartitions(10), 20)
-	assert.Equal(t, TurnPartitions(100000), partitionsMost)
+	assert.Equal(t, TurnPartitions(100000), maxTurnPartitions)
 }
 
-func TestProgramsHaveAPartitionOnceTheyAreDealtOut(t *testing.T) {
-	d := Directory{}
-	assert.Equal(t, d.TurnPartition("p"), -1)
-	d.Partitions = make([]PartitionMembers, 8)
+func TestProgramHasNoTurnPartitionBeforeAssignment(t *testing.T) {
+	directory := Directory{}
+	assert.Equal(t, directory.TurnPartition("p"), -1)
+	directory.Partitions = make([]PartitionMembers, 8)
 	seen := map[int]bool{}
 	for i := range 200 {
-		seen[d.TurnPartition(fmt.Sprint("program-", i))] = true
+		seen[directory.TurnPartition(fmt.Sprint("program-", i))] = true
 	}
 	assert.Equal(t, len(seen), 8)
 }
 
-func TestServicesSpreadOverTheirPartitions(t *testing.T) {
+func TestServicesUseAllPartitions(t *testing.T) {
 	seen := map[int]bool{}
 	for i := range 100 {
 		seen[ServicePartition(fmt.Sprint("service-", i))] = true
@@ -47,12 +47,12 @@
 	assert.Equal(t, len(seen), ServicePartitions)
 }
 
-func TestIncarnationsOfOneMachine(t *testing.T) {
-	n := Node{ID: 1, Name: "a", Class: Core, Address: "h:1"}
+func TestSameNodeRecognizesIncarnations(t *testing.T) {
+	node := Node{ID: 1, Name: "a", Class: Core, Address: "h:1"}
 	for _, same := range []Node{{ID: 2, Name: "a", Class: Core, Address: "h:2"}, {ID: 2, Name: "b", Class: Core, Address: "h:1"}} {
-		assert.Assert(t, n.SameNode(same))
+		assert.Assert(t, node.SameNode(same))
 	}
 	for _, other := range []Node{{ID: 1, Name: "b", Class: Core, Address: "h:2"}, {ID: 2, Name: "a", Class: Storage, Address: "h:1"}} {
-		assert.Assert(t, !n.SameNode(other))
+		assert.Assert(t, !node.SameNode(other))
 	}
 }
