--- a/internal/station/follow/capacity_test.go
+++ b/internal/station/follow/capacity_test.go
@@ -18,39 +18,39 @@
 	"pipitmux/internal/station/scaletest"
 )
 
-// slots are how many core nodes each follower of a benchmark asks side by side, as where
-// one machine may be lost.
 const (
-	slots = 2
-	// toldWithin is how long a benchmark waits until all are told: the tier's bound for a
-	// configuration.
-	toldWithin = 16 * time.Second
+	// concurrentCalls is the number of calls that each follower keeps open, as in a tier that
+	// tolerates the loss of one machine.
+	concurrentCalls = 2
+	// updateTimeout is how long a benchmark waits for all followers, the tier's bound for
+	// applying a configuration.
+	updateTimeout = 16 * time.Second
 )
 
-// watched answers questions as a core node does, for the configuration alone.
-type watched struct {
+// configurationServer answers watch calls as a core node does, for the configuration alone.
+type configurationServer struct {
 	mu      sync.Mutex
-	newest  protocol.ConfigurationStep // from the revision before
+	newest  protocol.ConfigurationStep // from the previous revision
 	whole   protocol.ConfigurationStep
 	changed chan struct{}
-	sent    atomic.Int64 // bytes of patches handed out
+	sent    atomic.Int64 // bytes of patches sent
 }
 
-// Watch answers when there is a newer configuration, and else after the wait.
-func (w *watched) Watch(args *protocol.WatchArgs, reply *protocol.WatchReply) error {
+// Watch replies when there is a newer configuration, else after the wait.
+func (s *configurationServer) Watch(args *protocol.WatchArgs, reply *protocol.WatchReply) error {
 	reply.Confirmed, reply.Vouched = args.Confirmed, true
 	end := time.NewTimer(args.Wait)
 	defer end.Stop()
 	for {
-		w.mu.Lock()
-		newest, whole, changed := w.newest, w.whole, w.changed
-		w.mu.Unlock()
+		s.mu.Lock()
+		newest, whole, changed := s.newest, s.whole, s.changed
+		s.mu.Unlock()
 		if newest.Revision > args.Revision {
 			if newest.Base != args.Revision {
 				newest = whole
 			}
 			reply.Revision, reply.Steps = newest.Revision, []protocol.ConfigurationStep{newest}
-			w.sent.Add(int64(len(newest.Patch)))
+			s.sent.Add(int64(len(newest.Patch)))
 			return nil
 		}
 		if args.Confirmed {
@@ -64,17 +64,17 @@
 	}
 }
 
-func (w *watched) change(newest, whole protocol.ConfigurationStep) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.newest, w.whole = newest, whole
-	close(w.changed)
-	w.changed = make(chan struct{})
+func (s *configurationServer) change(newest, whole protocol.ConfigurationStep) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.newest, s.whole = newest, whole
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// BenchmarkChange is one change of a configuration of so many routes until so many processes
-// have it, by way of some core nodes, all on this machine. "told" is how many of them have it
-// within 16 s. docs/CAPACITY.md.
+// BenchmarkChange changes a configuration and waits until all followers have received it from
+// some core nodes, all on this machine. "told" is the number of followers that received it
+// within 16 s. The figures are in docs/CAPACITY.md.
 func BenchmarkChange(b *testing.B) {
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
@@ -88,7 +88,11 @@
 	}
 }
 
-type changeSize struct{ followers, routes, cores int }
+type changeSize struct {
+	followers int
+	routes    int
+	cores     int
+}
 
 func benchmarkChange(b *testing.B, size changeSize) {
 	followers := size.followers
@@ -97,70 +101,70 @@
 	}
 	ctx, end := context.WithCancel(context.Background())
 	nodes, seeds := startCores(b, size.cores)
-	var told, now atomic.Int64
-	before := heap()
+	var received, current atomic.Int64
+	heapBefore := heap()
 	var running sync.WaitGroup
 	b.Cleanup(func() { end(); running.Wait() })
 	for i := range followers {
 		pool := link.NewPool(link.Options{})
 		b.Cleanup(pool.Close)
-		f := New(Options{Name: fmt.Sprintf("edge-%d", i), Seeds: seeds, ConcurrentCalls: slots, Pool: pool, OnUpdate: func(n Update) {
-			if n.Revision == uint64(now.Load()) {
-				told.Add(1)
+		f := New(Options{Name: fmt.Sprintf("edge-%d", i), Seeds: seeds, ConcurrentCalls: concurrentCalls, Pool: pool, OnUpdate: func(update Update) {
+			if update.Revision == uint64(current.Load()) {
+				received.Add(1)
 			}
 		}})
 		running.Go(func() { f.Run(ctx) })
 	}
 	change := func() (reached int64) {
-		told.Store(0)
-		revision := now.Add(1)
+		received.Store(0)
+		revision := current.Add(1)
 		newest := step(uint64(revision-1), body(revision-1), uint64(revision), body(revision))
 		whole := step(0, "", uint64(revision), body(revision))
 		for _, n := range nodes {
 			n.change(newest, whole)
 		}
-		for end := time.Now().Add(toldWithin); told.Load() < int64(followers) && time.Now().Before(end); {
+		for end := time.Now().Add(updateTimeout); received.Load() < int64(followers) && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		return told.Load()
+		return received.Load()
 	}
 	change()
 	b.ResetTimer()
 	var sent int64
-	least := int64(followers)
+	fewest := int64(followers)
 	for range b.N {
-		at := handedOut(nodes)
-		least = min(least, change())
-		sent += handedOut(nodes) - at
+		before := sentBytes(nodes)
+		fewest = min(fewest, change())
+		sent += sentBytes(nodes) - before
 	}
 	b.StopTimer()
-	b.ReportMetric(float64(least), "told")
+	b.ReportMetric(float64(fewest), "told")
 	b.ReportMetric(float64(sent)/float64(b.N)/1e6, "MB/change")
-	b.ReportMetric(float64(int64(heap())-int64(before))/float64(followers)/1000, "heap-kB/follower")
+	b.ReportMetric(float64(int64(heap())-int64(heapBefore))/float64(followers)/1000, "heap-kB/follower")
 }
 
-func startCores(b *testing.B, cores int) (nodes []*watched, addresses []string) {
+func startCores(b *testing.B, cores int) (nodes []*configurationServer, addresses []string) {
 	for range cores {
-		w := &watched{changed: make(chan struct{})}
-		server, err := link.NewServer(map[string]any{"Control": w})
+		s := &configurationServer{changed: make(chan struct{})}
+		server, err := link.NewServer(map[string]any{"Control": s})
 		assert.NilError(b, err)
 		l, err := link.Listen("127.0.0.1:0")
 		assert.NilError(b, err)
 		go server.Serve(l)
 		b.Cleanup(func() { server.Close() })
-		nodes, addresses = append(nodes, w), append(addresses, l.Addr().String())
+		nodes, addresses = append(nodes, s), append(addresses, l.Addr().String())
 	}
 	return nodes, addresses
 }
 
-func handedOut(nodes []*watched) (sum int64) {
+func sentBytes(nodes []*configurationServer) (sum int64) {
 	for _, n := range nodes {
 		sum += n.sent.Load()
 	}
 	return sum
 }
 
-// heap is what the process holds in memory.
+// heap returns the bytes of allocated heap objects after a collection.
 func heap() uint64 {
 	runtime.GC()
 	var s runtime.MemStats
--- a/internal/station/follow/follow.go
+++ b/internal/station/follow/follow.go
@@ -1,8 +1,10 @@
-// Package follow keeps a process up to date: it asks core nodes, with the versions that
-// it has, for what is newer. It asks as many nodes side by side as may be lost at once
-// and one more, chosen by rendezvous hashing, so that no core node is asked by all and
-// one that froze holds nothing up. A node that can't vouch for what it tells, since it hears
-// no owner, is left for the next one at once, until one is found that can.
+// Package follow keeps a process up to date with the control plane. A Follower sends the
+// versions that it has to core nodes with long-polling watch calls and receives everything
+// newer. It keeps calls open to one node more than the number of node losses to be
+// tolerated, chosen by rendezvous hashing, so that the load spreads over the core nodes and
+// a frozen node delays nothing. A node that has no contact with the leaders cannot prove
+// that its state is recent; the Follower then tries the next node at once until it finds
+// one that can.
 package follow
 
 import (
@@ -21,102 +23,106 @@
 	"pipitmux/internal/wait"
 )
 
-// Update is what has changed. Nil fields have not.
+// Update describes a change of the configuration, the directory or the server lists. Nil
+// fields have not changed.
 type Update struct {
 	Revision      uint64
 	Configuration []byte
 	Directory     *protocol.Directory
-	Lists         []protocol.ServerList // of the services in Partition, whole
+	Lists         []protocol.ServerList // complete lists of the services in Partition
 	Partition     int
 }
 
-// Options are what a Follower needs.
+// Options configure a Follower.
 type Options struct {
 	Name            string
-	Seeds           []string // net/rpc addresses of core nodes
-	ConcurrentCalls int      // nodes asked side by side
-	// DirectoryOnly: neither the configuration nor the servers are of interest.
+	Seeds           []string // net/rpc addresses of core nodes, used while no node is known
+	ConcurrentCalls int      // number of watch calls kept open, each to another node
+	// DirectoryOnly: follow neither the configuration nor the server lists.
 	DirectoryOnly bool
 	Pool          *link.Pool
-	// OnUpdate gets all news, one at a time.
+	// OnUpdate is called with each update, one at a time.
 	OnUpdate func(Update)
 }
 
-// Follower follows the control plane.
+// Follower keeps the configuration, the directory and the server lists up to date.
 type Follower struct {
-	opt Options
+	options Options
 
-	told sync.Mutex // held while news are told: they reach Told in order
+	updateMu sync.Mutex // held during OnUpdate, so that updates arrive in order
 
-	mu        sync.Mutex
-	confirmed bool
-	revision  uint64
-	body      []byte // of that revision
-	whole     bool   // the steps from it couldn't be followed
-	directory protocol.Directory
-	services  [protocol.ServicePartitions]uint64
-	replaced  bool // the lists that the process goes by are not those
-	sources   *Sources
+	mu            sync.Mutex
+	confirmed     bool // a linearizable configuration was received
+	revision      uint64
+	configuration []byte // at revision
+	needWhole     bool   // the steps from revision did not apply: request the whole configuration
+	directory     protocol.Directory
+	services      [protocol.ServicePartitions]uint64 // versions of the server lists
+	listsOutdated bool                               // the process uses lists from elsewhere, so services does not describe them
+	sources       *Sources
 }
 
-// New returns a Follower that Run has yet to start.
-func New(o Options) *Follower {
-	return &Follower{opt: o, sources: NewSources(time.Now())}
+// New returns a Follower. Run starts it.
+func New(options Options) *Follower {
+	return &Follower{options: options, sources: NewSources(time.Now())}
 }
 
-// Run asks until ctx ends.
+// Run follows the control plane until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	var done sync.WaitGroup
-	for slot := range max(f.opt.ConcurrentCalls, 1) {
-		done.Go(func() { f.ask(ctx, slot) })
+	for range max(f.options.ConcurrentCalls, 1) {
+		done.Go(func() { f.watchLoop(ctx) })
 	}
 	done.Wait()
 }
 
-// Staleness is how old what was told may be: everything that had come into force before is known.
-// It counts from the start of the process until a first answer was vouched for.
+// Staleness returns an upper bound on how far the delivered state is behind the control
+// plane: everything that took effect longer ago is known. Until the first vouched reply it
+// counts from the start of the process.
 func (f *Follower) Staleness() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sources.Staleness(time.Now())
 }
 
-// RefreshLists has the lists of all services told anew once a node vouches for them: what the
-// process goes by has come from elsewhere meanwhile, and is newer than what others may tell.
+// RefreshLists requests the lists of all services again from a node that vouches for them.
+// It is called when the process has taken lists from another source, which may be newer
+// than the state of a node that cannot vouch.
 func (f *Follower) RefreshLists() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.replaced = true
+	f.listsOutdated = true
 }
 
-// Directory returns the directory as last told.
+// Directory returns the last directory received.
 func (f *Follower) Directory() protocol.Directory {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.directory
 }
 
-func (f *Follower) ask(ctx context.Context, slot int) {
+func (f *Follower) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		address, patient := f.choose()
+		address, patient := f.chooseNode()
 		if address == "" {
 			wait.For(ctx, RetryDelay)
 			continue
 		}
-		if !f.question(ctx, address, patient) {
+		if !f.watch(ctx, address, patient) {
 			wait.For(ctx, RetryDelay)
 		}
 	}
 }
 
-// choose books the node to be asked next.
-func (f *Follower) choose() (address string, patient bool) {
+// chooseNode selects the node for the next call and reserves it.
+func (f *Follower) chooseNode() (address string, patient bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sources.Choose(time.Now(), f.candidates())
 }
 
-// candidates are the addresses of all core nodes, or of the seeds while none is known.
+// candidates returns the addresses of all core nodes, in the order of rendezvous hashing. It
+// adds the seeds if no core node is known or none has vouched for some time.
 func (f *Follower) candidates() []string {
 	var addresses []string
 	for _, n := range f.directory.Nodes {
@@ -125,49 +131,51 @@
 		}
 	}
 	if len(addresses) == 0 || f.sources.NeedSeeds(time.Now()) {
-		for _, s := range f.opt.Seeds {
-			if !slices.Contains(addresses, s) {
-				addresses = append(addresses, s)
+		for _, seed := range f.options.Seeds {
+			if !slices.Contains(addresses, seed) {
+				addresses = append(addresses, seed)
 			}
 		}
 	}
-	return hashing.Rank(f.opt.Name, addresses, hashing.Sum64)
+	return hashing.Rank(f.options.Name, addresses, hashing.Sum64)
 }
 
-// question asks a node and tells what is news. It is false where the answer was of no use.
-func (f *Follower) question(ctx context.Context, address string, patient bool) bool {
-	defer f.free(address)
-	args := f.args(patient)
+// watch calls a node and delivers the updates in its reply. It returns false if the reply
+// was not usable.
+func (f *Follower) watch(ctx context.Context, address string, patient bool) bool {
+	defer f.release(address)
+	args := f.watchArgs(patient)
 	ctx, cancel := context.WithTimeout(ctx, LongPollWait+ReplyTimeout)
 	defer cancel()
 	var reply protocol.WatchReply
 	sent := time.Now()
-	err := f.opt.Pool.Call(ctx, address, "Control.Watch", &args, &reply)
-	useful := err == nil && f.take(&reply)
-	f.note(address, sent, &reply, err)
+	err := f.options.Pool.Call(ctx, address, "Control.Watch", &args, &reply)
+	useful := err == nil && f.deliver(&reply)
+	f.recordResult(address, sent, &reply, err)
 	return useful
 }
 
-func (f *Follower) args(patient bool) protocol.WatchArgs {
+func (f *Follower) watchArgs(patient bool) protocol.WatchArgs {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	args := protocol.WatchArgs{
-		Node: f.opt.Name, Revision: f.revision, Directory: f.directory.Version, Services: f.services,
-		Confirmed: !f.confirmed, DirectoryOnly: f.opt.DirectoryOnly, Patient: patient, Wait: LongPollWait,
+		Node: f.options.Name, Revision: f.revision, Directory: f.directory.Version, Services: f.services,
+		Confirmed: !f.confirmed, DirectoryOnly: f.options.DirectoryOnly, Patient: patient, Wait: LongPollWait,
 	}
-	if f.whole {
+	if f.needWhole {
 		args.Revision = 0
 	}
-	if f.replaced && !patient {
-		// A patient question goes to a node that has nothing better: it is to wait for a proof.
+	if f.listsOutdated && !patient {
+		// A patient call goes to a node that cannot vouch now. It must wait for a proof; asking
+		// for all lists would make the node reply at once.
 		args.Services = [protocol.ServicePartitions]uint64{}
 	}
 	return args
 }
 
-// note remembers whether a node was a good source. It comes after the news were told: Age must
-// not promise what the process doesn't go by yet.
-func (f *Follower) note(address string, sent time.Time, reply *protocol.WatchReply, err error) {
+// recordResult records whether a node is a good source. It is called after the updates were
+// delivered, because Staleness must not cover state that the process does not use yet.
+func (f *Follower) recordResult(address string, sent time.Time, reply *protocol.WatchReply, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil || !reply.Vouched {
@@ -177,18 +185,18 @@
 	f.sources.RecordVouched(address, sent, reply.Held, reply.Age)
 }
 
-func (f *Follower) free(address string) {
+func (f *Follower) release(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sources.Release(address)
 }
 
-// take tells what is news and returns whether the answer was of use.
-func (f *Follower) take(reply *protocol.WatchReply) bool {
-	f.told.Lock()
-	defer f.told.Unlock()
-	for _, n := range f.merge(reply) {
-		f.opt.OnUpdate(n)
+// deliver passes the updates in a reply to OnUpdate and reports whether the reply was usable.
+func (f *Follower) deliver(reply *protocol.WatchReply) bool {
+	f.updateMu.Lock()
+	defer f.updateMu.Unlock()
+	for _, update := range f.merge(reply) {
+		f.options.OnUpdate(update)
 	}
 	return reply.Vouched && f.isConfirmed()
 }
@@ -199,82 +207,83 @@
 	return f.confirmed
 }
 
+// merge takes over everything newer in a reply and returns the updates.
 func (f *Follower) merge(reply *protocol.WatchReply) []Update {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var news []Update
+	var updates []Update
 	if !f.confirmed && reply.Confirmed {
 		f.confirmed = true
-		klog.InfoS("The control plane answers", "revision", reply.Revision)
+		klog.InfoS("Control plane reached", "revision", reply.Revision)
 	}
-	if f.confirmed && reply.Revision > f.revision && f.follow(reply) {
-		news = append(news, Update{Revision: f.revision, Configuration: f.body})
+	if f.confirmed && reply.Revision > f.revision && f.applySteps(reply) {
+		updates = append(updates, Update{Revision: f.revision, Configuration: f.configuration})
 	}
 	if reply.Directory != nil && reply.Directory.Version > f.directory.Version {
 		f.directory = *reply.Directory
-		news = append(news, Update{Directory: reply.Directory})
+		updates = append(updates, Update{Directory: reply.Directory})
 	}
-	return append(news, f.mergeLists(reply)...)
+	return append(updates, f.mergeLists(reply)...)
 }
 
-// mergeLists takes the lists of servers on that are newer.
-func (f *Follower) mergeLists(reply *protocol.WatchReply) (news []Update) {
-	if f.replaced && !reply.Vouched {
+// mergeLists takes over the newer server lists.
+func (f *Follower) mergeLists(reply *protocol.WatchReply) (updates []Update) {
+	if f.listsOutdated && !reply.Vouched {
 		return nil
 	}
-	if f.replaced && reply.Services != ([protocol.ServicePartitions]uint64{}) {
-		f.replaced, f.services = false, [protocol.ServicePartitions]uint64{}
+	if f.listsOutdated && reply.Services != ([protocol.ServicePartitions]uint64{}) {
+		f.listsOutdated, f.services = false, [protocol.ServicePartitions]uint64{}
 	}
 	for partition, version := range reply.Services {
 		if version <= f.services[partition] {
 			continue
 		}
 		f.services[partition] = version
-		lists := slices.DeleteFunc(slices.Clone(reply.Lists), func(l protocol.ServerList) bool {
-			return protocol.ServicePartition(l.Service) != partition
+		lists := slices.DeleteFunc(slices.Clone(reply.Lists), func(list protocol.ServerList) bool {
+			return protocol.ServicePartition(list.Service) != partition
 		})
-		news = append(news, Update{Lists: lists, Partition: partition})
+		updates = append(updates, Update{Lists: lists, Partition: partition})
 	}
-	return news
+	return updates
 }
 
-// follow takes the steps to a newer configuration. Those that this process has taken already, by
-// another node's answer, are passed over. Where a step doesn't fit, nothing is taken, and the
-// next question asks for the configuration whole.
-func (f *Follower) follow(reply *protocol.WatchReply) bool {
-	revision, body := f.revision, f.body
+// applySteps applies the steps to a newer configuration. It skips steps that were already
+// applied from another node's reply. If a step does not apply, the configuration stays as it
+// is and the next call requests the whole configuration.
+func (f *Follower) applySteps(reply *protocol.WatchReply) bool {
+	revision, configuration := f.revision, f.configuration
 	for _, step := range reply.Steps {
-		base := body
+		base := configuration
 		switch {
 		case step.Revision <= revision:
 			continue
 		case step.Base == 0:
 			base = nil
 		case step.Base != revision:
-			f.whole = true
+			f.needWhole = true
 			return false
 		}
 		next, err := patch.Apply(base, step.Patch)
 		if err != nil {
-			f.whole = true
-			klog.ErrorS(err, "A change of the configuration can't be followed: it is asked for whole", "revision", step.Revision)
+			f.needWhole = true
+			klog.ErrorS(err, "Cannot apply a configuration patch; requesting the whole configuration", "revision", step.Revision)
 			return false
 		}
-		revision, body = step.Revision, next
+		revision, configuration = step.Revision, next
 	}
-	f.whole = revision != reply.Revision
-	if f.whole {
+	f.needWhole = revision != reply.Revision
+	if f.needWhole {
 		return false
 	}
-	f.revision, f.body = revision, body
+	f.revision, f.configuration = revision, configuration
 	return true
 }
 
-// FindNode finds a node of the directory by its id.
-func FindNode(d *protocol.Directory, id replica.NodeID) (protocol.Node, bool) {
-	at := slices.IndexFunc(d.Nodes, func(n protocol.Node) bool { return n.ID == id })
-	if at < 0 {
+// FindNode returns the node of a directory with an id.
+func FindNode(directory *protocol.Directory, id replica.NodeID) (protocol.Node, bool) {
+	index := slices.IndexFunc(directory.Nodes, func(n protocol.Node) bool { return n.ID == id })
+	if index < 0 {
 		return protocol.Node{}, false
 	}
-	return d.Nodes[at], true
+	return directory.Nodes[index], true
 }
--- a/internal/station/follow/follow_test.go
+++ b/internal/station/follow/follow_test.go
@@ -18,47 +18,47 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// testWithin bounds each wait of a test that should not wait.
+// testWithin bounds each wait of a test. It expires only if the test hangs.
 const testWithin = 20 * time.Second
 
-// core is a core node that answers as the test has it.
-type core struct {
+// fakeCore is a core node whose replies the test provides.
+type fakeCore struct {
 	address string
-	asked   atomic.Int32
-	answer  func(protocol.WatchArgs) protocol.WatchReply // called for each question
+	calls   atomic.Int32
+	reply   func(protocol.WatchArgs) protocol.WatchReply // called for each watch call
 }
 
-// whole is the step to a revision whose body is its number, from nothing.
-func whole(revision uint64) []protocol.ConfigurationStep {
+// wholeStep returns the step without a base to a revision whose configuration is its number.
+func wholeStep(revision uint64) []protocol.ConfigurationStep {
 	return []protocol.ConfigurationStep{step(0, "", revision, strconv.FormatUint(revision, 10))}
 }
 
 func step(base uint64, before string, revision uint64, body string) protocol.ConfigurationStep {
 	text, err := patch.Make([]byte(before), []byte(body))
 	if err != nil {
-		panic(err) // only what is very long can't be made
+		panic(err) // Make fails only for very long bodies
 	}
 	return protocol.ConfigurationStep{Base: base, Revision: revision, Patch: text}
 }
 
-// Watch answers a question of a Follower. An answer whose age isn't unproven is vouched for, and
-// one without steps has the revision whole.
-func (c *core) Watch(args *protocol.WatchArgs, reply *protocol.WatchReply) error {
-	c.asked.Add(1)
-	*reply = c.answer(*args)
+// Watch replies to a Follower. A reply is vouched for unless its age is unproven. A reply
+// without steps carries the whole configuration.
+func (c *fakeCore) Watch(args *protocol.WatchArgs, reply *protocol.WatchReply) error {
+	c.calls.Add(1)
+	*reply = c.reply(*args)
 	reply.Vouched = reply.Age != unproven
 	if reply.Steps == nil && reply.Revision > 0 {
-		reply.Steps = whole(reply.Revision)
+		reply.Steps = wholeStep(reply.Revision)
 	}
 	return nil
 }
 
-// unproven is the age of what a node can't vouch for.
+// unproven is the age that marks a reply as not vouched for.
 const unproven = time.Hour
 
-func startCore(t *testing.T, answer func(protocol.WatchArgs) protocol.WatchReply) *core {
+func startCore(t *testing.T, reply func(protocol.WatchArgs) protocol.WatchReply) *fakeCore {
 	t.Helper()
-	c := &core{answer: answer}
+	c := &fakeCore{reply: reply}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	c.address = listener.Addr().String()
@@ -69,12 +69,12 @@
 	return c
 }
 
-// begin starts a Follower of the nodes, and gives what it tells.
-func begin(t *testing.T, slots int, seeds ...string) (*Follower, <-chan Update) {
+// startFollower starts a Follower of the nodes and returns its updates.
+func startFollower(t *testing.T, concurrentCalls int, seeds ...string) (*Follower, <-chan Update) {
 	t.Helper()
-	told := make(chan Update, 1000)
+	updates := make(chan Update, 1000)
 	pool := link.NewPool(link.Options{})
-	f := New(Options{Name: "edge", Seeds: seeds, ConcurrentCalls: slots, Pool: pool, OnUpdate: func(n Update) { told <- n }})
+	f := New(Options{Name: "edge", Seeds: seeds, ConcurrentCalls: concurrentCalls, Pool: pool, OnUpdate: func(update Update) { updates <- update }})
 	ctx, cancel := context.WithCancel(t.Context())
 	var done sync.WaitGroup
 	done.Go(func() { f.Run(ctx) })
@@ -83,16 +83,16 @@
 		pool.Close()
 		done.Wait()
 	})
-	return f, told
+	return f, updates
 }
 
-func next(t *testing.T, told <-chan Update) Update {
+func nextUpdate(t *testing.T, updates <-chan Update) Update {
 	t.Helper()
 	select {
-	case n := <-told:
-		return n
+	case update := <-updates:
+		return update
 	case <-time.After(testWithin):
-		t.Fatal("nothing is told")
+		t.Fatal("no update arrived")
 		return Update{}
 	}
 }
@@ -103,7 +103,7 @@
 	select {
 	case <-reached:
 	case <-time.After(testWithin):
-		t.Fatal("nothing happens")
+		t.Fatal("the event did not happen")
 	}
 }
 
@@ -115,20 +115,20 @@
 	return d
 }
 
-func TestConfigurationIsToldOnceItIsConfirmed(t *testing.T) {
-	var questions atomic.Int32
+func TestConfigurationIsDeliveredOnlyWhenConfirmed(t *testing.T) {
+	var calls atomic.Int32
 	c := startCore(t, func(args protocol.WatchArgs) protocol.WatchReply {
 		reply := protocol.WatchReply{Revision: 7, Directory: directoryOf(2)}
-		switch questions.Add(1) {
+		switch calls.Add(1) {
 		case 1:
 			if !args.Confirmed {
-				t.Error("the first question wants proof")
+				t.Error("the first call must ask for a linearizable configuration")
 			}
 		case 2:
 			reply.Confirmed = args.Confirmed
 		case 3:
 			if args.Confirmed || args.Revision != 7 || args.Directory != 2 {
-				t.Errorf("asks with %+v", args)
+				t.Errorf("unexpected arguments %+v", args)
 			}
 			reply = protocol.WatchReply{Revision: 9}
 		default:
@@ -136,37 +136,37 @@
 		}
 		return reply
 	})
-	_, told := begin(t, 1, c.address)
-	assert.Equal(t, next(t, told).Directory.Version, uint64(2), "the directory needs no proof")
-	n := next(t, told)
+	_, updates := startFollower(t, 1, c.address)
+	assert.Equal(t, nextUpdate(t, updates).Directory.Version, uint64(2), "the directory needs no confirmation")
+	n := nextUpdate(t, updates)
 	assert.Equal(t, n.Revision, uint64(7))
 	assert.Equal(t, string(n.Configuration), "7")
-	assert.Equal(t, questions.Load() >= 2, true)
-	assert.Equal(t, next(t, told).Revision, uint64(9))
+	assert.Equal(t, calls.Load() >= 2, true)
+	assert.Equal(t, nextUpdate(t, updates).Revision, uint64(9))
 }
 
-func TestNothingOlderIsTold(t *testing.T) {
-	var questions atomic.Int32
+func TestOlderStateFromLaggingNodeIsIgnored(t *testing.T) {
+	var calls atomic.Int32
 	c := startCore(t, func(protocol.WatchArgs) protocol.WatchReply {
 		reply := protocol.WatchReply{Confirmed: true, Revision: 5, Directory: directoryOf(5)}
 		reply.Services[1] = 5
-		switch questions.Add(1) {
-		case 2: // from a node that lags
+		switch calls.Add(1) {
+		case 2: // a node that lags behind
 			reply.Revision, reply.Directory.Version, reply.Services[1] = 4, 4, 4
 		case 3:
 			reply.Revision = 6
 		}
 		return reply
 	})
-	f, told := begin(t, 1, c.address)
-	assert.Equal(t, next(t, told).Revision, uint64(5))
-	assert.Equal(t, next(t, told).Directory.Version, uint64(5))
-	assert.Equal(t, next(t, told).Partition, 1)
-	assert.Equal(t, next(t, told).Revision, uint64(6))
+	f, updates := startFollower(t, 1, c.address)
+	assert.Equal(t, nextUpdate(t, updates).Revision, uint64(5))
+	assert.Equal(t, nextUpdate(t, updates).Directory.Version, uint64(5))
+	assert.Equal(t, nextUpdate(t, updates).Partition, 1)
+	assert.Equal(t, nextUpdate(t, updates).Revision, uint64(6))
 	assert.Equal(t, f.Directory().Version, uint64(5))
 }
 
-func TestListsComeByPartition(t *testing.T) {
+func TestListsAreDeliveredByPartition(t *testing.T) {
 	names := map[int]string{}
 	for i := 0; len(names) < protocol.ServicePartitions; i++ {
 		name := string(rune('a' + i))
@@ -180,72 +180,72 @@
 		}
 		return reply
 	})
-	_, told := begin(t, 1, c.address)
+	_, updates := startFollower(t, 1, c.address)
 	for partition := range protocol.ServicePartitions {
-		n := next(t, told)
+		n := nextUpdate(t, updates)
 		assert.Equal(t, n.Partition, partition)
 		assert.Equal(t, len(n.Lists), 1)
 		assert.Equal(t, n.Lists[0].Service, names[partition])
 	}
 }
 
-func TestForgottenListsAreToldAnew(t *testing.T) {
-	forgotten := make(chan struct{})
+func TestRefreshedListsAreDeliveredAgain(t *testing.T) {
+	refreshed := make(chan struct{})
 	c := startCore(t, func(args protocol.WatchArgs) protocol.WatchReply {
 		reply := protocol.WatchReply{Confirmed: true}
 		if args.Services[2] == 0 {
 			reply.Services[2] = 3
 		} else {
-			<-forgotten
+			<-refreshed
 		}
 		return reply
 	})
-	f, told := begin(t, 1, c.address)
-	assert.Equal(t, next(t, told).Partition, 2)
+	f, updates := startFollower(t, 1, c.address)
+	assert.Equal(t, nextUpdate(t, updates).Partition, 2)
 	f.RefreshLists()
-	close(forgotten)
-	assert.Equal(t, next(t, told).Partition, 2)
+	close(refreshed)
+	assert.Equal(t, nextUpdate(t, updates).Partition, 2)
 }
 
-// Lists that came from elsewhere give way to those of a node that vouches, whatever their versions,
-// and to no others. A patient question doesn't ask for them: it would be answered at once.
-func TestForgottenListsGiveWayToVouchedOnesOnly(t *testing.T) {
+// Lists from another source are replaced only by lists of a node that vouches, whatever their
+// versions. A patient call does not request them, because it would be answered at once.
+func TestRefreshTakesOnlyVouchedLists(t *testing.T) {
 	f := New(Options{Name: "edge", Pool: link.NewPool(link.Options{})})
 	reply := &protocol.WatchReply{Vouched: true}
 	reply.Services[1], reply.Services[2] = 7, 5
 	assert.Equal(t, len(f.merge(reply)), 2)
 	assert.Equal(t, len(f.merge(reply)), 0)
 	f.RefreshLists()
-	assert.Equal(t, f.args(false).Services, [protocol.ServicePartitions]uint64{})
-	assert.Equal(t, f.args(true).Services, reply.Services)
-	assert.Equal(t, len(f.merge(&protocol.WatchReply{Services: reply.Services})), 0, "from behind a cut")
-	assert.Equal(t, len(f.merge(&protocol.WatchReply{Vouched: true})), 0, "vouched for, but without lists")
-	assert.Equal(t, f.args(false).Services, [protocol.ServicePartitions]uint64{}, "they are still asked for")
+	assert.Equal(t, f.watchArgs(false).Services, [protocol.ServicePartitions]uint64{})
+	assert.Equal(t, f.watchArgs(true).Services, reply.Services)
+	assert.Equal(t, len(f.merge(&protocol.WatchReply{Services: reply.Services})), 0, "lists of a node that cannot vouch must be ignored")
+	assert.Equal(t, len(f.merge(&protocol.WatchReply{Vouched: true})), 0, "the reply is vouched for, but has no lists")
+	assert.Equal(t, f.watchArgs(false).Services, [protocol.ServicePartitions]uint64{}, "the lists must still be requested")
 	assert.Equal(t, len(f.merge(reply)), 2)
-	assert.Equal(t, f.args(false).Services, reply.Services)
+	assert.Equal(t, f.watchArgs(false).Services, reply.Services)
 }
 
-// Each slot asks another node, so that one that froze holds nothing up.
-func TestFrozenNodeHoldsNothingUp(t *testing.T) {
-	frozen := make(chan struct{})
-	t.Cleanup(func() { close(frozen) })
-	asked := make(chan struct{})
+// Concurrent calls go to different nodes, so a frozen node delays nothing.
+func TestFrozenNodeDelaysNoUpdates(t *testing.T) {
+	unfreeze := make(chan struct{})
+	t.Cleanup(func() { close(unfreeze) })
+	called := make(chan struct{})
 	var once sync.Once
 	silent := startCore(t, func(protocol.WatchArgs) protocol.WatchReply {
-		once.Do(func() { close(asked) })
-		<-frozen
+		once.Do(func() { close(called) })
+		<-unfreeze
 		return protocol.WatchReply{}
 	})
 	sound := startCore(t, func(protocol.WatchArgs) protocol.WatchReply {
-		<-asked
+		<-called
 		return protocol.WatchReply{Confirmed: true, Revision: 3}
 	})
-	_, told := begin(t, 2, silent.address, sound.address)
-	assert.Equal(t, next(t, told).Revision, uint64(3))
-	assert.Equal(t, silent.asked.Load(), int32(1))
+	_, updates := startFollower(t, 2, silent.address, sound.address)
+	assert.Equal(t, nextUpdate(t, updates).Revision, uint64(3))
+	assert.Equal(t, silent.calls.Load(), int32(1))
 }
 
-func TestNodeThatIsDownIsPassedOver(t *testing.T) {
+func TestUnreachableNodeIsSkipped(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	down := listener.Addr().String()
@@ -253,12 +253,12 @@
 	sound := startCore(t, func(protocol.WatchArgs) protocol.WatchReply {
 		return protocol.WatchReply{Confirmed: true, Revision: 3}
 	})
-	_, told := begin(t, 1, down, sound.address)
-	assert.Equal(t, next(t, told).Revision, uint64(3))
+	_, updates := startFollower(t, 1, down, sound.address)
+	assert.Equal(t, nextUpdate(t, updates).Revision, uint64(3))
 }
 
-// Once the directory is known its core nodes are asked, wherever the seeds are.
-func TestNodesOfTheDirectoryAreAsked(t *testing.T) {
+// Once the directory is known, its core nodes are called instead of the seeds.
+func TestDirectoryNodesAreCalledInsteadOfSeeds(t *testing.T) {
 	reached := make(chan struct{})
 	var once sync.Once
 	other := startCore(t, func(protocol.WatchArgs) protocol.WatchReply {
@@ -270,143 +270,145 @@
 		d.Nodes = append(d.Nodes, protocol.Node{ID: 99, Class: protocol.Storage, Address: "127.0.0.1:1"})
 		return protocol.WatchReply{Confirmed: true, Directory: d}
 	})
-	f, told := begin(t, 1, seed.address)
-	assert.Equal(t, next(t, told).Directory.Version, uint64(1))
+	f, updates := startFollower(t, 1, seed.address)
+	assert.Equal(t, nextUpdate(t, updates).Directory.Version, uint64(1))
 	await(t, reached)
-	assert.Equal(t, next(t, told).Revision, uint64(8))
-	assert.Equal(t, seed.asked.Load(), int32(1))
+	assert.Equal(t, nextUpdate(t, updates).Revision, uint64(8))
+	assert.Equal(t, seed.calls.Load(), int32(1))
 	assert.Assert(t, f.Staleness() < testWithin)
 }
 
-// chosen is the node that a Follower asks next.
+// chosen returns the node that a Follower calls next.
 func chosen(f *Follower) string {
-	address, _ := f.choose()
+	address, _ := f.chooseNode()
 	return address
 }
 
-func TestSlotsChooseDifferentNodes(t *testing.T) {
+func TestConcurrentCallsChooseDifferentNodes(t *testing.T) {
 	f := New(Options{Name: "edge", Seeds: []string{"a", "b", "c"}, Pool: link.NewPool(link.Options{})})
 	seen := map[string]bool{}
 	for range 3 {
 		seen[chosen(f)] = true
 	}
 	assert.Equal(t, len(seen), 3)
-	assert.Equal(t, chosen(f), "", "all are being asked")
-	f.free("b")
+	assert.Equal(t, chosen(f), "", "all nodes have an open call")
+	f.release("b")
 	assert.Equal(t, chosen(f), "b")
 }
 
-func TestNodeThatFailedIsAskedAfterTheOthers(t *testing.T) {
+func TestFailedNodeIsTriedAfterTheOthers(t *testing.T) {
 	f := New(Options{Name: "edge", Seeds: []string{"a", "b", "c"}, Pool: link.NewPool(link.Options{})})
 	first := chosen(f)
-	f.free(first)
-	f.sources.failed[first] = time.Now()
+	f.release(first)
+	f.sources.failedAt[first] = time.Now()
 	second := chosen(f)
 	assert.Assert(t, second != first)
-	f.free(second)
-	f.sources.failed[first] = time.Now().Add(-2 * avoidFor)
-	assert.Equal(t, chosen(f), first, "not for long")
+	f.release(second)
+	f.sources.failedAt[first] = time.Now().Add(-2 * avoidPeriod)
+	assert.Equal(t, chosen(f), first, "a failure must be forgotten after avoidPeriod")
 }
 
-// Where no node was a good source of late, the next question waits for one to become so.
-func TestQuestionsArePatientWhereNobodyVouches(t *testing.T) {
+// If all nodes have failed recently, the next call waits until one can vouch.
+func TestCallsArePatientWhenNoNodeVouches(t *testing.T) {
 	f := New(Options{Name: "edge", Seeds: []string{"a", "b"}, Pool: link.NewPool(link.Options{})})
 	for _, address := range []string{"a", "b"} {
-		_, patient := f.choose()
+		_, patient := f.chooseNode()
 		assert.Assert(t, !patient)
-		f.note(address, time.Now(), &protocol.WatchReply{}, nil)
-		f.free("a")
-		f.free("b")
+		f.recordResult(address, time.Now(), &protocol.WatchReply{}, nil)
+		f.release("a")
+		f.release("b")
 	}
-	address, patient := f.choose()
+	address, patient := f.chooseNode()
 	assert.Assert(t, patient)
-	f.note(address, time.Now(), &protocol.WatchReply{Vouched: true}, nil)
-	f.free(address)
-	again, patient := f.choose()
+	f.recordResult(address, time.Now(), &protocol.WatchReply{Vouched: true}, nil)
+	f.release(address)
+	again, patient := f.chooseNode()
 	assert.Equal(t, again, address)
 	assert.Assert(t, !patient)
 }
 
-// A core node that is cut off from the owners is left for one that isn't, wherever both stand
-// in the order, and though it answers.
-func TestNodeThatCantVouchIsLeft(t *testing.T) {
+// A core node without contact to the leaders is abandoned for one that has contact, even
+// though it replies and whatever their order.
+func TestNodeThatCannotVouchIsAbandoned(t *testing.T) {
 	answer := func(revision uint64, age time.Duration) func(protocol.WatchArgs) protocol.WatchReply {
 		return func(args protocol.WatchArgs) protocol.WatchReply {
 			return protocol.WatchReply{Confirmed: args.Confirmed && age == 0, Revision: revision, Age: age}
 		}
 	}
 	cutOff, sound := startCore(t, answer(4, unproven)), startCore(t, answer(7, 0))
-	f, told := begin(t, 1, cutOff.address, sound.address)
-	assert.Equal(t, next(t, told).Revision, uint64(7))
+	f, updates := startFollower(t, 1, cutOff.address, sound.address)
+	assert.Equal(t, nextUpdate(t, updates).Revision, uint64(7))
 	assert.Assert(t, f.Staleness() < testWithin)
-	lone, _ := begin(t, 1, cutOff.address)
-	for cutOff.asked.Load() < 3 {
+	lone, _ := startFollower(t, 1, cutOff.address)
+	for cutOff.calls.Load() < 3 {
 		runtime.Gosched()
 	}
 	assert.Equal(t, lone.isConfirmed(), false)
 }
 
-// Age counts from what the answering node had proof of, not from when its answer came.
-func TestAgeIsOfWhatWasVouchedFor(t *testing.T) {
+// Staleness counts from the time for which the node had proof, not from the arrival of the
+// reply.
+func TestStalenessCountsFromProof(t *testing.T) {
 	f := New(Options{Name: "edge", Pool: link.NewPool(link.Options{})})
-	f.sources.vouched = time.Now().Add(-time.Hour)
+	f.sources.currentAsOf = time.Now().Add(-time.Hour)
 	sent := time.Now().Add(-10 * time.Second)
-	f.note("a", sent, &protocol.WatchReply{Vouched: true, Held: 3 * time.Second, Age: time.Second}, nil)
+	f.recordResult("a", sent, &protocol.WatchReply{Vouched: true, Held: 3 * time.Second, Age: time.Second}, nil)
 	assert.Assert(t, f.Staleness() >= 8*time.Second && f.Staleness() < time.Minute, "%v", f.Staleness())
-	f.note("a", sent, &protocol.WatchReply{Held: 9 * time.Second}, nil)
-	assert.Assert(t, f.Staleness() >= 8*time.Second, "it didn't vouch")
-	f.note("a", sent.Add(-time.Minute), &protocol.WatchReply{Vouched: true}, nil)
-	assert.Assert(t, f.Staleness() < time.Minute, "an answer that was overtaken")
+	f.recordResult("a", sent, &protocol.WatchReply{Held: 9 * time.Second}, nil)
+	assert.Assert(t, f.Staleness() >= 8*time.Second, "an unvouched reply must not reduce the staleness")
+	f.recordResult("a", sent.Add(-time.Minute), &protocol.WatchReply{Vouched: true}, nil)
+	assert.Assert(t, f.Staleness() < time.Minute, "an older reply must not increase the staleness")
 }
 
-// What a single core node has may be of long ago: a process that starts has nothing to hold it to.
-func TestOneNodeAloneIsNeverBelieved(t *testing.T) {
+// The state of a single core node may be very old, and a process that has just started cannot
+// tell. It must wait for a confirmed configuration.
+func TestUnconfirmedConfigurationIsNotDelivered(t *testing.T) {
 	f := New(Options{Name: "edge", Pool: link.NewPool(link.Options{})})
-	reply := &protocol.WatchReply{Revision: 4, Steps: whole(4), Vouched: true}
+	reply := &protocol.WatchReply{Revision: 4, Steps: wholeStep(4), Vouched: true}
 	assert.Equal(t, len(f.merge(reply)), 0)
-	f.sources.vouched = time.Now().Add(-time.Hour)
-	assert.Equal(t, len(f.merge(reply)), 0, "nor after a while")
+	f.sources.currentAsOf = time.Now().Add(-time.Hour)
+	assert.Equal(t, len(f.merge(reply)), 0, "an unconfirmed configuration must not be delivered later, either")
 	reply.Confirmed = true
 	assert.Equal(t, f.merge(reply)[0].Revision, uint64(4))
 }
 
-// Steps are taken from what a process has, those that it has taken already are passed over, and
-// where they don't fit the next question asks for the whole.
-func TestStepsOfTheConfigurationAreFollowed(t *testing.T) {
+// Steps apply to the process's configuration. Steps already applied are skipped. If a step does
+// not apply, the next call requests the whole configuration.
+func TestConfigurationStepsAreApplied(t *testing.T) {
 	f := New(Options{Name: "edge", Pool: link.NewPool(link.Options{})})
 	f.confirmed = true
-	take := func(revision uint64, steps ...protocol.ConfigurationStep) (string, bool) {
-		news := f.merge(&protocol.WatchReply{Revision: revision, Steps: steps})
-		if len(news) == 0 {
+	apply := func(revision uint64, steps ...protocol.ConfigurationStep) (string, bool) {
+		updates := f.merge(&protocol.WatchReply{Revision: revision, Steps: steps})
+		if len(updates) == 0 {
 			return "", false
 		}
-		return string(news[0].Configuration), true
+		return string(updates[0].Configuration), true
 	}
 	ab, bc, cd := step(2, "a", 5, "b"), step(5, "b", 6, "c"), step(6, "c", 9, "d")
-	body, ok := take(2, step(0, "", 2, "a"))
+	body, ok := apply(2, step(0, "", 2, "a"))
 	assert.Assert(t, ok && body == "a")
-	body, ok = take(6, ab, bc)
+	body, ok = apply(6, ab, bc)
 	assert.Assert(t, ok && body == "c")
-	body, ok = take(9, ab, bc, cd)
-	assert.Assert(t, ok && body == "d", "two steps were known from another node")
+	body, ok = apply(9, ab, bc, cd)
+	assert.Assert(t, ok && body == "d", "two steps were already applied from another node's reply")
 	for name, steps := range map[string][]protocol.ConfigurationStep{
 		"from another revision": {step(8, "d", 10, "e")},
 		"of another base":       {step(9, "x", 10, "e")},
 		"none at all":           nil,
 		"not to the end":        {step(9, "d", 10, "e")},
 	} {
-		f.whole = false
-		_, ok = take(11, steps...)
-		assert.Assert(t, !ok && f.whole, name)
-		assert.Equal(t, f.args(false).Revision, uint64(0), name)
-		assert.Equal(t, string(f.body), "d", "nothing is half taken: "+name)
+		f.needWhole = false
+		_, ok = apply(11, steps...)
+		assert.Assert(t, !ok && f.needWhole, name)
+		assert.Equal(t, f.watchArgs(false).Revision, uint64(0), name)
+		assert.Equal(t, string(f.configuration), "d", "steps must apply completely or not at all: "+name)
 	}
-	body, ok = take(11, step(0, "", 11, "f"))
-	assert.Assert(t, ok && body == "f" && !f.whole)
-	assert.Equal(t, f.args(false).Revision, uint64(11))
+	body, ok = apply(11, step(0, "", 11, "f"))
+	assert.Assert(t, ok && body == "f" && !f.needWhole)
+	assert.Equal(t, f.watchArgs(false).Revision, uint64(11))
 }
 
-func TestNodeAddress(t *testing.T) {
+func TestFindNodeByID(t *testing.T) {
 	d := directoryOf(1, "a", "b")
 	n, known := FindNode(d, 2)
 	assert.Assert(t, known)
--- a/internal/station/follow/sources.go
+++ b/internal/station/follow/sources.go
@@ -2,75 +2,78 @@
 
 import "time"
 
-// How a core node is asked.
+// Timing of watch calls.
 const (
-	// LongPollWait is how long a question may stay open without news.
+	// LongPollWait is how long a watch call may stay open without an update.
 	LongPollWait = 900 * time.Millisecond
-	// ReplyTimeout is how much longer its answer may take.
+	// ReplyTimeout is the additional time allowed for the reply.
 	ReplyTimeout = 700 * time.Millisecond
-	// RetryDelay is the pause after a question that was of no use.
+	// RetryDelay is the pause after a call without a usable reply.
 	RetryDelay = 60 * time.Millisecond
-	// avoidFor is how long a node that was no good source is asked after all others.
-	avoidFor = 3 * time.Second
+	// avoidPeriod is how long a node that failed is tried after all others.
+	avoidPeriod = 3 * time.Second
 )
 
-// Sources remembers which core nodes are being asked, which were good sources, and how recent
-// what they vouched for is. It is pure: the time is handed in. It isn't safe for concurrent use.
+// Sources records which core nodes have an open call, which of them failed, and how recent
+// the state is that they vouched for. Callers pass in the time. It is not safe for concurrent
+// use.
 type Sources struct {
-	asked   map[string]bool      // addresses with an open question
-	failed  map[string]time.Time // when an address last didn't answer, or didn't vouch
-	vouched time.Time            // everything that had come into force before is known
+	pending     map[string]bool      // addresses with an open call
+	failedAt    map[string]time.Time // when a node last failed or could not vouch, by address
+	currentAsOf time.Time            // everything that took effect before this time is known
 }
 
-// NewSources returns the Sources of a process that starts now and knows nothing.
+// NewSources returns the Sources of a process that starts now without any state.
 func NewSources(now time.Time) *Sources {
-	return &Sources{asked: map[string]bool{}, failed: map[string]time.Time{}, vouched: now}
+	return &Sources{pending: map[string]bool{}, failedAt: map[string]time.Time{}, currentAsOf: now}
 }
 
-// Choose books the node to be asked next, "" where all are being asked: the first candidate, in
-// their order, that no other question is open to and that was a good source of late. Where none
-// was, the one that failed longest ago is asked to be patient: all are in the same plight, and
-// questions must not become a storm.
+// Choose selects the node for the next call and reserves it. It returns "" if all candidates
+// have an open call. It selects the first candidate without an open call that has not failed
+// recently. If all have failed, it selects the one that failed longest ago, and the call is
+// patient: probably no node can vouch, and repeated calls must not overload them.
 func (s *Sources) Choose(now time.Time, candidates []string) (address string, patient bool) {
-	best, bestAt := "", time.Time{}
+	best, bestFailedAt := "", time.Time{}
 	for _, address := range candidates {
-		if s.asked[address] {
+		if s.pending[address] {
 			continue
 		}
-		at := s.failed[address]
-		if now.Sub(at) >= avoidFor {
-			at = time.Time{}
+		failedAt := s.failedAt[address]
+		if now.Sub(failedAt) >= avoidPeriod {
+			failedAt = time.Time{}
 		}
-		if best == "" || at.Before(bestAt) {
-			best, bestAt = address, at
+		if best == "" || failedAt.Before(bestFailedAt) {
+			best, bestFailedAt = address, failedAt
 		}
 	}
 	if best != "" {
-		s.asked[best] = true
+		s.pending[best] = true
 	}
-	return best, !bestAt.IsZero()
+	return best, !bestFailedAt.IsZero()
 }
 
-// Release tells that a node's question is over.
-func (s *Sources) Release(address string) { delete(s.asked, address) }
+// Release records that the call to a node has ended.
+func (s *Sources) Release(address string) { delete(s.pending, address) }
 
-// RecordFailure tells that a node didn't answer, or couldn't vouch for its answer.
-func (s *Sources) RecordFailure(now time.Time, address string) { s.failed[address] = now }
+// RecordFailure records that a node did not reply or could not vouch for its reply.
+func (s *Sources) RecordFailure(now time.Time, address string) { s.failedAt[address] = now }
 
-// RecordVouched tells that a node vouched for its answer: it had held the question for that long, and
-// what it told was of that age at the most. Call it when the process goes by the answer's news.
+// RecordVouched records that a node vouched for its reply. The node held the call for the
+// time held, and its state was at most age old when it replied. Call it after the process
+// has taken over the updates in the reply.
 func (s *Sources) RecordVouched(address string, sent time.Time, held, age time.Duration) {
-	delete(s.failed, address)
-	// The question came after it was sent, whatever the answer's way back took.
-	if recent := sent.Add(held - age); recent.After(s.vouched) {
-		s.vouched = recent
+	delete(s.failedAt, address)
+	// The node received the call after it was sent, however long the reply took to return.
+	if asOf := sent.Add(held - age); asOf.After(s.currentAsOf) {
+		s.currentAsOf = asOf
 	}
 }
 
-// Staleness is how old what is known may be: everything that had come into force before is known. It
-// counts from the start of the process until a first answer was vouched for.
-func (s *Sources) Staleness(now time.Time) time.Duration { return now.Sub(s.vouched) }
+// Staleness returns an upper bound on how far the known state is behind: everything that took
+// effect longer ago is known. Until the first vouched reply it counts from the start of the
+// process.
+func (s *Sources) Staleness(now time.Time) time.Duration { return now.Sub(s.currentAsOf) }
 
-// NeedSeeds tells whether nobody has vouched for so long that other nodes than those that are known
-// of may have to be asked.
-func (s *Sources) NeedSeeds(now time.Time) bool { return s.Staleness(now) > avoidFor }
+// NeedSeeds reports whether no node has vouched for so long that nodes outside the directory
+// may have to be called.
+func (s *Sources) NeedSeeds(now time.Time) bool { return s.Staleness(now) > avoidPeriod }
