--- a/internal/station/settings/bounds.go
+++ b/internal/station/settings/bounds.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Bounds are the times that the tier keeps. Each is at least zero and at most
-// MaxBound; one that the file doesn't give has the default that is named here.
+// Bounds are the time limits of the tier, set by the operators in the table
+// timingBounds. Each is at least zero and at most MaxBound. The comments give the
+// key and the default.
 type Bounds struct {
 	SeedLag        time.Duration // seedLagS, 3 s
 	AddressReuse   time.Duration // addrReuseS, 2 s
@@ -23,24 +24,24 @@
 	Settle         time.Duration // settleMs, 1000 ms
 }
 
-// MaxBound is the longest time that the file may give.
+// MaxBound is the longest time that the file may state.
 const MaxBound = 7 * 24 * time.Hour
 
-// Defaults of times outside the table of bounds.
+// Defaults of times outside the table timingBounds.
 const (
 	DefaultHeartbeat = 1200 * time.Millisecond // heartbeatMs
 	DefaultMaxLag    = 800 * time.Millisecond  // cloudApi.maxLagMs
 )
 
-// bound ties a key of the table timingBounds to its field.
+// bound connects a key of the table timingBounds with its field.
 type bound struct {
 	key      string
-	unit     time.Duration // what 1 stands for in the file
+	unit     time.Duration // unit of the number in the file
 	fallback time.Duration
 	field    *time.Duration
 }
 
-// list returns the bounds that the file may give.
+// list returns all bounds with their keys, units and defaults.
 func (b *Bounds) list() []bound {
 	const ms, s = time.Millisecond, time.Second
 	return []bound{
--- a/internal/station/settings/check.go
+++ b/internal/station/settings/check.go
@@ -13,38 +13,38 @@
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 )
 
-// maxNameBytes bounds names of nodes, zones, roles and the like.
+// maxNameBytes limits the names of nodes, zones, roles and other items.
 const maxNameBytes = 128
 
-// maxListLength bounds the lists in the file.
+// maxListLength limits the lists in the file.
 const maxListLength = 1024
 
-// namePattern is the shape of a name: no spaces, no control characters.
+// namePattern matches a name: no spaces, no control characters.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/-]*$`)
 
-// hostPattern is the shape of a host's name in an address.
+// hostPattern matches a host name in an address.
 var hostPattern = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9.-]*[A-Za-z0-9])?$`)
 
-// The rules that the fields share.
+// Rules shared by several fields.
 var (
 	nameRules    = []validation.Rule{validation.Length(1, maxNameBytes), validation.Match(namePattern)}
 	addressRules = []validation.Rule{validation.By(checkAddress)}
 	countRules   = []validation.Rule{validation.Min(0)}
-	figureRules  = []validation.Rule{validation.Min(0.0)}
+	numberRules  = []validation.Rule{validation.Min(0.0)}
 	listRules    = []validation.Rule{validation.Length(0, maxListLength)}
 )
 
-// needed puts the rule that a value must be given before others.
-func needed(rules []validation.Rule) []validation.Rule {
-	return neededIf(true, rules)
+// required prepends the rule that a value must be present.
+func required(rules []validation.Rule) []validation.Rule {
+	return requiredIf(true, rules)
 }
 
-// neededIf is needed where a condition holds.
-func neededIf(condition bool, rules []validation.Rule) []validation.Rule {
+// requiredIf is like required if a condition holds.
+func requiredIf(condition bool, rules []validation.Rule) []validation.Rule {
 	return slices.Concat([]validation.Rule{validation.Required.When(condition)}, rules)
 }
 
-// checks gathers the fields' failures in a document.
+// checks collects the errors of fields in a document.
 type checks struct{ document *document }
 
 func (c checks) field(key string, value any, rules ...validation.Rule) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// elements checks each value of a list, and the list's length.
+// elements checks the length of a list and each element.
 func (c checks) elements(key string, list []string, rules []validation.Rule) {
 	c.field(key, list, listRules...)
 	for i, element := range list {
@@ -61,21 +61,21 @@
 	}
 }
 
-// check notes the fields whose values are out of bounds. Fields that already
-// failed as they were read are left out, so that each is named once.
+// check validates the fields and adds errors for invalid ones. It skips fields
+// that already have an error from reading, so that each is reported once.
 func (d *document) check(s *Settings) {
-	fresh := &document{file: d.file}
-	c := checks{document: fresh}
+	found := &document{file: d.file}
+	c := checks{document: found}
 	c.identity(s)
 	c.place(s)
 	c.addresses(s)
-	c.figures(s)
-	for _, failure := range fresh.failures {
+	c.numbers(s)
+	for _, failure := range found.failures {
 		d.addOnce(failure.(*FieldError))
 	}
 }
 
-// addOnce takes in a failure of a key that has none yet.
+// addOnce adds an error unless its key already has one.
 func (d *document) addOnce(failure *FieldError) {
 	same := func(known error) bool { return known.(*FieldError).Key == failure.Key }
 	if !slices.ContainsFunc(d.failures, same) {
@@ -84,33 +84,33 @@
 }
 
 func (c checks) identity(s *Settings) {
-	c.field("nodeName", s.NodeName, needed(nameRules)...)
+	c.field("nodeName", s.NodeName, required(nameRules)...)
 	c.field("role", s.Role, nameRules...)
 	c.field("hardwareClass", s.HardwareClass, nameRules...)
-	c.field("serves", s.Services, needed(listRules)...)
+	c.field("serves", s.Services, required(listRules)...)
 	for i, service := range s.Services {
-		c.field(fmt.Sprintf("serves[%d]", i), service, needed([]validation.Rule{validation.In(Edge, Control, Storage)})...)
+		c.field(fmt.Sprintf("serves[%d]", i), service, required([]validation.Rule{validation.In(Edge, Control, Storage)})...)
 	}
 	c.field("discovery", string(s.Discovery), nameRules...)
 	c.field("entryMode", string(s.EntryMode), nameRules...)
-	c.elements("contracts", s.Contracts, needed(nameRules))
-	c.elements("cloudApi.duties", s.CloudAPI.Duties, needed(nameRules))
+	c.elements("contracts", s.Contracts, required(nameRules))
+	c.elements("cloudApi.duties", s.CloudAPI.Duties, required(nameRules))
 }
 
 func (c checks) place(s *Settings) {
-	c.field("zone", s.Zone, needed(nameRules)...)
-	c.field("region", s.Region, needed(nameRules)...)
+	c.field("zone", s.Zone, required(nameRules)...)
+	c.field("region", s.Region, required(nameRules)...)
 	c.field("zones", s.Zones, listRules...)
 	for _, zone := range s.Zones {
-		c.field("zones", zone.Name, needed(nameRules)...)
-		c.field("zones."+zone.Name, zone.Region, needed(nameRules)...)
+		c.field("zones", zone.Name, required(nameRules)...)
+		c.field("zones."+zone.Name, zone.Region, required(nameRules)...)
 	}
 	region, known := s.RegionOf(s.Zone)
 	if known && region != s.Region {
 		c.document.fail("zones."+s.Zone, "must be the region of the node's own zone, "+s.Region)
 	}
 	storage := s.Serves(Storage)
-	c.field("dataDir", s.DataDir, neededIf(storage, []validation.Rule{validation.By(checkAbsolute)})...)
+	c.field("dataDir", s.DataDir, requiredIf(storage, []validation.Rule{validation.By(checkAbsolute)})...)
 }
 
 func (c checks) addresses(s *Settings) {
@@ -118,37 +118,37 @@
 		c.document.fail("mgmtIp", "cannot be blank")
 	}
 	c.field("internalPortRange", s.InternalPortRange, validation.By(checkPortRange))
-	c.elements("seedNodes", s.SeedNodes, needed(addressRules))
+	c.elements("seedNodes", s.SeedNodes, required(addressRules))
 	edge, control := s.Serves(Edge), s.Serves(Control)
-	c.field("bindAddresses.front", s.BindAddresses.Front, neededIf(edge, addressRules)...)
-	c.field("bindAddresses.readiness", s.BindAddresses.Readiness, neededIf(edge, addressRules)...)
-	c.field("bindAddresses.controlPlane", s.BindAddresses.ControlPlane, neededIf(control, addressRules)...)
+	c.field("bindAddresses.front", s.BindAddresses.Front, requiredIf(edge, addressRules)...)
+	c.field("bindAddresses.readiness", s.BindAddresses.Readiness, requiredIf(edge, addressRules)...)
+	c.field("bindAddresses.controlPlane", s.BindAddresses.ControlPlane, requiredIf(control, addressRules)...)
 	cloud := s.Discovery == CloudAPIDiscovery
-	c.field("cloudApi.address", s.CloudAPI.Address, neededIf(cloud, addressRules)...)
+	c.field("cloudApi.address", s.CloudAPI.Address, requiredIf(cloud, addressRules)...)
 }
 
-func (c checks) figures(s *Settings) {
+func (c checks) numbers(s *Settings) {
 	c.field("heartbeatMs", int64(s.Heartbeat), validation.Required.Error("must be over 0"))
-	c.field("limits.cpuShare", s.Limits.CPUShare, figureRules...)
+	c.field("limits.cpuShare", s.Limits.CPUShare, numberRules...)
 	c.field("limits.coreCount", s.Limits.CoreCount, countRules...)
 	c.field("limits.memoryMb", s.Limits.MemoryMB, countRules...)
 	c.field("limits.fileDescriptors", s.Limits.FileDescriptors, countRules...)
-	c.field("limits.linkSpeedMbps", s.Limits.LinkSpeedMbps, figureRules...)
+	c.field("limits.linkSpeedMbps", s.Limits.LinkSpeedMbps, numberRules...)
 	c.field("limits.diskMb", s.Limits.DiskMB, countRules...)
 	c.field("faultTolerance.machineLosses", s.FaultTolerance.MachineLosses, countRules...)
 	c.field("faultTolerance.zones", s.FaultTolerance.Zones, countRules...)
 	c.field("faultTolerance.regionLosses", s.FaultTolerance.RegionLosses, countRules...)
-	c.field("cloudApi.ratePerS", s.CloudAPI.RatePerS, figureRules...)
+	c.field("cloudApi.ratePerS", s.CloudAPI.RatePerS, numberRules...)
 }
 
-// The failures of the rules that are this package's own.
+// Errors of this package's own rules.
 var (
 	errAddress   = errors.New("must be host:port, with a port of 1 to 65535")
 	errAbsolute  = errors.New("must be an absolute path")
 	errPortRange = errors.New("must be the first and the last port, of 1 to 65535 and in order")
 )
 
-// checkAddress wants host:port, with an IP address or a name as its host.
+// checkAddress accepts host:port, where the host is an IP address or a name.
 func checkAddress(value any) error {
 	address, _ := value.(string)
 	if address == "" {
--- a/internal/station/settings/parse.go
+++ b/internal/station/settings/parse.go
@@ -13,17 +13,17 @@
 	"github.com/go-faster/errors"
 )
 
-// The largest settings file that is read. Bounding lines and braces keeps the
-// TOML package from nesting tables so deep that its memory runs away.
+// Limits of the settings file. Limiting the line length and the number of braces
+// keeps the TOML package from nesting tables so deeply that it exhausts memory.
 const (
 	MaxFileBytes = 64 << 10
 	maxLineBytes = 8 << 10
 	maxBraces    = 256
 )
 
-// Read reads the settings file at a path. Where the file is at fault, the
-// error is one or several joined *FieldError, and ErrTooLarge or ErrSyntax is
-// found in it by errors.Is.
+// Read reads the settings file at a path. If the content of the file is invalid,
+// the error is one or several joined *FieldError, which match ErrTooLarge or
+// ErrSyntax with errors.Is.
 func Read(path string) (*Settings, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -37,8 +37,8 @@
 	return Parse(path, data)
 }
 
-// Parse reads settings from the text of a file; the path is for its errors,
-// which are those of Read.
+// Parse reads settings from the content of a file. The path appears in its
+// errors, which are those of Read.
 func Parse(path string, data []byte) (*Settings, error) {
 	if tooLarge(data) {
 		return nil, &FieldError{File: path, Reason: ErrTooLarge.Error(), cause: ErrTooLarge}
@@ -47,17 +47,17 @@
 	if err := toml.Unmarshal(data, &values); err != nil {
 		return nil, &FieldError{File: path, Reason: err.Error(), cause: ErrSyntax}
 	}
-	doc := &document{file: path}
-	root := table{document: doc, values: values}
+	parsed := &document{file: path}
+	root := table{document: parsed, values: values}
 	settings := root.settings()
-	doc.check(settings)
-	if err := doc.err(); err != nil {
+	parsed.check(settings)
+	if err := parsed.err(); err != nil {
 		return nil, err
 	}
 	return settings, nil
 }
 
-// tooLarge tells whether a file is over one of the bounds.
+// tooLarge reports whether a file exceeds one of the limits.
 func tooLarge(data []byte) bool {
 	if len(data) > MaxFileBytes || bytes.Count(data, []byte("{")) > maxBraces {
 		return true
@@ -70,7 +70,7 @@
 	return false
 }
 
-// settings reads all that the file says.
+// settings reads all keys of the root table.
 func (t table) settings() *Settings {
 	s := &Settings{
 		NodeName:          t.text("nodeName"),
@@ -110,7 +110,7 @@
 	return services
 }
 
-// ip reads an address; the zero one stands for none.
+// ip reads an IP address; the zero Addr means none.
 func (t table) ip(key string) netip.Addr {
 	text := t.text(key)
 	if text == "" {
@@ -125,7 +125,7 @@
 
 // portRange reads the first and the last port.
 func (t table) portRange(key string) [2]int {
-	ports := t.wholes(key)
+	ports := t.integers(key)
 	if len(ports) == 0 {
 		return [2]int{}
 	}
@@ -157,19 +157,19 @@
 	linkSpeed, _ := t.number("linkSpeedMbps")
 	return Limits{
 		CPUShare:        cpuShare,
-		CoreCount:       t.whole("coreCount"),
-		MemoryMB:        t.whole("memoryMb"),
-		FileDescriptors: t.whole("fileDescriptors"),
+		CoreCount:       t.integer("coreCount"),
+		MemoryMB:        t.integer("memoryMb"),
+		FileDescriptors: t.integer("fileDescriptors"),
 		LinkSpeedMbps:   linkSpeed,
-		DiskMB:          t.whole("diskMb"),
+		DiskMB:          t.integer("diskMb"),
 	}
 }
 
 func (t table) faultTolerance() FaultTolerance {
 	return FaultTolerance{
-		MachineLosses: t.whole("machineLosses"),
-		Zones:         t.whole("zones"),
-		RegionLosses:  t.whole("regionLosses"),
+		MachineLosses: t.integer("machineLosses"),
+		Zones:         t.integer("zones"),
+		RegionLosses:  t.integer("regionLosses"),
 	}
 }
 
--- a/internal/station/settings/settings.go
+++ b/internal/station/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings file of a tier process: a TOML file that
-// says what the node is, where it listens and what bounds it keeps. It reads
-// the file and nothing else; names in it are not looked up.
+// Package settings reads the settings file of a tier process. The TOML file
+// defines what the node is, where it listens and which time limits it keeps. The
+// package only reads the file; it does not resolve names in it.
 package settings
 
 import (
@@ -10,50 +10,51 @@
 	"time"
 )
 
-// PathVariable names the environment variable with the settings file's path.
+// PathVariable is the environment variable that holds the path of the settings
+// file.
 const PathVariable = "OAKSEAM_NODE_FILE"
 
-// Service is a kind of work that a node does.
+// Service is a kind of work that a node performs.
 type Service string
 
 // The services.
 const (
-	Edge    Service = "edge"    // takes in client traffic
-	Control Service = "control" // takes part in the control plane
-	Storage Service = "storage" // keeps data on its disk
+	Edge    Service = "edge"    // accepts client traffic
+	Control Service = "control" // is a control plane node
+	Storage Service = "storage" // stores data on its disk
 )
 
-// Discovery says how a node finds others beside its seed nodes.
+// Discovery is how a node finds other nodes besides its seed nodes.
 type Discovery string
 
-// CloudAPIDiscovery finds nodes through the cloud's API at Settings.CloudAPI.
+// CloudAPIDiscovery finds nodes with the cloud's API at Settings.CloudAPI.
 const CloudAPIDiscovery Discovery = "cloud_api"
 
-// EntryMode says how client traffic comes to the edge.
+// EntryMode is how client traffic reaches the edge.
 type EntryMode string
 
-// VIPEntry brings client traffic in at a virtual address.
+// VIPEntry receives client traffic at a virtual IP address.
 const VIPEntry EntryMode = "vip"
 
-// Settings is what the file says of a node. Slices belong to the Settings.
+// Settings holds the content of the settings file of a node. It owns its slices.
 type Settings struct {
 	NodeName          string
 	Role              string // free text, for the log
-	HardwareClass     string // such as "edge"; empty if not given
+	HardwareClass     string // such as "edge"; empty if not stated
 	Services          []Service
 	ManagementIP      netip.Addr
 	Zone              string
 	Region            string
 	InternalPortRange [2]int   // first and last port, both included
 	SeedNodes         []string // host:port each
-	Bootstrap         bool     // the node may found the tier
-	QuorumMember      bool     // the node votes
-	DataDir           string   // absolute; empty where there is no disk
+	Bootstrap         bool     // the node may create the tier
+	QuorumMember      bool     // the node is a voter
+	DataDir           string   // absolute; empty if there is no disk
 	Discovery         Discovery
 	EntryMode         EntryMode
-	Heartbeat         time.Duration // over zero
+	Heartbeat         time.Duration // greater than zero
 	Contracts         []string
-	Zones             []Zone // by name; may be empty
+	Zones             []Zone // sorted by name; may be empty
 	BindAddresses     BindAddresses
 	Limits            Limits
 	FaultTolerance    FaultTolerance
@@ -61,20 +62,20 @@
 	CloudAPI          CloudAPI
 }
 
-// Zone is a zone of the tier and the region that it lies in.
+// Zone is a zone of the tier and its region.
 type Zone struct {
 	Name   string
 	Region string
 }
 
-// BindAddresses are the addresses that the node listens on, host:port each.
+// BindAddresses are the addresses that the node listens on, each host:port.
 type BindAddresses struct {
-	Front        string // client traffic; given if the node serves Edge
-	Readiness    string // readiness probes; given if the node serves Edge
-	ControlPlane string // given if the node serves Control
+	Front        string // client traffic; required for Edge
+	Readiness    string // readiness probes; required for Edge
+	ControlPlane string // required for Control
 }
 
-// Limits are what the node may use of its machine. Zero is no figure given.
+// Limits are the machine resources that the node may use. Zero means not stated.
 type Limits struct {
 	CPUShare        float64 // of one core
 	CoreCount       int
@@ -84,39 +85,39 @@
 	DiskMB          int
 }
 
-// FaultTolerance is how much may be lost at once with the tier still serving.
+// FaultTolerance is how many losses at the same time the tier must survive.
 type FaultTolerance struct {
 	MachineLosses int
 	Zones         int
 	RegionLosses  int
 }
 
-// CloudAPI says how to reach the cloud's API.
+// CloudAPI describes the cloud's API.
 type CloudAPI struct {
-	Address  string   // host:port; given if Discovery is CloudAPIDiscovery
-	RatePerS float64  // calls per second that the API takes; zero is no figure
-	Duties   []string // what the API does for the tier
-	MaxLag   time.Duration
+	Address  string        // host:port; required for CloudAPIDiscovery
+	RatePerS float64       // calls per second that the API accepts; zero means not stated
+	Duties   []string      // tasks that the API performs for the tier
+	MaxLag   time.Duration // longest delay of the API's information
 }
 
-// Path returns the settings file's path from the environment, or "".
+// Path returns the path of the settings file from the environment, or "".
 func Path() string { return os.Getenv(PathVariable) }
 
-// Serves tells whether the node does a service's work.
+// Serves reports whether the node provides a service.
 func (s *Settings) Serves(service Service) bool {
 	return slices.Contains(s.Services, service)
 }
 
-// HasContract tells whether the node keeps a contract.
+// HasContract reports whether the settings list a contract.
 func (s *Settings) HasContract(name string) bool {
 	return slices.Contains(s.Contracts, name)
 }
 
-// SteadyID returns the name that stays with the node over restarts and changes
-// of address.
-func (s *Settings) SteadyID() string { return s.NodeName }
+// StableID returns the name that identifies the node across restarts and address
+// changes.
+func (s *Settings) StableID() string { return s.NodeName }
 
-// RegionOf returns the region that a zone lies in, and whether it is known.
+// RegionOf returns the region of a zone and whether the zone is known.
 func (s *Settings) RegionOf(zone string) (region string, ok bool) {
 	for _, known := range s.Zones {
 		if known.Name == zone {
--- a/internal/station/settings/settings_test.go
+++ b/internal/station/settings/settings_test.go
@@ -16,7 +16,7 @@
 	"pipitmux/internal/station/settings"
 )
 
-// sample is a whole settings file; the tests change lines of it.
+// sample is a complete settings file. The tests change lines of it.
 const sample = `nodeName = "edge-gent-a-1"
 role = "my-edge"
 hardwareClass = "edge"
@@ -73,11 +73,11 @@
 maxLagMs = 801
 `
 
-// file is the path that the tests give to Parse.
+// file is the path that the tests pass to Parse.
 const file = "node.toml"
 
-// least is a file with only what must be given.
-const least = `nodeName = "core-1"
+// minimal is a file with only the required keys.
+const minimal = `nodeName = "core-1"
 serves = ["control"]
 mgmtIp = "::1"
 zone = "a"
@@ -112,7 +112,7 @@
 	}
 }
 
-// parse parses a file that is as it should be.
+// parse parses a valid file.
 func parse(t *testing.T, text string) *settings.Settings {
 	t.Helper()
 	got, err := settings.Parse(file, []byte(text))
@@ -120,14 +120,14 @@
 	return got
 }
 
-func TestParseWhole(t *testing.T) {
+func TestParseCompleteFile(t *testing.T) {
 	got := parse(t, sample)
 	assert.Equal(t, fmt.Sprintf("%+v", got), fmt.Sprintf("%+v", wanted()))
 }
 
-func TestParseLeast(t *testing.T) {
+func TestParseMinimalFileUsesDefaults(t *testing.T) {
 	const ms, s = time.Millisecond, time.Second
-	got := parse(t, least)
+	got := parse(t, minimal)
 	assert.Equal(t, got.Bounds, settings.Bounds{
 		SeedLag: 3 * s, AddressReuse: 2 * s, Contact: 3 * s, Acknowledge: 4 * s, SyncTime: 4100 * ms,
 		Drain: 3 * s, Grace: 8 * s, LossSlack: 200 * ms, ConfigApply: 2 * s, DowngradeSlack: 250 * ms,
@@ -145,27 +145,31 @@
 	assert.Equal(t, fmt.Sprintf("%+v", got), fmt.Sprintf("%+v", wanted()))
 }
 
-func TestQuestions(t *testing.T) {
+func TestSettingsAccessors(t *testing.T) {
 	got := parse(t, sample)
 	assert.Assert(t, got.Serves(settings.Edge))
 	assert.Assert(t, !got.Serves(settings.Storage))
 	assert.Assert(t, got.HasContract("drain"))
 	assert.Assert(t, !got.HasContract("recover"))
-	assert.Equal(t, got.SteadyID(), "edge-gent-a-1")
+	assert.Equal(t, got.StableID(), "edge-gent-a-1")
 	region, known := got.RegionOf("gent-a")
 	assert.Assert(t, known)
 	assert.Equal(t, region, "be-flanders")
 	_, known = got.RegionOf("elsewhere")
 	assert.Assert(t, !known)
-	region, known = parse(t, least).RegionOf("a")
-	assert.Assert(t, known, "a node knows its own zone without a table")
+	region, known = parse(t, minimal).RegionOf("a")
+	assert.Assert(t, known, "a node must know its own zone without the table zones")
 	assert.Equal(t, region, "r")
 }
 
-// change is a sample with one line put in place of another.
-type change struct{ line, by, key string }
+// change replaces one line of the sample and names the key of the expected error.
+type change struct {
+	line        string
+	replacement string
+	key         string
+}
 
-func TestBadValues(t *testing.T) {
+func TestInvalidValuesAreReportedByKey(t *testing.T) {
 	changes := []change{
 		{`nodeName = "edge-gent-a-1"`, ``, "nodeName"},
 		{`nodeName = "edge-gent-a-1"`, `nodeName = 7`, "nodeName"},
@@ -237,15 +241,15 @@
 		{`maxLagMs = 801`, `maxLagMs = {}`, "cloudApi.maxLagMs"},
 	}
 	for _, c := range changes {
-		t.Run(c.by+" for "+c.key, func(t *testing.T) {
+		t.Run(c.replacement+" for "+c.key, func(t *testing.T) {
 			assert.Assert(t, strings.Contains(sample, c.line))
-			_, err := settings.Parse(file, []byte(strings.Replace(sample, c.line, c.by, 1)))
+			_, err := settings.Parse(file, []byte(strings.Replace(sample, c.line, c.replacement, 1)))
 			assert.Assert(t, contains(failures(err), c.key), "%v", err)
 		})
 	}
 }
 
-// contains tells whether a failure names a key, and the file.
+// contains reports whether an error names the key and the file.
 func contains(found []*settings.FieldError, key string) bool {
 	for _, failure := range found {
 		if failure.Key == key && failure.File == file && failure.Reason != "" {
@@ -255,24 +259,24 @@
 	return false
 }
 
-// failures takes apart what Parse or Read returned.
+// failures returns the field errors joined in an error of Parse or Read.
 func failures(err error) []*settings.FieldError {
-	var several interface{ Unwrap() []error }
-	if !errors.As(err, &several) {
-		var one *settings.FieldError
-		if errors.As(err, &one) {
-			return []*settings.FieldError{one}
+	var joined interface{ Unwrap() []error }
+	if !errors.As(err, &joined) {
+		var single *settings.FieldError
+		if errors.As(err, &single) {
+			return []*settings.FieldError{single}
 		}
 		return nil
 	}
 	var found []*settings.FieldError
-	for _, part := range several.Unwrap() {
+	for _, part := range joined.Unwrap() {
 		found = append(found, failures(part)...)
 	}
 	return found
 }
 
-func TestAllFailuresAreNamedOnce(t *testing.T) {
+func TestEachInvalidKeyIsReportedOnce(t *testing.T) {
 	text := strings.Replace(sample, `zone = "gent-a"`, `zone = 5`, 1)
 	text = strings.Replace(text, `coreCount = 1`, `coreCount = -1`, 1)
 	text = strings.Replace(text, `graceS = 9`, `graceS = "x"`, 1)
@@ -286,12 +290,12 @@
 }
 
 func TestStorageNeedsDataDir(t *testing.T) {
-	text := strings.Replace(least, `["control"]`, `["control", "storage"]`, 1)
+	text := strings.Replace(minimal, `["control"]`, `["control", "storage"]`, 1)
 	_, err := settings.Parse(file, []byte(text))
 	assert.Assert(t, contains(failures(err), "dataDir"), "%v", err)
 }
 
-func TestWholeFileFailures(t *testing.T) {
+func TestInvalidFileIsReportedWithoutKey(t *testing.T) {
 	_, err := settings.Parse(file, []byte("nodeName = \n"))
 	assert.ErrorIs(t, err, settings.ErrSyntax)
 	assert.Assert(t, contains(failures(err), ""), "%v", err)
@@ -307,7 +311,7 @@
 	}
 }
 
-func TestRead(t *testing.T) {
+func TestReadFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), file)
 	_, err := settings.Read(path)
 	assert.ErrorIs(t, err, fs.ErrNotExist)
@@ -320,20 +324,20 @@
 	assert.ErrorIs(t, err, settings.ErrTooLarge)
 }
 
-func TestPath(t *testing.T) {
+func TestPathFromEnvironment(t *testing.T) {
 	t.Setenv(settings.PathVariable, "/some/node.toml")
 	assert.Equal(t, settings.Path(), "/some/node.toml")
 }
 
 func FuzzParse(f *testing.F) {
 	f.Add(sample)
-	f.Add(least)
+	f.Add(minimal)
 	f.Add("zones = 1\nserves = [[]]\n")
 	f.Add(strings.Repeat("[", 500))
 	f.Fuzz(func(t *testing.T, text string) {
 		got, err := settings.Parse(file, []byte(text))
-		again, errAgain := settings.Parse(file, []byte(text))
-		assert.Equal(t, fmt.Sprintf("%+v %v", got, err), fmt.Sprintf("%+v %v", again, errAgain))
+		second, secondErr := settings.Parse(file, []byte(text))
+		assert.Equal(t, fmt.Sprintf("%+v %v", got, err), fmt.Sprintf("%+v %v", second, secondErr))
 		if err != nil {
 			assert.Assert(t, len(failures(err)) > 0, "%v", err)
 			assert.Assert(t, got == nil)
@@ -343,7 +347,7 @@
 	})
 }
 
-// checkAccepted checks what holds of all settings that Parse lets through.
+// checkAccepted checks the invariants of all settings that Parse accepts.
 func checkAccepted(t *testing.T, got *settings.Settings) {
 	t.Helper()
 	assert.Assert(t, got.NodeName != "" && got.Zone != "" && got.Region != "")
--- a/internal/station/settings/table.go
+++ b/internal/station/settings/table.go
@@ -8,31 +8,31 @@
 	"github.com/go-faster/errors"
 )
 
-// document is one file being read: it gathers what is wrong with it.
+// document collects the errors of a file while it is read.
 type document struct {
 	file     string
 	failures []error
 }
 
-// fail notes what is wrong with a key.
+// fail adds an error of a key.
 func (d *document) fail(key, reason string) {
 	d.failures = append(d.failures, &FieldError{File: d.file, Key: key, Reason: reason})
 }
 
-// err joins what is wrong, or is nil.
+// err returns the joined errors, or nil.
 func (d *document) err() error {
 	return errors.Join(d.failures...)
 }
 
-// table is a TOML table being read. A key that isn't there reads as the zero
-// value; one of another type is noted as a failure and also reads as zero.
+// table is a TOML table being read. A missing key reads as the zero value. A key
+// of another type adds an error and also reads as the zero value.
 type table struct {
 	document *document
-	prefix   string // of the table's keys, with the dot
+	prefix   string // prefix of the table's keys, with the final dot
 	values   map[string]any
 }
 
-// sub returns a table within the table, which is empty if it isn't there.
+// sub returns a nested table, which is empty if it is missing.
 func (t table) sub(key string) table {
 	values, _ := read[map[string]any](t, key, "a table")
 	return table{document: t.document, prefix: t.prefix + key + ".", values: values}
@@ -44,7 +44,7 @@
 	return value
 }
 
-// flag reads true or false.
+// flag reads a boolean.
 func (t table) flag(key string) bool {
 	value, _ := read[bool](t, key, "true or false")
 	return value
@@ -57,7 +57,7 @@
 	for i, element := range list {
 		text, ok := element.(string)
 		if !ok {
-			t.mistyped(fmt.Sprintf("%s[%d]", key, i), "a string", element)
+			t.wrongType(fmt.Sprintf("%s[%d]", key, i), "a string", element)
 			continue
 		}
 		texts = append(texts, text)
@@ -65,26 +65,26 @@
 	return texts
 }
 
-// wholes reads a list of whole numbers.
-func (t table) wholes(key string) []int {
+// integers reads a list of integers.
+func (t table) integers(key string) []int {
 	list, _ := read[[]any](t, key, "a list of whole numbers")
-	var wholes []int
+	var integers []int
 	for i, element := range list {
-		if whole, ok := t.asWhole(fmt.Sprintf("%s[%d]", key, i), element); ok {
-			wholes = append(wholes, whole)
+		if integer, ok := t.asInteger(fmt.Sprintf("%s[%d]", key, i), element); ok {
+			integers = append(integers, integer)
 		}
 	}
-	return wholes
+	return integers
 }
 
-// whole reads a whole number, which may be written with a fraction of zero.
-func (t table) whole(key string) int {
+// integer reads an integer, which may be written as 2.0.
+func (t table) integer(key string) int {
 	value, ok := t.values[key]
 	if !ok {
 		return 0
 	}
-	whole, _ := t.asWhole(key, value)
-	return whole
+	integer, _ := t.asInteger(key, value)
+	return integer
 }
 
 // number reads a finite number.
@@ -96,21 +96,22 @@
 	return t.asNumber(key, value)
 }
 
-// duration reads a number of units, or returns a fallback.
+// duration reads a number of units, or returns the fallback if the key is
+// missing.
 func (t table) duration(key string, unit, fallback time.Duration) time.Duration {
 	number, ok := t.number(key)
 	if !ok {
 		return fallback
 	}
-	length := number * float64(unit)
-	if length < 0 || length > float64(MaxBound) {
+	nanoseconds := number * float64(unit)
+	if nanoseconds < 0 || nanoseconds > float64(MaxBound) {
 		t.fail(key, fmt.Sprintf("must be at least 0 and at most %v, not %v of %v", MaxBound, number, unit))
 		return fallback
 	}
-	return time.Duration(math.Round(length))
+	return time.Duration(math.Round(nanoseconds))
 }
 
-// asNumber turns a value into a finite number.
+// asNumber converts a value to a finite number.
 func (t table) asNumber(key string, value any) (float64, bool) {
 	var number float64
 	switch typed := value.(type) {
@@ -119,7 +120,7 @@
 	case float64:
 		number = typed
 	default:
-		t.mistyped(key, "a number", value)
+		t.wrongType(key, "a number", value)
 		return 0, false
 	}
 	if math.IsNaN(number) || math.IsInf(number, 0) {
@@ -129,8 +130,8 @@
 	return number, true
 }
 
-// asWhole turns a value into a whole number that an int32 holds.
-func (t table) asWhole(key string, value any) (int, bool) {
+// asInteger converts a value to an integer in the range of int32.
+func (t table) asInteger(key string, value any) (int, bool) {
 	number, ok := t.asNumber(key, value)
 	if !ok {
 		return 0, false
@@ -142,7 +143,7 @@
 	return int(number), true
 }
 
-// read reads a value of one of the types that the TOML package makes.
+// read reads a value of one of the types that the TOML package returns.
 func read[T any](t table, key, wanted string) (value T, ok bool) {
 	found, ok := t.values[key]
 	if !ok {
@@ -150,18 +151,18 @@
 	}
 	value, ok = found.(T)
 	if !ok {
-		t.mistyped(key, wanted, found)
+		t.wrongType(key, wanted, found)
 	}
 	return value, ok
 }
 
-func (t table) mistyped(key, wanted string, found any) {
+func (t table) wrongType(key, wanted string, found any) {
 	t.fail(key, fmt.Sprintf("must be %s, not %s", wanted, kindOf(found)))
 }
 
 func (t table) fail(key, reason string) { t.document.fail(t.prefix+key, reason) }
 
-// kindOf names the type of a TOML value.
+// kindOf returns the name of the type of a TOML value.
 func kindOf(value any) string {
 	switch value.(type) {
 	case string:
