--- a/internal/station/routing/capacity_test.go
+++ b/internal/station/routing/capacity_test.go
@@ -8,10 +8,12 @@
 	"pipitmux/internal/station/scaletest"
 )
 
-// tenantCounts are numbers of routes, one a tenant: docs/CAPACITY.md.
+// tenantCounts are numbers of routes, one per tenant. The figures are in
+// docs/CAPACITY.md.
 var tenantCounts = []int{15, 1000, 6700}
 
-// BenchmarkTenants is what a process does with a configuration by its number of routes.
+// BenchmarkTenants measures the work of a process with a configuration, by its number of
+// routes.
 func BenchmarkTenants(b *testing.B) {
 	for _, count := range tenantCounts {
 		body := scaletest.Configuration(9, count)
--- a/internal/station/routing/check.go
+++ b/internal/station/routing/check.go
@@ -6,31 +6,31 @@
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 )
 
-// Reasons that errors give.
+// Reasons of InvalidError.
 const (
-	reasonRevision = "must be a whole number from 1"
-	reasonClass    = "must be idempotent, non_idempotent or streaming"
-	reasonTimeout  = "must be above 0"
-	reasonPrefix   = "must begin and end with a slash"
-	reasonUnnamed  = "must not be empty"
-	reasonRepeated = "must not be another pool's name"
-	reasonUnknown  = "must name one of the pools"
-	reasonTaken    = "must not be another route's host and prefix"
-	reasonRatio    = "must not be negative"
-	reasonSum      = "must have a sum above 0"
+	reasonRevision       = "must be a whole number from 1"
+	reasonClass          = "must be idempotent, non_idempotent or streaming"
+	reasonTimeout        = "must be above 0"
+	reasonPrefix         = "must begin and end with a slash"
+	reasonEmptyName      = "must not be empty"
+	reasonDuplicatePool  = "must not be another pool's name"
+	reasonUnknownPool    = "must name one of the pools"
+	reasonDuplicateRoute = "must not be another route's host and prefix"
+	reasonRatio          = "must not be negative"
+	reasonSum            = "must have a sum above 0"
 )
 
-// enclosed matches what begins and ends with a slash, also the slash alone.
-var enclosed = regexp.MustCompile(`(?s)^/(?:.*/)?$`)
+// prefixPattern matches text that begins and ends with a slash, including a single slash.
+var prefixPattern = regexp.MustCompile(`(?s)^/(?:.*/)?$`)
 
-// The rules of single values. Package validation passes over empty values, so a value
-// that has to be there has a rule for it. A duration below 0 was read as 0.
+// Rules of single values. Package validation accepts empty values, so a required value
+// has its own rule. Negative durations have been read as 0.
 var (
 	revisionRules = []validation.Rule{validation.Required.Error(reasonRevision)}
-	nameRules     = []validation.Rule{validation.Required.Error(reasonUnnamed)}
+	nameRules     = []validation.Rule{validation.Required.Error(reasonEmptyName)}
 	prefixRules   = []validation.Rule{
 		validation.Required.Error(reasonPrefix),
-		validation.Match(enclosed).Error(reasonPrefix),
+		validation.Match(prefixPattern).Error(reasonPrefix),
 	}
 	classRules = []validation.Rule{
 		validation.Required.Error(reasonClass),
@@ -41,25 +41,28 @@
 	sumRules     = []validation.Rule{validation.Required.Error(reasonSum)}
 )
 
-// place is what a route claims alone.
-type place struct{ host, prefix string }
+// routeKey identifies a route. No two routes may have the same key.
+type routeKey struct {
+	host   string
+	prefix string
+}
 
-// check returns the first fault of a document as an *InvalidError.
-func check(read *document) error {
-	if err := checkValue(keyRevision, read.revision, revisionRules); err != nil {
+// check returns the first error of a document as an *InvalidError.
+func check(parsed *document) error {
+	if err := checkValue(keyRevision, parsed.revision, revisionRules); err != nil {
 		return err
 	}
-	pools, err := checkPools(read.pools)
+	pools, err := checkPools(parsed.pools)
 	if err != nil {
-		return under(keyPools, err)
+		return withKeyPrefix(keyPools, err)
 	}
-	if err := checkRoutes(read.routes, pools); err != nil {
-		return under(keyRoutes, err)
+	if err := checkRoutes(parsed.routes, pools); err != nil {
+		return withKeyPrefix(keyRoutes, err)
 	}
 	return nil
 }
 
-// checkValue holds one value against its rules.
+// checkValue checks a value against its rules.
 func checkValue(key string, value any, rules []validation.Rule) error {
 	if err := validation.Validate(value, rules...); err != nil {
 		return &InvalidError{Key: key, Reason: err.Error()}
@@ -67,16 +70,16 @@
 	return nil
 }
 
-// checkPools returns the names of the pools.
+// checkPools checks the pools and returns their names.
 func checkPools(pools []Pool) (map[string]bool, error) {
 	names := make(map[string]bool, len(pools))
 	for i := range pools {
 		name := pools[i].Name
 		if err := checkValue(keyName, name, nameRules); err != nil {
-			return nil, under(member(i), err)
+			return nil, withKeyPrefix(indexKey(i), err)
 		}
 		if names[name] {
-			return nil, under(member(i), &InvalidError{Key: keyName, Reason: reasonRepeated})
+			return nil, withKeyPrefix(indexKey(i), &InvalidError{Key: keyName, Reason: reasonDuplicatePool})
 		}
 		names[name] = true
 	}
@@ -84,16 +87,16 @@
 }
 
 func checkRoutes(routes []sentRoute, pools map[string]bool) error {
-	places := make(map[place]bool, len(routes))
+	keys := make(map[routeKey]bool, len(routes))
 	for i := range routes {
 		if err := checkRoute(&routes[i], pools); err != nil {
-			return under(member(i), err)
+			return withKeyPrefix(indexKey(i), err)
 		}
-		claimed := place{host: routes[i].route.Host, prefix: routes[i].route.PathPrefix}
-		if places[claimed] {
-			return under(member(i), &InvalidError{Key: keyPrefix, Reason: reasonTaken})
+		key := routeKey{host: routes[i].route.Host, prefix: routes[i].route.PathPrefix}
+		if keys[key] {
+			return withKeyPrefix(indexKey(i), &InvalidError{Key: keyPrefix, Reason: reasonDuplicateRoute})
 		}
-		places[claimed] = true
+		keys[key] = true
 	}
 	return nil
 }
@@ -111,7 +114,7 @@
 	if sent.poolName == "" && sent.weights != nil {
 		return checkWeights(sent.weights, pools)
 	}
-	if err := checkKnown(sent.poolName, pools); err != nil {
+	if err := checkPoolName(sent.poolName, pools); err != nil {
 		return err
 	}
 	if len(sent.weights) > 0 {
@@ -124,7 +127,7 @@
 	sum := 0.0
 	for i, weight := range weights {
 		if err := checkWeight(weight, pools); err != nil {
-			return under(keyWeights, under(member(i), err))
+			return withKeyPrefix(keyWeights, withKeyPrefix(indexKey(i), err))
 		}
 		sum += weight.Ratio
 	}
@@ -132,15 +135,15 @@
 }
 
 func checkWeight(weight Weight, pools map[string]bool) error {
-	if err := checkKnown(weight.Pool, pools); err != nil {
+	if err := checkPoolName(weight.Pool, pools); err != nil {
 		return err
 	}
 	return checkValue(keyRatio, weight.Ratio, ratioRules)
 }
 
-func checkKnown(name string, pools map[string]bool) error {
+func checkPoolName(name string, pools map[string]bool) error {
 	if pools[name] {
 		return nil
 	}
-	return &InvalidError{Key: keyPoolName, Reason: reasonUnknown}
+	return &InvalidError{Key: keyPoolName, Reason: reasonUnknownPool}
 }
--- a/internal/station/routing/configuration.go
+++ b/internal/station/routing/configuration.go
@@ -1,6 +1,6 @@
-// Package routing reads the operators' configuration, checks it, and finds the route
-// of a request. It does no I/O and keeps no state: both programs of the tier use it on
-// the bytes that operators sent, which stay as they are.
+// Package routing parses and validates the operators' configuration and finds the route
+// of a request. It performs no I/O and keeps no state. Both programs of the tier use it
+// on the bytes that operators sent, which it does not modify.
 package routing
 
 import (
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// TrafficClass says how a route's requests may be treated.
+// TrafficClass determines how a route's requests may be retried and answered.
 type TrafficClass string
 
 // The traffic classes.
 const (
-	Idempotent    TrafficClass = "idempotent"     // may be sent again, also when the first attempt's outcome is unknown
-	NonIdempotent TrafficClass = "non_idempotent" // may be sent again only where nothing can have been done yet
-	Streaming     TrafficClass = "streaming"      // answers come in pieces, over a long time
+	Idempotent    TrafficClass = "idempotent"     // may be retried, even if the result of the first attempt is unknown
+	NonIdempotent TrafficClass = "non_idempotent" // may be retried only if nothing can have been executed yet
+	Streaming     TrafficClass = "streaming"      // responses are streams that may last long
 )
 
-// What stands where the configuration says nothing.
+// Defaults for values that the configuration does not state.
 const (
 	DefaultRetryLimit     = 1
 	DefaultMaxHeaderBytes = 16 << 10
@@ -27,73 +27,73 @@
 	DefaultIdleTimeout    = 15 * time.Second
 )
 
-// Configuration is one version of what the operators want. It is not changed once it
-// is parsed, so it may be shared.
+// Configuration is one revision of the operators' configuration. It is immutable after
+// parsing, so it may be shared.
 type Configuration struct {
-	Revision uint64 // from 1
+	Revision uint64 // at least 1
 	Routes   []Route
 	Pools    []Pool
 	Limits   Limits
 }
 
-// Route tells for the requests of a host and a path prefix where they go and how.
+// Route defines where requests of a host and a path prefix go and how they are handled.
 type Route struct {
 	Name          string
 	Host          string // lower case, without port
 	PathPrefix    string // begins and ends with a slash
 	Class         TrafficClass
-	Timeout       time.Duration // above 0: for the whole request, all attempts together
-	TargetLatency time.Duration // 0: none is stated
+	Timeout       time.Duration // greater than 0; for the whole request with all its attempts
+	TargetLatency time.Duration // 0: not stated
 	Priority      int
-	Weights       []Weight      // at least one, with a sum above 0
-	RetryLimit    int           // servers that one request may be sent to, at least 1
-	Retained      bool          // answers are kept
-	Retention     time.Duration // for how long, where Retained
-	Persistence   bool          // a client's requests stay with one server
-	SessionResume bool          // a broken stream can be taken up again
-	GapAim        time.Duration // aimed at between two pieces of a stream, 0: none is stated
+	Weights       []Weight      // at least one, with a sum greater than 0
+	RetryLimit    int           // servers that one request may be sent to; 0 is accepted as stated
+	Retained      bool          // responses are stored
+	Retention     time.Duration // how long responses are stored if Retained
+	Persistence   bool          // requests of a client go to the same server
+	SessionResume bool          // an interrupted stream can be resumed
+	TargetGap     time.Duration // target gap between two events of a stream, 0: not stated
 }
 
-// Weight is one pool's part of a route's requests.
+// Weight is the share of a pool in a route's requests.
 type Weight struct {
 	Pool  string
-	Ratio float64 // from 0; its part is Ratio over the sum of all
+	Ratio float64 // at least 0; the share is Ratio divided by the sum of all ratios
 }
 
-// Pool is a set of servers that do the same.
+// Pool is a set of equivalent servers.
 type Pool struct {
 	Name           string
-	HealthMonitor  string // path of the health check, empty: none
-	MaxConnections int    // to all its servers together, 0: not stated
+	HealthMonitor  string // path of the health check, empty: no check
+	MaxConnections int    // limit for all its servers together, 0: not stated
 	Protocol       string // such as h1
 	TLS            bool
 	Engine         *Engine // nil: not stated
 }
 
-// Engine describes the servers of a pool. What is not stated, or in a form that is not
-// known, is 0 or empty.
+// Engine describes the servers of a pool. Values that are not stated or have an unknown
+// form are 0 or empty.
 type Engine struct {
 	Capacity        int
 	CacheTokens     int
 	CacheEntryBytes int
-	LinkSpeedMbps   float64 // megabits a second
+	LinkSpeedMbps   float64 // megabits per second
 	StreamChunk     int
 	Models          []string
 }
 
-// Limits bound what a client may send. None is 0.
+// Limits apply to client requests. No limit is 0.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
-	HeaderTimeout  time.Duration // for a whole head to come
-	IdleTimeout    time.Duration // between two requests of a connection
+	HeaderTimeout  time.Duration // until a request head is complete
+	IdleTimeout    time.Duration // between two requests on a connection
 }
 
-// Digest names the bytes of a configuration.
+// Digest returns the SHA-256 digest of a configuration's bytes.
 func Digest(body []byte) [32]byte { return sha256.Sum256(body) }
 
-// Pick chooses a pool by the weights, for a random number from 0 to below 1. A pool of
-// ratio 0 is never chosen. It returns an empty name for a route without weights.
+// Pick selects a pool according to the weights, given a random number in [0, 1). It never
+// selects a pool of ratio 0. It returns an empty name for a route without weights.
 func (r *Route) Pick(random float64) string {
 	if len(r.Weights) == 1 {
 		return r.Weights[0].Pool
@@ -102,16 +102,16 @@
 	for _, weight := range r.Weights {
 		sum += weight.Ratio
 	}
-	left, chosen := random*sum, ""
+	remaining, chosen := random*sum, ""
 	for _, weight := range r.Weights {
 		if weight.Ratio <= 0 {
 			continue
 		}
 		chosen = weight.Pool
-		if left < weight.Ratio {
+		if remaining < weight.Ratio {
 			break
 		}
-		left -= weight.Ratio
+		remaining -= weight.Ratio
 	}
 	return chosen
 }
--- a/internal/station/routing/parse.go
+++ b/internal/station/routing/parse.go
@@ -8,10 +8,10 @@
 	"github.com/go-faster/errors"
 )
 
-// KeyBody stands for the configuration as a whole in an InvalidError.
+// KeyBody is the key of an InvalidError that concerns the whole configuration.
 const KeyBody = "body"
 
-// Keys of the configuration that checks name.
+// Keys of the configuration that errors mention.
 const (
 	keyRevision = "configRevision"
 	keyRoutes   = "virtualServers"
@@ -25,16 +25,16 @@
 	keyRatio    = "ratio"
 )
 
-// InvalidError is a fault in a configuration.
+// InvalidError describes an error in a configuration.
 type InvalidError struct {
 	Key    string // such as virtualServers[3].timeoutMs, or KeyBody
 	Reason string
 }
 
-// Error gives key and reason.
+// Error returns the key and the reason.
 func (e *InvalidError) Error() string { return e.Key + ": " + e.Reason }
 
-// document is a configuration as it is sent.
+// document is a configuration as sent by the operators.
 type document struct {
 	revision uint64
 	routes   []sentRoute
@@ -42,67 +42,67 @@
 	limits   Limits
 }
 
-// sentRoute is a route as it is sent: it has one pool, or several with weights.
+// sentRoute is a route as sent by the operators, with one pool or several weighted pools.
 type sentRoute struct {
 	route    Route
 	poolName string
 	weights  []Weight // nil: not stated
 }
 
-// Parse reads a configuration and checks it. Keys that it does not know are passed
-// over, and of a key that stands twice the last counts. Each error is an *InvalidError.
+// Parse parses and validates a configuration. It ignores unknown keys. If a key occurs
+// twice, the last value applies. Every error is an *InvalidError.
 func Parse(body []byte) (*Configuration, error) {
 	if !json.Valid(body) {
-		return nil, unreadable(body)
+		return nil, syntaxError(body)
 	}
-	read := document{limits: defaultLimits()}
-	if err := readDocument(&reader{text: body}, &read); err != nil {
-		return nil, whole(err)
+	parsed := document{limits: defaultLimits()}
+	if err := readDocument(&reader{text: body}, &parsed); err != nil {
+		return nil, withBodyKey(err)
 	}
-	if err := check(&read); err != nil {
+	if err := check(&parsed); err != nil {
 		return nil, err
 	}
-	return read.configuration(), nil
+	return parsed.configuration(), nil
 }
 
-// unreadable tells what is wrong with a text that is no JSON.
-func unreadable(body []byte) error {
+// syntaxError describes why a text is not valid JSON.
+func syntaxError(body []byte) error {
 	var value json.RawMessage
 	err := json.Unmarshal(body, &value)
 	if syntax, ok := errors.Into[*json.SyntaxError](err); ok {
 		return &InvalidError{Key: KeyBody, Reason: fmt.Sprintf("%v, at byte %d", syntax, syntax.Offset)}
 	}
-	return &InvalidError{Key: KeyBody, Reason: fmt.Sprintf("is no JSON text: %v", err)}
+	return &InvalidError{Key: KeyBody, Reason: fmt.Sprintf("is not valid JSON: %v", err)}
 }
 
-// whole names the body where an error names no key in it.
-func whole(err error) error {
+// withBodyKey adds KeyBody to an error without a key.
+func withBodyKey(err error) error {
 	if invalid, ok := errors.Into[*InvalidError](err); ok && invalid.Key != "" {
 		return invalid
 	}
-	return under(KeyBody, err)
+	return withKeyPrefix(KeyBody, err)
 }
 
-func readDocument(r *reader, into *document) error {
+func readDocument(r *reader, target *document) error {
 	return r.object(func(key string) (err error) {
 		switch key {
 		case keyRevision:
-			err = r.revision(&into.revision)
+			err = r.revision(&target.revision)
 		case keyRoutes:
-			into.routes, err = readList(r, readRoute)
+			target.routes, err = readList(r, readRoute)
 		case keyPools:
-			into.pools, err = readList(r, readPool)
+			target.pools, err = readList(r, readPool)
 		case "limits":
-			into.limits, err = readLimits(r)
+			target.limits, err = readLimits(r)
 		default:
-			r.raw()
+			r.rawValue()
 		}
 		return err
 	})
 }
 
-func readRoute(r *reader, into *sentRoute) error {
-	route := &into.route
+func readRoute(r *reader, target *sentRoute) error {
+	route := &target.route
 	route.RetryLimit = DefaultRetryLimit
 	return r.object(func(key string) (err error) {
 		switch key {
@@ -120,22 +120,23 @@
 		case "targetLatencyMs":
 			err = r.duration(&route.TargetLatency, time.Millisecond)
 		case "priority":
-			err = r.whole(&route.Priority)
+			err = r.integer(&route.Priority)
 		case keyPoolName:
-			err = r.string(&into.poolName)
+			err = r.string(&target.poolName)
 		case keyWeights:
-			into.weights, err = readList(r, readWeight)
+			target.weights, err = readList(r, readWeight)
 		case "retryLimit":
 			err = r.count(&route.RetryLimit)
 		default:
-			err = readKeeping(r, key, route)
+			err = readStateOptions(r, key, route)
 		}
 		return err
 	})
 }
 
-// readKeeping reads what a route says of answers that are kept and clients that stay.
-func readKeeping(r *reader, key string, route *Route) error {
+// readStateOptions reads the keys of a route about stored responses, sticky clients and
+// streams.
+func readStateOptions(r *reader, key string, route *Route) error {
 	switch key {
 	case "retained":
 		return r.flag(&route.Retained)
@@ -146,55 +147,55 @@
 	case "sessionResume":
 		return r.flag(&route.SessionResume)
 	case "gap_aim_ms":
-		return r.duration(&route.GapAim, time.Millisecond)
+		return r.duration(&route.TargetGap, time.Millisecond)
 	}
-	r.raw()
+	r.rawValue()
 	return nil
 }
 
-func readWeight(r *reader, into *Weight) error {
+func readWeight(r *reader, target *Weight) error {
 	return r.object(func(key string) error {
 		switch key {
 		case keyPoolName:
-			return r.string(&into.Pool)
+			return r.string(&target.Pool)
 		case keyRatio:
-			return r.number(&into.Ratio)
+			return r.number(&target.Ratio)
 		}
-		r.raw()
+		r.rawValue()
 		return nil
 	})
 }
 
-func readPool(r *reader, into *Pool) error {
+func readPool(r *reader, target *Pool) error {
 	return r.object(func(key string) error {
 		switch key {
 		case keyName:
-			return r.string(&into.Name)
+			return r.string(&target.Name)
 		case "healthMonitor":
-			return r.string(&into.HealthMonitor)
+			return r.string(&target.HealthMonitor)
 		case "maxConnections":
-			return r.count(&into.MaxConnections)
+			return r.count(&target.MaxConnections)
 		case "protocol":
-			return r.string(&into.Protocol)
+			return r.string(&target.Protocol)
 		case "tlsProfile":
-			text := string(r.raw())
-			into.TLS = text != "false" && text != `""`
+			text := string(r.rawValue())
+			target.TLS = text != "false" && text != `""`
 		case "engine":
-			into.Engine = readEngine(r.raw())
+			target.Engine = readEngine(r.rawValue())
 		default:
-			r.raw()
+			r.rawValue()
 		}
 		return nil
 	})
 }
 
-// readEngine reads a description of servers. It is no reason to refuse a configuration,
-// so a value of another type is left out.
+// readEngine reads a description of servers. Errors in it must not reject a
+// configuration, so values of another type are ignored.
 func readEngine(text []byte) *Engine {
 	engine := &Engine{}
 	r := &reader{text: text}
 	err := r.object(func(key string) error {
-		_ = readEngineValue(&reader{text: r.raw()}, key, engine)
+		_ = readEngineValue(&reader{text: r.rawValue()}, key, engine)
 		return nil
 	})
 	if err != nil {
@@ -221,12 +222,12 @@
 	return err
 }
 
-func readModel(r *reader, into *string) error {
+func readModel(r *reader, target *string) error {
 	return r.object(func(key string) error {
 		if key == keyName {
-			return r.string(into)
+			return r.string(target)
 		}
-		r.raw()
+		r.rawValue()
 		return nil
 	})
 }
@@ -240,7 +241,7 @@
 	}
 }
 
-// readLimits leaves the default where a limit is not stated or not above 0.
+// readLimits uses the default for a limit that is not stated or not greater than 0.
 func readLimits(r *reader) (Limits, error) {
 	var limits Limits
 	err := r.object(func(key string) error {
@@ -254,26 +255,26 @@
 		case "idleTimeoutMs":
 			return r.duration(&limits.IdleTimeout, time.Millisecond)
 		}
-		r.raw()
+		r.rawValue()
 		return nil
 	})
-	return limits.completed(), err
+	return limits.withDefaults(), err
 }
 
-// completed puts the default in the place of each limit of 0.
-func (l Limits) completed() Limits {
-	standard := defaultLimits()
+// withDefaults replaces each limit of 0 by its default.
+func (l Limits) withDefaults() Limits {
+	defaults := defaultLimits()
 	if l.MaxHeaderBytes == 0 {
-		l.MaxHeaderBytes = standard.MaxHeaderBytes
+		l.MaxHeaderBytes = defaults.MaxHeaderBytes
 	}
 	if l.MaxBodyBytes == 0 {
-		l.MaxBodyBytes = standard.MaxBodyBytes
+		l.MaxBodyBytes = defaults.MaxBodyBytes
 	}
 	if l.HeaderTimeout == 0 {
-		l.HeaderTimeout = standard.HeaderTimeout
+		l.HeaderTimeout = defaults.HeaderTimeout
 	}
 	if l.IdleTimeout == 0 {
-		l.IdleTimeout = standard.IdleTimeout
+		l.IdleTimeout = defaults.IdleTimeout
 	}
 	return l
 }
--- a/internal/station/routing/parse_test.go
+++ b/internal/station/routing/parse_test.go
@@ -15,7 +15,7 @@
 //go:embed testdata/two_routes.json
 var twoRoutes []byte
 
-func TestParseReadsAll(t *testing.T) {
+func TestParseReadsAllKeys(t *testing.T) {
 	got, err := Parse(twoRoutes)
 	assert.NilError(t, err)
 	want := &Configuration{
@@ -26,7 +26,7 @@
 				Timeout: 6 * time.Second, TargetLatency: 250 * time.Millisecond, Priority: 1,
 				Weights:    []Weight{{Pool: "huvo11a", Ratio: 90}, {Pool: "wuno96b", Ratio: 10}},
 				RetryLimit: 2, Retained: true, Retention: time.Minute, Persistence: true,
-				GapAim: 400 * time.Millisecond,
+				TargetGap: 400 * time.Millisecond,
 			},
 			{
 				Name: "r-b9wu3fe", Host: "ficu95.example", PathPrefix: "/pufi791/", Class: Idempotent,
@@ -52,14 +52,14 @@
 	assert.DeepEqual(t, got, want)
 }
 
-// changed gives the configuration of two routes with one text in another's place.
+// changed returns the configuration of two routes with one text replaced.
 func changed(t *testing.T, old, replacement string) []byte {
 	t.Helper()
 	assert.Assert(t, strings.Contains(string(twoRoutes), old), "no %s to replace", old)
 	return []byte(strings.Replace(string(twoRoutes), old, replacement, 1))
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseReportsKeyOfInvalidValue(t *testing.T) {
 	cases := []struct {
 		name, old, replacement, key string
 	}{
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestParseRefusesEveryCut(t *testing.T) {
+func TestParseRejectsTruncatedConfiguration(t *testing.T) {
 	body := []byte(strings.TrimSpace(string(twoRoutes)))
 	for length := range body {
 		_, err := Parse(body[:length])
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestParseRefusesOtherDocuments(t *testing.T) {
+func TestParseRejectsOtherDocuments(t *testing.T) {
 	for _, body := range []string{"", " ", "null", "[]", "7", `"x"`, "{}", "\ufeff{}", strings.Repeat("[", 20000)} {
 		_, err := Parse([]byte(body))
 		_, ok := errors.Into[*InvalidError](err)
@@ -135,7 +135,7 @@
 	}
 }
 
-func TestParseTakes(t *testing.T) {
+func TestParseAcceptsOptionalAndUnusualValues(t *testing.T) {
 	cases := []struct {
 		name, old, replacement string
 		holds                  func(*Configuration) bool
@@ -178,13 +178,13 @@
 	}
 }
 
-func TestParseTakesNoRoutes(t *testing.T) {
+func TestParseAcceptsConfigurationWithoutRoutes(t *testing.T) {
 	got, err := Parse([]byte(`{"configRevision":1,"virtualServers":[],"pools":[]}`))
 	assert.NilError(t, err)
 	assert.Equal(t, len(got.Routes), 0)
 }
 
-func TestDigestNamesTheBytes(t *testing.T) {
+func TestDigestIsSHA256OfTheBytes(t *testing.T) {
 	assert.Equal(t, fmt.Sprintf("%x", Digest([]byte("abc"))), "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad")
 }
 
--- a/internal/station/routing/reader.go
+++ b/internal/station/routing/reader.go
@@ -11,19 +11,19 @@
 	"github.com/go-faster/errors"
 )
 
-// reader walks over one JSON text whose syntax was checked before. It reads into no
-// types by reflection, since a configuration of some MiB has to be read while requests
-// wait, and it knows the path to each value that it refuses.
+// reader scans a JSON text whose syntax was checked before. It avoids reflection, because
+// requests wait while a configuration of several MiB is read, and it reports the path to
+// each invalid value.
 type reader struct {
-	text []byte
-	at   int
+	text   []byte
+	offset int
 }
 
-// mistyped is an InvalidError whose key is still to be put before it.
-func mistyped(wanted string) error { return &InvalidError{Reason: "must be " + wanted} }
+// wrongType returns an InvalidError without a key; the callers add the key.
+func wrongType(wanted string) error { return &InvalidError{Reason: "must be " + wanted} }
 
-// under puts a key before the one that an error names.
-func under(key string, err error) error {
+// withKeyPrefix prepends a key to the key of an error.
+func withKeyPrefix(key string, err error) error {
 	invalid, ok := errors.Into[*InvalidError](err)
 	if !ok {
 		return &InvalidError{Key: key, Reason: err.Error()}
@@ -34,16 +34,16 @@
 	return &InvalidError{Key: key + invalid.Key, Reason: invalid.Reason}
 }
 
-// member gives the key of a list's member.
-func member(index int) string { return "[" + strconv.Itoa(index) + "]" }
+// indexKey returns the key of a list element.
+func indexKey(index int) string { return "[" + strconv.Itoa(index) + "]" }
 
-// next passes over spaces and tells how the next value, or the end of the list or
-// object, begins.
-func (r *reader) next() byte {
-	for r.at < len(r.text) {
-		switch char := r.text[r.at]; char {
+// peek skips white space and returns the first character of the next value or
+// punctuation mark, or 0 at the end.
+func (r *reader) peek() byte {
+	for r.offset < len(r.text) {
+		switch char := r.text[r.offset]; char {
 		case ' ', '\t', '\r', '\n':
-			r.at++
+			r.offset++
 		default:
 			return char
 		}
@@ -51,45 +51,45 @@
 	return 0
 }
 
-// after passes over a punctuation mark if it comes next.
-func (r *reader) after(mark byte) bool {
-	if r.next() != mark {
+// accept skips a punctuation mark if it comes next, and reports whether it did.
+func (r *reader) accept(mark byte) bool {
+	if r.peek() != mark {
 		return false
 	}
-	r.at++
+	r.offset++
 	return true
 }
 
-// raw passes over the next value and returns it.
-func (r *reader) raw() []byte {
-	first := r.next()
-	start := r.at
+// rawValue skips the next value and returns its text.
+func (r *reader) rawValue() []byte {
+	first := r.peek()
+	start := r.offset
 	switch first {
 	case '"':
 		r.skipString()
 	case '{', '[':
 		r.skipNested()
 	default:
-		r.skipWord()
+		r.skipLiteral()
 	}
-	return r.text[start:r.at]
+	return r.text[start:r.offset]
 }
 
 func (r *reader) skipString() {
-	r.at++
-	for r.at < len(r.text) && r.text[r.at] != '"' {
-		if r.text[r.at] == '\\' {
-			r.at++
+	r.offset++
+	for r.offset < len(r.text) && r.text[r.offset] != '"' {
+		if r.text[r.offset] == '\\' {
+			r.offset++
 		}
-		r.at++
+		r.offset++
 	}
-	r.at = min(r.at+1, len(r.text))
+	r.offset = min(r.offset+1, len(r.text))
 }
 
 func (r *reader) skipNested() {
 	depth := 0
-	for r.at < len(r.text) {
-		switch r.text[r.at] {
+	for r.offset < len(r.text) {
+		switch r.text[r.offset] {
 		case '"':
 			r.skipString()
 			continue
@@ -98,134 +98,134 @@
 		case '}', ']':
 			depth--
 		}
-		r.at++
+		r.offset++
 		if depth == 0 {
 			return
 		}
 	}
 }
 
-// skipWord passes over a number, true, false or null.
-func (r *reader) skipWord() {
-	for r.at < len(r.text) && bytes.IndexByte([]byte(" \t\r\n,]}"), r.text[r.at]) < 0 {
-		r.at++
+// skipLiteral skips a number, true, false or null.
+func (r *reader) skipLiteral() {
+	for r.offset < len(r.text) && bytes.IndexByte([]byte(" \t\r\n,]}"), r.text[r.offset]) < 0 {
+		r.offset++
 	}
 }
 
-// object calls field at the value of each key, which field has to pass over. A value
-// of null is as good as none, so that field does not see it.
+// object calls field for each key. field must read or skip the value. A null value is
+// treated as missing, so field is not called for it.
 func (r *reader) object(field func(key string) error) error {
-	if r.next() != '{' {
-		r.raw()
-		return mistyped("an object")
+	if r.peek() != '{' {
+		r.rawValue()
+		return wrongType("an object")
 	}
-	r.at++
-	for !r.after('}') {
-		key := unquote(r.raw())
-		r.after(':')
-		if r.next() == 'n' {
-			r.raw()
+	r.offset++
+	for !r.accept('}') {
+		key := unquote(r.rawValue())
+		r.accept(':')
+		if r.peek() == 'n' {
+			r.rawValue()
 		} else if err := field(key); err != nil {
-			return under(key, err)
+			return withKeyPrefix(key, err)
 		}
-		r.after(',')
+		r.accept(',')
 	}
 	return nil
 }
 
-// readList reads each member of a list. A member of null is as good as an empty one.
+// readList reads each element of a list. A null element is treated as an empty one.
 func readList[T any](r *reader, read func(*reader, *T) error) ([]T, error) {
-	if r.next() != '[' {
-		r.raw()
-		return nil, mistyped("a list")
+	if r.peek() != '[' {
+		r.rawValue()
+		return nil, wrongType("a list")
 	}
-	r.at++
-	all := []T{}
-	for !r.after(']') {
-		var one T
-		if r.next() == 'n' {
-			r.raw()
-		} else if err := read(r, &one); err != nil {
-			return nil, under(member(len(all)), err)
+	r.offset++
+	elements := []T{}
+	for !r.accept(']') {
+		var element T
+		if r.peek() == 'n' {
+			r.rawValue()
+		} else if err := read(r, &element); err != nil {
+			return nil, withKeyPrefix(indexKey(len(elements)), err)
 		}
-		all = append(all, one)
-		r.after(',')
+		elements = append(elements, element)
+		r.accept(',')
 	}
-	return all, nil
+	return elements, nil
 }
 
-func (r *reader) string(into *string) error {
-	text := r.raw()
+func (r *reader) string(target *string) error {
+	text := r.rawValue()
 	if text[0] != '"' {
-		return mistyped("a string")
+		return wrongType("a string")
 	}
-	*into = unquote(text)
+	*target = unquote(text)
 	return nil
 }
 
-// unquote gives the text of a JSON string.
+// unquote returns the value of a JSON string.
 func unquote(text []byte) string {
 	inner := text[1 : len(text)-1]
 	if bytes.IndexByte(inner, '\\') < 0 && utf8.Valid(inner) {
 		return string(inner)
 	}
-	var read string
-	if err := json.Unmarshal(text, &read); err != nil {
-		return string(inner) // does not happen: the syntax was checked
+	var value string
+	if err := json.Unmarshal(text, &value); err != nil {
+		return string(inner) // cannot happen: the syntax was checked
 	}
-	return read
+	return value
 }
 
-func (r *reader) flag(into *bool) error {
-	switch string(r.raw()) {
+func (r *reader) flag(target *bool) error {
+	switch string(r.rawValue()) {
 	case "true":
-		*into = true
+		*target = true
 	case "false":
-		*into = false
+		*target = false
 	default:
-		return mistyped("true or false")
+		return wrongType("true or false")
 	}
 	return nil
 }
 
-func (r *reader) number(into *float64) error {
-	text := r.raw()
+func (r *reader) number(target *float64) error {
+	text := r.rawValue()
 	if text[0] != '-' && (text[0] < '0' || text[0] > '9') {
-		return mistyped("a number")
+		return wrongType("a number")
 	}
 	number, err := strconv.ParseFloat(string(text), 64)
 	if err != nil {
-		return mistyped("a number in the range of floating point")
+		return wrongType("a number in the range of floating point")
 	}
-	*into = number
+	*target = number
 	return nil
 }
 
-// maxWhole bounds whole numbers: floating point holds all up to there.
-const maxWhole = 1 << 53
+// maxInteger limits integers to those that float64 represents exactly.
+const maxInteger = 1 << 53
 
-// whole reads a number that may come as 2 or 2.0, and cuts off a fraction.
-func (r *reader) whole(into *int) error {
+// integer reads a number such as 2 or 2.0 and truncates a fraction.
+func (r *reader) integer(target *int) error {
 	var number float64
 	if err := r.number(&number); err != nil {
 		return err
 	}
-	*into = int(min(max(number, -maxWhole), maxWhole))
+	*target = int(min(max(number, -maxInteger), maxInteger))
 	return nil
 }
 
-// count reads a whole number, and takes one below 0 for 0.
-func (r *reader) count(into *int) error {
-	if err := r.whole(into); err != nil {
+// count reads an integer; a negative one becomes 0.
+func (r *reader) count(target *int) error {
+	if err := r.integer(target); err != nil {
 		return err
 	}
-	*into = max(*into, 0)
+	*target = max(*target, 0)
 	return nil
 }
 
-// duration reads a number of units. It is never below 0, and above 0 for each number
-// above 0.
-func (r *reader) duration(into *time.Duration, unit time.Duration) error {
+// duration reads a number of units. Negative numbers become 0, and every positive number
+// becomes a positive duration.
+func (r *reader) duration(target *time.Duration, unit time.Duration) error {
 	var number float64
 	if err := r.number(&number); err != nil {
 		return err
@@ -233,26 +233,26 @@
 	nanoseconds := number * float64(unit)
 	switch {
 	case number <= 0:
-		*into = 0
+		*target = 0
 	case nanoseconds >= math.MaxInt64:
-		*into = math.MaxInt64
+		*target = math.MaxInt64
 	default:
-		*into = max(time.Duration(nanoseconds), 1)
+		*target = max(time.Duration(nanoseconds), 1)
 	}
 	return nil
 }
 
-// revision reads a whole number, exactly up to the largest uint64; also one such as 7.0.
-func (r *reader) revision(into *uint64) error {
-	text := string(r.raw())
+// revision reads an integer up to the largest uint64, exactly. It also accepts 7.0.
+func (r *reader) revision(target *uint64) error {
+	text := string(r.rawValue())
 	if exact, err := strconv.ParseUint(text, 10, 64); err == nil {
-		*into = exact
+		*target = exact
 		return nil
 	}
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || number != math.Trunc(number) || number < 0 || number >= math.MaxUint64 {
 		return &InvalidError{Reason: reasonRevision}
 	}
-	*into = uint64(number)
+	*target = uint64(number)
 	return nil
 }
--- a/internal/station/routing/table.go
+++ b/internal/station/routing/table.go
@@ -2,20 +2,20 @@
 
 import "strings"
 
-// Table finds the route of a request. It is not changed once it is made, so any number
-// of goroutines may use it.
+// Table finds the route of a request. It is immutable, so any number of goroutines may
+// use it.
 type Table struct {
 	hosts map[string]*hostRoutes
 }
 
-// hostRoutes are the routes of one host by their prefixes.
+// hostRoutes holds the routes of one host by prefix.
 type hostRoutes struct {
-	prefixes map[string]*Route
-	longest  int // length of the longest prefix
+	prefixes        map[string]*Route
+	maxPrefixLength int // length of the longest prefix
 }
 
-// NewTable makes the table of a configuration that Parse returned, whose routes it
-// refers to.
+// NewTable returns the table of a configuration returned by Parse. It keeps pointers to
+// its routes.
 func NewTable(configuration *Configuration) *Table {
 	table := &Table{hosts: make(map[string]*hostRoutes)}
 	for i := range configuration.Routes {
@@ -31,18 +31,18 @@
 		t.hosts[route.Host] = host
 	}
 	host.prefixes[route.PathPrefix] = route
-	host.longest = max(host.longest, len(route.PathPrefix))
+	host.maxPrefixLength = max(host.maxPrefixLength, len(route.PathPrefix))
 }
 
-// Match returns the route of a request: among those of its host the one with the
-// longest prefix that its path begins with. The host is compared without port and
-// without regard to case; the path is taken as it was sent, without query.
+// Match returns the route of a request: the one of its host with the longest prefix of
+// the path. The host is compared without port and case-insensitively. The path is
+// compared as sent, without the query.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	routes := t.hosts[CanonicalHost(host)]
 	if routes == nil {
 		return nil, false
 	}
-	path = path[:min(len(path), routes.longest)]
+	path = path[:min(len(path), routes.maxPrefixLength)]
 	for {
 		slash := strings.LastIndexByte(path, '/')
 		if slash < 0 {
@@ -55,7 +55,7 @@
 	}
 }
 
-// CanonicalHost gives a host in lower case and without port, as Route.Host has it.
+// CanonicalHost returns a host in lower case and without port, the form of Route.Host.
 func CanonicalHost(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon > strings.LastIndexByte(host, ']') && isPort(host[colon+1:]) && !isBareAddress(host, colon) {
@@ -73,7 +73,8 @@
 	return true
 }
 
-// isBareAddress tells of an IPv6 address without brackets: its last part is no port.
+// isBareAddress reports whether the host is an IPv6 address without brackets, whose last
+// part is not a port.
 func isBareAddress(host string, colon int) bool {
 	return strings.IndexByte(host[:colon], ':') >= 0 && host[0] != '['
 }
--- a/internal/station/routing/table_test.go
+++ b/internal/station/routing/table_test.go
@@ -11,39 +11,39 @@
 	"pgregory.net/rapid"
 )
 
-// scan is Match without any table.
-func scan(routes []Route, host, path string) *Route {
+// matchByScan is a reference implementation of Match without a table.
+func matchByScan(routes []Route, host, path string) *Route {
 	var best *Route
 	for i := range routes {
 		route := &routes[i]
-		fits := route.Host == CanonicalHost(host) && strings.HasPrefix(path, route.PathPrefix)
-		if fits && (best == nil || len(route.PathPrefix) > len(best.PathPrefix)) {
+		matches := route.Host == CanonicalHost(host) && strings.HasPrefix(path, route.PathPrefix)
+		if matches && (best == nil || len(route.PathPrefix) > len(best.PathPrefix)) {
 			best = route
 		}
 	}
 	return best
 }
 
-func TestMatchEqualsScan(t *testing.T) {
+func TestMatchEqualsReferenceImplementation(t *testing.T) {
 	hosts := rapid.SampledFrom([]string{"a.example", "b.example", "c.example:81", "A.Example:80"})
 	paths := rapid.StringMatching(`(/|/[ab]{0,2}){0,5}`)
 	rapid.Check(t, func(t *rapid.T) {
 		configuration := &Configuration{}
-		taken := make(map[place]bool)
+		used := make(map[routeKey]bool)
 		for range rapid.IntRange(0, 12).Draw(t, "routes") {
 			host := CanonicalHost(hosts.Draw(t, "host"))
 			prefix := paths.Draw(t, "prefix") + "/"
-			if taken[place{host, prefix}] {
+			if used[routeKey{host, prefix}] {
 				continue
 			}
-			taken[place{host, prefix}] = true
+			used[routeKey{host, prefix}] = true
 			configuration.Routes = append(configuration.Routes, Route{Host: host, PathPrefix: prefix})
 		}
 		table := NewTable(configuration)
 		for range 10 {
-			host, path := hosts.Draw(t, "asked host"), paths.Draw(t, "path")
+			host, path := hosts.Draw(t, "requested host"), paths.Draw(t, "path")
 			got, ok := table.Match(host, path)
-			want := scan(configuration.Routes, host, path)
+			want := matchByScan(configuration.Routes, host, path)
 			if got != want || ok != (want != nil) {
 				t.Fatalf("%s%s: got %+v, want %+v", host, path, got, want)
 			}
@@ -51,7 +51,7 @@
 	})
 }
 
-func TestMatch(t *testing.T) {
+func TestMatchLongestPrefix(t *testing.T) {
 	configuration := &Configuration{Routes: []Route{
 		{Name: "all", Host: "a.example", PathPrefix: "/"},
 		{Name: "deep", Host: "a.example", PathPrefix: "/x/y/"},
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestPick(t *testing.T) {
+func TestPickSkipsPoolsOfRatioZero(t *testing.T) {
 	route := Route{Weights: []Weight{{"none", 0}, {"a", 90}, {"b", 10}, {"never", 0}}}
 	cases := []struct {
 		random float64
@@ -115,7 +115,7 @@
 	assert.Equal(t, (&Route{}).Pick(0.5), "")
 }
 
-func TestPickKeepsTheWeights(t *testing.T) {
+func TestPickFollowsTheWeights(t *testing.T) {
 	const draws = 100000
 	route := Route{Weights: []Weight{{"a", 90}, {"b", 7}, {"c", 3}}}
 	random := rand.New(rand.NewPCG(1, 2))
@@ -130,8 +130,9 @@
 	}
 }
 
-// large gives a configuration of just below size bytes, and its number of routes.
-func large(size int) ([]byte, int) {
+// largeConfiguration returns a configuration of slightly less than size bytes and its
+// number of routes.
+func largeConfiguration(size int) ([]byte, int) {
 	var body bytes.Buffer
 	body.WriteString(`{"configRevision":7,"pools":[{"name":"p"},{"name":"q"}],"virtualServers":[`)
 	count := 0
@@ -148,8 +149,8 @@
 	return body.Bytes(), count
 }
 
-func TestParseReadsManyRoutes(t *testing.T) {
-	body, count := large(4 << 20)
+func TestParseLargeConfiguration(t *testing.T) {
+	body, count := largeConfiguration(4 << 20)
 	configuration, err := Parse(body)
 	assert.NilError(t, err)
 	assert.Equal(t, len(configuration.Routes), count)
@@ -160,7 +161,7 @@
 }
 
 func BenchmarkParse(b *testing.B) {
-	body, _ := large(4 << 20)
+	body, _ := largeConfiguration(4 << 20)
 	b.SetBytes(int64(len(body)))
 	for b.Loop() {
 		if _, err := Parse(body); err != nil {
@@ -170,7 +171,7 @@
 }
 
 func BenchmarkMatch(b *testing.B) {
-	body, _ := large(4 << 20)
+	body, _ := largeConfiguration(4 << 20)
 	configuration, err := Parse(body)
 	assert.NilError(b, err)
 	table := NewTable(configuration)
