--- a/internal/station/hashing/hashing.go
+++ b/internal/station/hashing/hashing.go
@@ -1,6 +1,6 @@
-// Package hashing ranks nodes for keys by rendezvous hashing: every process that knows
-// the same nodes picks the same ones, and a node that comes or goes moves only its own
-// share of the keys.
+// Package hashing ranks nodes for keys by rendezvous hashing. Processes that know the same
+// nodes select the same ones, and adding or removing a node moves only that node's share
+// of the keys. All processes must agree on the hashes, so they must never change.
 package hashing
 
 import (
@@ -11,21 +11,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sum64 is a steady 64-bit hash of a text.
+// Sum64 returns the xxHash64 of a text.
 func Sum64(text string) uint64 { return xxhash.Sum64String(text) }
 
-// Weight is what a node draws for a key. The highest weight ranks first.
+// Weight returns the rendezvous weight of a node for a key. The highest weight ranks
+// first.
 func Weight(key string, node uint64) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
-	var bytes [8]byte
-	binary.LittleEndian.PutUint64(bytes[:], node)
-	digest.Write(bytes[:])
+	var encodedNode [8]byte
+	binary.LittleEndian.PutUint64(encodedNode[:], node)
+	digest.Write(encodedNode[:])
 	digest.WriteString(key)
 	return digest.Sum64()
 }
 
-// Rank returns the nodes in the key's order, first choice first. It leaves its argument as it is.
+// Rank returns the nodes ordered by their weights for the key, highest first. It does not
+// modify nodes.
 func Rank[T any](key string, nodes []T, id func(T) uint64) []T {
 	ranked := slices.Clone(nodes)
 	slices.SortFunc(ranked, func(a, b T) int {
@@ -34,7 +36,7 @@
 	return ranked
 }
 
-// Partition is which of so many partitions a key belongs to.
+// Partition returns the partition of a key among a number of partitions.
 func Partition(key string, partitions int) int {
 	return int(Sum64(key) % uint64(partitions))
 }
--- a/internal/station/journal/journal.go
+++ b/internal/station/journal/journal.go
@@ -1,5 +1,5 @@
-// Package journal sets up the log of a tier process: klog's calls become JSON
-// lines, one a line, and lines that could come in floods are held back by key.
+// Package journal sets up the log of a tier process. It writes klog's records as
+// JSON, one per line, and limits the rate of repeated log lines by key.
 package journal
 
 import (
@@ -11,20 +11,20 @@
 	"k8s.io/klog/v2"
 )
 
-// The keys that every line carries beside time, level and msg.
+// Keys in every line besides time, level and msg.
 const (
-	// NodeKey names the node that wrote the line.
+	// NodeKey is the key of the node that wrote the line.
 	NodeKey = "node"
-	// RoleKey names the role that the node has in the tier.
+	// RoleKey is the key of the node's role in the tier.
 	RoleKey = "role"
 )
 
-// Start makes klog write JSON lines to w from a level on. Each line has the
-// fields time, level, msg, node and role, then its own key-values; an error
-// given to klog.ErrorS stands under err. A level below slog.LevelInfo also
-// lets klog.V lines through, to the verbosity -level. Each line is one Write.
+// Start makes klog write JSON lines of at least the given level to w. Each line
+// has the fields time, level, msg, node and role, followed by its own key-values;
+// an error passed to klog.ErrorS has the key err. A level below slog.LevelInfo
+// also enables klog.V lines up to verbosity -level. Each line is one Write.
 //
-// Start isn't safe beside logging calls: a process calls it first.
+// Start is not safe for use concurrently with logging; a process calls it first.
 func Start(w io.Writer, node, role string, level slog.Level) {
 	handler := slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level})
 	logger := slog.New(handler).With(NodeKey, node, RoleKey, role)
@@ -33,13 +33,13 @@
 	klog.SetSlogLogger(logger)
 }
 
-// setVerbosity gives klog the verbosity that a level stands for, through a
-// flag set of its own, so that the program's flags aren't touched.
+// setVerbosity sets klog's verbosity according to a level. It uses a separate
+// flag set, so that the program's flags are not changed.
 func setVerbosity(level slog.Level) {
 	verbosity := max(0, -int(level))
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
 	if err := flags.Set("v", strconv.Itoa(verbosity)); err != nil {
-		panic(err) // klog always has the flag, and takes any number
+		panic(err) // klog always has the flag and accepts any number
 	}
 }
--- a/internal/station/journal/journal_test.go
+++ b/internal/station/journal/journal_test.go
@@ -17,8 +17,8 @@
 	"pipitmux/internal/station/journal"
 )
 
-// line is what the tests read of a line.
-type line struct {
+// logLine is a parsed log line.
+type logLine struct {
 	Time  time.Time
 	Level string
 	Msg   string
@@ -28,40 +28,40 @@
 	Port  int
 }
 
-// start starts a journal for a test and returns what was written so far.
-func start(t *testing.T, level slog.Level) func() []line {
+// startLog starts the log for a test and returns a function that reads its lines.
+func startLog(t *testing.T, level slog.Level) func() []logLine {
 	t.Helper()
 	state := klog.CaptureState()
 	t.Cleanup(state.Restore)
 	var written bytes.Buffer
 	journal.Start(&written, "edge-a-1", "edge", level)
-	return func() []line { return parse(t, written.String()) }
+	return func() []logLine { return parse(t, written.String()) }
 }
 
-func parse(t *testing.T, text string) []line {
+func parse(t *testing.T, content string) []logLine {
 	t.Helper()
-	var lines []line
-	for one := range strings.Lines(text) {
-		var parsed line
-		assert.NilError(t, json.Unmarshal([]byte(one), &parsed), "line %q", one)
+	var lines []logLine
+	for text := range strings.Lines(content) {
+		var parsed logLine
+		assert.NilError(t, json.Unmarshal([]byte(text), &parsed), "line %q", text)
 		lines = append(lines, parsed)
 	}
 	return lines
 }
 
-func TestInfoLine(t *testing.T) {
-	lines := start(t, slog.LevelInfo)
+func TestInfoLineHasNodeRoleAndKeys(t *testing.T) {
+	lines := startLog(t, slog.LevelInfo)
 	before := time.Now()
 	klog.InfoS("Listening", "port", 7380)
 	got := lines()
 	assert.Equal(t, len(got), 1)
 	assert.Assert(t, !got[0].Time.Before(before.Truncate(0)), "time %v", got[0].Time)
 	got[0].Time = time.Time{}
-	assert.Equal(t, got[0], line{Level: "INFO", Msg: "Listening", Node: "edge-a-1", Role: "edge", Port: 7380})
+	assert.Equal(t, got[0], logLine{Level: "INFO", Msg: "Listening", Node: "edge-a-1", Role: "edge", Port: 7380})
 }
 
-func TestErrorLine(t *testing.T) {
-	lines := start(t, slog.LevelInfo)
+func TestErrorLineHasErr(t *testing.T) {
+	lines := startLog(t, slog.LevelInfo)
 	klog.ErrorS(errors.New("refused"), "Dial failed", "port", 1)
 	got := lines()
 	assert.Equal(t, len(got), 1)
@@ -70,15 +70,15 @@
 	assert.Equal(t, got[0].Msg, "Dial failed")
 }
 
-func TestOneLineHoldsLineBreaks(t *testing.T) {
-	lines := start(t, slog.LevelInfo)
+func TestMessageWithLineBreakStaysOneLine(t *testing.T) {
+	lines := startLog(t, slog.LevelInfo)
 	klog.InfoS("two\nlines")
 	got := lines()
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].Msg, "two\nlines")
 }
 
-func TestLevels(t *testing.T) {
+func TestLevelFiltersLines(t *testing.T) {
 	cases := []struct {
 		level slog.Level
 		want  []string
@@ -89,30 +89,30 @@
 	}
 	for _, c := range cases {
 		t.Run(c.level.String(), func(t *testing.T) {
-			lines := start(t, c.level)
+			lines := startLog(t, c.level)
 			klog.ErrorS(nil, "error")
 			klog.InfoS("info")
 			klog.V(4).InfoS("verbose 4")
 			klog.V(5).InfoS("verbose 5")
 			var got []string
-			for _, one := range lines() {
-				got = append(got, one.Msg)
+			for _, line := range lines() {
+				got = append(got, line.Msg)
 			}
 			assert.DeepEqual(t, got, c.want)
 		})
 	}
 }
 
-// clock is a time that a test moves.
+// clock is a clock that the test advances.
 type clock struct{ at time.Time }
 
 func (c *clock) now() time.Time { return c.at }
 
 func newClock() *clock { return &clock{at: time.Unix(1_000_000, 0)} }
 
-func TestEveryCountsWhatIsLeftOut(t *testing.T) {
-	at := newClock()
-	limiter := journal.NewLimiter(at.now)
+func TestAllowCountsSuppressedLines(t *testing.T) {
+	clock := newClock()
+	limiter := journal.NewLimiter(clock.now)
 	skipped, ok := limiter.Allow("dial", time.Second)
 	assert.Assert(t, ok)
 	assert.Equal(t, skipped, 0)
@@ -121,63 +121,63 @@
 		assert.Assert(t, !ok)
 	}
 	_, ok = limiter.Allow("other", time.Second)
-	assert.Assert(t, ok, "another key has its own interval")
-	at.at = at.at.Add(time.Second - 1)
+	assert.Assert(t, ok, "another key must have its own interval")
+	clock.at = clock.at.Add(time.Second - 1)
 	_, ok = limiter.Allow("dial", time.Second)
 	assert.Assert(t, !ok)
-	at.at = at.at.Add(1)
+	clock.at = clock.at.Add(1)
 	skipped, ok = limiter.Allow("dial", time.Second)
 	assert.Assert(t, ok)
 	assert.Equal(t, skipped, 4)
 }
 
-func TestEveryBoundsItsKeys(t *testing.T) {
-	at := newClock()
-	limiter := journal.NewLimiter(at.now)
-	passed := 0
+func TestAllowBoundsItsKeys(t *testing.T) {
+	clock := newClock()
+	limiter := journal.NewLimiter(clock.now)
+	allowed := 0
 	for i := range 3 * journal.MaxKeys {
 		if _, ok := limiter.Allow(strconv.Itoa(i), time.Minute); ok {
-			passed++
+			allowed++
 		}
 	}
-	assert.Equal(t, passed, journal.MaxKeys+1, "keys beyond the bound are limited together")
-	at.at = at.at.Add(time.Minute)
+	assert.Equal(t, allowed, journal.MaxKeys+1, "keys beyond the bound must be limited together")
+	clock.at = clock.at.Add(time.Minute)
 	skipped, ok := limiter.Allow("fresh", time.Minute)
-	assert.Assert(t, ok, "keys whose interval is over make room")
+	assert.Assert(t, ok, "keys whose interval has ended must be removed")
 	assert.Equal(t, skipped, 0)
 	skipped, ok = limiter.Allow("fresh", time.Minute)
 	assert.Assert(t, !ok)
 	assert.Equal(t, skipped, 0)
 }
 
-func TestEveryUnderConcurrency(t *testing.T) {
+func TestAllowIsSafeForConcurrentUse(t *testing.T) {
 	const callers, calls = 8, 100
-	at := newClock()
-	limiter := journal.NewLimiter(at.now)
-	var passed [callers]int
+	clock := newClock()
+	limiter := journal.NewLimiter(clock.now)
+	var allowed [callers]int
 	var group sync.WaitGroup
 	for caller := range callers {
 		group.Go(func() {
 			for range calls {
 				if _, ok := limiter.Allow("one", time.Second); ok {
-					passed[caller]++
+					allowed[caller]++
 				}
 			}
 		})
 	}
 	group.Wait()
 	total := 0
-	for _, n := range passed {
+	for _, n := range allowed {
 		total += n
 	}
 	assert.Equal(t, total, 1)
-	at.at = at.at.Add(time.Second)
+	clock.at = clock.at.Add(time.Second)
 	skipped, ok := limiter.Allow("one", time.Second)
 	assert.Assert(t, ok)
 	assert.Equal(t, skipped, callers*calls-1)
 }
 
-func TestProcessLimiter(t *testing.T) {
+func TestProcessLimiterSuppressesRepeats(t *testing.T) {
 	key := t.Name()
 	_, ok := journal.Allow(key, time.Hour)
 	assert.Assert(t, ok)
--- a/internal/station/journal/logger.go
+++ b/internal/station/journal/logger.go
@@ -7,6 +7,5 @@
 	"k8s.io/klog/v2"
 )
 
-// Logger returns a logger whose lines take the same way as klog's, for packages that are
-// handed one.
+// Logger returns a logger that writes to klog, for packages that need a slog.Logger.
 func Logger() *slog.Logger { return slog.New(logr.ToSlogHandler(klog.Background())) }
--- a/internal/station/matcher/handler.go
+++ b/internal/station/matcher/handler.go
@@ -7,15 +7,15 @@
 	"github.com/go-faster/errors"
 )
 
-// Handler answers an HTTP call whose path has these named segments.
+// Handler handles an HTTP request. The values are the named segments of its path.
 type Handler func(response http.ResponseWriter, request *http.Request, values Values)
 
-// ErrorHandler answers an HTTP call that no pattern has, with status 404 or 405.
+// ErrorHandler responds to a request without a handler, with status 404 or 405.
 type ErrorHandler func(response http.ResponseWriter, status int, err error)
 
-// Serve makes an http.Handler of a tree. An answer of status 405 has the header Allow
-// set before refuse is called.
-func Serve(tree *Tree[Handler], refuse ErrorHandler) http.Handler {
+// Serve returns an http.Handler for a tree. For status 405 it sets the header Allow before
+// it calls handleError.
+func Serve(tree *Tree[Handler], handleError ErrorHandler) http.Handler {
 	return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		handler, values, err := tree.Match(request.Method, request.URL.EscapedPath())
 		if err == nil {
@@ -23,10 +23,10 @@
 			return
 		}
 		status := http.StatusNotFound
-		if wrong, ok := errors.Into[*MethodError](err); ok {
+		if methodError, ok := errors.Into[*MethodError](err); ok {
 			status = http.StatusMethodNotAllowed
-			response.Header().Set("Allow", strings.Join(wrong.Allowed, ", "))
+			response.Header().Set("Allow", strings.Join(methodError.Allowed, ", "))
 		}
-		refuse(response, status, err)
+		handleError(response, status, err)
 	})
 }
--- a/internal/station/matcher/matcher.go
+++ b/internal/station/matcher/matcher.go
@@ -1,7 +1,7 @@
-// Package matcher finds the handler of an HTTP call by its method and path. Its tree
-// has a node for each segment of a path, which matches a literal text or any one
-// segment by name, and each node has the handlers of its methods. It knows nothing of
-// connections: what a handler is, the caller says.
+// Package matcher finds the handler of an HTTP request by method and path. Its tree has a
+// node for each path segment. A node matches a literal segment, or any segment as a named
+// value, and holds the handlers by method. The package does not depend on connections;
+// the caller chooses the handler type.
 package matcher
 
 import (
@@ -12,38 +12,42 @@
 	"github.com/go-faster/errors"
 )
 
-// Failures of Match.
+// Errors of Match.
 var (
-	// ErrNotFound says that no pattern has the path: status 404.
+	// ErrNotFound means that no pattern matches the path: status 404.
 	ErrNotFound = errors.New("no such path")
-	// ErrMethod says that the path exists, but not with the method: status 405.
+	// ErrMethod means that the path exists, but not with the method: status 405.
 	ErrMethod = errors.New("method not allowed")
 )
 
-// ErrPattern is found in each failure of Add.
+// ErrPattern matches every error of Add.
 var ErrPattern = errors.New("pattern cannot be added")
 
-// MethodError is an ErrMethod with the methods that the path has.
+// MethodError is an ErrMethod with the methods that the path allows.
 type MethodError struct {
-	Allowed []string // in order of the alphabet
+	Allowed []string // sorted
 }
 
-// Error gives the allowed methods.
+// Error returns a message with the allowed methods.
 func (e *MethodError) Error() string {
 	return ErrMethod.Error() + ", allowed: " + strings.Join(e.Allowed, ", ")
 }
 
-// Is makes it an ErrMethod.
+// Is reports whether target is ErrMethod.
 func (e *MethodError) Is(target error) bool { return target == ErrMethod }
 
-// Values are the named segments of a path.
+// Values holds the named segments of a path.
 type Values struct {
 	pairs []pair
 }
 
-type pair struct{ name, value string }
+// pair is a named segment and its decoded value.
+type pair struct {
+	name  string
+	value string
+}
 
-// Get returns the value of a name, decoded, or nothing where the pattern has no such name.
+// Get returns the decoded value of a name, or "" if the pattern does not have the name.
 func (v Values) Get(name string) string {
 	for _, pair := range v.pairs {
 		if pair.name == name {
@@ -53,23 +57,23 @@
 	return ""
 }
 
-// Tree holds handlers of type H. The zero Tree is empty and ready for Add; once all is
-// added, any number of goroutines may call Match.
+// Tree holds handlers of type H. The zero Tree is empty and ready to use. After the last
+// Add, any number of goroutines may call Match.
 type Tree[H any] struct {
 	root node[H]
 }
 
-// node stands for the path down to one segment.
+// node represents the path up to one segment.
 type node[H any] struct {
 	literals map[string]*node[H]
-	named    *node[H] // matches each segment that is no literal's, nil: none
-	name     string   // of named
+	named    *node[H] // matches every segment without a literal, nil: none
+	name     string   // name of the segment that named matches
 	methods  map[string]H
 }
 
-// Add puts a handler under a method and a pattern such as /api/Retire.Show/{node}. It
-// fails with ErrPattern where the pattern is malformed, is there already with the
-// method, or names a segment otherwise than another pattern does.
+// Add registers a handler for a method and a pattern such as /api/Retire.Show/{node}. It
+// fails with ErrPattern if the pattern is malformed, is already registered with the method,
+// or gives a segment another name than a registered pattern.
 func (t *Tree[H]) Add(method, pattern string, handler H) error {
 	segments, ok := split(pattern)
 	if !ok || method == "" {
@@ -83,8 +87,8 @@
 		}
 		at = next
 	}
-	if _, taken := at.methods[method]; taken {
-		return errors.Wrapf(ErrPattern, "%s %s: is there already", method, pattern)
+	if _, registered := at.methods[method]; registered {
+		return errors.Wrapf(ErrPattern, "%s %s: already registered", method, pattern)
 	}
 	if at.methods == nil {
 		at.methods = make(map[string]H)
@@ -93,14 +97,14 @@
 	return nil
 }
 
-// child returns the node of a pattern's segment, which is made where it is not there.
+// child returns the node of a pattern's segment and creates it if necessary.
 func (n *node[H]) child(segment string) (*node[H], error) {
 	name, isNamed := nameOf(segment)
 	switch {
 	case segment == "" || isNamed && name == "":
 		return nil, errors.Wrap(ErrPattern, "empty segment")
 	case isNamed && n.named != nil && n.name != name:
-		return nil, errors.Wrapf(ErrPattern, "segment %q is named %q already", name, n.name)
+		return nil, errors.Wrapf(ErrPattern, "segment %q is already named %q", name, n.name)
 	case isNamed:
 		if n.named == nil {
 			n.named, n.name = new(node[H]), name
@@ -116,13 +120,13 @@
 	return n.literals[segment], nil
 }
 
-// Match returns the handler of a call and the values of the pattern's names. The path
-// is in its escaped form and without query. A literal goes before a name. Its failures
-// are ErrNotFound and *MethodError.
+// Match returns the handler of a request and the values of the named segments. The path
+// must be escaped and without query. Literals take precedence over names. Its errors are
+// ErrNotFound and *MethodError.
 func (t *Tree[H]) Match(method, path string) (H, Values, error) {
 	search := search[H]{method: method}
 	segments, ok := split(path)
-	if ok && search.down(&t.root, segments, nil) {
+	if ok && search.descend(&t.root, segments, nil) {
 		return search.handler, search.values, nil
 	}
 	var none H
@@ -133,34 +137,34 @@
 	return none, Values{}, &MethodError{Allowed: slices.Compact(search.allowed)}
 }
 
-// search is one walk down the tree.
+// search is the state of one Match.
 type search[H any] struct {
 	method  string
 	handler H
 	values  Values
-	allowed []string // methods of the nodes that had the path, but not the method
+	allowed []string // methods of the nodes that match the path but not the method
 }
 
-// down tells whether a node below has the rest of the path with the method.
-func (s *search[H]) down(at *node[H], segments []string, pairs []pair) bool {
+// descend reports whether a node below matches the remaining segments and the method.
+func (s *search[H]) descend(at *node[H], segments []string, pairs []pair) bool {
 	if len(segments) == 0 {
-		return s.take(at, pairs)
+		return s.finish(at, pairs)
 	}
 	segment, ok := decode(segments[0])
 	if !ok {
 		return false
 	}
-	if next := at.literals[segment]; next != nil && s.down(next, segments[1:], pairs) {
+	if next := at.literals[segment]; next != nil && s.descend(next, segments[1:], pairs) {
 		return true
 	}
 	if at.named == nil {
 		return false
 	}
-	return s.down(at.named, segments[1:], append(pairs, pair{name: at.name, value: segment}))
+	return s.descend(at.named, segments[1:], append(pairs, pair{name: at.name, value: segment}))
 }
 
-// take ends the walk at a node that has the whole path.
-func (s *search[H]) take(at *node[H], pairs []pair) bool {
+// finish looks up the method at a node that matches the whole path.
+func (s *search[H]) finish(at *node[H], pairs []pair) bool {
 	handler, ok := at.methods[s.method]
 	if !ok {
 		for method := range at.methods {
@@ -172,7 +176,7 @@
 	return true
 }
 
-// split gives the segments of a path; the path / has none.
+// split returns the segments of a path. The path / has none.
 func split(path string) ([]string, bool) {
 	rest, ok := strings.CutPrefix(path, "/")
 	if !ok {
@@ -184,13 +188,13 @@
 	return strings.Split(rest, "/"), true
 }
 
-// decode undoes a segment's escapes. An empty segment matches nothing.
+// decode unescapes a segment. It returns false for an invalid or empty segment.
 func decode(segment string) (string, bool) {
 	text, err := url.PathUnescape(segment)
 	return text, err == nil && text != ""
 }
 
-// nameOf returns the name of a segment such as {node}.
+// nameOf returns the name in a segment such as {node}.
 func nameOf(segment string) (string, bool) {
 	rest, opened := strings.CutPrefix(segment, "{")
 	name, closed := strings.CutSuffix(rest, "}")
--- a/internal/station/matcher/matcher_test.go
+++ b/internal/station/matcher/matcher_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// operators is a tree whose handlers are the names of calls.
-func operators(t *testing.T) *Tree[string] {
+// testTree returns a tree whose handlers are strings.
+func testTree(t *testing.T) *Tree[string] {
 	t.Helper()
 	tree := new(Tree[string])
 	assert.NilError(t, tree.Add("POST", "/api/Configuration.Replace", "replace"))
@@ -25,7 +25,7 @@
 	return tree
 }
 
-func TestMatch(t *testing.T) {
+func TestMatchFindsHandlerAndValues(t *testing.T) {
 	cases := []struct{ method, path, handler, node, kind string }{
 		{"POST", "/api/Configuration.Replace", "replace", "", ""},
 		{"GET", "/api/Configuration.Show", "show", "", ""},
@@ -38,7 +38,7 @@
 		{"GET", "/api/Retire.Show/of/n-1", "kind", "n-1", "Retire.Show"},
 		{"GET", "/", "root", "", ""},
 	}
-	tree := operators(t)
+	tree := testTree(t)
 	for _, c := range cases {
 		t.Run(c.method+" "+c.path, func(t *testing.T) {
 			handler, values, err := tree.Match(c.method, c.path)
@@ -50,8 +50,8 @@
 	}
 }
 
-func TestMatchNotFound(t *testing.T) {
-	tree := operators(t)
+func TestMatchRejectsUnknownPaths(t *testing.T) {
+	tree := testTree(t)
 	paths := []string{
 		"", "*", "api/Configuration.Show", "/api", "/api/", "//", "/api//Configuration.Show",
 		"/api/Configuration.Show/", "/api/configuration.show", "/api/Retire.Begin", "/api/Retire.Begin/",
@@ -66,7 +66,7 @@
 	assert.ErrorIs(t, err, ErrNotFound)
 }
 
-func TestMatchWrongMethod(t *testing.T) {
+func TestMatchReportsAllowedMethods(t *testing.T) {
 	cases := []struct {
 		method, path string
 		allowed      []string
@@ -77,17 +77,17 @@
 		{"PUT", "/api/Retire.Show/n-1", []string{"DELETE", "GET"}},
 		{"PUT", "/api/Retire.Show/all", []string{"DELETE", "GET"}},
 	}
-	tree := operators(t)
+	tree := testTree(t)
 	for _, c := range cases {
 		_, _, err := tree.Match(c.method, c.path)
 		assert.ErrorIs(t, err, ErrMethod)
-		wrong, ok := errors.Into[*MethodError](err)
+		methodError, ok := errors.Into[*MethodError](err)
 		assert.Assert(t, ok)
-		assert.DeepEqual(t, wrong.Allowed, c.allowed)
+		assert.DeepEqual(t, methodError.Allowed, c.allowed)
 	}
 }
 
-func TestAddRefuses(t *testing.T) {
+func TestAddRejectsInvalidPatterns(t *testing.T) {
 	cases := []struct{ method, pattern string }{
 		{"", "/x"},
 		{"GET", ""},
@@ -98,13 +98,13 @@
 		{"GET", "/api/Configuration.Show"},
 		{"GET", "/api/Retire.Show/{member}"},
 	}
-	tree := operators(t)
+	tree := testTree(t)
 	for _, c := range cases {
 		assert.ErrorIs(t, tree.Add(c.method, c.pattern, "x"), ErrPattern, "%s %s", c.method, c.pattern)
 	}
 }
 
-func TestServe(t *testing.T) {
+func TestServeRespondsWithStatusAndAllow(t *testing.T) {
 	tree := new(Tree[Handler])
 	assert.NilError(t, tree.Add("GET", "/x/{node}", func(w http.ResponseWriter, _ *http.Request, values Values) {
 		fmt.Fprint(w, values.Get("node"))
--- a/internal/station/patch/patch.go
+++ b/internal/station/patch/patch.go
@@ -1,7 +1,7 @@
-// Package patch writes a body as its difference to another one that the receiver has, and
-// reads it back byte for byte. A body that differs little takes some hundred bytes, however
-// long both are: it is compressed by Zstandard with the base as its dictionary (RFC 8878).
-// Without a base the body is compressed alone.
+// Package patch encodes a body as its difference to a base that the receiver has, and
+// restores it byte for byte. It compresses the body with Zstandard and uses the base as the
+// dictionary (RFC 8878). A body that differs little from its base takes some hundred bytes,
+// however long both are. Without a base the body is compressed alone.
 package patch
 
 import (
@@ -14,34 +14,35 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// MaxBodyBytes bounds what a patch may hold, in bytes. Make refuses more, and Apply stops there
-// whatever a patch says of itself.
+// MaxBodyBytes limits the length of the body. Make rejects a longer one, and Apply does not
+// exceed it, whatever length a patch states.
 const MaxBodyBytes = 64 << 20
 
-// Failures that errors.Is finds.
+// Errors of Make and Apply, matched with errors.Is.
 var (
-	// ErrBase: the patch was made for another base than the one at hand.
+	// ErrBase means that the patch was made for another base.
 	ErrBase = errors.New("the patch is for another base")
-	// ErrDamaged: the patch is cut short or its bytes are not what Make wrote.
+	// ErrDamaged means that the patch is truncated or not written by Make.
 	ErrDamaged = errors.New("the patch is damaged")
-	// ErrTooLong: the body is longer than MaxBody.
+	// ErrTooLong means that the body or the base is longer than MaxBodyBytes.
 	ErrTooLong = errors.New("the body is too long for a patch")
 )
 
-// A patch is a header and a Zstandard frame. The header holds the body's length and the
-// fingerprints of base and body.
+// A patch consists of a header and a Zstandard frame. The header holds the length of the body
+// (4 bytes, big-endian) and the fingerprints of base and body.
 const (
 	fingerprintBytes = 16
 	headerBytes      = 4 + 2*fingerprintBytes
-	// dictionary names the base in the frame; there is never another.
-	dictionary = 1
-	// The window has to reach back over body and base.
-	windowLeast = 1 << 16
-	windowMost  = 2 * MaxBodyBytes
-	// spareBytes is what reading may hold beyond the length that a patch tells.
-	spareBytes = 1 << 10
+	// dictionaryID identifies the base in the frame. There is never more than one.
+	dictionaryID = 1
+	// The window must cover body and base.
+	minWindow = 1 << 16
+	maxWindow = 2 * MaxBodyBytes
+	// decoderSpareBytes is the decoder's memory beyond the stated length of the body.
+	decoderSpareBytes = 1 << 10
 )
 
+// fingerprint is the first part of a SHA-256 digest.
 type fingerprint [fingerprintBytes]byte
 
 func fingerprintOf(text []byte) fingerprint {
@@ -49,7 +50,8 @@
 	return fingerprint(sum[:fingerprintBytes])
 }
 
-// Make writes the body as its difference to base, which may be empty. Fails with ErrTooLong.
+// Make returns a patch that restores body from base, which may be empty. It fails with
+// ErrTooLong.
 func Make(base, body []byte) ([]byte, error) {
 	if len(body) > MaxBodyBytes || len(base) > MaxBodyBytes {
 		return nil, ErrTooLong
@@ -59,7 +61,7 @@
 		zstd.WithEncoderLevel(level(len(base) + len(body))),
 	}
 	if len(base) > 0 {
-		options = append(options, zstd.WithEncoderDictRaw(dictionary, base))
+		options = append(options, zstd.WithEncoderDictRaw(dictionaryID, base))
 	}
 	encoder, err := zstd.NewWriter(nil, options...)
 	if err != nil {
@@ -73,29 +75,31 @@
 	return encoder.EncodeAll(body, out), nil
 }
 
-// From these spans on, in bytes, the tables of a higher level are worth their making.
+// Total lengths of base and body, in bytes, from which a higher compression level is worth the
+// cost of its tables.
 const (
-	middleSpan = 1 << 18
-	longSpan   = 1 << 20
+	defaultLevelBytes = 1 << 18
+	betterLevelBytes  = 1 << 20
 )
 
-func level(span int) zstd.EncoderLevel {
+// level returns the compression level for a total length of base and body.
+func level(totalBytes int) zstd.EncoderLevel {
 	switch {
-	case span < middleSpan:
+	case totalBytes < defaultLevelBytes:
 		return zstd.SpeedFastest
-	case span < longSpan:
+	case totalBytes < betterLevelBytes:
 		return zstd.SpeedDefault
 	}
 	return zstd.SpeedBetterCompression
 }
 
-// window is the smallest that reaches over so many bytes.
-func window(span int) int {
-	return min(max(1<<bits.Len(uint(span)), windowLeast), windowMost)
+// window returns the smallest window that covers a number of bytes.
+func window(totalBytes int) int {
+	return min(max(1<<bits.Len(uint(totalBytes)), minWindow), maxWindow)
 }
 
-// Apply gives the body that a patch was made from. Fails with ErrBase or ErrDamaged; nothing
-// longer than what the patch's header says is ever held, and that is MaxBody at most.
+// Apply returns the body that a patch restores from base. It fails with ErrBase or ErrDamaged.
+// It never holds a body longer than the patch's header states, and at most MaxBodyBytes.
 func Apply(base, patch []byte) ([]byte, error) {
 	if len(patch) < headerBytes {
 		return nil, ErrDamaged
@@ -105,14 +109,14 @@
 	if length > MaxBodyBytes {
 		return nil, ErrDamaged
 	}
-	if held := fingerprintOf(base); !bytes.Equal(held[:], before) {
+	if actual := fingerprintOf(base); !bytes.Equal(actual[:], before) {
 		return nil, ErrBase
 	}
 	body, err := decode(base, patch[headerBytes:], int(length))
 	if err != nil {
 		return nil, errors.Wrap(ErrDamaged, err.Error())
 	}
-	if got := fingerprintOf(body); len(body) != int(length) || !bytes.Equal(got[:], after) {
+	if actual := fingerprintOf(body); len(body) != int(length) || !bytes.Equal(actual[:], after) {
 		return nil, ErrDamaged
 	}
 	return body, nil
@@ -120,10 +124,10 @@
 
 func decode(base, frame []byte, length int) ([]byte, error) {
 	options := []zstd.DOption{
-		zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(length + spareBytes)), zstd.WithDecoderMaxWindow(windowMost),
+		zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(length + decoderSpareBytes)), zstd.WithDecoderMaxWindow(maxWindow),
 	}
 	if len(base) > 0 {
-		options = append(options, zstd.WithDecoderDictRaw(dictionary, base))
+		options = append(options, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
 	decoder, err := zstd.NewReader(nil, options...)
 	if err != nil {
--- a/internal/station/patch/patch_test.go
+++ b/internal/station/patch/patch_test.go
@@ -11,7 +11,7 @@
 	"pipitmux/internal/station/scaletest"
 )
 
-func TestPatchGivesTheBodyBack(t *testing.T) {
+func TestPatchRestoresTheBody(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	noise := make([]byte, 70_000)
 	for i := range noise {
@@ -29,8 +29,8 @@
 	}
 }
 
-// One changed number takes the same few bytes in a body of ten routes and of ten thousand.
-func TestPatchOfOneChangeIsSmallWhateverTheSize(t *testing.T) {
+// The patch of one changed number must be small, whatever the number of routes.
+func TestPatchOfOneChangeIsSmallAtAnySize(t *testing.T) {
 	for _, routes := range []int{10, 300, 3000, 10_000} {
 		text, err := Make(scaletest.Configuration(7, routes), scaletest.Configuration(8, routes))
 		assert.NilError(t, err)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestPatchForAnotherBaseIsRefused(t *testing.T) {
+func TestPatchForAnotherBaseIsRejected(t *testing.T) {
 	base, body := scaletest.Configuration(1, 30), scaletest.Configuration(2, 30)
 	text, err := Make(base, body)
 	assert.NilError(t, err)
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestDamagedPatchIsRefused(t *testing.T) {
+func TestDamagedPatchIsRejected(t *testing.T) {
 	base, body := scaletest.Configuration(1, 30), scaletest.Configuration(2, 30)
 	text, err := Make(base, body)
 	assert.NilError(t, err)
@@ -57,29 +57,29 @@
 		assert.ErrorIs(t, err, ErrDamaged, "cut to %d bytes", length)
 	}
 	for at := range text {
-		spoiled := append([]byte(nil), text...)
-		spoiled[at] ^= 0x41
-		got, err := Apply(base, spoiled)
+		damaged := append([]byte(nil), text...)
+		damaged[at] ^= 0x41
+		got, err := Apply(base, damaged)
 		assert.Assert(t, err != nil && got == nil, "byte %d", at)
 	}
 }
 
-// What a patch says of its length bounds what reading it takes, and is bounded itself.
-func TestPatchThatLiesAboutItsLengthIsRefused(t *testing.T) {
+// The length that a patch states limits the memory to apply it, and is itself limited.
+func TestPatchWithFalseLengthIsRejected(t *testing.T) {
 	text, err := Make(nil, make([]byte, 1<<20))
 	assert.NilError(t, err)
 	for _, length := range []uint32{0, 10, 1<<20 - 1, 1<<20 + 1, MaxBodyBytes + 1, 1<<32 - 1} {
-		lying := append([]byte(nil), text...)
-		binary.BigEndian.PutUint32(lying, length)
-		_, err := Apply(nil, lying)
+		altered := append([]byte(nil), text...)
+		binary.BigEndian.PutUint32(altered, length)
+		_, err := Apply(nil, altered)
 		assert.ErrorIs(t, err, ErrDamaged, "%d", length)
 	}
 	_, err = Make(nil, make([]byte, MaxBodyBytes+1))
 	assert.ErrorIs(t, err, ErrTooLong)
 }
 
-// BenchmarkPatch is one changed revision of a configuration: what goes to each receiver, and
-// what making and reading it take. docs/performance.md.
+// BenchmarkPatch makes and applies the patch of one changed number in a configuration, and
+// reports its size. The figures are in docs/performance.md.
 func BenchmarkPatch(b *testing.B) {
 	for _, routes := range []int{10, 300, 3000, 10_000} {
 		base, body := scaletest.Configuration(7, routes), scaletest.Configuration(8, routes)
--- a/internal/station/platform/platform.go
+++ b/internal/station/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform asks the platform which servers exist.
+// Package platform lists the existing servers with the cloud platform's API.
 package platform
 
 import (
@@ -17,40 +17,45 @@
 )
 
 const (
-	// pagesMost bounds a listing that never ends, answerMost one page's bytes.
-	pagesMost  = 1000
-	answerMost = 8 << 20
-	// within bounds one call.
-	within = 900 * time.Millisecond
-	// idleFor is how long a connection to the platform rests before it is closed.
-	idleFor = 5 * time.Second
+	// maxPages ends a listing that would never end.
+	maxPages = 1000
+	// maxPageBytes limits the size of one page.
+	maxPageBytes = 8 << 20
+	// callTimeout limits one call.
+	callTimeout = 900 * time.Millisecond
+	// idleTimeout is how long an idle connection to the platform stays open.
+	idleTimeout = 5 * time.Second
 )
 
-// The platform's words for the state of a server.
+// stateDraining is the platform's name for the state of a draining server.
 const stateDraining = "draining"
 
-// StatusError is an answer other than 200.
+// StatusError reports a response status other than 200.
 type StatusError struct{ Status int }
 
-func (e *StatusError) Error() string { return "the platform answered " + http.StatusText(e.Status) }
+// Error returns a message with the status.
+func (e *StatusError) Error() string {
+	return "the platform responded with " + http.StatusText(e.Status)
+}
 
-// ErrTooManyPages tells of a listing that has more pages than any fleet needs.
-var ErrTooManyPages = errors.New("the platform's list has no end")
+// ErrTooManyPages means that a listing has more pages than any fleet needs.
+var ErrTooManyPages = errors.New("the platform's list has too many pages")
 
-// Client lists servers. Its zero value can't be used.
+// Client lists servers. New returns a usable Client; the zero value is not usable.
 type Client struct {
 	address string
 	client  http.Client
 }
 
-// New returns a Client of the platform at host:port.
+// New returns a Client for the platform at host:port.
 func New(address string) *Client {
-	dialer := net.Dialer{Timeout: within, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: callTimeout, KeepAlive: -1}
 	return &Client{address: address, client: http.Client{
-		Transport: &http.Transport{DialContext: dialer.DialContext, IdleConnTimeout: idleFor, MaxIdleConnsPerHost: 1, DisableCompression: true},
+		Transport: &http.Transport{DialContext: dialer.DialContext, IdleConnTimeout: idleTimeout, MaxIdleConnsPerHost: 1, DisableCompression: true},
 	}}
 }
 
+// member is a server in the platform's response.
 type member struct {
 	MemberID     string  `json:"memberId"`
 	PoolName     string  `json:"poolName"`
@@ -61,32 +66,34 @@
 	WarmupLeftMs float64 `json:"warmupLeftMs"`
 }
 
+// page is one page of the platform's response.
 type page struct {
 	Members   []member `json:"members"`
 	NextToken *string  `json:"nextToken"`
 }
 
-// List returns the servers of all services, by service and then by id.
+// List returns the servers of all services by service, sorted by id. It fails if any page
+// fails, because a partial list would remove servers.
 func (c *Client) List(ctx context.Context) (map[string][]protocol.Server, error) {
 	lists := map[string][]protocol.Server{}
 	token := ""
-	for range pagesMost {
-		p, err := c.page(ctx, token)
+	for range maxPages {
+		page, err := c.page(ctx, token)
 		if err != nil {
 			return nil, errors.Wrap(err, "list servers")
 		}
-		for _, m := range p.Members {
+		for _, m := range page.Members {
 			if m.MemberID != "" && m.Address != "" {
 				lists[m.PoolName] = append(lists[m.PoolName], m.server())
 			}
 		}
-		if p.NextToken == nil || *p.NextToken == "" {
-			for _, l := range lists {
-				slices.SortFunc(l, func(a, b protocol.Server) int { return strings.Compare(a.ID, b.ID) })
+		if page.NextToken == nil || *page.NextToken == "" {
+			for _, servers := range lists {
+				slices.SortFunc(servers, func(a, b protocol.Server) int { return strings.Compare(a.ID, b.ID) })
 			}
 			return lists, nil
 		}
-		token = *p.NextToken
+		token = *page.NextToken
 	}
 	return nil, ErrTooManyPages
 }
@@ -100,7 +107,7 @@
 }
 
 func (c *Client) page(ctx context.Context, token string) (*page, error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	target := url.URL{Scheme: "http", Host: c.address, Path: "/members"}
 	if token != "" {
@@ -118,10 +125,10 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, &StatusError{Status: response.StatusCode}
 	}
-	var p page
-	decoder := json.NewDecoder(http.MaxBytesReader(nil, response.Body, answerMost))
-	if err := decoder.Decode(&p); err != nil {
+	var received page
+	decoder := json.NewDecoder(http.MaxBytesReader(nil, response.Body, maxPageBytes))
+	if err := decoder.Decode(&received); err != nil {
 		return nil, errors.Wrap(err, "read page")
 	}
-	return &p, nil
+	return &received, nil
 }
--- a/internal/station/platform/platform_test.go
+++ b/internal/station/platform/platform_test.go
@@ -15,7 +15,7 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// serve answers as handle does, and returns a Client of it.
+// serve starts a server with a handler and returns a Client for it.
 func serve(t *testing.T, handle http.HandlerFunc) *Client {
 	t.Helper()
 	server := httptest.NewServer(handle)
@@ -23,8 +23,8 @@
 	return New(strings.TrimPrefix(server.URL, "http://"))
 }
 
-// pages answers with the page that the token asks for: "" is the first.
-func pages(t *testing.T, bodies map[string]string) *Client {
+// servePages serves pages by their tokens. The token of the first page is "".
+func servePages(t *testing.T, bodies map[string]string) *Client {
 	return serve(t, func(w http.ResponseWriter, r *http.Request) {
 		body, known := bodies[r.URL.Query().Get("pageToken")]
 		if r.URL.Path != "/members" || r.Method != http.MethodGet || !known {
@@ -36,14 +36,14 @@
 }
 
 func TestListReadsAllPages(t *testing.T) {
-	c := pages(t, map[string]string{
+	client := servePages(t, map[string]string{
 		"": `{"members":[
 			{"memberId":"b","poolName":"p","address":"h:2","zone":"z1","capacity":4,"memberState":"ready"},
 			{"memberId":"x","poolName":"q","address":"h:9","capacity":1,"memberState":"draining","warmupLeftMs":1500.5}],
 			"nextToken":"more & more"}`,
 		"more & more": `{"members":[{"memberId":"a","poolName":"p","address":"h:1","capacity":2}],"nextToken":null}`,
 	})
-	lists, err := c.List(t.Context())
+	lists, err := client.List(t.Context())
 	assert.NilError(t, err)
 	assert.DeepEqual(t, lists, map[string][]protocol.Server{
 		"p": {{ID: "a", Address: "h:1", Capacity: 2}, {ID: "b", Address: "h:2", Zone: "z1", Capacity: 4}},
@@ -51,66 +51,66 @@
 	})
 }
 
-func TestListEndsAtAnEmptyToken(t *testing.T) {
-	c := pages(t, map[string]string{"": `{"members":[],"nextToken":""}`})
-	lists, err := c.List(t.Context())
+func TestListEndsAtEmptyToken(t *testing.T) {
+	client := servePages(t, map[string]string{"": `{"members":[],"nextToken":""}`})
+	lists, err := client.List(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, len(lists), 0)
 }
 
-func TestListPassesOverWhatHasNoIdOrAddress(t *testing.T) {
-	c := pages(t, map[string]string{"": `{"members":[{"poolName":"p","address":"h:1"},{"memberId":"a","poolName":"p"}]}`})
-	lists, err := c.List(t.Context())
+func TestListSkipsServersWithoutIDOrAddress(t *testing.T) {
+	client := servePages(t, map[string]string{"": `{"members":[{"poolName":"p","address":"h:1"},{"memberId":"a","poolName":"p"}]}`})
+	lists, err := client.List(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, len(lists["p"]), 0)
 }
 
-// One page that fails fails the listing: half a list would take servers away.
-func TestListFailsAsAWhole(t *testing.T) {
-	c := pages(t, map[string]string{"": `{"members":[{"memberId":"a","poolName":"p","address":"h:1"}],"nextToken":"lost"}`})
-	lists, err := c.List(t.Context())
+// A failed page must fail the whole listing, because a partial list would remove servers.
+func TestListFailsIfOnePageFails(t *testing.T) {
+	client := servePages(t, map[string]string{"": `{"members":[{"memberId":"a","poolName":"p","address":"h:1"}],"nextToken":"lost"}`})
+	lists, err := client.List(t.Context())
 	var status *StatusError
 	assert.Assert(t, lists == nil)
 	assert.Assert(t, errors.As(err, &status), "%v", err)
 	assert.Equal(t, status.Status, http.StatusNotFound)
 }
 
-func TestListWithoutEndFails(t *testing.T) {
+func TestEndlessListingFails(t *testing.T) {
 	calls := 0
-	c := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+	client := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		calls++
 		fmt.Fprint(w, `{"members":[],"nextToken":"again"}`)
 	})
-	_, err := c.List(t.Context())
+	_, err := client.List(t.Context())
 	assert.ErrorIs(t, err, ErrTooManyPages)
-	assert.Equal(t, calls, pagesMost)
+	assert.Equal(t, calls, maxPages)
 }
 
-func TestListFailsOnWhatItCannotRead(t *testing.T) {
+func TestListRejectsInvalidPages(t *testing.T) {
 	for name, body := range map[string]string{
 		"no JSON":   `members`,
 		"cut short": `{"members":[{"memberId":"a"`,
-		"too long":  `{"members":[{"memberId":"` + strings.Repeat("a", answerMost) + `"}]}`,
+		"too long":  `{"members":[{"memberId":"` + strings.Repeat("a", maxPageBytes) + `"}]}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := pages(t, map[string]string{"": body})
-			_, err := c.List(t.Context())
+			client := servePages(t, map[string]string{"": body})
+			_, err := client.List(t.Context())
 			assert.ErrorContains(t, err, "read page")
 		})
 	}
 }
 
-func TestListEndsWithItsContext(t *testing.T) {
+func TestListIsCanceledByContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	c := serve(t, func(_ http.ResponseWriter, r *http.Request) {
+	client := serve(t, func(_ http.ResponseWriter, r *http.Request) {
 		cancel()
 		<-r.Context().Done()
 	})
-	_, err := c.List(ctx)
+	_, err := client.List(ctx)
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
-func TestListFailsWhereNobodyListens(t *testing.T) {
+func TestListFailsIfPlatformIsUnreachable(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	address := strings.TrimPrefix(server.URL, "http://")
 	server.Close()
--- a/internal/station/process/execute.go
+++ b/internal/station/process/execute.go
@@ -12,7 +12,8 @@
 	"pipitmux/internal/station/settings"
 )
 
-// Execute runs the command that the arguments name and returns the exit code.
+// Execute runs the command given by the arguments and returns the exit code. It reports an
+// invalid command line, settings file or configuration with ExitUsage.
 func Execute(parser *kong.Kong, args []string) int {
 	command, err := parser.Parse(args)
 	if err != nil {
@@ -20,16 +21,16 @@
 		return ExitUsage
 	}
 	err = command.Run()
-	var field *settings.FieldError
-	var invalid *routing.InvalidError
+	var settingsError *settings.FieldError
+	var configurationError *routing.InvalidError
 	switch {
 	case err == nil:
 		return 0
-	case errors.As(err, &field), errors.As(err, &invalid), errors.Is(err, ErrNoSettings):
+	case errors.As(err, &settingsError), errors.As(err, &configurationError), errors.Is(err, ErrNoSettings):
 		fmt.Fprintln(os.Stderr, err)
 		return ExitUsage
 	}
-	klog.ErrorS(err, "Ends")
+	klog.ErrorS(err, "Process failed")
 	fmt.Fprintln(os.Stderr, err)
 	return ExitFailed
 }
--- a/internal/station/process/process.go
+++ b/internal/station/process/process.go
@@ -1,5 +1,5 @@
-// Package process is what the start of every process of the tier has in common: its
-// settings, its limits and the signals that end it.
+// Package process holds the common startup of all tier processes: settings, resource limits,
+// logging and signals.
 package process
 
 import (
@@ -22,22 +22,24 @@
 
 // Exit codes of the programs.
 const (
-	ExitFailed = 1 // something broke
-	ExitUsage  = 2 // the command line or a file is at fault
+	ExitFailed = 1 // a failure at run time
+	ExitUsage  = 2 // invalid command line, settings or configuration
 )
 
-// memoryShare is the part of the memory limit at which the collector works harder, and
-// collectAt how much of what is in use may be added before it runs, in percent.
 const (
-	memoryShare = 0.7
-	collectAt   = 100
+	// softMemoryLimitShare is the share of the memory limit from which the garbage collector
+	// runs more often.
+	softMemoryLimitShare = 0.7
+	// gcPercent is how much the heap may grow before a collection, in percent of the live heap.
+	gcPercent = 100
 )
 
-// ErrNoSettings tells that the variable with the settings file's path isn't set.
+// ErrNoSettings means that the environment variable with the path of the settings file is
+// not set.
 var ErrNoSettings = errors.New(settings.PathVariable + " isn't set: it holds the path of the settings file")
 
-// Start reads the settings and takes the limits and the logs in hand. The context ends
-// with the signal that ends the process.
+// Start reads the settings, applies the resource limits and starts the log. The context is
+// canceled by SIGTERM and by an interrupt.
 func Start(level slog.Level) (*settings.Settings, context.Context, error) {
 	path := settings.Path()
 	if path == "" {
@@ -48,32 +50,32 @@
 		return nil, nil, err
 	}
 	runtime.GOMAXPROCS(max(s.Limits.CoreCount, 1))
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if s.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.Limits.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(softMemoryLimitShare * float64(s.Limits.MemoryMB) * (1 << 20)))
 	}
 	journal.Start(os.Stderr, s.NodeName, s.Role, level)
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	go heedReload(path)
+	go checkSettingsOnReload(path)
 	return s, ctx, nil
 }
 
-// heedReload reads the settings file again when told to. What is under way goes on; a
-// file that can't be used changes nothing, and the log names the key at fault.
-func heedReload(path string) {
-	told := make(chan os.Signal, 1)
-	signal.Notify(told, syscall.SIGHUP)
-	for range told {
+// checkSettingsOnReload validates the settings file on each SIGHUP. It does not disturb
+// running work. An invalid file changes nothing, and the log names the invalid key.
+func checkSettingsOnReload(path string) {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
+	for range signals {
 		if _, err := settings.Read(path); err != nil {
-			klog.ErrorS(err, "The changed settings can't be used; the earlier ones stay in force")
+			klog.ErrorS(err, "Changed settings are invalid; the previous settings stay in effect")
 			continue
 		}
-		klog.InfoS("The settings were read again; they take effect with the next start")
+		klog.InfoS("Changed settings are valid; they take effect at the next start")
 	}
 }
 
-// InternalSeeds gives the net/rpc addresses of the core nodes at the seeds: all machines
-// use the same ports.
+// InternalSeeds returns the net/rpc addresses of the core nodes at the seed nodes. All
+// machines use the same ports. The offset selects the role's port.
 func InternalSeeds(s *settings.Settings, offset int) []string {
 	var seeds []string
 	for _, seed := range s.SeedNodes {
@@ -84,7 +86,8 @@
 	return seeds
 }
 
-// InternalAddress is this machine's address for other processes of the tier.
+// InternalAddress returns this machine's net/rpc address for other processes of the tier.
+// The offset selects the role's port.
 func InternalAddress(s *settings.Settings, offset int) string {
 	return net.JoinHostPort(s.ManagementIP.String(), strconv.Itoa(s.InternalPortRange[0]+offset))
 }
--- a/internal/station/routing/configuration.go
+++ b/internal/station/routing/configuration.go
@@ -46,7 +46,7 @@
 	TargetLatency time.Duration // 0: not stated
 	Priority      int
 	Weights       []Weight      // at least one, with a sum greater than 0
-	RetryLimit    int           // servers that one request may be sent to; 0 is accepted as stated
+	RetryLimit    int           // servers that one request may be sent to; 0 has the effect of 1
 	Retained      bool          // responses are stored
 	Retention     time.Duration // how long responses are stored if Retained
 	Persistence   bool          // requests of a client go to the same server
--- a/internal/station/scaletest/scaletest.go
+++ b/internal/station/scaletest/scaletest.go
@@ -1,6 +1,5 @@
-// Package scaletest makes the messages and states of a tier of any size, for benchmarks
-// whose figures stand in docs/CAPACITY.md. It is for tests only. What it makes is the
-// same each time.
+// Package scaletest generates messages and states of a tier of any size, for benchmarks
+// whose figures are in docs/CAPACITY.md. It is for tests only. Its output is deterministic.
 package scaletest
 
 import (
@@ -12,18 +11,18 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// ServiceCount is how many services, each with servers of its own, the tier has.
+// ServiceCount is the number of services of the tier, each with its own servers.
 const ServiceCount = 5
 
-// zones is over how many zones servers and nodes are spread.
-const zones = 15
+// zoneCount is the number of zones that servers and nodes are distributed over.
+const zoneCount = 15
 
-// Service names one of the Models.
+// Service returns the name of a service.
 func Service(i int) string { return fmt.Sprintf("model-%d", i%ServiceCount) }
 
-func zone(i int) string { return fmt.Sprintf("region-%d-zone-%d", i%zones%7, i%zones) }
+func zone(i int) string { return fmt.Sprintf("region-%d-zone-%d", i%zoneCount%7, i%zoneCount) }
 
-// Servers makes the servers of one service.
+// Servers returns the servers of one service.
 func Servers(count int) []protocol.Server {
 	servers := make([]protocol.Server, count)
 	for i := range servers {
@@ -34,46 +33,46 @@
 	return servers
 }
 
-// Lists spreads so many servers over the Models.
+// Lists returns server lists with count servers, distributed over all services.
 func Lists(count int) []protocol.ServerList {
 	var lists []protocol.ServerList
-	for model := range ServiceCount {
-		own := count / ServiceCount
-		if model < count%ServiceCount {
-			own++
+	for service := range ServiceCount {
+		serverCount := count / ServiceCount
+		if service < count%ServiceCount {
+			serverCount++
 		}
-		lists = append(lists, protocol.ServerList{Service: Service(model), Version: 7, Servers: Servers(own)})
+		lists = append(lists, protocol.ServerList{Service: Service(service), Version: 7, Servers: Servers(serverCount)})
 	}
 	return lists
 }
 
-// Directory makes the directory of so many core and storage nodes, with as many partitions
-// as the tier deals out for them and three voters each.
+// Directory returns a directory of core and storage nodes, with as many partitions as the
+// tier assigns to them and three voters each.
 func Directory(cores, storages int) *protocol.Directory {
-	d := &protocol.Directory{Version: 1}
+	directory := &protocol.Directory{Version: 1}
 	for i := range cores + storages {
 		class := protocol.Core
 		if i >= cores {
 			class = protocol.Storage
 		}
-		d.Nodes = append(d.Nodes, protocol.Node{
+		directory.Nodes = append(directory.Nodes, protocol.Node{
 			ID: nodeID(i), Name: fmt.Sprintf("node-%04d", i), Class: class, Address: fmt.Sprintf("10.200.%d.%d:7380", i>>8, i&255), Zone: zone(i),
 		})
 	}
 	for i := range protocol.TurnPartitions(storages) {
 		voters := []replica.NodeID{nodeID(cores + i%storages), nodeID(cores + (i+1)%storages), nodeID(cores + (i+2)%storages)}
-		d.Partitions = append(d.Partitions, protocol.PartitionMembers{Voters: voters})
+		directory.Partitions = append(directory.Partitions, protocol.PartitionMembers{Voters: voters})
 	}
-	return d
+	return directory
 }
 
-// nodeID is as wide as a real one: ids are drawn from 64 bits.
+// nodeID returns an id that uses all 64 bits, like a real, random one.
 func nodeID(i int) replica.NodeID {
 	return replica.NodeID(uint64(i+1) * 0x9E3779B97F4A7C15)
 }
 
-// Configuration makes a configuration's body with so many routes, one a tenant, to the
-// Models.
+// Configuration returns the body of a configuration with routes to the services, one per
+// tenant.
 func Configuration(revision, routes int) []byte {
 	var body bytes.Buffer
 	fmt.Fprintf(&body, `{"configRevision":%d,"virtualServers":[`, revision)
@@ -97,13 +96,13 @@
 	}
 }
 
-// EncodedSize is how many bytes a message takes between two processes, in a connection that has
-// carried its type before: gob, as package link has it, without the frame of some 8 bytes.
+// EncodedSize returns the size of a message on a connection that has carried its type before.
+// It is encoded with gob, as in package link, without the frame of about 8 bytes.
 func EncodedSize(message any) int {
 	var stream bytes.Buffer
 	encoder := gob.NewEncoder(&stream)
 	if err := encoder.Encode(message); err != nil {
-		panic(err) // it is made of plain values only
+		panic(err) // messages consist of plain values only
 	}
 	first := stream.Len()
 	if err := encoder.Encode(message); err != nil {
--- a/internal/station/scaletest/scaletest_test.go
+++ b/internal/station/scaletest/scaletest_test.go
@@ -9,7 +9,7 @@
 	"pipitmux/internal/station/routing"
 )
 
-func TestMakesWhatTheTierTakes(t *testing.T) {
+func TestGeneratedStateIsValid(t *testing.T) {
 	configuration, err := routing.Parse(Configuration(9, 100))
 	assert.NilError(t, err)
 	assert.Equal(t, configuration.Revision, uint64(9))
@@ -19,12 +19,12 @@
 		count += len(list.Servers)
 	}
 	assert.Equal(t, count, 103)
-	d := Directory(3, 10)
-	assert.Equal(t, len(d.Nodes), 13)
-	assert.Equal(t, len(d.Partitions), protocol.TurnPartitions(10))
+	directory := Directory(3, 10)
+	assert.Equal(t, len(directory.Nodes), 13)
+	assert.Equal(t, len(directory.Partitions), protocol.TurnPartitions(10))
 }
 
-func TestWireCountsAMessageWithoutItsType(t *testing.T) {
+func TestEncodedSizeExcludesTypeDescription(t *testing.T) {
 	small, large := EncodedSize(&protocol.AdmitReply{History: make([]byte, 100)}), EncodedSize(&protocol.AdmitReply{History: make([]byte, 1100)})
 	assert.Assert(t, small > 100 && small < 120, "%d", small)
 	assert.Assert(t, large-small >= 1000 && large-small < 1010, "%d", large-small)
--- a/internal/station/settings/settings.go
+++ b/internal/station/settings/settings.go
@@ -97,7 +97,7 @@
 	Address  string        // host:port; required for CloudAPIDiscovery
 	RatePerS float64       // calls per second that the API accepts; zero means not stated
 	Duties   []string      // tasks that the API performs for the tier
-	MaxLag   time.Duration // longest delay of the API's information
+	MaxLag   time.Duration // maxLagMs; DefaultMaxLag if not stated
 }
 
 // Path returns the path of the settings file from the environment, or "".
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for a time or for a context's end, whichever comes first.
+// Package wait waits for a duration or for the end of a context, whichever comes first.
 package wait
 
 import (
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// For waits for that long. It is false where ctx ended before.
-func For(ctx context.Context, span time.Duration) bool {
-	t := time.NewTimer(span)
-	defer t.Stop()
+// For waits for a duration. It returns false if ctx ended first.
+func For(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
