--- a/internal/station/follow/follow_test.go
+++ b/internal/station/follow/follow_test.go
@@ -108,16 +108,16 @@
 }
 
 func directoryOf(version uint64, addresses ...string) *protocol.Directory {
-	d := &protocol.Directory{Version: version}
-	for i, a := range addresses {
-		d.Nodes = append(d.Nodes, protocol.Node{ID: replica.NodeID(i + 1), Name: a, Class: protocol.Core, Address: a})
+	directory := &protocol.Directory{Version: version}
+	for i, address := range addresses {
+		directory.Nodes = append(directory.Nodes, protocol.Node{ID: replica.NodeID(i + 1), Name: address, Class: protocol.Core, Address: address})
 	}
-	return d
+	return directory
 }
 
 func TestConfigurationIsDeliveredOnlyWhenConfirmed(t *testing.T) {
 	var calls atomic.Int32
-	c := startCore(t, func(args protocol.WatchArgs) protocol.WatchReply {
+	core := startCore(t, func(args protocol.WatchArgs) protocol.WatchReply {
 		reply := protocol.WatchReply{Revision: 7, Directory: directoryOf(2)}
 		switch calls.Add(1) {
 		case 1:
@@ -136,7 +136,7 @@
 		}
 		return reply
 	})
-	_, updates := startFollower(t, 1, c.address)
+	_, updates := startFollower(t, 1, core.address)
 	assert.Equal(t, nextUpdate(t, updates).Directory.Version, uint64(2), "the directory needs no confirmation")
 	n := nextUpdate(t, updates)
 	assert.Equal(t, n.Revision, uint64(7))
@@ -147,7 +147,7 @@
 
 func TestOlderStateFromLaggingNodeIsIgnored(t *testing.T) {
 	var calls atomic.Int32
-	c := startCore(t, func(protocol.WatchArgs) protocol.WatchReply {
+	core := startCore(t, func(protocol.WatchArgs) protocol.WatchReply {
 		reply := protocol.WatchReply{Confirmed: true, Revision: 5, Directory: directoryOf(5)}
 		reply.Services[1] = 5
 		switch calls.Add(1) {
@@ -158,7 +158,7 @@
 		}
 		return reply
 	})
-	f, updates := startFollower(t, 1, c.address)
+	f, updates := startFollower(t, 1, core.address)
 	assert.Equal(t, nextUpdate(t, updates).Revision, uint64(5))
 	assert.Equal(t, nextUpdate(t, updates).Directory.Version, uint64(5))
 	assert.Equal(t, nextUpdate(t, updates).Partition, 1)
@@ -172,7 +172,7 @@
 		name := string(rune('a' + i))
 		names[protocol.ServicePartition(name)] = name
 	}
-	c := startCore(t, func(protocol.WatchArgs) protocol.WatchReply {
+	core := startCore(t, func(protocol.WatchArgs) protocol.WatchReply {
 		reply := protocol.WatchReply{Confirmed: true}
 		for partition, name := range names {
 			reply.Lists = append(reply.Lists, protocol.ServerList{Service: name})
@@ -180,7 +180,7 @@
 		}
 		return reply
 	})
-	_, updates := startFollower(t, 1, c.address)
+	_, updates := startFollower(t, 1, core.address)
 	for partition := range protocol.ServicePartitions {
 		n := nextUpdate(t, updates)
 		assert.Equal(t, n.Partition, partition)
@@ -191,7 +191,7 @@
 
 func TestRefreshedListsAreDeliveredAgain(t *testing.T) {
 	refreshed := make(chan struct{})
-	c := startCore(t, func(args protocol.WatchArgs) protocol.WatchReply {
+	core := startCore(t, func(args protocol.WatchArgs) protocol.WatchReply {
 		reply := protocol.WatchReply{Confirmed: true}
 		if args.Services[2] == 0 {
 			reply.Services[2] = 3
@@ -200,7 +200,7 @@
 		}
 		return reply
 	})
-	f, updates := startFollower(t, 1, c.address)
+	f, updates := startFollower(t, 1, core.address)
 	assert.Equal(t, nextUpdate(t, updates).Partition, 2)
 	f.RefreshLists()
 	close(refreshed)
@@ -231,18 +231,18 @@
 	t.Cleanup(func() { close(unfreeze) })
 	called := make(chan struct{})
 	var once sync.Once
-	silent := startCore(t, func(protocol.WatchArgs) protocol.WatchReply {
+	frozen := startCore(t, func(protocol.WatchArgs) protocol.WatchReply {
 		once.Do(func() { close(called) })
 		<-unfreeze
 		return protocol.WatchReply{}
 	})
-	sound := startCore(t, func(protocol.WatchArgs) protocol.WatchReply {
+	healthy := startCore(t, func(protocol.WatchArgs) protocol.WatchReply {
 		<-called
 		return protocol.WatchReply{Confirmed: true, Revision: 3}
 	})
-	_, updates := startFollower(t, 2, silent.address, sound.address)
+	_, updates := startFollower(t, 2, frozen.address, healthy.address)
 	assert.Equal(t, nextUpdate(t, updates).Revision, uint64(3))
-	assert.Equal(t, silent.calls.Load(), int32(1))
+	assert.Equal(t, frozen.calls.Load(), int32(1))
 }
 
 func TestUnreachableNodeIsSkipped(t *testing.T) {
@@ -250,10 +250,10 @@
 	assert.NilError(t, err)
 	down := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	sound := startCore(t, func(protocol.WatchArgs) protocol.WatchReply {
+	healthy := startCore(t, func(protocol.WatchArgs) protocol.WatchReply {
 		return protocol.WatchReply{Confirmed: true, Revision: 3}
 	})
-	_, updates := startFollower(t, 1, down, sound.address)
+	_, updates := startFollower(t, 1, down, healthy.address)
 	assert.Equal(t, nextUpdate(t, updates).Revision, uint64(3))
 }
 
@@ -266,9 +266,9 @@
 		return protocol.WatchReply{Confirmed: true, Revision: 8}
 	})
 	seed := startCore(t, func(protocol.WatchArgs) protocol.WatchReply {
-		d := directoryOf(1, other.address)
-		d.Nodes = append(d.Nodes, protocol.Node{ID: 99, Class: protocol.Storage, Address: "127.0.0.1:1"})
-		return protocol.WatchReply{Confirmed: true, Directory: d}
+		directory := directoryOf(1, other.address)
+		directory.Nodes = append(directory.Nodes, protocol.Node{ID: 99, Class: protocol.Storage, Address: "127.0.0.1:1"})
+		return protocol.WatchReply{Confirmed: true, Directory: directory}
 	})
 	f, updates := startFollower(t, 1, seed.address)
 	assert.Equal(t, nextUpdate(t, updates).Directory.Version, uint64(1))
@@ -322,8 +322,8 @@
 	assert.Assert(t, patient)
 	f.recordResult(address, time.Now(), &protocol.WatchReply{Vouched: true}, nil)
 	f.release(address)
-	again, patient := f.chooseNode()
-	assert.Equal(t, again, address)
+	retried, patient := f.chooseNode()
+	assert.Equal(t, retried, address)
 	assert.Assert(t, !patient)
 }
 
@@ -335,15 +335,15 @@
 			return protocol.WatchReply{Confirmed: args.Confirmed && age == 0, Revision: revision, Age: age}
 		}
 	}
-	cutOff, sound := startCore(t, answer(4, unproven)), startCore(t, answer(7, 0))
-	f, updates := startFollower(t, 1, cutOff.address, sound.address)
+	cutOff, healthy := startCore(t, answer(4, unproven)), startCore(t, answer(7, 0))
+	f, updates := startFollower(t, 1, cutOff.address, healthy.address)
 	assert.Equal(t, nextUpdate(t, updates).Revision, uint64(7))
 	assert.Assert(t, f.Staleness() < testWithin)
-	lone, _ := startFollower(t, 1, cutOff.address)
+	isolated, _ := startFollower(t, 1, cutOff.address)
 	for cutOff.calls.Load() < 3 {
 		runtime.Gosched()
 	}
-	assert.Equal(t, lone.isConfirmed(), false)
+	assert.Equal(t, isolated.isConfirmed(), false)
 }
 
 // Staleness counts from the time for which the node had proof, not from the arrival of the
@@ -409,10 +409,10 @@
 }
 
 func TestFindNodeByID(t *testing.T) {
-	d := directoryOf(1, "a", "b")
-	n, known := FindNode(d, 2)
+	directory := directoryOf(1, "a", "b")
+	n, known := FindNode(directory, 2)
 	assert.Assert(t, known)
 	assert.Equal(t, n.Address, "b")
-	_, known = FindNode(d, 3)
+	_, known = FindNode(directory, 3)
 	assert.Assert(t, !known)
 }
--- a/internal/station/link/link_test.go
+++ b/internal/station/link/link_test.go
@@ -170,15 +170,15 @@
 	address, _ := start(t, service, link.Limits{})
 	caller := newPool(t, link.Options{})
 	ctx := testContext(t)
-	held := make(chan error, 1)
+	result := make(chan error, 1)
 	var late Message
-	go func() { held <- caller.Call(ctx, address, "Test.Hold", Message{Number: 1}, &late) }()
+	go func() { result <- caller.Call(ctx, address, "Test.Hold", Message{Number: 1}, &late) }()
 	<-service.entered
 	var got Message
 	assert.NilError(t, caller.Call(ctx, address, "Test.Echo", Message{Number: 2}, &got))
 	assert.Equal(t, got.Number, 2)
 	close(service.release)
-	assert.NilError(t, <-held)
+	assert.NilError(t, <-result)
 	assert.Equal(t, late.Number, 1)
 }
 
@@ -206,8 +206,8 @@
 		err := caller.Call(testContext(t), address, "Test.Echo", Message{}, reply)
 		assert.ErrorIs(t, err, link.ErrReplyType)
 	}
-	var other struct{ Number string }
-	err := caller.Call(testContext(t), address, "Test.Echo", Message{Number: 1}, &other)
+	var wrongType struct{ Number string }
+	err := caller.Call(testContext(t), address, "Test.Echo", Message{Number: 1}, &wrongType)
 	assert.Assert(t, uncertain(err), "the call was executed although its reply has another type: %v", err)
 	var got Message
 	assert.NilError(t, caller.Call(testContext(t), address, "Test.Echo", Message{Number: 2}, &got))
@@ -251,13 +251,15 @@
 	return listener.Addr().String()
 }
 
-func greet(socket net.Conn) { _, _ = io.WriteString(socket, greeting) }
+// sendGreeting sends the greeting as a server does.
+func sendGreeting(socket net.Conn) { _, _ = io.WriteString(socket, greeting) }
 
-func drain(socket net.Conn) { _, _ = io.Copy(io.Discard, socket) }
+// discardInput reads a socket until its end.
+func discardInput(socket net.Conn) { _, _ = io.Copy(io.Discard, socket) }
 
 func TestMissingGreetingIsUnreachable(t *testing.T) {
 	cases := map[string]func(socket net.Conn){
-		"silent": drain,
+		"silent": discardInput,
 		"closed": func(net.Conn) {},
 		"other":  func(socket net.Conn) { _, _ = io.WriteString(socket, "HTTP/1.1 400 Bad Request\r\n") },
 	}
@@ -274,7 +276,7 @@
 func TestClosedConnectionAfterRequestIsUncertain(t *testing.T) {
 	var received atomic.Int32
 	address := listenRaw(t, func(socket net.Conn) {
-		greet(socket)
+		sendGreeting(socket)
 		_, _ = socket.Read(make([]byte, 1<<16))
 		received.Add(1)
 	})
@@ -292,12 +294,12 @@
 	address, _ := start(t, service, link.Limits{})
 	caller := newPool(t, link.Options{})
 	ctx, cancel := context.WithCancel(testContext(t))
-	left := make(chan error, 1)
+	result := make(chan error, 1)
 	reply := Message{Number: 7}
-	go func() { left <- caller.Call(ctx, address, "Test.Hold", Message{Number: 1}, &reply) }()
+	go func() { result <- caller.Call(ctx, address, "Test.Hold", Message{Number: 1}, &reply) }()
 	<-service.entered
 	cancel()
-	err := <-left
+	err := <-result
 	assert.Assert(t, uncertain(err), "%v", err)
 	assert.ErrorIs(t, err, context.Canceled)
 	reply.Number = 8 // owned by the caller again; the race detector checks this
@@ -325,8 +327,8 @@
 				reply := Message{Number: -1}
 				err := caller.Call(ctx, address, "Test.Echo", Message{Number: i}, &reply)
 				cancel()
-				left := errors.Is(err, context.DeadlineExceeded)
-				assert.Check(t, (err == nil && reply.Number == i) || (left && reply.Number == -1), "%v %d", err, reply.Number)
+				timedOut := errors.Is(err, context.DeadlineExceeded)
+				assert.Check(t, (err == nil && reply.Number == i) || (timedOut && reply.Number == -1), "%v %d", err, reply.Number)
 				reply.Number = 0
 			}
 		})
@@ -381,10 +383,10 @@
 // The peer replies with a body before any gob stream has started.
 func TestMalformedReplyIsUncertain(t *testing.T) {
 	address := listenRaw(t, func(socket net.Conn) {
-		greet(socket)
+		sendGreeting(socket)
 		_, _ = socket.Read(make([]byte, 1<<16))
 		_, _ = socket.Write([]byte{0, 0, 0, 4, 0, 1, 0, 0})
-		drain(socket)
+		discardInput(socket)
 	})
 	err := newPool(t, link.Options{}).Call(testContext(t), address, "Test.Echo", Message{}, nil)
 	assert.Assert(t, uncertain(err), "%v", err)
--- a/internal/station/link/pool_test.go
+++ b/internal/station/link/pool_test.go
@@ -73,11 +73,11 @@
 	}
 	caller := newPool(t, link.Options{Dial: slow})
 	first, cancel := context.WithCancel(testContext(t))
-	left := make(chan error, 1)
-	go func() { left <- caller.Call(first, address, "Test.Echo", Message{}, nil) }()
+	result := make(chan error, 1)
+	go func() { result <- caller.Call(first, address, "Test.Echo", Message{}, nil) }()
 	<-started
 	cancel()
-	err := <-left
+	err := <-result
 	assert.ErrorIs(t, err, link.ErrUnreachable)
 	assert.ErrorIs(t, err, context.Canceled)
 	var group sync.WaitGroup
@@ -98,11 +98,11 @@
 	address, server := serve(t, service, link.Limits{}, listener)
 	clock := newClock()
 	caller := newPool(t, link.Options{Now: clock.now})
-	held := make(chan error, 1)
-	go func() { held <- caller.Call(testContext(t), address, "Test.Hold", Message{}, nil) }()
+	result := make(chan error, 1)
+	go func() { result <- caller.Call(testContext(t), address, "Test.Hold", Message{}, nil) }()
 	<-service.entered
 	assert.NilError(t, server.Close())
-	err = <-held
+	err = <-result
 	assert.Assert(t, uncertain(err), "%v", err)
 	close(service.release)
 	err = caller.Call(testContext(t), address, "Test.Echo", Message{}, nil)
@@ -122,13 +122,13 @@
 	var dials atomic.Int32
 	partialPeer := func(context.Context, string, string) (net.Conn, error) {
 		dials.Add(1)
-		ours, theirs := net.Pipe()
+		clientEnd, serverEnd := net.Pipe()
 		go func() {
-			defer theirs.Close()
-			greet(theirs)
-			_, _ = io.ReadFull(theirs, make([]byte, 9))
+			defer serverEnd.Close()
+			sendGreeting(serverEnd)
+			_, _ = io.ReadFull(serverEnd, make([]byte, 9))
 		}()
-		return ours, nil
+		return clientEnd, nil
 	}
 	caller := newPool(t, link.Options{Dial: partialPeer})
 	err := caller.Call(testContext(t), "peer", "Test.Echo", Message{Text: "whole"}, nil)
@@ -142,10 +142,10 @@
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	received, closed := make(chan struct{}, 10), make(chan struct{}, 10)
 	address := listenRaw(t, func(socket net.Conn) {
-		greet(socket)
+		sendGreeting(socket)
 		_, _ = socket.Read(make([]byte, 1<<16))
 		received <- struct{}{}
-		drain(socket)
+		discardInput(socket)
 		closed <- struct{}{}
 	})
 	clock, dials := newClock(), &dialCounter{}
@@ -179,15 +179,15 @@
 	address, _ := start(t, service, link.Limits{})
 	clock, dials := newClock(), &dialCounter{}
 	caller := newPool(t, link.Options{Now: clock.now, Dial: dials.dial})
-	held := make(chan error, 1)
-	go func() { held <- caller.Call(testContext(t), address, "Test.Hold", Message{}, nil) }()
+	result := make(chan error, 1)
+	go func() { result <- caller.Call(testContext(t), address, "Test.Hold", Message{}, nil) }()
 	<-service.entered
 	for range 5 {
 		clock.advance(time.Second)
 		assert.NilError(t, caller.Call(testContext(t), address, "Test.Echo", Message{}, nil))
 	}
 	close(service.release)
-	assert.NilError(t, <-held)
+	assert.NilError(t, <-result)
 	assert.Equal(t, dials.dials.Load(), int32(1))
 }
 
@@ -211,20 +211,20 @@
 	address, _ := start(t, service, link.Limits{})
 	caller := newPool(t, link.Options{})
 	hold := func() chan error {
-		held := make(chan error, 1)
-		go func() { held <- caller.Call(testContext(t), address, "Test.Hold", Message{}, nil) }()
+		result := make(chan error, 1)
+		go func() { result <- caller.Call(testContext(t), address, "Test.Hold", Message{}, nil) }()
 		<-service.entered
-		return held
+		return result
 	}
-	held := hold()
+	result := hold()
 	caller.Forget(address)
-	err := <-held
+	err := <-result
 	assert.Assert(t, uncertain(err), "%v", err)
 	assert.ErrorIs(t, err, link.ErrForgotten)
 	caller.Forget("127.0.0.1:1")
-	held = hold()
+	result = hold()
 	caller.Close()
-	assert.ErrorIs(t, <-held, link.ErrForgotten)
+	assert.ErrorIs(t, <-result, link.ErrForgotten)
 	err = caller.Call(testContext(t), address, "Test.Echo", Message{}, nil)
 	assert.ErrorIs(t, err, link.ErrUnreachable)
 	assert.ErrorIs(t, err, link.ErrForgotten)
@@ -234,8 +234,8 @@
 	service := newService()
 	address, _ := start(t, service, link.Limits{})
 	caller := newPool(t, link.Options{CallsPerConnection: 1})
-	held := make(chan error, 1)
-	go func() { held <- caller.Call(testContext(t), address, "Test.Hold", Message{}, nil) }()
+	result := make(chan error, 1)
+	go func() { result <- caller.Call(testContext(t), address, "Test.Hold", Message{}, nil) }()
 	<-service.entered
 	ctx, cancel := context.WithTimeout(testContext(t), 20*time.Millisecond)
 	defer cancel()
@@ -243,6 +243,6 @@
 	assert.ErrorIs(t, err, link.ErrUnreachable)
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	close(service.release)
-	assert.NilError(t, <-held)
+	assert.NilError(t, <-result)
 	assert.NilError(t, caller.Call(testContext(t), address, "Test.Echo", Message{}, nil))
 }
--- a/internal/station/link/server_test.go
+++ b/internal/station/link/server_test.go
@@ -130,14 +130,14 @@
 	first, second := NewPool(Options{}), NewPool(Options{})
 	defer first.Close()
 	defer second.Close()
-	held := make(chan error, 1)
-	go func() { held <- first.Call(testContext(t), address, "Work.Do", make([]byte, 30_000), nil) }()
+	result := make(chan error, 1)
+	go func() { result <- first.Call(testContext(t), address, "Work.Do", make([]byte, 30_000), nil) }()
 	<-work.entered
 	err := second.Call(testContext(t), address, "Work.Do", make([]byte, 30_000), nil)
 	var uncertain *UncertainError
 	assert.Assert(t, errors.As(err, &uncertain), "%v", err)
 	close(work.release)
-	assert.NilError(t, <-held)
+	assert.NilError(t, <-result)
 	var length int
 	assert.NilError(t, second.Call(testContext(t), address, "Work.Do", make([]byte, 30_000), &length))
 	assert.Equal(t, length, 30_000)
