--- a/internal/anemometer/gateway/turn.go
+++ b/internal/anemometer/gateway/turn.go
@@ -89,7 +89,7 @@
 	if args.Known {
 		reply.History = cached
 	}
-	if err == nil && reply.Outcome == protocol.TurnMissing {
+	if err == nil && reply.Outcome == protocol.TurnNotFound {
 		history, found, findErr := t.gateway.opt.Turns.Find(ctx, t.previous)
 		switch {
 		case findErr != nil:
@@ -109,7 +109,7 @@
 		t.settle(0) // a reservation may have been made
 		t.gateway.reject(t.writer, turnRetryAfter, "answer.no-partition")
 		return nil, false
-	case reply.Outcome == protocol.TurnSpent:
+	case reply.Outcome == protocol.TurnBudgetExhausted:
 		t.gateway.opt.Counters.Add("answer.spent")
 		http.Error(t.writer, "the budget is spent", http.StatusPaymentRequired)
 		return nil, false
--- a/internal/anemometer/turnclient/turnclient.go
+++ b/internal/anemometer/turnclient/turnclient.go
@@ -55,7 +55,7 @@
 	defer c.mu.Unlock()
 	c.directory = d
 	maps.DeleteFunc(c.unresponsiveSince, func(id replica.NodeID, _ time.Time) bool {
-		_, known := follow.NodeAddress(&d, id)
+		_, known := follow.FindNode(&d, id)
 		return !known
 	})
 }
@@ -114,7 +114,7 @@
 		outcome, leader := call(callCtx, partition, address)
 		cancel()
 		switch outcome {
-		case protocol.TurnGranted, protocol.TurnSpent, protocol.TurnMissing, protocol.TurnClosed:
+		case protocol.TurnGranted, protocol.TurnBudgetExhausted, protocol.TurnNotFound, protocol.TurnClosed:
 			c.setLeader(partition, node)
 			return nil
 		}
@@ -142,7 +142,7 @@
 	order := append([]replica.NodeID{c.leaders[partition]}, rotate(c.directory.Partitions[partition].Voters, round)...)
 	for _, allowUnresponsive := range []bool{false, true} {
 		for _, id := range order {
-			n, known := follow.NodeAddress(&c.directory, id)
+			n, known := follow.FindNode(&c.directory, id)
 			if known && (allowUnresponsive || time.Since(c.unresponsiveSince[id]) >= unresponsiveFor) {
 				return partition, n.ID, n.Address, true
 			}
--- a/internal/barograph/coordinator/coordinator.go
+++ b/internal/barograph/coordinator/coordinator.go
@@ -111,7 +111,7 @@
 
 // Groups returns the groups of the core nodes.
 func Groups() []replica.GroupID {
-	groups := []replica.GroupID{protocol.ConfigurationGroup, protocol.ListerDuty}
+	groups := []replica.GroupID{protocol.ConfigurationGroup, protocol.ListerTask}
 	for partition := range protocol.ServicePartitions {
 		groups = append(groups, protocol.ServiceGroup(partition))
 	}
@@ -123,7 +123,7 @@
 	switch group {
 	case protocol.ConfigurationGroup:
 		return revisions.New(c.updates.notifyAll)
-	case protocol.ListerDuty:
+	case protocol.ListerTask:
 		return emptyStateMachine{}
 	}
 	return servers.New(c.updates.notifyAll)
@@ -250,7 +250,7 @@
 	nodes := slices.Clone(cores)
 	for _, id := range status.Members.Voters {
 		n, known := c.node.Addresses.Find(id)
-		listed := slices.ContainsFunc(cores, func(o protocol.Node) bool { return o.ID == id || known && o.SameMachine(n) })
+		listed := slices.ContainsFunc(cores, func(o protocol.Node) bool { return o.ID == id || known && o.SameNode(n) })
 		if known && !listed {
 			nodes = append(nodes, n)
 		}
--- a/internal/barograph/coordinator/lister_task.go
+++ b/internal/barograph/coordinator/lister_task.go
@@ -23,13 +23,13 @@
 // Held implements lister.Task. The leader holds the task only under its lease: a node that was
 // partitioned or frozen may not know yet that another node holds it.
 func (t *listerTask) Held() (epoch uint64, ok bool) {
-	status, err := t.coordinator.node.Host.Status(protocol.ListerDuty)
+	status, err := t.coordinator.node.Host.Status(protocol.ListerTask)
 	if err != nil || !status.LeaderReady {
 		return 0, false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), leadershipCheckTimeout)
 	defer cancel()
-	err = t.coordinator.node.Host.Read(ctx, protocol.ListerDuty, func(host.StateMachine) {})
+	err = t.coordinator.node.Host.Read(ctx, protocol.ListerTask, func(host.StateMachine) {})
 	return status.Term, err == nil
 }
 
@@ -55,12 +55,12 @@
 
 // GiveUp implements lister.Task.
 func (t *listerTask) GiveUp() {
-	status, err := t.coordinator.node.Host.Status(protocol.ListerDuty)
+	status, err := t.coordinator.node.Host.Status(protocol.ListerTask)
 	if err != nil {
 		return
 	}
 	for _, id := range nextVoters(status.Members.Voters, t.coordinator.node.Self.ID) {
-		if err := t.coordinator.node.Host.TransferLeadership(protocol.ListerDuty, id); err == nil {
+		if err := t.coordinator.node.Host.TransferLeadership(protocol.ListerTask, id); err == nil {
 			klog.InfoS("Handed the lister's task to another node", "to", id)
 			return
 		}
--- a/internal/barograph/keeper/calls.go
+++ b/internal/barograph/keeper/calls.go
@@ -34,7 +34,7 @@
 	found := false
 	s.keeper.node.Host.ReadLocal(group, func(m host.StateMachine) { reply.History, found = m.(*turns.Machine).History(args.Previous) })
 	if !found {
-		reply.Outcome = protocol.TurnMissing
+		reply.Outcome = protocol.TurnNotFound
 	}
 	return nil
 }
@@ -94,8 +94,8 @@
 // turnOutcomes maps results of the state machine to the outcomes sent in replies.
 var turnOutcomes = map[turns.Result]protocol.TurnOutcome{
 	turns.Accepted:        protocol.TurnGranted,
-	turns.BudgetExhausted: protocol.TurnSpent,
-	turns.UnknownTurn:     protocol.TurnMissing,
+	turns.BudgetExhausted: protocol.TurnBudgetExhausted,
+	turns.UnknownTurn:     protocol.TurnNotFound,
 	turns.AttemptClosed:   protocol.TurnClosed,
 }
 
--- a/internal/barograph/keeper/calls_test.go
+++ b/internal/barograph/keeper/calls_test.go
@@ -23,8 +23,8 @@
 		leader replica.NodeID
 	}{
 		{turns.Accepted, nil, protocol.TurnGranted, 0},
-		{turns.BudgetExhausted, nil, protocol.TurnSpent, 0},
-		{turns.UnknownTurn, nil, protocol.TurnMissing, 0},
+		{turns.BudgetExhausted, nil, protocol.TurnBudgetExhausted, 0},
+		{turns.UnknownTurn, nil, protocol.TurnNotFound, 0},
 		{turns.AttemptClosed, nil, protocol.TurnClosed, 0},
 		{0, &turns.ResultError{}, protocol.TurnUnavailable, 0},
 		{0, &replica.NotLeaderError{Leader: 5}, protocol.TurnNotOwner, 5},
--- a/internal/barograph/node/hello.go
+++ b/internal/barograph/node/hello.go
@@ -90,7 +90,7 @@
 // knowsOtherIncarnation reports whether an incarnation of the same machine is known.
 func (n *Node) knowsOtherIncarnation(o protocol.Node) bool {
 	for _, known := range n.Addresses.All() {
-		if known.SameMachine(o) {
+		if known.SameNode(o) {
 			return true
 		}
 	}
--- a/internal/barograph/node/node.go
+++ b/internal/barograph/node/node.go
@@ -96,7 +96,7 @@
 		}
 	}
 	n.Addresses.Learn(n.Self)
-	n.Pool, n.bulk = link.NewPool(link.Options{}), link.NewPool(link.Options{Stale: bulkStaleTimeout})
+	n.Pool, n.bulk = link.NewPool(link.Options{}), link.NewPool(link.Options{StaleAfter: bulkStaleTimeout})
 	n.Host, err = host.New(host.Options{
 		Self: id, Timing: Timing(options.Class), Store: disk, Now: n.Now, Seed: rand.Uint64(), OnUnknownGroup: options.OnUnknownGroup,
 		Transport: &transport{addresses: n.Addresses, regular: lane{pool: n.Pool}, bulk: lane{pool: n.bulk}},
--- a/internal/barograph/revisions/revisions.go
+++ b/internal/barograph/revisions/revisions.go
@@ -212,7 +212,7 @@
 // register adds a node to the directory and removes its earlier incarnation.
 func (m *Machine) register(n protocol.Node) Result {
 	nodes := slices.DeleteFunc(slices.Clone(m.state.Directory.Nodes), func(o protocol.Node) bool {
-		return o.ID == n.ID || o.SameMachine(n)
+		return o.ID == n.ID || o.SameNode(n)
 	})
 	m.state.Directory.Nodes = append(nodes, n)
 	m.state.Directory.Version++
--- a/internal/barograph/simulation/turns_test.go
+++ b/internal/barograph/simulation/turns_test.go
@@ -285,8 +285,8 @@
 		s.world.Fail("result: %v", err)
 	}
 	return map[turns.Result]protocol.TurnOutcome{
-		turns.Accepted: protocol.TurnGranted, turns.BudgetExhausted: protocol.TurnSpent,
-		turns.UnknownTurn: protocol.TurnMissing, turns.AttemptClosed: protocol.TurnClosed,
+		turns.Accepted: protocol.TurnGranted, turns.BudgetExhausted: protocol.TurnBudgetExhausted,
+		turns.UnknownTurn: protocol.TurnNotFound, turns.AttemptClosed: protocol.TurnClosed,
 	}[result]
 }
 
