--- a/internal/emulator/peers.go
+++ b/internal/emulator/peers.go
@@ -115,7 +115,7 @@
 type tier struct {
 	w     *world
 	ways  *ways
-	net   *gossip.Network
+	net   *gossip.MemoryNetwork
 	rng   *rand.Rand // a source of its own: without talk a day stays what it is
 	nodes []talker
 	bytes int
@@ -126,7 +126,7 @@
 
 // talker is one node's part in it.
 type talker struct {
-	port  *gossip.Memory
+	port  *gossip.MemoryTransport
 	takes map[int]member.State // by number, of the others
 	since time.Duration        // when it began or died
 	alive bool
@@ -140,8 +140,8 @@
 		return nil
 	}
 	t := &tier{w: w, ways: newWays(w.sc, w.nodes, seed), rng: rand.New(rand.NewPCG(seed, 7)), nodes: make([]talker, len(w.nodes))}
-	t.net = gossip.NewNetwork(nil)
-	t.net.Pace(func(from, to string) []time.Duration { return t.ways.fate(nodeNo(from), nodeNo(to)) }, w.after)
+	t.net = gossip.NewMemoryNetwork(nil)
+	t.net.SetDelivery(func(from, to string) []time.Duration { return t.ways.fate(nodeNo(from), nodeNo(to)) }, w.after)
 	return t
 }
 
@@ -160,9 +160,9 @@
 	if t.w.live != nil {
 		return
 	}
-	circle, were := peers.NewCircle(n.no, len(t.nodes), t.w.sc.Peers.BytesPerS.From, rand.New(rand.NewPCG(t.rng.Uint64(), 1))), map[member.ID]member.State{}
+	circle, were := peers.NewEngine(n.no, len(t.nodes), t.w.sc.Peers.BytesPerS.From, rand.New(rand.NewPCG(t.rng.Uint64(), 1))), map[member.ID]member.State{}
 	k.port = t.net.ListenFunc(strconv.Itoa(n.no), func(from string, text []byte) {
-		t.say(n.no, circle.Heard(t.w.now, nodeNo(from), text))
+		t.say(n.no, circle.HandleDatagram(t.w.now, nodeNo(from), text))
 	})
 	epoch := n.epoch
 	var tick func()
@@ -182,8 +182,8 @@
 // say sends what a node has to say.
 func (t *tier) say(from int, all []peers.Datagram) {
 	for _, d := range all {
-		t.sent(len(d.Text))
-		t.nodes[from].port.Send(strconv.Itoa(d.To), d.Text)
+		t.sent(len(d.Payload))
+		t.nodes[from].port.Send(strconv.Itoa(d.To), d.Payload)
 	}
 }
 
@@ -211,11 +211,11 @@
 		return
 	}
 	t.nodes[by].takes[about] = s
-	if s == member.There {
+	if s == member.Alive {
 		return
 	}
 	if k := &t.nodes[about]; !k.alive {
-		if s == member.Gone && k.since > 0 {
+		if s == member.Dead && k.since > 0 {
 			t.took = append(t.took, t.w.now-max(k.since, t.nodes[by].since))
 		}
 		return
@@ -227,7 +227,7 @@
 	if a, b := t.ways.zones[about], t.ways.zones[by]; !t.ways.hears(a, b, there) || !t.ways.hears(b, a, there) {
 		return
 	}
-	if s == member.Gone {
+	if s == member.Dead {
 		t.sum.FalseGone++
 	} else {
 		t.sum.FalseSuspicions++
@@ -250,9 +250,9 @@
 			s := t.nodes[by].takes[about]
 			switch k := &t.nodes[about]; {
 			case about == by:
-			case !k.alive && s != member.Gone:
+			case !k.alive && s != member.Dead:
 				r.Undetected++
-			case k.alive && s != member.There:
+			case k.alive && s != member.Alive:
 				r.Disagree++
 			}
 		}
--- a/internal/emulator/peers_test.go
+++ b/internal/emulator/peers_test.go
@@ -68,24 +68,24 @@
 	}
 	w.now = 10e9
 	w.tier.takes(0, 1, member.Suspected)
-	w.tier.takes(0, 1, member.There)
-	w.tier.takes(0, 2, member.Gone)
+	w.tier.takes(0, 1, member.Alive)
+	w.tier.takes(0, 2, member.Dead)
 	assert.Equal(t, []int{1, 1}, []int{w.tier.sum.FalseSuspicions, w.tier.sum.FalseGone})
 	w.tier.ways.cut(0, 1, 1) // still heard through dc-three
-	w.tier.takes(1, 0, member.Gone)
+	w.tier.takes(1, 0, member.Dead)
 	assert.Equal(t, 2, w.tier.sum.FalseGone)
 	w.tier.died(w.nodes[2])
 	w.tier.died(w.nodes[5]) // and now not at all
-	w.tier.takes(1, 0, member.Gone)
-	w.tier.takes(0, 1, member.Gone)
+	w.tier.takes(1, 0, member.Dead)
+	w.tier.takes(0, 1, member.Dead)
 	assert.Equal(t, 2, w.tier.sum.FalseGone)
 	w.tier.began(w.nodes[2])
 	w.now = 13e9
 	w.tier.takes(0, 5, member.Suspected)
-	w.tier.takes(0, 5, member.Gone)
+	w.tier.takes(0, 5, member.Dead)
 	w.now = 17e9
-	w.tier.takes(3, 5, member.Gone)
-	w.tier.takes(5, 0, member.Gone) // the dead say nothing
+	w.tier.takes(3, 5, member.Dead)
+	w.tier.takes(5, 0, member.Dead) // the dead say nothing
 	w.tier.sent(500)
 	r := w.tier.result()
 	assert.Equal(t, []int{2, 3, 1}, []int{r.Detected, r.Undetected, r.FalseSuspicions}, "not by 1, 2 and 4")
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -239,7 +239,7 @@
 
 // takes tells the day what a node takes another for, by its log.
 func (f *fleet) takes(by, about int, state string) {
-	for _, s := range []member.State{member.There, member.Suspected, member.Gone} {
+	for _, s := range []member.State{member.Alive, member.Suspected, member.Dead} {
 		if peers.StateName(s) == state {
 			f.day.Takes(by, about, s)
 		}
--- a/internal/gossip/contract_test.go
+++ b/internal/gossip/contract_test.go
@@ -27,7 +27,7 @@
 	// can reach one.
 	Raw func(to string, text []byte) error
 	// Fault has the net lose, double and reorder datagrams from now on. Nil where it can't.
-	Fault func()
+	SetFaults func()
 }
 
 // Clause is one promise.
@@ -239,13 +239,13 @@
 	if _, err := exchange(all[0], all[1], []byte("to another")); err != nil {
 		return err
 	}
-	kept := make(chan int, 1) // what waited unread comes, and then the last of all
+	keptCount := make(chan int, 1) // what waited unread comes, and then the last of all
 	go func() {
 		count := 0
 		for {
 			_, text, err := idle.Receive()
 			if err != nil || string(text) == "last" {
-				kept <- count
+				keptCount <- count
 				return
 			}
 			count++
@@ -258,7 +258,7 @@
 			return err
 		}
 		select {
-		case count := <-kept:
+		case count := <-keptCount:
 			if count == 0 || count > sent/4 {
 				return fmt.Errorf("%d of %d datagrams waited for the reader", count, sent)
 			}
@@ -362,8 +362,8 @@
 }
 
 func faults(n Net, all []*party) error {
-	if n.Fault != nil {
-		n.Fault()
+	if n.SetFaults != nil {
+		n.SetFaults()
 	}
 	text := func(i int) []byte {
 		return append(binary.BigEndian.AppendUint64(nil, uint64(i)), bytes.Repeat([]byte{byte(i)}, i%200)...)
@@ -374,7 +374,7 @@
 			return err
 		}
 	}
-	if n.Fault == nil {
+	if n.SetFaults == nil {
 		_, err := exchange(all[0], all[1], text(1))
 		return err
 	}
--- a/internal/gossip/talk_test.go
+++ b/internal/gossip/engine_test.go
@@ -35,13 +35,13 @@
 
 // same tells whether two hold the same bytes, and the same sums of them.
 func same(t assert.TestingT, want, got *Records, what string) bool {
-	for k, h := range want.all {
+	for k, h := range want.records {
 		r, ok := got.Get(k.kind, k.origin)
 		if !ok || !assert.ObjectsAreEqual(h.Record.Value, r.Value) || r.Incarnation != h.Incarnation || r.Sequence != h.Sequence {
 			return assert.Fail(t, what, "%v: %v, want %v", k, r, h.Record)
 		}
 	}
-	return assert.Equal(t, want.Len(), got.Len(), what) && assert.Equal(t, want.sums, got.sums, what)
+	return assert.Equal(t, want.Len(), got.Len(), what) && assert.Equal(t, want.bucketSums, got.bucketSums, what)
 }
 
 // Merging is commutative, associative and idempotent, so any order and any repeats end alike.
@@ -55,11 +55,11 @@
 		slices.Reverse(all)
 		same(t, want, merged(all), "each the other way round")
 		again := &Records{}
-		for _, h := range want.all { // what holds, merged into nothing and into itself
+		for _, h := range want.records { // what holds, merged into nothing and into itself
 			again.Merge(h.Record)
 		}
 		same(t, want, again, "what holds, alone")
-		for _, h := range again.all {
+		for _, h := range again.records {
 			changed, err := want.Merge(h.Record)
 			assert.False(t, changed)
 			assert.NoError(t, err)
@@ -72,7 +72,7 @@
 	t      *testing.T
 	rng    *rand.Rand
 	now    time.Duration
-	talks  []*Talk
+	talks  []*Engine
 	loss   float64
 	cut    func(from, to int) bool
 	late   []func() // datagrams under way, of the last step and of those before it
@@ -82,8 +82,8 @@
 func newFleet(t *testing.T, nodes int, budget float64) *fleet {
 	f := &fleet{t: t, rng: rand.New(rand.NewPCG(uint64(nodes), 7)), budget: budget, cut: func(int, int) bool { return false }}
 	for i := range nodes {
-		f.talks = append(f.talks, NewTalk(fmt.Sprint("n", i), 1, budget))
-		f.talks[i].Fleet(nodes)
+		f.talks = append(f.talks, NewEngine(fmt.Sprint("n", i), 1, budget))
+		f.talks[i].SetFleetSize(nodes)
 	}
 	return f
 }
@@ -104,22 +104,22 @@
 		if to == i {
 			continue
 		}
-		for _, d := range from.Next(f.now, fmt.Sprint(to)) {
+		for _, d := range from.DatagramsFor(f.now, fmt.Sprint(to)) {
 			require.LessOrEqual(f.t, len(d), MaxDatagram)
 			if f.cut(i, to) || f.rng.Float64() < f.loss {
 				continue
 			}
 			for range 1 + f.rng.IntN(2) {
-				f.late = append(f.late, func() { f.talks[to].Heard(f.now, fmt.Sprint(i), d) })
+				f.late = append(f.late, func() { f.talks[to].HandleDatagram(f.now, fmt.Sprint(i), d) })
 			}
 		}
-		require.LessOrEqual(f.t, float64(from.Counts.Bytes), f.budget*(f.now.Seconds()+1)+MaxDatagram, "bytes sent within the budget")
+		require.LessOrEqual(f.t, float64(from.Counts.BytesSent), f.budget*(f.now.Seconds()+1)+MaxDatagram, "bytes sent within the budget")
 	}
 }
 
 func (f *fleet) agree() bool {
 	for _, t := range f.talks[1:] {
-		if t.sums != f.talks[0].sums || t.Len() != f.talks[0].Len() {
+		if t.bucketSums != f.talks[0].bucketSums || t.Len() != f.talks[0].Len() {
 			return false
 		}
 	}
@@ -137,7 +137,7 @@
 	}
 	for _, t := range f.talks {
 		same(f.t, &f.talks[0].Records, &t.Records, "all hold the same")
-		require.Zero(f.t, t.Counts.Spoilt+t.Counts.Torn+t.Counts.Refused+t.Counts.Foreign, "%+v", t.Counts)
+		require.Zero(f.t, t.Counts.Malformed+t.Counts.ChecksumMismatches+t.Counts.Rejected+t.Counts.Unknown, "%+v", t.Counts)
 	}
 	return f.now - start
 }
@@ -148,13 +148,13 @@
 	f := newFleet(t, 30, 4000)
 	f.loss = 0.2
 	for i, talk := range f.talks {
-		require.NoError(t, talk.Put(1, []byte{byte(i)}))
-		require.NoError(t, talk.Put(2, bytes.Repeat([]byte{byte(i)}, 20*i))) // up to 580 bytes
+		require.NoError(t, talk.Publish(1, []byte{byte(i)}))
+		require.NoError(t, talk.Publish(2, bytes.Repeat([]byte{byte(i)}, 20*i))) // up to 580 bytes
 	}
 	t.Logf("60 records of 30 nodes settled after %v", f.settle(time.Minute))
 	f.cut = func(from, to int) bool { return (from < 10) != (to < 10) }
 	for i, talk := range f.talks {
-		require.NoError(t, talk.Put(1, []byte{byte(i), 1}))
+		require.NoError(t, talk.Publish(1, []byte{byte(i), 1}))
 	}
 	for range 300 {
 		f.step()
@@ -163,7 +163,7 @@
 	f.cut = func(int, int) bool { return false }
 	t.Logf("a cut of a minute healed after %v", f.settle(time.Minute))
 	f.cut = func(from, to int) bool { return from == 3 } // heard by nobody
-	require.NoError(t, f.talks[3].Put(1, []byte("one way")))
+	require.NoError(t, f.talks[3].Publish(1, []byte("one way")))
 	for range 100 {
 		f.step()
 	}
@@ -178,13 +178,13 @@
 func TestAnEarlierLifeIsLeftBehind(t *testing.T) {
 	f := newFleet(t, 5, 4000)
 	for n := range 7 {
-		require.NoError(t, f.talks[2].Put(1, []byte{byte(n)}))
+		require.NoError(t, f.talks[2].Publish(1, []byte{byte(n)}))
 	}
-	require.NoError(t, f.talks[2].Put(2, []byte("of the first life alone")))
+	require.NoError(t, f.talks[2].Publish(2, []byte("of the first life alone")))
 	f.settle(time.Minute)
-	f.talks[2] = NewTalk("n2", 1, 4000)
-	f.talks[2].Fleet(5)
-	require.NoError(t, f.talks[2].Put(1, []byte("the second life")))
+	f.talks[2] = NewEngine("n2", 1, 4000)
+	f.talks[2].SetFleetSize(5)
+	require.NoError(t, f.talks[2].Publish(1, []byte("the second life")))
 	for range 50 {
 		f.step()
 	}
@@ -199,46 +199,46 @@
 
 // Kinds and forms that a program does not know pass through it untouched, and are counted.
 func TestWhatIsNotKnownIsCarriedOn(t *testing.T) {
-	old, next := NewTalk("old", 1, 1e6), NewTalk("new", 1, 1e6)
-	require.NoError(t, next.Put(200, []byte("of a later program")))
-	later, err := encode.Marshal(entry{Form: 77, Text: []byte("?")})
+	old, next := NewEngine("old", 1, 1e6), NewEngine("new", 1, 1e6)
+	require.NoError(t, next.Publish(200, []byte("of a later program")))
+	later, err := encMode.Marshal(entry{Form: 77, Text: []byte("?")})
 	require.NoError(t, err)
-	unknown, err := encode.Marshal(entry{Form: 9, Text: []byte("?")})
+	unknown, err := encMode.Marshal(entry{Form: 9, Text: []byte("?")})
 	require.NoError(t, err)
 	later = append(later, unknown...)
-	for _, d := range next.Next(0, "old") {
-		news, notes := old.Heard(0, "new", append(d, later...))
+	for _, d := range next.DatagramsFor(0, "old") {
+		news, notes := old.HandleDatagram(0, "new", append(d, later...))
 		assert.Equal(t, []Note{{77, []byte("?")}}, notes, "for who knows its form")
 		assert.Equal(t, Kind(200), news[0].Kind)
 	}
-	assert.Equal(t, 1, old.Counts.Foreign)
-	third := NewTalk("third", 1, 1e6)
-	for _, d := range old.Next(time.Second, "third") {
-		third.Heard(0, "old", d)
+	assert.Equal(t, 1, old.Counts.Unknown)
+	third := NewEngine("third", 1, 1e6)
+	for _, d := range old.DatagramsFor(time.Second, "third") {
+		third.HandleDatagram(0, "old", d)
 	}
 	r, ok := third.Get(200, "new")
 	assert.True(t, ok)
 	assert.Equal(t, "of a later program", string(r.Value))
-	news, _ := third.Heard(0, "x", []byte{version + 1, 1, 2, 3})
+	news, _ := third.HandleDatagram(0, "x", []byte{protocolVersion + 1, 1, 2, 3})
 	assert.Empty(t, news)
-	assert.Equal(t, 1, third.Counts.Foreign, "a datagram of another version")
+	assert.Equal(t, 1, third.Counts.Unknown, "a datagram of another version")
 }
 
 // A flood, a lie or noise harms its origin alone and costs bounded memory.
 func TestLiesAreBounded(t *testing.T) {
-	talk := NewTalk("n", 1, 1e6)
-	require.NoError(t, talk.Put(1, []byte("mine")))
+	talk := NewEngine("n", 1, 1e6)
+	require.NoError(t, talk.Publish(1, []byte("mine")))
 	say := func(r Record) { // as a peer would
-		e, err := encode.Marshal(r)
+		e, err := encMode.Marshal(r)
 		require.NoError(t, err)
-		e, err = encode.Marshal(entry{Form: formRecord, Text: e})
+		e, err = encMode.Marshal(entry{Form: formRecord, Text: e})
 		require.NoError(t, err)
-		talk.Heard(0, "liar", append([]byte{version}, e...))
+		talk.HandleDatagram(0, "liar", append([]byte{protocolVersion}, e...))
 	}
 	for i := range 256 {
 		say(Record{Kind: Kind(i), Origin: "flood", Incarnation: 1})
 	}
-	assert.Equal(t, maxOf, talk.of["flood"])
+	assert.Equal(t, maxRecordsPerOrigin, talk.countByOrigin["flood"])
 	for i := range 2 * MaxRecords {
 		say(Record{Origin: fmt.Sprint("x", i), Incarnation: 1})
 	}
@@ -250,38 +250,38 @@
 	r, _ = talk.Get(1, "n")
 	assert.Equal(t, "mine", string(r.Value))
 	assert.EqualValues(t, 10, talk.Incarnation())
-	refused := talk.Counts.Refused
+	refused := talk.Counts.Rejected
 	say(Record{Origin: "a name that is far longer than the forty-eight bytes allowed", Incarnation: 1})
-	assert.Equal(t, refused+1, talk.Counts.Refused)
+	assert.Equal(t, refused+1, talk.Counts.Rejected)
 	for i := range 3 * maxPartials { // pieces that never become whole
-		e, err := encode.Marshal(piece{Of: Record{Origin: fmt.Sprint("x", i), Incarnation: 2}, Length: 300, Part: make([]byte, pieceBytes)})
+		e, err := encMode.Marshal(piece{Of: Record{Origin: fmt.Sprint("x", i), Incarnation: 2}, Length: 300, Part: make([]byte, pieceBytes)})
 		require.NoError(t, err)
-		e, err = encode.Marshal(entry{Form: formPiece, Text: e})
+		e, err = encMode.Marshal(entry{Form: formPiece, Text: e})
 		require.NoError(t, err)
-		talk.Heard(time.Duration(i), "liar", append([]byte{version}, e...))
+		talk.HandleDatagram(time.Duration(i), "liar", append([]byte{protocolVersion}, e...))
 	}
 	assert.Len(t, talk.partials, maxPartials)
 }
 
 // FuzzHeard: no datagram harms who hears it, and what it says next can be read.
 func FuzzHeard(f *testing.F) {
-	a := NewTalk("a", 1, 1e6)
-	a.Put(1, []byte("short"))
-	a.Put(2, make([]byte, 600))
-	for _, d := range a.Next(0, "b") {
+	a := NewEngine("a", 1, 1e6)
+	a.Publish(1, []byte("short"))
+	a.Publish(2, make([]byte, 600))
+	for _, d := range a.DatagramsFor(0, "b") {
 		f.Add(d)
 	}
 	f.Fuzz(func(t *testing.T, datagram []byte) {
-		b, c := NewTalk("b", 1, 1e6), NewTalk("c", 1, 1e6)
-		b.Put(1, []byte("b's"))
-		b.Heard(0, "a", datagram)
-		for _, d := range b.Next(time.Second, "c") {
+		b, c := NewEngine("b", 1, 1e6), NewEngine("c", 1, 1e6)
+		b.Publish(1, []byte("b's"))
+		b.HandleDatagram(0, "a", datagram)
+		for _, d := range b.DatagramsFor(time.Second, "c") {
 			if len(d) > MaxDatagram {
 				t.Fatalf("%d bytes", len(d))
 			}
-			c.Heard(0, "b", d)
+			c.HandleDatagram(0, "b", d)
 		}
-		if c.Counts.Spoilt+c.Counts.Foreign+c.Counts.Refused+c.Counts.Torn > 0 {
+		if c.Counts.Malformed+c.Counts.Unknown+c.Counts.Rejected+c.Counts.ChecksumMismatches > 0 {
 			t.Fatalf("%+v", c.Counts)
 		}
 		if r, _ := b.Get(1, "b"); string(r.Value) != "b's" {
--- a/internal/gossip/memory.go
+++ b/internal/gossip/memory.go
@@ -8,86 +8,86 @@
 )
 
 // memoryQueue is how many datagrams wait unread at most.
-const memoryQueue = 256
+const maxUnread = 256
 
 // Network is a network in memory. Its faults apply to what is sent from then on.
-type Network struct {
-	mu    sync.Mutex
-	ports map[string]*Memory
-	rng   *rand.Rand
-	loss  float64 // parts of the datagrams: lost,
-	twice float64 // delivered twice,
-	swap  float64 // held back until the next one to the same receiver
-	fate  Fate    // in place of those parts
-	after func(time.Duration, func())
+type MemoryNetwork struct {
+	mu         sync.Mutex
+	transports map[string]*MemoryTransport
+	rng        *rand.Rand
+	loss       float64      // parts of the datagrams: lost,
+	duplicate  float64      // delivered twice,
+	reorder    float64      // held back until the next one to the same receiver
+	delivery   DeliveryFunc // in place of those parts
+	schedule   func(time.Duration, func())
 }
 
 // Fate is what becomes of a datagram: how long each of its copies takes; none: it is lost.
-type Fate func(from, to string) []time.Duration
+type DeliveryFunc func(from, to string) []time.Duration
 
 // NewNetwork returns one without faults, whose chances are drawn from the source.
-func NewNetwork(rng *rand.Rand) *Network {
-	return &Network{ports: map[string]*Memory{}, rng: rng}
+func NewMemoryNetwork(rng *rand.Rand) *MemoryNetwork {
+	return &MemoryNetwork{transports: map[string]*MemoryTransport{}, rng: rng}
 }
 
 // Fault sets the parts of datagrams that are lost, come twice and change places.
-func (n *Network) Fault(loss, twice, swap float64) {
+func (n *MemoryNetwork) SetFaults(loss, duplicate, reorder float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loss, n.twice, n.swap = loss, twice, swap
+	n.loss, n.duplicate, n.reorder = loss, duplicate, reorder
 }
 
 // Pace has datagrams take their time by a clock of the caller's, virtual or not: after calls
 // back when one comes. Both are called under the network's lock.
-func (n *Network) Pace(fate Fate, after func(time.Duration, func())) {
+func (n *MemoryNetwork) SetDelivery(delivery DeliveryFunc, schedule func(time.Duration, func())) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.fate, n.after = fate, after
+	n.delivery, n.schedule = delivery, schedule
 }
 
 // Listen returns the Transport of an address, in place of a closed one's.
-func (n *Network) Listen(addr string) *Memory { return n.ListenFunc(addr, nil) }
+func (n *MemoryNetwork) Listen(addr string) *MemoryTransport { return n.ListenFunc(addr, nil) }
 
 // ListenFunc is Listen for a network with a clock: what comes is told in place of being received.
-func (n *Network) ListenFunc(addr string, heard func(from string, datagram []byte)) *Memory {
+func (n *MemoryNetwork) ListenFunc(addr string, handler func(from string, datagram []byte)) *MemoryTransport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	m := &Memory{net: n, addr: addr, heard: heard, in: make(chan packet, memoryQueue), over: make(chan struct{})}
-	n.ports[addr] = m
+	m := &MemoryTransport{net: n, addr: addr, handler: handler, inbox: make(chan packet, maxUnread), done: make(chan struct{})}
+	n.transports[addr] = m
 	return m
 }
 
 // arrive delivers a datagram to who has the address by now.
-func (n *Network) arrive(to string, p packet) {
+func (n *MemoryNetwork) deliver(to string, p packet) {
 	n.mu.Lock()
-	there := n.ports[to]
+	receiver := n.transports[to]
 	n.mu.Unlock()
-	if there != nil {
-		there.put(p)
+	if receiver != nil {
+		receiver.enqueue(p)
 	}
 }
 
 type packet struct {
-	from string
-	text []byte
+	from    string
+	payload []byte
 }
 
 // Memory is the Transport on a Network.
-type Memory struct {
-	net   *Network
-	addr  string
-	heard func(from string, datagram []byte)
-	in    chan packet
-	held  []packet // changing places, under the network's lock
-	over  chan struct{}
-	once  sync.Once
+type MemoryTransport struct {
+	net       *MemoryNetwork
+	addr      string
+	handler   func(from string, datagram []byte)
+	inbox     chan packet
+	reordered []packet // changing places, under the network's lock
+	done      chan struct{}
+	once      sync.Once
 }
 
 // Addr implements Transport.
-func (m *Memory) Addr() string { return m.addr }
+func (m *MemoryTransport) Addr() string { return m.addr }
 
 // Send implements Transport.
-func (m *Memory) Send(to string, datagram []byte) error {
+func (m *MemoryTransport) Send(to string, datagram []byte) error {
 	switch {
 	case m.closed():
 		return ErrClosed
@@ -99,60 +99,60 @@
 	n := m.net
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.fate != nil {
-		for _, d := range n.fate(m.addr, to) {
+	if n.delivery != nil {
+		for _, d := range n.delivery(m.addr, to) {
 			p := packet{m.addr, bytes.Clone(datagram)}
-			n.after(d, func() { n.arrive(to, p) })
+			n.schedule(d, func() { n.deliver(to, p) })
 		}
 		return nil
 	}
-	there := n.ports[to]
-	if there == nil || n.rng.Float64() < n.loss {
+	receiver := n.transports[to]
+	if receiver == nil || n.rng.Float64() < n.loss {
 		return nil
 	}
 	p := packet{m.addr, bytes.Clone(datagram)}
-	if n.rng.Float64() < n.swap && len(there.held) < memoryQueue {
-		there.held = append(there.held, p)
+	if n.rng.Float64() < n.reorder && len(receiver.reordered) < maxUnread {
+		receiver.reordered = append(receiver.reordered, p)
 		return nil
 	}
-	if n.rng.Float64() < n.twice {
-		there.put(packet{p.from, bytes.Clone(p.text)})
+	if n.rng.Float64() < n.duplicate {
+		receiver.enqueue(packet{p.from, bytes.Clone(p.payload)})
 	}
-	there.put(p) // its bytes are the receiver's from here on
-	for _, h := range there.held {
-		there.put(h)
+	receiver.enqueue(p) // its bytes are the receiver's from here on
+	for _, h := range receiver.reordered {
+		receiver.enqueue(h)
 	}
-	there.held = there.held[:0]
+	receiver.reordered = receiver.reordered[:0]
 	return nil
 }
 
-func (m *Memory) put(p packet) {
-	if m.heard != nil {
-		m.heard(p.from, p.text)
+func (m *MemoryTransport) enqueue(p packet) {
+	if m.handler != nil {
+		m.handler(p.from, p.payload)
 		return
 	}
 	select {
-	case m.in <- p:
+	case m.inbox <- p:
 	default: // a slow reader's loss
 	}
 }
 
 // Receive implements Transport.
-func (m *Memory) Receive() (string, []byte, error) {
+func (m *MemoryTransport) Receive() (string, []byte, error) {
 	if m.closed() {
 		return "", nil, ErrClosed
 	}
 	select {
-	case p := <-m.in:
-		return p.from, p.text, nil
-	case <-m.over:
+	case p := <-m.inbox:
+		return p.from, p.payload, nil
+	case <-m.done:
 		return "", nil, ErrClosed
 	}
 }
 
-func (m *Memory) closed() bool {
+func (m *MemoryTransport) closed() bool {
 	select {
-	case <-m.over:
+	case <-m.done:
 		return true
 	default:
 		return false
@@ -160,13 +160,13 @@
 }
 
 // Close implements Transport.
-func (m *Memory) Close() error {
+func (m *MemoryTransport) Close() error {
 	m.once.Do(func() {
-		close(m.over)
+		close(m.done)
 		m.net.mu.Lock()
 		defer m.net.mu.Unlock()
-		if m.net.ports[m.addr] == m {
-			delete(m.net.ports, m.addr)
+		if m.net.transports[m.addr] == m {
+			delete(m.net.transports, m.addr)
 		}
 	})
 	return nil
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -31,8 +31,8 @@
 }
 
 // memory is a net in memory; wrap, where given, makes its transports wrong.
-func memory(wrap func(*gossip.Memory) gossip.Transport) Net {
-	n, count := gossip.NewNetwork(rand.New(rand.NewPCG(1, 2))), 0
+func memory(wrap func(*gossip.MemoryTransport) gossip.Transport) Net {
+	n, count := gossip.NewMemoryNetwork(rand.New(rand.NewPCG(1, 2))), 0
 	return Net{
 		Listen: func() (gossip.Transport, error) {
 			count++
@@ -42,7 +42,7 @@
 			}
 			return m, nil
 		},
-		Fault: func() { n.Fault(0.2, 0.2, 0.2) },
+		SetFaults: func() { n.SetFaults(0.2, 0.2, 0.2) },
 	}
 }
 
@@ -52,10 +52,10 @@
 
 // paced is the same with a clock, as in the lab's days: datagrams take up to 5 ms.
 func paced() Net {
-	n, count := gossip.NewNetwork(nil), 0
+	n, count := gossip.NewMemoryNetwork(nil), 0
 	rng := rand.New(rand.NewPCG(1, 3)) // drawn from under the network's lock
 	faulty := false
-	n.Pace(func(_, _ string) []time.Duration {
+	n.SetDelivery(func(_, _ string) []time.Duration {
 		takes := func() time.Duration { return time.Duration(rng.IntN(int(5 * time.Millisecond))) }
 		switch {
 		case faulty && rng.Float64() < 0.2:
@@ -70,7 +70,7 @@
 			count++
 			return n.Listen(fmt.Sprint("node-", count)), nil
 		},
-		Fault: func() { faulty = true },
+		SetFaults: func() { faulty = true },
 	}
 }
 
@@ -80,45 +80,45 @@
 
 // wrong is a transport that breaks one promise.
 type wrong struct {
-	*gossip.Memory
-	send    func(m *gossip.Memory, to string, text []byte) error
-	receive func(m *gossip.Memory) (string, []byte, error)
-	close   func(m *gossip.Memory) error
+	*gossip.MemoryTransport
+	send    func(m *gossip.MemoryTransport, to string, text []byte) error
+	receive func(m *gossip.MemoryTransport) (string, []byte, error)
+	close   func(m *gossip.MemoryTransport) error
 }
 
 func (w *wrong) Send(to string, text []byte) error {
 	if w.send != nil {
-		return w.send(w.Memory, to, text)
+		return w.send(w.MemoryTransport, to, text)
 	}
-	return w.Memory.Send(to, text)
+	return w.MemoryTransport.Send(to, text)
 }
 
 func (w *wrong) Receive() (string, []byte, error) {
 	if w.receive != nil {
-		return w.receive(w.Memory)
+		return w.receive(w.MemoryTransport)
 	}
-	return w.Memory.Receive()
+	return w.MemoryTransport.Receive()
 }
 
 func (w *wrong) Close() error {
 	if w.close != nil {
-		return w.close(w.Memory)
+		return w.close(w.MemoryTransport)
 	}
-	return w.Memory.Close()
+	return w.MemoryTransport.Close()
 }
 
 // Each clause bites: a carrier that breaks its promise fails it.
 func TestTransportContractBites(t *testing.T) {
 	for name, tt := range map[string]struct {
-		make func() func(*gossip.Memory) gossip.Transport
+		make func() func(*gossip.MemoryTransport) gossip.Transport
 		net  func(Net) Net
 		want string
 	}{
-		"sender's address unknown": {make: with(wrong{receive: func(m *gossip.Memory) (string, []byte, error) {
+		"sender's address unknown": {make: with(wrong{receive: func(m *gossip.MemoryTransport) (string, []byte, error) {
 			_, text, err := m.Receive()
 			return "?", text, err
 		}}), want: "a datagram comes as it was sent, and can be answered"},
-		"cuts what is long": {make: with(wrong{send: func(m *gossip.Memory, to string, text []byte) error {
+		"cuts what is long": {make: with(wrong{send: func(m *gossip.MemoryTransport, to string, text []byte) error {
 			return m.Send(to, text[:min(len(text), gossip.MaxDatagram)])
 		}}), want: "256 bytes pass and 257 are refused"},
 		"cuts what is long from outside": {net: func(n Net) Net {
@@ -126,25 +126,25 @@
 			n.Raw = func(to string, text []byte) error { return from.Send(to, text[:gossip.MaxDatagram]) }
 			return n
 		}, want: "a longer one from outside is dropped, not cut"},
-		"one buffer for all that comes": {make: func() func(*gossip.Memory) gossip.Transport {
-			return func(m *gossip.Memory) gossip.Transport {
+		"one buffer for all that comes": {make: func() func(*gossip.MemoryTransport) gossip.Transport {
+			return func(m *gossip.MemoryTransport) gossip.Transport {
 				var buf [gossip.MaxDatagram]byte
-				return &wrong{Memory: m, receive: func(m *gossip.Memory) (string, []byte, error) {
+				return &wrong{MemoryTransport: m, receive: func(m *gossip.MemoryTransport) (string, []byte, error) {
 					from, text, err := m.Receive()
 					return from, buf[:copy(buf[:], text)], err
 				}}
 			}
 		}, want: "the bytes are the sender's again, and the receiver's to keep"},
-		"keeps all that is unread": {make: func() func(*gossip.Memory) gossip.Transport {
+		"keeps all that is unread": {make: func() func(*gossip.MemoryTransport) gossip.Transport {
 			var mu sync.Mutex
 			stock := map[string][][]byte{}
-			return func(m *gossip.Memory) gossip.Transport {
-				return &wrong{Memory: m, send: func(m *gossip.Memory, to string, text []byte) error {
+			return func(m *gossip.MemoryTransport) gossip.Transport {
+				return &wrong{MemoryTransport: m, send: func(m *gossip.MemoryTransport, to string, text []byte) error {
 					mu.Lock()
 					stock[to] = append(stock[to], append([]byte(nil), text...))
 					mu.Unlock()
 					return m.Send(to, text)
-				}, receive: func(m *gossip.Memory) (string, []byte, error) {
+				}, receive: func(m *gossip.MemoryTransport) (string, []byte, error) {
 					mu.Lock()
 					s := stock[m.Addr()]
 					stock[m.Addr()] = s[min(len(s), 1):]
@@ -156,16 +156,16 @@
 				}}
 			}
 		}, want: "a slow reader holds up nobody, within bounds"},
-		"an error for who is gone": {make: with(wrong{send: func(m *gossip.Memory, to string, text []byte) error {
+		"an error for who is gone": {make: with(wrong{send: func(m *gossip.MemoryTransport, to string, text []byte) error {
 			if to == "nobody" {
 				return fmt.Errorf("no address: %s", to)
 			}
 			return m.Send(to, text)
 		}}), want: "one who is gone or unknown holds up nobody"},
-		"closed twice": {make: func() func(*gossip.Memory) gossip.Transport {
-			return func(m *gossip.Memory) gossip.Transport {
+		"closed twice": {make: func() func(*gossip.MemoryTransport) gossip.Transport {
+			return func(m *gossip.MemoryTransport) gossip.Transport {
 				over := false
-				return &wrong{Memory: m, close: func(m *gossip.Memory) error {
+				return &wrong{MemoryTransport: m, close: func(m *gossip.MemoryTransport) error {
 					if over {
 						return gossip.ErrClosed
 					}
@@ -174,13 +174,13 @@
 				}}
 			}
 		}, want: "closing ends what waits, and is no error twice"},
-		"a panic once closed": {make: with(wrong{send: func(m *gossip.Memory, to string, text []byte) error {
+		"a panic once closed": {make: with(wrong{send: func(m *gossip.MemoryTransport, to string, text []byte) error {
 			if err := m.Send(to, text); err != nil {
 				panic(err)
 			}
 			return nil
 		}}), want: "closing while others send is safe"},
-		"spoils what it doubles": {make: with(wrong{receive: func(m *gossip.Memory) (string, []byte, error) {
+		"spoils what it doubles": {make: with(wrong{receive: func(m *gossip.MemoryTransport) (string, []byte, error) {
 			from, text, err := m.Receive()
 			if len(text) > 150 {
 				text[149]++
@@ -194,7 +194,7 @@
 				if c.Name != tt.want {
 					continue
 				}
-				var wrap func(*gossip.Memory) gossip.Transport
+				var wrap func(*gossip.MemoryTransport) gossip.Transport
 				if tt.make != nil {
 					wrap = tt.make()
 				}
@@ -210,11 +210,11 @@
 	}
 }
 
-func with(w wrong) func() func(*gossip.Memory) gossip.Transport {
-	return func() func(*gossip.Memory) gossip.Transport {
-		return func(m *gossip.Memory) gossip.Transport {
+func with(w wrong) func() func(*gossip.MemoryTransport) gossip.Transport {
+	return func() func(*gossip.MemoryTransport) gossip.Transport {
+		return func(m *gossip.MemoryTransport) gossip.Transport {
 			w := w
-			w.Memory = m
+			w.MemoryTransport = m
 			return &w
 		}
 	}
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -13,7 +13,7 @@
 )
 
 // said is what a node tells of itself, as a record would carry it.
-type said struct {
+type announcement struct {
 	incarnation uint32
 	number      int
 	suspects    map[ID]uint32
@@ -21,18 +21,18 @@
 
 // world is nodes in virtual time. Messages are late by up to 12 ms and may be lost; what the
 // nodes say of themselves is passed on from node to node, to three others a step.
-type world struct {
-	rng   *rand.Rand
-	now   time.Duration
-	ids   []ID
-	nodes map[ID]*List // nil: killed
-	heard map[ID]map[ID]said
-	way   []under
-	loss  float64
-	cut   func(from, to ID) bool
+type cluster struct {
+	rng           *rand.Rand
+	now           time.Duration
+	ids           []ID
+	nodes         map[ID]*List // nil: killed
+	announcements map[ID]map[ID]announcement
+	inFlight      []delivery
+	loss          float64
+	blocked       func(from, to ID) bool
 }
 
-type under struct {
+type delivery struct {
 	at       time.Duration
 	from, to ID
 	m        Message
@@ -40,8 +40,8 @@
 
 const step = 20 * time.Millisecond
 
-func newWorld(nodes int, seed uint64) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 3)), nodes: map[ID]*List{}, heard: map[ID]map[ID]said{}, cut: func(ID, ID) bool { return false }}
+func newCluster(nodes int, seed uint64) *cluster {
+	w := &cluster{rng: rand.New(rand.NewPCG(seed, 3)), nodes: map[ID]*List{}, announcements: map[ID]map[ID]announcement{}, blocked: func(ID, ID) bool { return false }}
 	for i := range nodes {
 		w.ids = append(w.ids, ID(fmt.Sprintf("n%03d", i)))
 	}
@@ -52,70 +52,70 @@
 }
 
 // start starts a node that knows nothing but the names.
-func (w *world) start(id ID) {
+func (w *cluster) start(id ID) {
 	w.nodes[id] = New(id, w.ids, Options{}, rand.New(rand.NewPCG(w.rng.Uint64(), 1)))
-	w.heard[id] = map[ID]said{}
+	w.announcements[id] = map[ID]announcement{}
 }
 
-func (w *world) lost(from, to ID) bool {
-	return w.nodes[to] == nil || w.cut(from, to) || w.rng.Float64() < w.loss
+func (w *cluster) drops(from, to ID) bool {
+	return w.nodes[to] == nil || w.blocked(from, to) || w.rng.Float64() < w.loss
 }
 
-func (w *world) send(from ID, out []Send) {
+func (w *cluster) send(from ID, out []Send) {
 	for _, s := range out {
-		if !w.lost(from, s.To) {
-			w.way = append(w.way, under{w.now + time.Duration(1200+w.rng.IntN(10800))*time.Microsecond, from, s.To, s.Message})
+		if !w.drops(from, s.To) {
+			w.inFlight = append(w.inFlight, delivery{w.now + time.Duration(1200+w.rng.IntN(10800))*time.Microsecond, from, s.To, s.Message})
 		}
 	}
 }
 
 // say has a node's own word renewed, and hears one of another.
-func (w *world) hear(to, of ID, s said) {
-	n, was := w.nodes[to], w.heard[to][of]
-	if of == to {
+func (w *cluster) receive(to, origin ID, s announcement) {
+	n, was := w.nodes[to], w.announcements[to][origin]
+	if origin == to {
 		if s.incarnation > n.Incarnation() {
-			n.Raise(s.incarnation + 1) // an earlier life of its own
+			n.RaiseIncarnation(s.incarnation + 1) // an earlier life of its own
 		}
 		return
 	}
 	if s.incarnation < was.incarnation || s.incarnation == was.incarnation && s.number <= was.number {
 		return
 	}
-	w.heard[to][of] = s
-	n.Alive(w.now, of, s.incarnation)
-	n.Told(w.now, of, s.suspects)
+	w.announcements[to][origin] = s
+	n.UpdateIncarnation(w.now, origin, s.incarnation)
+	n.UpdateSuspicions(w.now, origin, s.suspects)
 }
 
-func (w *world) run(span time.Duration, each func()) {
+func (w *cluster) run(span time.Duration, each func()) {
 	for end := w.now + span; w.now < end; {
 		w.now += step
-		slices.SortStableFunc(w.way, func(a, b under) int { return int(a.at - b.at) })
+		slices.SortStableFunc(w.inFlight, func(a, b delivery) int { return int(a.at - b.at) })
 		n := 0
-		for ; n < len(w.way) && w.way[n].at <= w.now; n++ {
-			if u := w.way[n]; w.nodes[u.to] != nil {
-				w.send(u.to, w.nodes[u.to].Heard(w.now, u.from, u.m))
+		for ; n < len(w.inFlight) && w.inFlight[n].at <= w.now; n++ {
+			if u := w.inFlight[n]; w.nodes[u.to] != nil {
+				w.send(u.to, w.nodes[u.to].HandleMessage(w.now, u.from, u.m))
 			}
 		}
-		w.way = slices.Clone(w.way[n:])
+		w.inFlight = slices.Clone(w.inFlight[n:])
 		for _, id := range w.ids {
 			node := w.nodes[id]
 			if node == nil {
 				continue
 			}
 			w.send(id, node.Tick(w.now))
-			own, sus := w.heard[id][id], node.Suspects()
+			own, sus := w.announcements[id][id], node.Suspects()
 			if own.incarnation != node.Incarnation() || !maps.Equal(own.suspects, sus) {
-				w.heard[id][id] = said{node.Incarnation(), own.number + 1, sus}
+				w.announcements[id][id] = announcement{node.Incarnation(), own.number + 1, sus}
 			}
 			if w.now%(200*time.Millisecond) == 0 {
 				for range 3 {
 					to := w.ids[w.rng.IntN(len(w.ids))]
-					if to == id || w.lost(id, to) {
+					if to == id || w.drops(id, to) {
 						continue
 					}
-					for _, of := range w.ids {
-						if s, ok := w.heard[id][of]; ok {
-							w.hear(to, of, s)
+					for _, origin := range w.ids {
+						if s, ok := w.announcements[id][origin]; ok {
+							w.receive(to, origin, s)
 						}
 					}
 				}
@@ -128,13 +128,13 @@
 }
 
 // states counts what live nodes take others for.
-func (w *world) states(of func(by, id ID) bool) (out [3]int) {
+func (w *cluster) countStates(selected func(by, id ID) bool) (out [3]int) {
 	for by, n := range w.nodes {
 		if n == nil {
 			continue
 		}
 		for _, p := range n.peers {
-			if of(by, p.id) {
+			if selected(by, p.id) {
 				out[p.state]++
 			}
 		}
@@ -142,102 +142,102 @@
 	return out
 }
 
-func (w *world) all(by, id ID) bool { return true }
+func (w *cluster) anyPair(by, id ID) bool { return true }
 
 // A killed node is known as gone to all within a time that its probes bound; one that lives
 // is gone to nobody, whatever is lost.
-func TestDetection(t *testing.T) {
+func TestDeadNodeIsDetectedByAll(t *testing.T) {
 	for _, tt := range []struct {
-		nodes int
-		loss  float64
-		most  time.Duration // until all know
+		nodes        int
+		loss         float64
+		maxDetection time.Duration // until all know
 	}{{3, 0, 15 * time.Second}, {3, 0.2, 25 * time.Second}, {30, 0, 20 * time.Second}, {30, 0.2, 25 * time.Second}, {200, 0.2, 25 * time.Second}} {
 		if tt.nodes == 200 && testing.Short() {
 			continue
 		}
 		t.Run(fmt.Sprintf("%d nodes, %.0f%% lost", tt.nodes, 100*tt.loss), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(tt.nodes, 1)
+			w := newCluster(tt.nodes, 1)
 			w.loss = tt.loss
-			false_ := 0
+			falseDead := 0
 			live := func(_, id ID) bool { return w.nodes[id] != nil }
-			w.run(20*time.Second, func() { false_ = max(false_, w.states(live)[Gone]) })
-			assert.Zero(t, false_, "live nodes taken for gone")
+			w.run(20*time.Second, func() { falseDead = max(falseDead, w.countStates(live)[Dead]) })
+			assert.Zero(t, falseDead, "live nodes taken for gone")
 			dead := w.ids[1]
 			w.nodes[dead] = nil
 			killed, first := w.now, time.Duration(0)
-			for w.states(func(_, id ID) bool { return id == dead })[Gone] < tt.nodes-1 {
+			for w.countStates(func(_, id ID) bool { return id == dead })[Dead] < tt.nodes-1 {
 				w.run(step, nil)
-				if first == 0 && w.states(func(_, id ID) bool { return id == dead })[Gone] > 0 {
+				if first == 0 && w.countStates(func(_, id ID) bool { return id == dead })[Dead] > 0 {
 					first = w.now - killed
 				}
-				require.Less(t, w.now-killed, tt.most, "not all know")
+				require.Less(t, w.now-killed, tt.maxDetection, "not all know")
 			}
 			t.Logf("gone to the first after %v, to all after %v", first, w.now-killed)
-			assert.Zero(t, w.states(live)[Gone], "live nodes taken for gone")
+			assert.Zero(t, w.countStates(live)[Dead], "live nodes taken for gone")
 
 			w.start(dead) // from nothing, under its name
 			back := w.now
-			for w.states(func(_, id ID) bool { return id == dead })[There] < tt.nodes-1 {
+			for w.countStates(func(_, id ID) bool { return id == dead })[Alive] < tt.nodes-1 {
 				w.run(step, nil)
 				require.Less(t, w.now-back, 15*time.Second, "not there to all again")
 			}
 			t.Logf("there to all %v after its return", w.now-back)
-			assert.Zero(t, w.states(w.all)[Gone], "taken for gone once it is back")
+			assert.Zero(t, w.countStates(w.anyPair)[Dead], "taken for gone once it is back")
 		})
 	}
 }
 
 // Both sides of a cut go on as fleets of their own and are one again once they hear each
 // other; nobody is dead for good, and nobody needs to be told.
-func TestACutHeals(t *testing.T) {
+func TestPartitionHeals(t *testing.T) {
 	for name, oneWay := range map[string]bool{"both ways": false, "one way": true} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(12, 5)
+			w := newCluster(12, 5)
 			w.loss = 0.05
 			side := func(id ID) bool { return id < "n004" }
 			w.run(10*time.Second, nil)
-			w.cut = func(from, to ID) bool { return side(from) != side(to) && (!oneWay || side(from)) }
+			w.blocked = func(from, to ID) bool { return side(from) != side(to) && (!oneWay || side(from)) }
 			w.run(time.Minute, nil)
-			across := w.states(func(by, id ID) bool { return side(by) != side(id) })
-			within := w.states(func(by, id ID) bool { return side(by) == side(id) })
-			assert.Zero(t, within[Gone], "on the same side: %v", within)
+			across := w.countStates(func(by, id ID) bool { return side(by) != side(id) })
+			within := w.countStates(func(by, id ID) bool { return side(by) == side(id) })
+			assert.Zero(t, within[Dead], "on the same side: %v", within)
 			if !oneWay {
-				assert.Equal(t, 2*4*8, across[Gone], "on the other side: %v", across)
+				assert.Equal(t, 2*4*8, across[Dead], "on the other side: %v", across)
 			}
-			w.cut = func(ID, ID) bool { return false }
+			w.blocked = func(ID, ID) bool { return false }
 			w.run(30*time.Second, nil)
-			assert.Equal(t, [3]int{12 * 11, 0, 0}, w.states(w.all), "there, suspected, gone after healing")
+			assert.Equal(t, [3]int{12 * 11, 0, 0}, w.countStates(w.anyPair), "there, suspected, gone after healing")
 		})
 	}
 }
 
 // One path that is broken between two who both live is got round by others.
-func TestABrokenPathIsNoDeath(t *testing.T) {
-	w := newWorld(6, 2)
-	w.cut = func(from, to ID) bool { return from == "n000" && to == "n001" || from == "n001" && to == "n000" }
+func TestBrokenPathDoesNotKillNode(t *testing.T) {
+	w := newCluster(6, 2)
+	w.blocked = func(from, to ID) bool { return from == "n000" && to == "n001" || from == "n001" && to == "n000" }
 	worst := 0
-	w.run(time.Minute, func() { worst = max(worst, w.states(w.all)[Gone]) })
+	w.run(time.Minute, func() { worst = max(worst, w.countStates(w.anyPair)[Dead]) })
 	assert.Zero(t, worst)
 }
 
 // A node whose own ways are bad comes to distrust itself, waits longer, and trusts itself
 // again; nobody takes the others for gone on its word.
-func TestASickNodeDoubtsItself(t *testing.T) {
-	w := newWorld(20, 4)
+func TestUnhealthyNodeRaisesItsHealthScore(t *testing.T) {
+	w := newCluster(20, 4)
 	w.run(10*time.Second, nil)
-	w.cut = func(from, to ID) bool { return to == "n000" && w.rng.Float64() < 0.8 } // it hears little
+	w.blocked = func(from, to ID) bool { return to == "n000" && w.rng.Float64() < 0.8 } // it hears little
 	health, wrong := 0, 0
 	w.run(time.Minute, func() {
-		health = max(health, w.nodes["n000"].Health())
-		wrong = max(wrong, w.states(func(by, id ID) bool { return by != "n000" && id != "n000" })[Gone])
+		health = max(health, w.nodes["n000"].HealthScore())
+		wrong = max(wrong, w.countStates(func(by, id ID) bool { return by != "n000" && id != "n000" })[Dead])
 	})
 	assert.GreaterOrEqual(t, health, 2)
 	assert.Zero(t, wrong)
-	w.cut = func(ID, ID) bool { return false }
+	w.blocked = func(ID, ID) bool { return false }
 	w.run(time.Minute, nil)
-	assert.Equal(t, [3]int{20 * 19, 0, 0}, w.states(w.all))
-	assert.LessOrEqual(t, w.nodes["n000"].Health(), 1)
+	assert.Equal(t, [3]int{20 * 19, 0, 0}, w.countStates(w.anyPair))
+	assert.LessOrEqual(t, w.nodes["n000"].HealthScore(), 1)
 }
 
 // TestEveryInterleaving plays every order of losses, deliveries, a restart and time at three
@@ -253,7 +253,7 @@
 	play = func(prefix []int) {
 		m := newModel()
 		for _, c := range prefix {
-			if !m.act(t, c) {
+			if !m.apply(t, c) {
 				return // nothing under way to deliver or lose
 			}
 		}
@@ -276,16 +276,16 @@
 const actions = 7
 
 type model struct {
-	*world
+	*cluster
 	times map[ID]time.Duration
 }
 
 func newModel() *model {
-	w := newWorld(3, 9)
+	w := newCluster(3, 9)
 	return &model{w, map[ID]time.Duration{}}
 }
 
-func (m *model) act(t *testing.T, c int) bool {
+func (m *model) apply(t *testing.T, c int) bool {
 	before := map[ID]uint32{}
 	for id, n := range m.nodes {
 		before[id] = n.Incarnation()
@@ -295,21 +295,21 @@
 		id := m.ids[c]
 		m.times[id] += 1500 * time.Millisecond
 		for _, s := range m.nodes[id].Tick(m.times[id]) {
-			m.way = append(m.way, under{0, id, s.To, s.Message})
+			m.inFlight = append(m.inFlight, delivery{0, id, s.To, s.Message})
 		}
 	case c < 5:
-		if len(m.way) == 0 {
+		if len(m.inFlight) == 0 {
 			return false
 		}
-		u := m.way[0]
-		m.way = m.way[1:]
+		u := m.inFlight[0]
+		m.inFlight = m.inFlight[1:]
 		if c == 3 {
-			for _, s := range m.nodes[u.to].Heard(m.times[u.to], u.from, u.m) {
-				m.way = append(m.way, under{0, u.to, s.To, s.Message})
+			for _, s := range m.nodes[u.to].HandleMessage(m.times[u.to], u.from, u.m) {
+				m.inFlight = append(m.inFlight, delivery{0, u.to, s.To, s.Message})
 			}
 		}
 	case c == 5:
-		m.tell(m.ids[0])
+		m.announce(m.ids[0])
 	default:
 		m.start(m.ids[0])
 		delete(before, m.ids[0])
@@ -321,16 +321,16 @@
 }
 
 // tell has a node say what it holds to both others.
-func (m *model) tell(id ID) {
+func (m *model) announce(id ID) {
 	n := m.nodes[id]
-	own := m.heard[id][id]
-	m.heard[id][id] = said{n.Incarnation(), own.number + 1, n.Suspects()}
+	own := m.announcements[id][id]
+	m.announcements[id][id] = announcement{n.Incarnation(), own.number + 1, n.Suspects()}
 	for _, to := range m.ids {
 		if to != id {
 			m.now = m.times[to]
-			for _, of := range m.ids {
-				if s, ok := m.heard[id][of]; ok {
-					m.hear(to, of, s)
+			for _, origin := range m.ids {
+				if s, ok := m.announcements[id][origin]; ok {
+					m.receive(to, origin, s)
 				}
 			}
 		}
@@ -338,50 +338,50 @@
 }
 
 func (m *model) settle(t *testing.T, prefix []int) {
-	for i := 0; i < 60 && (i < 4 || m.states(m.all) != [3]int{6, 0, 0}); i++ {
+	for i := 0; i < 60 && (i < 4 || m.countStates(m.anyPair) != [3]int{6, 0, 0}); i++ {
 		for _, id := range m.ids {
 			m.times[id] += 500 * time.Millisecond
 			for _, s := range m.nodes[id].Tick(m.times[id]) {
-				m.way = append(m.way, under{0, id, s.To, s.Message})
+				m.inFlight = append(m.inFlight, delivery{0, id, s.To, s.Message})
 			}
-			for len(m.way) > 0 {
-				m.act(t, 3)
+			for len(m.inFlight) > 0 {
+				m.apply(t, 3)
 			}
-			m.tell(id)
+			m.announce(id)
 		}
 	}
-	if got := m.states(m.all); got != [3]int{6, 0, 0} {
+	if got := m.countStates(m.anyPair); got != [3]int{6, 0, 0} {
 		require.Fail(t, "not all are there to all", "%v after %v", got, prefix)
 	}
 }
 
 // What a node hears itself goes before what it is told: one that many suspect is not gone while
 // it says something to this node, or answers by way of another, and is once it does neither.
-func TestHeardIsNotGone(t *testing.T) {
+func TestNodeHeardFromIsNotDeclaredDead(t *testing.T) {
 	for name, answer := range map[string]func(l *List, now time.Duration, out []Send){
 		"silent": func(*List, time.Duration, []Send) {},
-		"heard":  func(l *List, now time.Duration, _ []Send) { l.Seen(now, "x") },
+		"heard":  func(l *List, now time.Duration, _ []Send) { l.RecordContact(now, "x") },
 		"answers by way of another": func(l *List, now time.Duration, out []Send) {
 			for _, s := range out {
-				if s.Kind == Ask && s.About == "x" {
-					l.Heard(now, s.To, Message{Kind: Ack, Probe: s.Probe})
+				if s.Kind == PingRequest && s.Target == "x" {
+					l.HandleMessage(now, s.To, Message{Kind: Ack, Probe: s.Probe})
 				}
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			names := []ID{"a", "b", "c", "d", "e", "me", "x"}
-			l := New("me", names, Options{Period: time.Hour}, rand.New(rand.NewPCG(1, 1)))
-			l.due = time.Hour // no probes of its own
+			l := New("me", names, Options{ProbePeriod: time.Hour}, rand.New(rand.NewPCG(1, 1)))
+			l.nextProbe = time.Hour // no probes of its own
 			for _, by := range names[:5] {
-				l.Told(0, by, map[ID]uint32{"x": 0})
+				l.UpdateSuspicions(0, by, map[ID]uint32{"x": 0})
 			}
 			state := func() State { return l.Members()[5].State }
 			assert.Equal(t, Suspected, state())
 			gone := time.Duration(0)
 			for now := step; now <= 20*time.Second && gone == 0; now += step {
 				answer(l, now, l.Tick(now))
-				if state() == Gone {
+				if state() == Dead {
 					gone = now
 				}
 			}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -19,10 +19,10 @@
 const KindMember gossip.Kind = 1
 
 // formMember is the form of a message of membership.
-const formMember = gossip.FormNote
+const formMember = gossip.FirstNoteForm
 
 // tellEvery is how often a node tells another one, drawn, what is new.
-const tellEvery = 200 * time.Millisecond
+const gossipInterval = 200 * time.Millisecond
 
 // message is the form of a member.Message.
 type message struct {
@@ -34,25 +34,25 @@
 
 // Datagram is what goes to the node of a number.
 type Datagram struct {
-	To   int
-	Text []byte
+	To      int
+	Payload []byte
 }
 
 // Circle is one node's part in its fleet. It is not safe for concurrent use.
-type Circle struct {
-	List  *member.List
-	Talk  *gossip.Talk
-	self  int
-	nodes int
-	rng   *rand.Rand
-	due   time.Duration
-	said  map[member.ID]uint32
-	life  uint32 // the incarnation in which that was said
+type Engine struct {
+	List                 *member.List
+	Gossip               *gossip.Engine
+	self                 int
+	nodes                int
+	rng                  *rand.Rand
+	nextGossip           time.Duration
+	published            map[member.ID]uint32
+	publishedIncarnation uint32 // the incarnation in which that was published
 }
 
-func id(number int) member.ID { return member.ID("n" + strconv.Itoa(number)) }
+func memberID(number int) member.ID { return member.ID("n" + strconv.Itoa(number)) }
 
-func number(of member.ID) int {
+func memberNumber(of member.ID) int {
 	n, err := strconv.Atoi(string(of[1:]))
 	if err != nil {
 		return -1
@@ -62,108 +62,108 @@
 
 // NewCircle returns that of a node of a number among so many, which may send so many bytes a
 // second. It knows nothing of an earlier life.
-func NewCircle(self, nodes int, budget float64, rng *rand.Rand) *Circle {
+func NewEngine(self, nodes int, budget float64, rng *rand.Rand) *Engine {
 	var ids []member.ID
 	for n := range nodes {
-		ids = append(ids, id(n))
+		ids = append(ids, memberID(n))
 	}
-	c := &Circle{List: member.New(id(self), ids, member.Options{}, rng), Talk: gossip.NewTalk(string(id(self)), 1, budget),
-		self: self, nodes: nodes, rng: rng, life: 1}
-	c.Talk.Fleet(nodes)
+	c := &Engine{List: member.New(memberID(self), ids, member.Options{}, rng), Gossip: gossip.NewEngine(string(memberID(self)), 1, budget),
+		self: self, nodes: nodes, rng: rng, publishedIncarnation: 1}
+	c.Gossip.SetFleetSize(nodes)
 	return c
 }
 
 // Heard takes a datagram from the node of a number; from nobody's it is dropped.
-func (c *Circle) Heard(now time.Duration, from int, text []byte) (out []Datagram) {
+func (c *Engine) HandleDatagram(now time.Duration, from int, payload []byte) (out []Datagram) {
 	if from < 0 || from >= c.nodes || from == c.self {
 		return nil
 	}
-	c.List.Seen(now, id(from))
-	news, notes := c.Talk.Heard(now, string(id(from)), text)
+	c.List.RecordContact(now, memberID(from))
+	news, notes := c.Gossip.HandleDatagram(now, string(memberID(from)), payload)
 	for _, r := range news {
-		if r.Kind != KindMember || r.Origin == string(id(c.self)) {
+		if r.Kind != KindMember || r.Origin == string(memberID(c.self)) {
 			continue
 		}
 		suspects := map[string]uint32{}
 		if gossip.Decode(r.Value, &suspects) != nil {
-			continue // a liar's: what it said before holds
+			continue // a liar's: what it published before holds
 		}
 		by, of := member.ID(r.Origin), map[member.ID]uint32{}
 		for s, at := range suspects {
 			of[member.ID(s)] = at
 		}
-		c.List.Alive(now, by, r.Incarnation)
-		c.List.Told(now, by, of)
+		c.List.UpdateIncarnation(now, by, r.Incarnation)
+		c.List.UpdateSuspicions(now, by, of)
 	}
 	for _, n := range notes {
 		var m message
-		if n.Form != formMember || gossip.Decode(n.Text, &m) != nil {
+		if n.Form != formMember || gossip.Decode(n.Payload, &m) != nil {
 			continue
 		}
 		about := member.ID("")
 		if m.About >= 0 {
-			about = id(int(m.About))
+			about = memberID(int(m.About))
 		}
-		out = append(out, c.send(now, c.List.Heard(now, id(from), member.Message{Kind: member.Kind(m.Kind), Probe: m.Probe, About: about}))...)
+		out = append(out, c.sendMessages(now, c.List.HandleMessage(now, memberID(from), member.Message{Kind: member.Kind(m.Kind), Probe: m.Probe, Target: about}))...)
 	}
-	c.settle()
+	c.publishSuspicions()
 	return out
 }
 
 // settle makes what the node says of itself follow what it knows.
-func (c *Circle) settle() {
-	c.Talk.Raise(c.List.Incarnation())
-	c.List.Raise(c.Talk.Incarnation())
+func (c *Engine) publishSuspicions() {
+	c.Gossip.RaiseIncarnation(c.List.Incarnation())
+	c.List.RaiseIncarnation(c.Gossip.Incarnation())
 	suspects := c.List.Suspects()
 	// Who has never suspected anybody nor been suspected says nothing: where all start at once
 	// that would be told many times over, and tells nobody anything. Once it is suspected,
 	// though, its incarnation, which those who suspect it don't know, is the answer.
-	if maps.Equal(suspects, c.said) && c.Talk.Incarnation() == c.life && (c.said != nil || !c.List.Accused()) {
+	if maps.Equal(suspects, c.published) && c.Gossip.Incarnation() == c.publishedIncarnation && (c.published != nil || !c.List.EverSuspected()) {
 		return
 	}
 	value, err := gossip.Encode(suspects)
-	if err == nil && len(value) <= gossip.MaxValue { // else most are gone, and what was said holds
-		err = c.Talk.Put(KindMember, value)
+	if err == nil && len(value) <= gossip.MaxValue { // else most are gone, and what was published holds
+		err = c.Gossip.Publish(KindMember, value)
 	}
 	if err == nil {
-		c.said, c.life = suspects, c.Talk.Incarnation()
+		c.published, c.publishedIncarnation = suspects, c.Gossip.Incarnation()
 	}
 }
 
 // send puts messages of membership into datagrams, each with what news has room beside it.
-func (c *Circle) send(now time.Duration, all []member.Send) (out []Datagram) {
+func (c *Engine) sendMessages(now time.Duration, all []member.Send) (out []Datagram) {
 	for _, s := range all {
 		m := message{Kind: uint8(s.Kind), Probe: s.Probe, About: -1}
-		if s.About != "" {
-			m.About = int16(number(s.About))
+		if s.Target != "" {
+			m.About = int16(memberNumber(s.Target))
 		}
-		text, err := gossip.Encode(m)
+		payload, err := gossip.Encode(m)
 		if err != nil {
 			continue
 		}
-		out = append(out, c.tell(now, number(s.To), gossip.Note{Form: formMember, Text: text})...)
+		out = append(out, c.sendGossip(now, memberNumber(s.To), gossip.Note{Form: formMember, Payload: payload})...)
 	}
 	return out
 }
 
-func (c *Circle) tell(now time.Duration, to int, notes ...gossip.Note) (out []Datagram) {
-	for _, text := range c.Talk.Next(now, string(id(to)), notes...) {
-		out = append(out, Datagram{to, text})
+func (c *Engine) sendGossip(now time.Duration, to int, notes ...gossip.Note) (out []Datagram) {
+	for _, payload := range c.Gossip.DatagramsFor(now, string(memberID(to)), notes...) {
+		out = append(out, Datagram{to, payload})
 	}
 	return out
 }
 
 // Tick does what is due. It is called several times in tellEvery.
-func (c *Circle) Tick(now time.Duration) []Datagram {
-	out := c.send(now, c.List.Tick(now))
-	c.settle()
-	if now >= c.due && c.nodes > 1 {
-		c.due = max(c.due, now-tellEvery) + tellEvery
+func (c *Engine) Tick(now time.Duration) []Datagram {
+	out := c.sendMessages(now, c.List.Tick(now))
+	c.publishSuspicions()
+	if now >= c.nextGossip && c.nodes > 1 {
+		c.nextGossip = max(c.nextGossip, now-gossipInterval) + gossipInterval
 		to := c.rng.IntN(c.nodes - 1)
 		if to >= c.self {
 			to++
 		}
-		out = append(out, c.tell(now, to)...)
+		out = append(out, c.sendGossip(now, to)...)
 	}
 	return out
 }
@@ -172,22 +172,22 @@
 type Change struct {
 	Number int
 	member.Member
-	Was member.State
+	Previous member.State
 }
 
 // Changes compares the members with what they were, which it brings up to date.
-func (c *Circle) Changes(were map[member.ID]member.State) (out []Change) {
+func (c *Engine) Changes(lastStates map[member.ID]member.State) (out []Change) {
 	for _, m := range c.List.Members() {
-		if was := were[m.ID]; was != m.State {
-			out = append(out, Change{number(m.ID), m, was})
-			were[m.ID] = m.State
+		if was := lastStates[m.ID]; was != m.State {
+			out = append(out, Change{memberNumber(m.ID), m, was})
+			lastStates[m.ID] = m.State
 		}
 	}
 	return out
 }
 
 // Names of the states, in logs.
-var stateNames = []string{member.There: "there", member.Suspected: "suspected", member.Gone: "gone"}
+var stateNames = []string{member.Alive: "there", member.Suspected: "suspected", member.Dead: "gone"}
 
 // StateName is the word for a state.
 func StateName(s member.State) string { return stateNames[s] }
--- a/internal/peers/run.go
+++ b/internal/peers/run.go
@@ -14,10 +14,10 @@
 )
 
 // tick is how often what is due is looked at.
-const tick = 50 * time.Millisecond
+const tickInterval = 50 * time.Millisecond
 
 // listenAgain is how long a taken address is left alone.
-const listenAgain = 250 * time.Millisecond
+const listenRetryInterval = 250 * time.Millisecond
 
 // Options are what a node is told of its fleet.
 type Options struct {
@@ -29,19 +29,19 @@
 
 // Peers is a node's part in its fleet, running.
 type Peers struct {
-	o      Options
-	log    *slog.Logger
-	of     map[string]int
-	mu     sync.Mutex
-	circle *Circle
-	start  time.Time
+	options      Options
+	log          *slog.Logger
+	numberByAddr map[string]int
+	mu           sync.Mutex
+	engine       *Engine
+	start        time.Time
 }
 
 // New returns that of a node that has yet to talk.
 func New(o Options, log *slog.Logger) *Peers {
-	p := &Peers{o: o, log: log, of: map[string]int{}, circle: NewCircle(o.Number, len(o.Addrs), o.Budget, o.Rng), start: time.Now()}
+	p := &Peers{options: o, log: log, numberByAddr: map[string]int{}, engine: NewEngine(o.Number, len(o.Addrs), o.Budget, o.Rng), start: time.Now()}
 	for n, a := range o.Addrs {
-		p.of[a] = n
+		p.numberByAddr[a] = n
 	}
 	return p
 }
@@ -57,7 +57,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(listenAgain):
+		case <-time.After(listenRetryInterval):
 		}
 		t, err = listen()
 	}
@@ -65,18 +65,18 @@
 	go func() {
 		defer close(read)
 		for {
-			from, text, err := t.Receive()
+			from, payload, err := t.Receive()
 			if errors.Is(err, gossip.ErrClosed) {
 				return
 			}
-			if n, ok := p.of[from]; ok && err == nil { // who is not in the list is nobody
-				p.do(t, func(c *Circle, now time.Duration) []Datagram { return c.Heard(now, n, text) })
+			if n, ok := p.numberByAddr[from]; ok && err == nil { // who is not in the list is nobody
+				p.runAndSend(t, func(c *Engine, now time.Duration) []Datagram { return c.HandleDatagram(now, n, payload) })
 			}
 		}
 	}()
-	due := time.NewTicker(tick)
-	defer due.Stop()
-	were := map[member.ID]member.State{}
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	lastStates := map[member.ID]member.State{}
 	for {
 		select {
 		case <-ctx.Done():
@@ -85,13 +85,13 @@
 			}
 			<-read
 			return
-		case <-due.C:
-			p.do(t, func(c *Circle, now time.Duration) []Datagram { return c.Tick(now) })
+		case <-ticker.C:
+			p.runAndSend(t, func(c *Engine, now time.Duration) []Datagram { return c.Tick(now) })
 			p.mu.Lock()
-			changes := p.circle.Changes(were)
+			changes := p.engine.Changes(lastStates)
 			p.mu.Unlock()
 			for _, c := range changes {
-				p.log.Info("peer", "number", c.Number, "state", StateName(c.State), "was", StateName(c.Was), "incarnation", c.Incarnation)
+				p.log.Info("peer", "number", c.Number, "state", StateName(c.State), "was", StateName(c.Previous), "incarnation", c.Incarnation)
 			}
 		}
 	}
@@ -99,12 +99,12 @@
 
 // do has the circle do something and sends what comes of it. A datagram that can't be sent is
 // lost like any other.
-func (p *Peers) do(t gossip.Transport, what func(*Circle, time.Duration) []Datagram) {
+func (p *Peers) runAndSend(t gossip.Transport, what func(*Engine, time.Duration) []Datagram) {
 	p.mu.Lock()
-	out := what(p.circle, time.Since(p.start))
+	out := what(p.engine, time.Since(p.start))
 	p.mu.Unlock()
 	for _, d := range out {
-		if err := t.Send(p.o.Addrs[d.To], d.Text); err != nil && !errors.Is(err, gossip.ErrClosed) {
+		if err := t.Send(p.options.Addrs[d.To], d.Payload); err != nil && !errors.Is(err, gossip.ErrClosed) {
 			p.log.Warn("peers: not sent", logging.Cause, err)
 		}
 	}
