--- a/internal/gossip/contract_test.go
+++ b/internal/gossip/contract_test.go
@@ -12,45 +12,45 @@
 	"pipitmux/internal/gossip"
 )
 
-// This file holds the contract that every gossip.Transport must pass. Each clause
-// judges one promise of the interface from outside and returns an error where it is broken,
-// so that wrong carriers can be shown to break it. It must not know any carrier.
+// This file holds the contract that every gossip.Transport must pass. Each clause checks one
+// promise of the interface from outside and returns an error where it is broken, so that
+// deliberately wrong transports can be shown to break it. It must not know any implementation.
 
-// patience bounds a wait for what has been promised; nothing is judged by how long it took.
-const patience = 10 * time.Second
+// maxWait bounds the wait for something promised. No result depends on how long it took.
+const maxWait = 10 * time.Second
 
-// Net is where transports of one carrier reach each other.
+// Net is a network on which transports of one implementation reach each other.
 type Net struct {
-	// Listen returns a further transport.
+	// Listen opens another transport.
 	Listen func() (gossip.Transport, error)
-	// Raw sends bytes of any length to a transport from outside it. Nil where nobody else
-	// can reach one.
+	// Raw sends bytes of any length to a transport from outside. Nil where that is impossible.
 	Raw func(to string, text []byte) error
-	// Fault has the net lose, double and reorder datagrams from now on. Nil where it can't.
+	// SetFaults makes the network lose, duplicate and reorder datagrams from now on. Nil where
+	// that is impossible.
 	SetFaults func()
 }
 
-// Clause is one promise.
+// Clause is one promise of the contract.
 type Clause struct {
 	Name  string
 	Check func(Net) error
 }
 
-// Clauses are the contract.
+// Clauses are all clauses of the contract.
 var Clauses = []Clause{
-	{"a datagram comes as it was sent, and can be answered", among(2, whole)},
-	{"256 bytes pass and 257 are refused", among(2, bounds)},
-	{"a longer one from outside is dropped, not cut", among(2, outside)},
-	{"the bytes are the sender's again, and the receiver's to keep", among(2, owned)},
-	{"a slow reader holds up nobody, within bounds", among(2, slow)},
-	{"one who is gone or unknown holds up nobody", among(3, gone)},
-	{"closing ends what waits, and is no error twice", among(2, closing)},
-	{"closing while others send is safe", closingWhileSending},
-	{"faults lose, double and reorder, and spoil nothing", among(2, faults)},
+	{"a datagram arrives unchanged and can be answered", among(2, checkDelivery)},
+	{"256 bytes are delivered and 257 are rejected", among(2, checkSizeLimit)},
+	{"a longer datagram from outside is dropped, not truncated", among(2, checkOversizeFromOutside)},
+	{"sender and receiver own their buffers", among(2, checkBufferOwnership)},
+	{"a slow reader blocks nobody and its queue is bounded", among(2, checkSlowReader)},
+	{"a closed or unknown address blocks nobody", among(3, checkClosedAddress)},
+	{"Close unblocks Receive and may be repeated", among(2, checkClose)},
+	{"Close is safe during sends", checkCloseDuringSends},
+	{"faults lose, duplicate and reorder but never corrupt", among(2, checkFaults)},
 }
 
-// judgeTransport has a carrier judged by every clause, each on a net of its own.
-func judgeTransport(t *testing.T, net func(*testing.T) Net) {
+// checkTransport checks an implementation against every clause, each on its own network.
+func checkTransport(t *testing.T, net func(*testing.T) Net) {
 	for _, c := range Clauses {
 		t.Run(c.Name, func(t *testing.T) {
 			if err := c.Check(net(t)); err != nil {
@@ -60,7 +60,7 @@
 	}
 }
 
-// party is a transport whose datagrams are read as they come.
+// party is a transport whose datagrams are read as they arrive.
 type party struct {
 	gossip.Transport
 	in  chan packet
@@ -83,9 +83,9 @@
 	}
 }
 
-// open returns transports that are read, and what ends them.
-func open(n Net, count int) (all []*party, shut func(), err error) {
-	shut = func() {
+// open opens transports with readers, and returns a function that closes them.
+func open(n Net, count int) (all []*party, closeAll func(), err error) {
+	closeAll = func() {
 		for _, p := range all {
 			p.Close()
 		}
@@ -93,20 +93,20 @@
 	for range count {
 		t, err := n.Listen()
 		if err != nil {
-			return all, shut, err
+			return all, closeAll, err
 		}
 		p := &party{t, make(chan packet, 100000), make(chan error, 1)}
 		all = append(all, p)
 		go p.read()
 	}
-	return all, shut, nil
+	return all, closeAll, nil
 }
 
-// among is a clause over so many transports of a net, which are read and then closed.
+// among runs a clause on count transports of one network and closes them afterwards.
 func among(count int, check func(Net, []*party) error) func(Net) error {
 	return func(n Net) error {
-		all, shut, err := open(n, count)
-		defer shut()
+		all, closeAll, err := open(n, count)
+		defer closeAll()
 		if err != nil {
 			return err
 		}
@@ -114,11 +114,11 @@
 	}
 }
 
-// exchange sends a datagram until it has come: one alone may be lost.
+// exchange repeats a datagram until it arrives, because a single one may be lost.
 func exchange(from gossip.Transport, to *party, text []byte) (packet, error) {
 	again := time.NewTicker(20 * time.Millisecond)
 	defer again.Stop()
-	for over := time.After(patience); ; {
+	for over := time.After(maxWait); ; {
 		if err := from.Send(to.Addr(), text); err != nil {
 			return packet{}, err
 		}
@@ -127,36 +127,36 @@
 			return p, nil
 		case <-again.C:
 		case <-over:
-			return packet{}, errors.New("a datagram sent again and again never comes")
+			return packet{}, errors.New("a repeated datagram never arrives")
 		}
 	}
 }
 
-func whole(n Net, all []*party) error {
+func checkDelivery(n Net, all []*party) error {
 	a, b := all[0], all[1]
 	if a.Addr() == b.Addr() {
-		return errors.New("two transports of one address")
+		return errors.New("two transports have the same address")
 	}
 	got, err := exchange(a, b, []byte("a\x00 datagram\n"))
 	if err != nil {
 		return err
 	}
 	if string(got.text) != "a\x00 datagram\n" || got.from != a.Addr() {
-		return fmt.Errorf("came as %q from %s, sent by %s", got.text, got.from, a.Addr())
+		return fmt.Errorf("arrived as %q from %s, sent by %s", got.text, got.from, a.Addr())
 	}
 	if err := b.Send(got.from, []byte("answer")); err != nil {
 		return err
 	}
 	back, err := exchange(b, a, []byte("answer"))
 	if err == nil && (string(back.text) != "answer" || back.from != b.Addr()) {
-		err = fmt.Errorf("the answer came as %q from %s", back.text, back.from)
+		err = fmt.Errorf("the answer arrived as %q from %s", back.text, back.from)
 	}
 	return err
 }
 
-func bounds(n Net, all []*party) error {
+func checkSizeLimit(n Net, all []*party) error {
 	if err := all[0].Send(all[1].Addr(), nil); err != nil {
-		return fmt.Errorf("an empty datagram: %w", err)
+		return fmt.Errorf("sending an empty datagram: %w", err)
 	}
 	long := bytes.Repeat([]byte("l"), gossip.MaxDatagram+1)
 	if err := all[0].Send(all[1].Addr(), long); !errors.Is(err, gossip.ErrTooLong) {
@@ -164,12 +164,12 @@
 	}
 	got, err := exchange(all[0], all[1], long[:gossip.MaxDatagram])
 	if err == nil && len(got.text) != gossip.MaxDatagram {
-		err = fmt.Errorf("%d bytes came of 256; none of the refused or empty one may", len(got.text))
+		err = fmt.Errorf("%d bytes arrived instead of 256; the rejected and the empty datagram must not arrive", len(got.text))
 	}
 	return err
 }
 
-func outside(n Net, all []*party) error {
+func checkOversizeFromOutside(n Net, all []*party) error {
 	if n.Raw == nil {
 		return nil
 	}
@@ -180,38 +180,38 @@
 	}
 	got, err := exchange(all[0], all[1], []byte("after"))
 	if err == nil && string(got.text) != "after" {
-		err = fmt.Errorf("%d bytes of a longer datagram came", len(got.text))
+		err = fmt.Errorf("%d bytes of a longer datagram arrived", len(got.text))
 	}
 	return err
 }
 
-func owned(n Net, all []*party) error {
+func checkBufferOwnership(n Net, all []*party) error {
 	buf, sent := make([]byte, 8), 0
 	got := map[uint64][]byte{}
-	over := time.After(patience)
+	over := time.After(maxWait)
 	for len(got) < 50 {
 		sent++
 		binary.BigEndian.PutUint64(buf, uint64(sent))
 		if err := all[0].Send(all[1].Addr(), buf); err != nil {
 			return err
 		}
-		binary.BigEndian.PutUint64(buf, 0) // before the receiver may have looked
+		binary.BigEndian.PutUint64(buf, 0) // possibly before the receiver has read the datagram
 		select {
 		case p := <-all[1].in:
 			got[binary.BigEndian.Uint64(p.text)] = p.text
 		case <-over:
-			return fmt.Errorf("%d of %d datagrams came apart from each other", len(got), sent)
+			return fmt.Errorf("%d of %d datagrams were distinct", len(got), sent)
 		}
 	}
 	for want, text := range got {
 		if v := binary.BigEndian.Uint64(text); v != want || v == 0 {
-			return fmt.Errorf("what came as %d has become %d", want, v)
+			return fmt.Errorf("the datagram received as %d has changed to %d", want, v)
 		}
 	}
 	return nil
 }
 
-func slow(n Net, all []*party) error {
+func checkSlowReader(n Net, all []*party) error {
 	idle, err := n.Listen()
 	if err != nil {
 		return err
@@ -233,13 +233,13 @@
 		if err != nil {
 			return err
 		}
-	case <-time.After(patience):
-		return errors.New("a sender waits for a reader that reads nothing")
+	case <-time.After(maxWait):
+		return errors.New("a sender is blocked by a reader that does not read")
 	}
 	if _, err := exchange(all[0], all[1], []byte("to another")); err != nil {
 		return err
 	}
-	keptCount := make(chan int, 1) // what waited unread comes, and then the last of all
+	keptCount := make(chan int, 1) // counts the datagrams that were queued before the last one
 	go func() {
 		count := 0
 		for {
@@ -253,24 +253,24 @@
 	}()
 	again := time.NewTicker(20 * time.Millisecond)
 	defer again.Stop()
-	for over := time.After(patience); ; {
+	for over := time.After(maxWait); ; {
 		if err := all[0].Send(idle.Addr(), []byte("last")); err != nil {
 			return err
 		}
 		select {
 		case count := <-keptCount:
 			if count == 0 || count > sent/4 {
-				return fmt.Errorf("%d of %d datagrams waited for the reader", count, sent)
+				return fmt.Errorf("%d of %d datagrams were queued for the reader", count, sent)
 			}
 			return nil
 		case <-again.C:
 		case <-over:
-			return errors.New("after a time unread nothing comes any more")
+			return errors.New("nothing arrives after a period without reads")
 		}
 	}
 }
 
-func gone(n Net, all []*party) error {
+func checkClosedAddress(n Net, all []*party) error {
 	if err := all[2].Close(); err != nil {
 		return err
 	}
@@ -283,7 +283,7 @@
 			to = "nobody"
 		}
 		if err := all[0].Send(to, []byte("x")); err != nil {
-			return fmt.Errorf("to one who is gone: %w", err)
+			return fmt.Errorf("sending to a closed address: %w", err)
 		}
 	}
 	_, err := exchange(all[0], all[1], []byte("to another"))
@@ -293,37 +293,37 @@
 	return err
 }
 
-func closing(n Net, all []*party) error {
+func checkClose(n Net, all []*party) error {
 	if err := errors.Join(all[0].Close(), all[0].Close()); err != nil {
 		return fmt.Errorf("closing: %w", err)
 	}
 	select {
 	case err := <-all[0].end:
 		if !errors.Is(err, gossip.ErrClosed) {
-			return fmt.Errorf("who waited is told %v", err)
+			return fmt.Errorf("the blocked Receive returned %v", err)
 		}
-	case <-time.After(patience):
-		return errors.New("who waits for a datagram waits for ever")
+	case <-time.After(maxWait):
+		return errors.New("Receive stays blocked after Close")
 	}
 	if _, _, err := all[0].Receive(); !errors.Is(err, gossip.ErrClosed) {
-		return fmt.Errorf("receiving once closed: %v", err)
+		return fmt.Errorf("Receive after Close: %v", err)
 	}
 	if err := all[0].Send(all[1].Addr(), []byte("x")); !errors.Is(err, gossip.ErrClosed) {
-		return fmt.Errorf("sending once closed: %v", err)
+		return fmt.Errorf("Send after Close: %v", err)
 	}
 	return nil
 }
 
-func closingWhileSending(n Net) error {
+func checkCloseDuringSends(n Net) error {
 	for range 20 {
-		if err := among(2, closedWhileSending)(n); err != nil {
+		if err := among(2, closeDuringSends)(n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func closedWhileSending(_ Net, all []*party) error {
+func closeDuringSends(_ Net, all []*party) error {
 	var senders sync.WaitGroup
 	errs := make(chan error, 8)
 	for range 4 {
@@ -332,7 +332,7 @@
 			defer senders.Done()
 			defer func() {
 				if p := recover(); p != nil {
-					errs <- fmt.Errorf("a panic: %v", p)
+					errs <- fmt.Errorf("panic: %v", p)
 				}
 			}()
 			for {
@@ -354,14 +354,14 @@
 	go func() { senders.Wait(); close(ended) }()
 	select {
 	case <-ended:
-	case <-time.After(patience):
-		return errors.New("a sender goes on after the close")
+	case <-time.After(maxWait):
+		return errors.New("a sender continues after Close")
 	}
 	close(errs)
 	return <-errs
 }
 
-func faults(n Net, all []*party) error {
+func checkFaults(n Net, all []*party) error {
 	if n.SetFaults != nil {
 		n.SetFaults()
 	}
@@ -379,11 +379,11 @@
 		return err
 	}
 	times, last, swapped := map[uint64]int{}, uint64(0), 0
-	for over := time.After(patience); len(times) < sent/2; {
+	for over := time.After(maxWait); len(times) < sent/2; {
 		select {
 		case p := <-all[1].in:
 			if len(p.text) < 8 || !bytes.Equal(p.text, text(int(binary.BigEndian.Uint64(p.text)))) {
-				return fmt.Errorf("nobody sent %x", p.text)
+				return fmt.Errorf("received %x, which was never sent", p.text)
 			}
 			i := binary.BigEndian.Uint64(p.text)
 			if times[i]++; i < last {
@@ -391,7 +391,7 @@
 			}
 			last = i
 		case <-over:
-			return fmt.Errorf("%d of %d came", len(times), sent)
+			return fmt.Errorf("%d of %d arrived", len(times), sent)
 		}
 	}
 	return nil
--- a/internal/gossip/engine.go
+++ b/internal/gossip/engine.go
@@ -1,6 +1,7 @@
-// Package gossip carries small records between the nodes of a fleet, in datagrams that may be
-// lost, so that all come to hold the same. Talk decides what is said and is pure: time and
-// randomness are handed in. A Transport carries it. It must not know what a record means.
+// Package gossip spreads small records between the nodes of a fleet over datagrams that may be
+// lost, so that all nodes come to hold the same records. Engine decides what is sent; it is
+// pure: time and randomness are passed in. A Transport carries the datagrams. The package must
+// not know what a record means.
 package gossip
 
 import (
@@ -14,39 +15,40 @@
 )
 
 const (
-	protocolVersion  = 1 // of a datagram's form; another's is not read
+	protocolVersion  = 1 // of the datagram format; datagrams of other versions are ignored
 	pieceBytes       = 128
-	maxPartials      = 64              // values of which pieces have come, not all
-	digestInterval   = 2 * time.Second // the sums are told to one or another
-	noteReserveBytes = 160             // bytes of the budget that are kept for notes
-	maxOwedPeers     = 1 << 12         // that are owed records
+	maxPartials      = 64              // values that have been received in part
+	digestInterval   = 2 * time.Second // how often the bucket sums are sent to some peer
+	noteReserveBytes = 160             // bytes of the budget that only notes may use
+	maxOwedPeers     = 1 << 12         // peers for which owed records are remembered
 )
 
-// What an entry of a datagram is. One of another form is skipped by its length.
+// The forms of an entry of a datagram. An entry of an unknown form is skipped by its length.
 const (
 	formRecord = 1
 	formPiece  = 2
 	formDigest = 3
 )
 
-// FormNote is the form of the first of the entries that are not records: who sends them reads
-// them, Talk hands them on. Forms from it on are theirs.
+// FirstNoteForm is the lowest form of entries that are not records. Engine hands these on
+// unread; their senders define them.
 const FirstNoteForm = 64
 
-// Note is an entry that is told to one peer once, ahead of all records.
+// Note is an entry that is sent once to one peer, ahead of all records.
 type Note struct {
 	Form    uint8
 	Payload []byte
 }
 
-// entry is a part of a datagram: its form, and bytes that only who knows the form reads.
+// entry is a part of a datagram: its form, and bytes to be read according to the form.
 type entry struct {
 	_    struct{} `cbor:",toarray"`
 	Form uint8
 	Text []byte
 }
 
-// piece is a part of a record whose value does not fit a datagram.
+// piece is a part of a record whose value does not fit into one datagram: the record Of with
+// an empty value, the length and CRC-32 of the whole value, and the bytes Part from offset At.
 type piece struct {
 	_      struct{} `cbor:",toarray"`
 	Of     Record   // without its value
@@ -56,7 +58,7 @@
 	Part   []byte
 }
 
-// partial is a value of which some pieces have come.
+// partial is a value of which some pieces have been received.
 type partial struct {
 	Record
 	sum       uint32
@@ -65,35 +67,35 @@
 	updatedAt time.Duration
 }
 
-// Counts tell what has been said and what could not be used.
+// Counts are the counts of traffic and of input that could not be used.
 type Counts struct {
 	DatagramsSent      int
 	DatagramsReceived  int
 	BytesSent          int
-	Malformed          int // datagrams or entries that can't be read
-	Unknown            int // entries of forms, datagrams of versions that are not known
-	Rejected           int // records over a bound
-	ChecksumMismatches int // values whose pieces don't fit their checksum
+	Malformed          int // datagrams or entries that cannot be decoded
+	Unknown            int // entries of unknown forms and datagrams of unknown versions
+	Rejected           int // records over a limit
+	ChecksumMismatches int // values whose pieces do not match their checksum
 }
 
-// Talk is what one node says and has heard. It is not safe for concurrent use.
+// Engine is one node's gossip state. It is not safe for concurrent use.
 type Engine struct {
 	Records
 	Counts       Counts
 	self         string
 	incarnation  uint32
-	budget       float64 // bytes a second,
-	tokens       float64 // and what may be sent now
+	budget       float64 // bytes per second
+	tokens       float64 // bytes that may be sent now
 	refilledAt   time.Duration
-	maxSends     int // times that news is told
+	maxSends     int // how often a changed record is sent
 	partials     map[key]*partial
-	owedBuckets  map[string]uint16 // buckets that a peer holds differently
-	nextOwed     int               // which record goes first to one who is owed some
-	digestSentAt time.Duration     // when the sums were last told
+	owedBuckets  map[string]uint16 // bit set of the buckets that differ at a peer
+	nextOwed     int               // index of the record to start with for owed buckets
+	digestSentAt time.Duration     // when the bucket sums were last sent
 }
 
-// NewTalk returns the talk of the node of a name, which may send so many bytes a second. The
-// incarnation is 1, or one over that of its last life where it is known.
+// NewEngine returns the engine of the named node with a budget in bytes per second. The
+// incarnation is 1, or one more than that of the node's previous run where it is known.
 func NewEngine(self string, incarnation uint32, budget float64) *Engine {
 	t := &Engine{self: self, incarnation: max(incarnation, 1), budget: budget, tokens: MaxDatagram,
 		partials: map[key]*partial{}, owedBuckets: map[string]uint16{}, digestSentAt: -digestInterval}
@@ -101,29 +103,29 @@
 	return t
 }
 
-// Incarnation is that of this node, now.
+// Incarnation returns the current incarnation of this node.
 func (t *Engine) Incarnation() uint32 { return t.incarnation }
 
-// Fleet tells how many nodes there are: news is told the more often the more there are.
+// SetFleetSize sets the number of nodes. Changed records are sent more often in a larger fleet.
 func (t *Engine) SetFleetSize(nodes int) {
 	t.maxSends = int(math.Ceil(2 * math.Log2(float64(nodes)+1)))
 }
 
-// Put says something on a subject, in place of what this node has said on it.
+// Publish sets this node's record of a kind and replaces the previous one.
 func (t *Engine) Publish(kind Kind, value []byte) error {
 	r := Record{Kind: kind, Origin: t.self, Incarnation: t.incarnation, Sequence: 1, Value: bytes.Clone(value)}
-	if h, ok := t.Get(kind, t.self); ok {
-		if bytes.Equal(h.Value, value) && h.Incarnation == t.incarnation {
+	if stored, ok := t.Get(kind, t.self); ok {
+		if bytes.Equal(stored.Value, value) && stored.Incarnation == t.incarnation {
 			return nil
 		}
-		r.Sequence = h.Sequence + 1
+		r.Sequence = stored.Sequence + 1
 	}
 	_, err := t.Merge(r)
 	return err
 }
 
-// Heard takes a datagram from a peer and returns the records that hold from now on, and the
-// notes to this node. They are in the order in which they came.
+// HandleDatagram handles a datagram from a peer. It returns the records that replaced older
+// ones and the notes to this node, in the order of the datagram.
 func (t *Engine) HandleDatagram(now time.Duration, from string, datagram []byte) (news []Record, notes []Note) {
 	t.Counts.DatagramsReceived++
 	if len(datagram) > MaxDatagram {
@@ -180,23 +182,24 @@
 	return news, notes
 }
 
-// Raise takes on a later incarnation, and says all again in it.
+// RaiseIncarnation adopts a higher incarnation and publishes all records of this node again in it.
 func (t *Engine) RaiseIncarnation(incarnation uint32) {
 	if incarnation <= t.incarnation {
 		return
 	}
 	t.incarnation = incarnation
-	for k, h := range t.records { // in any order: each stands for itself
+	for k, stored := range t.records { // the order does not matter: the records are independent
 		if k.origin == t.self {
-			again := h.Record
+			again := stored.Record
 			again.Incarnation = t.incarnation
 			t.Merge(again)
 		}
 	}
 }
 
-// take merges a record that came. One of this node itself, of an earlier life or of another
-// node under its name, that holds against its own is answered by a new incarnation.
+// mergeReceived merges a received record. A record under this node's name that supersedes its
+// own comes from a previous run or from another node with the same name; this node answers it
+// with a higher incarnation.
 func (t *Engine) mergeReceived(r Record) bool {
 	if r.Origin == t.self && r.Incarnation >= t.incarnation {
 		own, ok := t.Get(r.Kind, t.self)
@@ -204,7 +207,7 @@
 			return false
 		}
 		if r.Incarnation == math.MaxUint32 {
-			t.Counts.Rejected++ // a lie: no life comes after it
+			t.Counts.Rejected++ // forged: no incarnation could follow it
 			return false
 		}
 		t.RaiseIncarnation(r.Incarnation + 1)
@@ -216,7 +219,7 @@
 	return held
 }
 
-// piece takes a part of a value and returns the record once it is whole.
+// addPiece stores a piece and returns the record once its value is complete.
 func (t *Engine) addPiece(now time.Duration, p *piece) *Record {
 	count := (int(p.Length) + pieceBytes - 1) / pieceBytes
 	i := int(p.At) / pieceBytes
@@ -226,51 +229,51 @@
 		return nil
 	}
 	k := p.Of.key()
-	if h := t.records[k]; h != nil && p.Of.compareVersion(&h.Record) < 0 {
+	if stored := t.records[k]; stored != nil && p.Of.compareVersion(&stored.Record) < 0 {
 		return nil
 	}
-	q := t.partials[k]
-	if q == nil || p.Of.compareVersion(&q.Record) != 0 || q.sum != p.Sum || len(q.pieces) != count {
-		if q != nil && p.Of.compareVersion(&q.Record) < 0 {
+	pending := t.partials[k]
+	if pending == nil || p.Of.compareVersion(&pending.Record) != 0 || pending.sum != p.Sum || len(pending.pieces) != count {
+		if pending != nil && p.Of.compareVersion(&pending.Record) < 0 {
 			return nil
 		}
-		q = &partial{Record: p.Of, sum: p.Sum, pieces: make([][]byte, count), missing: count}
+		pending = &partial{Record: p.Of, sum: p.Sum, pieces: make([][]byte, count), missing: count}
 		if len(t.partials) >= maxPartials {
 			t.evictOldestPartial()
 		}
-		t.partials[k] = q
+		t.partials[k] = pending
 	}
-	q.updatedAt = now
-	if q.pieces[i] == nil {
-		q.pieces[i] = p.Part
-		q.missing--
+	pending.updatedAt = now
+	if pending.pieces[i] == nil {
+		pending.pieces[i] = p.Part
+		pending.missing--
 	}
-	if q.missing > 0 {
+	if pending.missing > 0 {
 		return nil
 	}
 	delete(t.partials, k)
-	r := q.Record
-	if r.Value = bytes.Join(q.pieces, nil); crc32.ChecksumIEEE(r.Value) != q.sum {
+	r := pending.Record
+	if r.Value = bytes.Join(pending.pieces, nil); crc32.ChecksumIEEE(r.Value) != pending.sum {
 		t.Counts.ChecksumMismatches++
 		return nil
 	}
 	return &r
 }
 
-// forgetPartial drops the value whose last piece came longest ago; its pieces are told again.
+// evictOldestPartial drops the value whose latest piece is the oldest; its pieces are sent again.
 func (t *Engine) evictOldestPartial() {
 	var oldest key
 	first := true
-	for k, q := range t.partials {
-		if o := t.partials[oldest]; first || q.updatedAt < o.updatedAt || q.updatedAt == o.updatedAt && k.origin < oldest.origin {
+	for k, pending := range t.partials {
+		if o := t.partials[oldest]; first || pending.updatedAt < o.updatedAt || pending.updatedAt == o.updatedAt && k.origin < oldest.origin {
 			oldest, first = k, false
 		}
 	}
 	delete(t.partials, oldest)
 }
 
-// compare takes a peer's sums: what it holds differently it is owed, and whoever lacks what
-// it has is owed that in turn once it hears our sums.
+// compareDigest compares a peer's bucket sums with this node's. Records of the buckets that
+// differ are owed to the peer. The peer does the same when it receives this node's sums.
 func (t *Engine) compareDigest(from string, bucketSums []byte) {
 	if len(bucketSums) != 8*bucketCount {
 		t.Counts.Malformed++
@@ -289,24 +292,24 @@
 	}
 }
 
-// Next returns what a peer is told now, the notes first; nil where there is nothing to say or
-// no room for it within the budget: in any time at most that many bytes are sent, and one
-// second's more. Notes for which there is no room are lost.
+// DatagramsFor returns the datagrams to send to a peer now, the notes first. It returns nil
+// when there is nothing to send or no budget left: in any period at most the budget of that
+// period and of one more second is sent. Notes that exceed the budget are dropped.
 func (t *Engine) DatagramsFor(now time.Duration, to string, notes ...Note) [][]byte {
 	t.tokens = min(t.tokens+t.budget*max(now-t.refilledAt, 0).Seconds(), max(t.budget, MaxDatagram))
 	t.refilledAt = max(now, t.refilledAt)
 	var out [][]byte
-	text := []byte{protocolVersion}
+	datagram := []byte{protocolVersion}
 	flush := func() {
-		if len(text) > 1 {
-			out = append(out, text)
-			t.tokens -= float64(len(text))
+		if len(datagram) > 1 {
+			out = append(out, datagram)
+			t.tokens -= float64(len(datagram))
 			t.Counts.DatagramsSent++
-			t.Counts.BytesSent += len(text)
+			t.Counts.BytesSent += len(datagram)
 		}
-		text = []byte{protocolVersion}
+		datagram = []byte{protocolVersion}
 	}
-	// add puts an entry into the datagram, or into the next one; false where there is no room.
+	// addEntry adds an entry to this datagram or to the next one; false when the budget is used up.
 	addEntry := func(form uint8, v any) bool {
 		e, raw := v.([]byte)
 		var err error
@@ -317,36 +320,36 @@
 			e, err = encMode.Marshal(entry{Form: form, Text: e})
 		}
 		if err != nil || 1+len(e) > MaxDatagram {
-			return err == nil // nothing of ours is that long
+			return err == nil // no entry of this program is that long
 		}
-		if len(text)+len(e) > MaxDatagram {
+		if len(datagram)+len(e) > MaxDatagram {
 			flush()
 		}
 		reserved := noteReserveBytes
 		if form >= FirstNoteForm {
 			reserved = 0
 		}
-		if t.tokens < float64(len(text)+len(e)+reserved) {
+		if t.tokens < float64(len(datagram)+len(e)+reserved) {
 			return false
 		}
-		text = append(text, e...)
+		datagram = append(datagram, e...)
 		return true
 	}
-	// tell puts a record, or the pieces of it that are next; false where there is no room.
-	addRecord := func(h *storedRecord) bool {
-		if len(h.Value) <= pieceBytes {
-			return addEntry(formRecord, h.Record)
+	// addRecord adds a record or its next pieces; false when the budget is used up.
+	addRecord := func(stored *storedRecord) bool {
+		if len(stored.Value) <= pieceBytes {
+			return addEntry(formRecord, stored.Record)
 		}
-		sum, count := crc32.ChecksumIEEE(h.Value), (len(h.Value)+pieceBytes-1)/pieceBytes
+		sum, count := crc32.ChecksumIEEE(stored.Value), (len(stored.Value)+pieceBytes-1)/pieceBytes
 		for range count {
-			at := h.nextPiece % count * pieceBytes
-			p := piece{Of: h.Record, Length: uint16(len(h.Value)), Sum: sum, At: uint16(at),
-				Part: h.Value[at:min(at+pieceBytes, len(h.Value))]}
+			at := stored.nextPiece % count * pieceBytes
+			p := piece{Of: stored.Record, Length: uint16(len(stored.Value)), Sum: sum, At: uint16(at),
+				Part: stored.Value[at:min(at+pieceBytes, len(stored.Value))]}
 			p.Of.Value = nil
 			if !addEntry(formPiece, p) {
 				return false
 			}
-			if h.nextPiece++; h.nextPiece%count == 0 {
+			if stored.nextPiece++; stored.nextPiece%count == 0 {
 				break
 			}
 		}
@@ -358,31 +361,31 @@
 	slices.SortStableFunc(t.recent, func(a, b *storedRecord) int {
 		return cmp.Or(cmp.Compare(min(a.Kind, FirstOrdinaryKind), min(b.Kind, FirstOrdinaryKind)), cmp.Compare(a.sentCount, b.sentCount), cmp.Compare(a.Kind, b.Kind))
 	})
-	t.recent = slices.DeleteFunc(t.recent, func(h *storedRecord) bool {
-		h.queued = h.sentCount < t.maxSends
-		return !h.queued
+	t.recent = slices.DeleteFunc(t.recent, func(stored *storedRecord) bool {
+		stored.queued = stored.sentCount < t.maxSends
+		return !stored.queued
 	})
 	full := false
-	for _, h := range t.recent {
-		if full = !addRecord(h); full {
+	for _, stored := range t.recent {
+		if full = !addRecord(stored); full {
 			break
 		}
-		h.sentCount++
+		stored.sentCount++
 	}
 	if owedBuckets := t.owedBuckets[to]; owedBuckets != 0 && !full {
 		all := t.sortedRecords()
-		from := t.nextOwed // where there is no room for all, the rest comes first the next time
+		from := t.nextOwed // when the budget does not suffice for all, the rest is sent first the next time
 		for i := range all {
-			h := all[(from+i)%len(all)]
-			if owedBuckets&(1<<h.bucket) == 0 {
+			stored := all[(from+i)%len(all)]
+			if owedBuckets&(1<<stored.bucket) == 0 {
 				continue
 			}
-			if full = !addRecord(h); full {
+			if full = !addRecord(stored); full {
 				t.nextOwed = (from + i) % len(all)
 				break
 			}
 		}
-		delete(t.owedBuckets, to) // the next sums tell what is missing yet
+		delete(t.owedBuckets, to) // the next digest shows what is still missing
 	}
 	if !full && now-t.digestSentAt >= digestInterval {
 		bucketSums := make([]byte, 0, 8*bucketCount)
@@ -397,11 +400,11 @@
 	return out
 }
 
-// sorted returns all that is held in a fixed order.
+// sortedRecords returns all stored records in a fixed order.
 func (t *Engine) sortedRecords() []*storedRecord {
 	all := make([]*storedRecord, 0, len(t.records))
-	for _, h := range t.records {
-		all = append(all, h)
+	for _, stored := range t.records {
+		all = append(all, stored)
 	}
 	slices.SortFunc(all, func(a, b *storedRecord) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Origin, b.Origin))
--- a/internal/gossip/memory.go
+++ b/internal/gossip/memory.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// memoryQueue is how many datagrams wait unread at most.
+// maxUnread is the maximum number of unread datagrams; further ones are dropped.
 const maxUnread = 256
 
-// Network is a network in memory. Its faults apply to what is sent from then on.
+// MemoryNetwork is an in-memory datagram network. Changed faults apply to datagrams sent later.
 type MemoryNetwork struct {
 	mu         sync.Mutex
 	transports map[string]*MemoryTransport
 	rng        *rand.Rand
-	loss       float64      // parts of the datagrams: lost,
-	duplicate  float64      // delivered twice,
-	reorder    float64      // held back until the next one to the same receiver
-	delivery   DeliveryFunc // in place of those parts
+	loss       float64      // share of datagrams that are lost
+	duplicate  float64      // share delivered twice
+	reorder    float64      // share held back until the next datagram to the same receiver
+	delivery   DeliveryFunc // replaces the three shares if set
 	schedule   func(time.Duration, func())
 }
 
-// Fate is what becomes of a datagram: how long each of its copies takes; none: it is lost.
+// DeliveryFunc returns the delay of each copy of a datagram; no delays mean that it is lost.
 type DeliveryFunc func(from, to string) []time.Duration
 
-// NewNetwork returns one without faults, whose chances are drawn from the source.
+// NewMemoryNetwork returns a network without faults. The source decides on faults set later.
 func NewMemoryNetwork(rng *rand.Rand) *MemoryNetwork {
 	return &MemoryNetwork{transports: map[string]*MemoryTransport{}, rng: rng}
 }
 
-// Fault sets the parts of datagrams that are lost, come twice and change places.
+// SetFaults sets the shares of datagrams that are lost, duplicated and reordered.
 func (n *MemoryNetwork) SetFaults(loss, duplicate, reorder float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loss, n.duplicate, n.reorder = loss, duplicate, reorder
 }
 
-// Pace has datagrams take their time by a clock of the caller's, virtual or not: after calls
-// back when one comes. Both are called under the network's lock.
+// SetDelivery delays datagrams by a clock of the caller, real or virtual: schedule calls a
+// function after a delay. Both functions are called with the network's lock held.
 func (n *MemoryNetwork) SetDelivery(delivery DeliveryFunc, schedule func(time.Duration, func())) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delivery, n.schedule = delivery, schedule
 }
 
-// Listen returns the Transport of an address, in place of a closed one's.
+// Listen returns the transport of an address and replaces a closed one.
 func (n *MemoryNetwork) Listen(addr string) *MemoryTransport { return n.ListenFunc(addr, nil) }
 
-// ListenFunc is Listen for a network with a clock: what comes is told in place of being received.
+// ListenFunc is Listen for a network with a clock: datagrams go to the handler instead of Receive.
 func (n *MemoryNetwork) ListenFunc(addr string, handler func(from string, datagram []byte)) *MemoryTransport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -57,7 +57,7 @@
 	return m
 }
 
-// arrive delivers a datagram to who has the address by now.
+// deliver hands a datagram to the transport that has the address at this moment.
 func (n *MemoryNetwork) deliver(to string, p packet) {
 	n.mu.Lock()
 	receiver := n.transports[to]
@@ -72,13 +72,13 @@
 	payload []byte
 }
 
-// Memory is the Transport on a Network.
+// MemoryTransport is the Transport on a MemoryNetwork.
 type MemoryTransport struct {
 	net       *MemoryNetwork
 	addr      string
 	handler   func(from string, datagram []byte)
 	inbox     chan packet
-	reordered []packet // changing places, under the network's lock
+	reordered []packet // held back for reordering, under the network's lock
 	done      chan struct{}
 	once      sync.Once
 }
@@ -118,7 +118,7 @@
 	if n.rng.Float64() < n.duplicate {
 		receiver.enqueue(packet{p.from, bytes.Clone(p.payload)})
 	}
-	receiver.enqueue(p) // its bytes are the receiver's from here on
+	receiver.enqueue(p) // the receiver owns the bytes from here on
 	for _, h := range receiver.reordered {
 		receiver.enqueue(h)
 	}
@@ -133,7 +133,7 @@
 	}
 	select {
 	case m.inbox <- p:
-	default: // a slow reader's loss
+	default: // the reader is slow: dropped
 	}
 }
 
--- a/internal/gossip/record.go
+++ b/internal/gossip/record.go
@@ -10,38 +10,41 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kind is a subject of talk. This package knows none of them.
+// Kind is the subject of a record. This package does not interpret it.
 type Kind uint8
 
-// Urgent is the first kind that waits for all below it, which are told in their order.
+// FirstOrdinaryKind is the first kind without priority. Records of lower kinds are sent before
+// all others, in the order of their kinds.
 const FirstOrdinaryKind Kind = 16
 
-// Bounds of what a record may hold, so that memory is bounded and a lie harms only its origin.
+// Limits of the records. They bound the memory, and a node that sends false records harms only
+// the records under the names it uses.
 const (
 	MaxOrigin           = 48      // bytes of a name
 	MaxValue            = 4 << 10 // bytes of a value
-	MaxRecords          = 1 << 13 // in all
-	maxRecordsPerOrigin = 64      // of one origin
+	MaxRecords          = 1 << 13 // stored records
+	maxRecordsPerOrigin = 64      // stored records of one origin
 )
 
-// Record is what a node of a name says on a subject. Of two on one subject by one name the
-// later one holds; that is a total order, so whoever has heard the same records holds the same.
+// Record is what a node publishes under its name for one kind. Of two records with the same
+// origin and kind one supersedes the other. That order is total, so nodes that have received
+// the same records hold the same.
 type Record struct {
 	_           struct{} `cbor:",toarray"`
 	Kind        Kind
 	Origin      string
-	Incarnation uint32 // of the origin: raised when it hears of a later life of itself
-	Sequence    uint32 // of the record within it
+	Incarnation uint32 // of the origin; raised when the origin learns of a later incarnation of its name
+	Sequence    uint32 // of the record within the incarnation
 	Value       []byte
 }
 
-// Later tells whether a record holds against another on its subject by its name. Two lives
-// under one name may say different things under one number: then the higher bytes hold.
+// Supersedes reports whether r replaces o, a record of the same origin and kind. Two runs under
+// one name may publish different values under the same numbers; then the higher bytes win.
 func (r *Record) Supersedes(o *Record) bool {
 	return cmp.Or(r.compareVersion(o), bytes.Compare(r.Value, o.Value)) > 0
 }
 
-// order compares what two records are numbered by, whatever they say.
+// compareVersion compares incarnation and sequence, without the values.
 func (r *Record) compareVersion(o *Record) int {
 	return cmp.Or(cmp.Compare(r.Incarnation, o.Incarnation), cmp.Compare(r.Sequence, o.Sequence))
 }
@@ -53,52 +56,52 @@
 
 func (r *Record) key() key { return key{r.Origin, r.Kind} }
 
-// ErrBounds refuses a record over a bound.
-var ErrLimit = errors.New("over a bound")
+// ErrLimit is returned for a record that exceeds a limit.
+var ErrLimit = errors.New("record over a limit")
 
 func (r *Record) check() error {
 	switch {
 	case r.Origin == "" || len(r.Origin) > MaxOrigin:
-		return fmt.Errorf("%w: a name of %d bytes", ErrLimit, len(r.Origin))
+		return fmt.Errorf("%w: origin of %d bytes", ErrLimit, len(r.Origin))
 	case len(r.Value) > MaxValue:
-		return fmt.Errorf("%w: a value of %d bytes", ErrLimit, len(r.Value))
+		return fmt.Errorf("%w: value of %d bytes", ErrLimit, len(r.Value))
 	}
 	return nil
 }
 
-// buckets are the parts in which two nodes compare what they hold.
+// bucketCount is the number of buckets whose sums two nodes compare.
 const bucketCount = 16
 
-// held is a record with how often it was told since it came.
+// storedRecord is a record and how often it was sent since it arrived.
 type storedRecord struct {
 	Record
 	sentCount int
-	queued    bool // among those told lately
-	nextPiece int  // of a long value: which is told next
+	queued    bool // contained in Records.recent
+	nextPiece int  // the next piece of a long value to send
 	bucket    int
 	hash      uint64
 }
 
-// Records are what has been heard, merged. The zero value is empty.
+// Records holds the merged records. The zero value is empty.
 type Records struct {
 	records       map[key]*storedRecord
 	countByOrigin map[string]int // records by origin
 	bucketSums    [bucketCount]uint64
-	recent        []*storedRecord // changed, and told fewer times than is enough
+	recent        []*storedRecord // changed records that were sent fewer times than required
 }
 
-// Len is the count of records.
+// Len returns the number of records.
 func (s *Records) Len() int { return len(s.records) }
 
-// Get returns what a name says on a subject.
+// Get returns the record of an origin and a kind.
 func (s *Records) Get(kind Kind, origin string) (Record, bool) {
-	if h := s.records[key{origin, kind}]; h != nil {
-		return h.Record, true
+	if stored := s.records[key{origin, kind}]; stored != nil {
+		return stored.Record, true
 	}
 	return Record{}, false
 }
 
-// Merge takes a record and tells whether it holds against what was held. It keeps the value.
+// Merge stores a record and reports whether it replaced the stored one. It keeps the value.
 func (s *Records) Merge(r Record) (bool, error) {
 	if err := r.check(); err != nil {
 		return false, err
@@ -106,49 +109,49 @@
 	if s.records == nil {
 		s.records, s.countByOrigin = map[key]*storedRecord{}, map[string]int{}
 	}
-	h := s.records[r.key()]
+	stored := s.records[r.key()]
 	switch {
-	case h != nil && !r.Supersedes(&h.Record):
+	case stored != nil && !r.Supersedes(&stored.Record):
 		return false, nil
-	case h == nil && (len(s.records) >= MaxRecords || s.countByOrigin[r.Origin] >= maxRecordsPerOrigin):
-		return false, fmt.Errorf("%w: %d records, %d of %s", ErrLimit, len(s.records), s.countByOrigin[r.Origin], r.Origin)
-	case h == nil:
-		h = &storedRecord{bucket: int(xxhash.Sum64String(string(rune(r.Kind))+r.Origin) % bucketCount)}
-		s.records[r.key()] = h
+	case stored == nil && (len(s.records) >= MaxRecords || s.countByOrigin[r.Origin] >= maxRecordsPerOrigin):
+		return false, fmt.Errorf("%w: %d records, %d of origin %s", ErrLimit, len(s.records), s.countByOrigin[r.Origin], r.Origin)
+	case stored == nil:
+		stored = &storedRecord{bucket: int(xxhash.Sum64String(string(rune(r.Kind))+r.Origin) % bucketCount)}
+		s.records[r.key()] = stored
 		s.countByOrigin[r.Origin]++
 	}
-	if h.hash != 0 {
-		s.bucketSums[h.bucket] -= h.hash
+	if stored.hash != 0 {
+		s.bucketSums[stored.bucket] -= stored.hash
 	}
-	if !h.queued {
-		s.recent, h.queued = append(s.recent, h), true
+	if !stored.queued {
+		s.recent, stored.queued = append(s.recent, stored), true
 	}
 	text, err := encMode.Marshal(r)
 	if err != nil {
 		return false, err
 	}
-	h.Record, h.sentCount, h.nextPiece, h.hash = r, 0, 0, xxhash.Sum64(text)|1
-	s.bucketSums[h.bucket] += h.hash
+	stored.Record, stored.sentCount, stored.nextPiece, stored.hash = r, 0, 0, xxhash.Sum64(text)|1
+	s.bucketSums[stored.bucket] += stored.hash
 	return true, nil
 }
 
-// The form of all that is sent: canonical, so that equal records have equal bytes; and
-// bounded, so that no datagram can ask for more than it brings.
+// The encoding of everything that is sent. It is canonical, so that equal records have equal
+// bytes, and limited, so that no datagram causes larger allocations than its size justifies.
 var (
 	encMode = must(cbor.CanonicalEncOptions().EncMode())
 	decMode = must(cbor.DecOptions{MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: MaxValue / 2,
 		IndefLength: cbor.IndefLengthForbidden}.DecMode())
 )
 
-// Encode puts a value into the form of all that is sent. Equal values have equal bytes.
+// Encode encodes a value canonically: equal values have equal bytes.
 func Encode(v any) ([]byte, error) { return encMode.Marshal(v) }
 
-// Decode reads what Encode wrote, from whoever it comes.
+// Decode decodes the output of Encode. The input may come from an untrusted sender.
 func Decode(text []byte, v any) error { return decMode.Unmarshal(text, v) }
 
 func must[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // the options are written above
+		panic(err) // the options are constants
 	}
 	return v
 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -2,31 +2,31 @@
 
 import "errors"
 
-// MaxDatagram is the most bytes a datagram may have: the platform ends a run over a longer one.
+// MaxDatagram is the largest allowed datagram in bytes: the platform ends a run over a longer one.
 const MaxDatagram = 256
 
-// What a Transport refuses.
+// Errors of a Transport.
 var (
-	ErrTooLong = errors.New("a datagram over 256 bytes")
-	ErrClosed  = errors.New("the transport is closed")
+	ErrTooLong = errors.New("datagram over 256 bytes")
+	ErrClosed  = errors.New("transport is closed")
 )
 
-// Transport carries datagrams between nodes. All of it may be called from several goroutines.
-// What every Transport promises is judged by the clauses of contract_test.go.
+// Transport carries datagrams between nodes. All methods are safe for concurrent use.
+// contract_test.go checks every promise made here for each implementation.
 type Transport interface {
-	// Addr is the address at which others reach this one.
+	// Addr returns the address at which other nodes reach this transport.
 	Addr() string
-	// Send hands on a datagram of 1 to MaxDatagram bytes; a longer one is refused with
-	// ErrTooLong and an empty one does nothing. It waits for nobody: where the other side is
-	// slow, gone or unknown the datagram is lost, which is no error, and later ones to others
-	// are not. The bytes are the caller's again once it returns. After Close: ErrClosed.
+	// Send sends a datagram of 1 to MaxDatagram bytes. A longer one returns ErrTooLong, an
+	// empty one does nothing. Send never blocks: where the receiver is slow, closed or unknown
+	// the datagram is lost, which is no error, and datagrams to others are not affected. The
+	// caller may reuse the bytes after the return. After Close it returns ErrClosed.
 	Send(to string, datagram []byte) error
-	// Receive waits for a datagram and returns it with the address of its sender, by which
-	// that is sent to. Datagrams may be lost, come twice or out of order, but each came just
-	// so from that sender, and is whole: one over MaxDatagram is dropped, not cut. The bytes
-	// are the caller's to keep. What waits unread is bounded; beyond that datagrams are lost.
-	// Once closed, and then also if it was waiting: ErrClosed.
+	// Receive waits for a datagram and returns it with the address of its sender, to which
+	// Send can answer. Datagrams may be lost, duplicated or reordered, but each was sent
+	// unchanged by that sender and is whole: one over MaxDatagram is dropped, not truncated.
+	// The caller owns the bytes. The queue of unread datagrams is bounded; further ones are
+	// lost. After Close, also during a call, it returns ErrClosed.
 	Receive() (from string, datagram []byte, err error)
-	// Close ends it, whatever is being sent or awaited; a second time it does nothing.
+	// Close closes the transport, also during sends and receives. Further calls do nothing.
 	Close() error
 }
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestTransportContractUDP(t *testing.T) {
-	judgeTransport(t, func(*testing.T) Net {
+	checkTransport(t, func(*testing.T) Net {
 		return Net{
 			Listen: func() (gossip.Transport, error) { return gossip.ListenUDP("127.0.0.1:0") },
 			Raw: func(to string, text []byte) error {
@@ -30,8 +30,8 @@
 	})
 }
 
-// memory is a net in memory; wrap, where given, makes its transports wrong.
-func memory(wrap func(*gossip.MemoryTransport) gossip.Transport) Net {
+// memoryNet returns an in-memory network; wrap, if given, makes its transports wrong.
+func memoryNet(wrap func(*gossip.MemoryTransport) gossip.Transport) Net {
 	n, count := gossip.NewMemoryNetwork(rand.New(rand.NewPCG(1, 2))), 0
 	return Net{
 		Listen: func() (gossip.Transport, error) {
@@ -47,13 +47,13 @@
 }
 
 func TestTransportContractMemory(t *testing.T) {
-	judgeTransport(t, func(*testing.T) Net { return memory(nil) })
+	checkTransport(t, func(*testing.T) Net { return memoryNet(nil) })
 }
 
-// paced is the same with a clock, as in the lab's days: datagrams take up to 5 ms.
-func paced() Net {
+// delayedNet is the same with a clock, as in the emulator: datagrams take up to 5 ms.
+func delayedNet() Net {
 	n, count := gossip.NewMemoryNetwork(nil), 0
-	rng := rand.New(rand.NewPCG(1, 3)) // drawn from under the network's lock
+	rng := rand.New(rand.NewPCG(1, 3)) // used under the network's lock
 	faulty := false
 	n.SetDelivery(func(_, _ string) []time.Duration {
 		takes := func() time.Duration { return time.Duration(rng.IntN(int(5 * time.Millisecond))) }
@@ -74,8 +74,8 @@
 	}
 }
 
-func TestTransportContractPaced(t *testing.T) {
-	judgeTransport(t, func(*testing.T) Net { return paced() })
+func TestTransportContractDelayed(t *testing.T) {
+	checkTransport(t, func(*testing.T) Net { return delayedNet() })
 }
 
 // wrong is a transport that breaks one promise.
@@ -107,26 +107,26 @@
 	return w.MemoryTransport.Close()
 }
 
-// Each clause bites: a carrier that breaks its promise fails it.
-func TestTransportContractBites(t *testing.T) {
+// Guards against clauses that check nothing: a transport that breaks a promise must fail its clause.
+func TestTransportContractDetectsViolations(t *testing.T) {
 	for name, tt := range map[string]struct {
 		make func() func(*gossip.MemoryTransport) gossip.Transport
 		net  func(Net) Net
 		want string
 	}{
-		"sender's address unknown": {make: with(wrong{receive: func(m *gossip.MemoryTransport) (string, []byte, error) {
+		"wrong sender address": {make: wrapWith(wrong{receive: func(m *gossip.MemoryTransport) (string, []byte, error) {
 			_, text, err := m.Receive()
 			return "?", text, err
-		}}), want: "a datagram comes as it was sent, and can be answered"},
-		"cuts what is long": {make: with(wrong{send: func(m *gossip.MemoryTransport, to string, text []byte) error {
+		}}), want: "a datagram arrives unchanged and can be answered"},
+		"truncates long datagrams": {make: wrapWith(wrong{send: func(m *gossip.MemoryTransport, to string, text []byte) error {
 			return m.Send(to, text[:min(len(text), gossip.MaxDatagram)])
-		}}), want: "256 bytes pass and 257 are refused"},
-		"cuts what is long from outside": {net: func(n Net) Net {
+		}}), want: "256 bytes are delivered and 257 are rejected"},
+		"truncates long datagrams from outside": {net: func(n Net) Net {
 			from, _ := n.Listen()
 			n.Raw = func(to string, text []byte) error { return from.Send(to, text[:gossip.MaxDatagram]) }
 			return n
-		}, want: "a longer one from outside is dropped, not cut"},
-		"one buffer for all that comes": {make: func() func(*gossip.MemoryTransport) gossip.Transport {
+		}, want: "a longer datagram from outside is dropped, not truncated"},
+		"one buffer for all received datagrams": {make: func() func(*gossip.MemoryTransport) gossip.Transport {
 			return func(m *gossip.MemoryTransport) gossip.Transport {
 				var buf [gossip.MaxDatagram]byte
 				return &wrong{MemoryTransport: m, receive: func(m *gossip.MemoryTransport) (string, []byte, error) {
@@ -134,8 +134,8 @@
 					return from, buf[:copy(buf[:], text)], err
 				}}
 			}
-		}, want: "the bytes are the sender's again, and the receiver's to keep"},
-		"keeps all that is unread": {make: func() func(*gossip.MemoryTransport) gossip.Transport {
+		}, want: "sender and receiver own their buffers"},
+		"unbounded queue": {make: func() func(*gossip.MemoryTransport) gossip.Transport {
 			var mu sync.Mutex
 			stock := map[string][][]byte{}
 			return func(m *gossip.MemoryTransport) gossip.Transport {
@@ -155,14 +155,14 @@
 					return m.Receive()
 				}}
 			}
-		}, want: "a slow reader holds up nobody, within bounds"},
-		"an error for who is gone": {make: with(wrong{send: func(m *gossip.MemoryTransport, to string, text []byte) error {
+		}, want: "a slow reader blocks nobody and its queue is bounded"},
+		"error for an unknown address": {make: wrapWith(wrong{send: func(m *gossip.MemoryTransport, to string, text []byte) error {
 			if to == "nobody" {
 				return fmt.Errorf("no address: %s", to)
 			}
 			return m.Send(to, text)
-		}}), want: "one who is gone or unknown holds up nobody"},
-		"closed twice": {make: func() func(*gossip.MemoryTransport) gossip.Transport {
+		}}), want: "a closed or unknown address blocks nobody"},
+		"error on the second Close": {make: func() func(*gossip.MemoryTransport) gossip.Transport {
 			return func(m *gossip.MemoryTransport) gossip.Transport {
 				over := false
 				return &wrong{MemoryTransport: m, close: func(m *gossip.MemoryTransport) error {
@@ -173,20 +173,20 @@
 					return m.Close()
 				}}
 			}
-		}, want: "closing ends what waits, and is no error twice"},
-		"a panic once closed": {make: with(wrong{send: func(m *gossip.MemoryTransport, to string, text []byte) error {
+		}, want: "Close unblocks Receive and may be repeated"},
+		"panic after Close": {make: wrapWith(wrong{send: func(m *gossip.MemoryTransport, to string, text []byte) error {
 			if err := m.Send(to, text); err != nil {
 				panic(err)
 			}
 			return nil
-		}}), want: "closing while others send is safe"},
-		"spoils what it doubles": {make: with(wrong{receive: func(m *gossip.MemoryTransport) (string, []byte, error) {
+		}}), want: "Close is safe during sends"},
+		"corrupts datagrams": {make: wrapWith(wrong{receive: func(m *gossip.MemoryTransport) (string, []byte, error) {
 			from, text, err := m.Receive()
 			if len(text) > 150 {
 				text[149]++
 			}
 			return from, text, err
-		}}), want: "faults lose, double and reorder, and spoil nothing"},
+		}}), want: "faults lose, duplicate and reorder but never corrupt"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -198,7 +198,7 @@
 				if tt.make != nil {
 					wrap = tt.make()
 				}
-				n := memory(wrap)
+				n := memoryNet(wrap)
 				if tt.net != nil {
 					n = tt.net(n)
 				}
@@ -210,7 +210,7 @@
 	}
 }
 
-func with(w wrong) func() func(*gossip.MemoryTransport) gossip.Transport {
+func wrapWith(w wrong) func() func(*gossip.MemoryTransport) gossip.Transport {
 	return func() func(*gossip.MemoryTransport) gossip.Transport {
 		return func(m *gossip.MemoryTransport) gossip.Transport {
 			w := w
--- a/internal/gossip/udp.go
+++ b/internal/gossip/udp.go
@@ -7,11 +7,11 @@
 	"net/netip"
 )
 
-// udpBuffer bounds, in bytes, what a socket holds unread. The kernel counts a few hundred
-// bytes for each datagram beside its own, so some hundreds of datagrams fit.
+// udpBuffer is the size of a socket's buffers in bytes. The kernel counts a few hundred bytes
+// of overhead per datagram, so some hundreds of datagrams fit.
 const udpBuffer = 256 << 10
 
-// UDP is the Transport on a socket.
+// UDP is the Transport on a UDP socket.
 type UDP struct{ conn *net.UDPConn }
 
 // ListenUDP opens a socket at host:port.
@@ -40,23 +40,23 @@
 	}
 	at, err := netip.ParseAddrPort(to)
 	if err != nil {
-		return nil // nobody has that address: lost
+		return nil // no such address: lost
 	}
 	if _, err = u.conn.WriteToUDPAddrPort(datagram, at); errors.Is(err, net.ErrClosed) {
 		return ErrClosed
 	}
-	return nil // what the network does not take is lost
+	return nil // a datagram that the network does not accept is lost
 }
 
 // Receive implements Transport.
 func (u *UDP) Receive() (string, []byte, error) {
-	var buf [MaxDatagram + 1]byte // one more, to tell what is longer
+	var buf [MaxDatagram + 1]byte // one byte more, to detect longer datagrams
 	for {
 		n, from, err := u.conn.ReadFromUDPAddrPort(buf[:])
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return "", nil, ErrClosed
-		case err != nil || n == 0 || n > MaxDatagram: // an error tells of an earlier send
+		case err != nil || n == 0 || n > MaxDatagram: // an error here reports an earlier send
 			continue
 		}
 		return netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), append([]byte(nil), buf[:n]...), nil
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,11 +1,13 @@
-// Package member decides who of a fleet is there, after the SWIM and Lifeguard papers: each
-// node probes one other a period, asks others to probe for it before it suspects one, and
-// waits longer the less it trusts itself. It is pure: messages, time and randomness are handed
-// in, what is to be sent comes back. It must not know addresses, datagrams or records.
+// Package member implements failure detection for a fleet of nodes, after the SWIM and
+// Lifeguard papers. In each period a node probes one other node. Before it suspects a node it
+// asks others to probe that node too, and the worse its own health score is, the longer it
+// waits. The package is pure: messages, time and randomness are passed in, and messages to
+// send are returned. It must not know addresses, datagrams or records.
 //
-// Nobody is ever declared dead for others: a node says whom it suspects, at which incarnation,
-// and takes that back by itself; a suspected one raises its incarnation and so answers all of
-// them at once. So both sides of a cut go on, and are one fleet again once they hear each other.
+// No node declares another dead on behalf of the fleet. Each node publishes whom it suspects,
+// at which incarnation, and withdraws that itself. A suspected node raises its incarnation,
+// which refutes all suspicions at once. Both sides of a network partition therefore keep
+// running, and become one fleet again once messages pass between them.
 package member
 
 import (
@@ -17,76 +19,76 @@
 	"time"
 )
 
-// ID names a node.
+// ID identifies a node.
 type ID string
 
-// State is what a node takes another for.
+// State is a node's view of another node.
 type State uint8
 
 // The states of a member.
 const (
 	Alive     State = iota
-	Suspected       // does not answer, or others say so; it may yet answer that
-	Dead            // did not answer that in time; it is still probed and may return
+	Suspected       // does not answer, or others report so; it can still refute that
+	Dead            // did not refute the suspicion in time; it is still probed and may return
 )
 
-// Kind is what a message asks or answers.
+// Kind is the type of a message.
 type Kind uint8
 
-// The kinds of message. Each carries the number of the probe that it belongs to.
+// The kinds of message. Each message carries the number of the probe that it belongs to.
 const (
 	Ping Kind = iota // answered by an Ack
 	Ack
-	PingRequest // to ping the one it is about, and pass on its Ack, or else a Nack
-	Nack        // the one it was asked about has not answered, but who was asked is there
+	PingRequest // asks the receiver to ping Target and to relay its Ack, or else to send a Nack
+	Nack        // Target has not answered, but the relaying node is alive
 )
 
-// Message goes from one node to another.
+// Message is a probe message from one node to another.
 type Message struct {
 	Kind   Kind
 	Probe  uint32
-	Target ID // of an Ask
+	Target ID // of a PingRequest
 }
 
-// Send is a message to a node.
+// Send is a message and the node it goes to.
 type Send struct {
 	To ID
 	Message
 }
 
-// Options are times and counts; those left at 0 are set by New.
+// Options are the protocol's times and counts. New replaces zeros by the defaults.
 type Options struct {
-	ProbePeriod         time.Duration // between probes: 1 s
-	ProbeTimeout        time.Duration // until others are asked, 200 ms: a way takes 12 ms at most
-	IndirectProbes      int           // who are asked: 3
-	MinSuspicionTimeout time.Duration // how long a suspected one may answer, where many suspect it: 3 s,
-	MaxSuspicionTimeout time.Duration // and where one alone does: 8 s
+	ProbePeriod         time.Duration // time between probes; default 1 s
+	ProbeTimeout        time.Duration // time until indirect probes are requested; default 200 ms: a one-way trip takes at most 12 ms
+	IndirectProbes      int           // number of nodes asked for an indirect probe; default 3
+	MinSuspicionTimeout time.Duration // time to refute a suspicion that many nodes share; default 3 s
+	MaxSuspicionTimeout time.Duration // time to refute a suspicion of a single node; default 8 s
 }
 
 const (
-	maxHealthScore  = 8 // a node that trusts itself least waits nine times as long
-	suspicionQuorum = 4 // so many who suspect one are many
-	// Before one is taken for gone on the word of others alone it is probed so often, the last
-	// time two time-outs before.
+	maxHealthScore  = 8 // at the worst health score a node waits nine times as long
+	suspicionQuorum = 4 // with this many suspecting nodes MinSuspicionTimeout applies
+	// verificationProbes is how often a node is probed before it is declared dead on the
+	// reports of others alone. The last of these probes is sent two probe timeouts before.
 	verificationProbes = 2
 )
 
-// List is what one node knows of the others. It is not safe for concurrent use.
+// List is one node's view of the others. It is not safe for concurrent use.
 type List struct {
 	self          ID
 	incarnation   uint32
-	everSuspected bool // others have said that they suspect it
+	everSuspected bool // other nodes have reported that they suspect this node
 	options       Options
 	rng           *rand.Rand
 	peers         map[ID]*peer
-	order         []ID // their names, sorted: what is done to all is done in this order
-	probeQueue    []ID // who is probed next, from the end
-	deadQueue     []ID // the same of those who are gone
+	order         []ID // sorted IDs; all loops over the peers use this order
+	probeQueue    []ID // nodes to probe in this round, taken from the end
+	deadQueue     []ID // the same for dead nodes
 	healthScore   int
 	lastProbe     uint32
-	pending       *probe                  // the one under way
-	relayed       map[uint32]relayedProbe // probes made for others, by this node's number
-	verifications map[uint32]*peer        // those of the suspected, the latest of each
+	pending       *probe                  // the probe in progress
+	relayed       map[uint32]relayedProbe // probes made on behalf of others, by this node's probe number
+	verifications map[uint32]*peer        // probes of suspected nodes, the latest of each
 	nextProbe     time.Duration
 }
 
@@ -95,11 +97,11 @@
 	incarnation      uint32
 	state            State
 	since            time.Duration
-	probeFailed      bool          // this node has probed it in vain
-	announced        bool          // and says so: too few others did
-	suspectedBy      map[ID]uint32 // who else suspects it, at which incarnation
-	lastHeard        time.Duration // when it last answered this node, or said anything to it
-	lastVerification uint32        // the latest probe of it while suspected
+	probeFailed      bool          // this node's own probe failed
+	announced        bool          // this node publishes its suspicion, because too few others did
+	suspectedBy      map[ID]uint32 // other nodes that suspect it, and at which incarnation
+	lastHeard        time.Duration // when it last answered this node or sent it anything
+	lastVerification uint32        // number of the latest verification probe while suspected
 	verifiedAt       time.Duration
 	returnCount      int
 }
@@ -108,8 +110,8 @@
 	number              uint32
 	to                  ID
 	requested, nacked   int
-	requestAt, deadline time.Duration // when others are asked, and when it has failed
-	resendAt            time.Duration // when the ping is sent again: one alone may be lost
+	requestAt, deadline time.Duration // when indirect probes are requested, and when the probe has failed
+	resendAt            time.Duration // when the ping is repeated, because a single datagram may be lost
 }
 
 type relayedProbe struct {
@@ -119,7 +121,7 @@
 	deadline time.Duration
 }
 
-// New returns the list of a node that knows only the names of the others.
+// New returns the list of a node that knows only the IDs of the others.
 func New(self ID, others []ID, o Options, rng *rand.Rand) *List {
 	o.ProbePeriod = cmp.Or(o.ProbePeriod, time.Second)
 	o.ProbeTimeout = cmp.Or(o.ProbeTimeout, 200*time.Millisecond)
@@ -133,24 +135,25 @@
 		}
 	}
 	l.order = slices.Sorted(maps.Keys(l.peers))
-	l.nextProbe = time.Duration(rng.Int64N(int64(o.ProbePeriod))) // all start in one second: probes are spread
+	l.nextProbe = time.Duration(rng.Int64N(int64(o.ProbePeriod))) // spreads the probes of nodes that all start in the same second
 	return l
 }
 
-// Incarnation is what this node answers suspicions with.
+// Incarnation returns the incarnation with which this node refutes suspicions.
 func (l *List) Incarnation() uint32 { return l.incarnation }
 
-// Raise takes on an incarnation that this node was found to have had, if it is higher.
+// RaiseIncarnation adopts an incarnation that this node was found to have had, if it is higher.
 func (l *List) RaiseIncarnation(incarnation uint32) { l.incarnation = max(l.incarnation, incarnation) }
 
-// Accused tells that others have said that they suspect this node, at whatever incarnation.
+// EverSuspected reports whether others have suspected this node, at any incarnation.
 func (l *List) EverSuspected() bool { return l.everSuspected }
 
-// Health is how far this node distrusts itself, from 0.
+// HealthScore returns the local health score of Lifeguard: 0 is healthy, higher is worse.
 func (l *List) HealthScore() int { return l.healthScore }
 
-// Suspects is what this node says to all: whom it has probed in vain, at which incarnation.
-// Where many say so already it keeps still, or the loss of one node would be told by all.
+// Suspects returns the suspicions that this node publishes: the nodes that failed its own
+// probes, with their incarnations. A suspicion that enough others have published is left out;
+// otherwise every node would publish the loss of one.
 func (l *List) Suspects() map[ID]uint32 {
 	out := map[ID]uint32{}
 	for id, p := range l.peers {
@@ -161,16 +164,16 @@
 	return out
 }
 
-// Member is one of the others, as this node sees it.
+// Member is another node, as this node sees it.
 type Member struct {
 	ID          ID
 	State       State
 	Incarnation uint32
-	Since       time.Duration // of its state
-	ReturnCount int           // how often it was gone and came back
+	Since       time.Duration // when the state was entered
+	ReturnCount int           // how often it came back after it was dead
 }
 
-// Members returns the others in the order of their names.
+// Members returns the other nodes, sorted by ID.
 func (l *List) Members() []Member {
 	out := make([]Member, 0, len(l.peers))
 	for _, id := range l.order {
@@ -180,8 +183,8 @@
 	return out
 }
 
-// Alive is told an incarnation that a node said of itself. A higher one answers all who
-// suspected it before.
+// UpdateIncarnation records an incarnation that a node published for itself. A higher one
+// refutes all earlier suspicions.
 func (l *List) UpdateIncarnation(now time.Duration, id ID, incarnation uint32) {
 	p := l.peers[id]
 	if p == nil || incarnation <= p.incarnation {
@@ -191,16 +194,16 @@
 	l.updateState(now, p)
 }
 
-// Told is told whom another node suspects, in place of what it said before.
+// UpdateSuspicions replaces the suspicions that another node published before.
 func (l *List) UpdateSuspicions(now time.Duration, by ID, suspects map[ID]uint32) {
 	if l.peers[by] == nil {
-		return // nobody we know
+		return // not a known node
 	}
 	if at, ok := suspects[l.self]; ok {
 		l.everSuspected = true
 		if at >= l.incarnation && at < math.MaxUint32 {
 			l.incarnation = at + 1
-			l.adjustHealthScore(1) // others hear us late: it may be us
+			l.adjustHealthScore(1) // others receive this node's messages late; the cause may be this node
 		}
 	}
 	for id, p := range l.peers {
@@ -216,12 +219,12 @@
 	}
 }
 
-// trust moves how far this node distrusts itself.
+// adjustHealthScore changes the health score, within its bounds.
 func (l *List) adjustHealthScore(by int) {
 	l.healthScore = min(max(l.healthScore+by, 0), maxHealthScore)
 }
 
-// judge sets the state of one from who suspects it.
+// updateState derives the state of a peer from the nodes that suspect it.
 func (l *List) updateState(now time.Duration, p *peer) {
 	count := l.suspectCount(p)
 	p.announced = p.probeFailed && (p.announced || count <= suspicionQuorum)
@@ -242,32 +245,32 @@
 	}
 }
 
-// count is how many suspect one, this node among them.
+// suspectCount returns how many nodes suspect a peer, this node included.
 func (l *List) suspectCount(p *peer) (count int) {
 	if p.probeFailed {
 		count = 1
 	}
 	for by, at := range p.suspectedBy {
-		if at >= p.incarnation && l.peers[by].state != Dead { // who is gone bears no witness
+		if at >= p.incarnation && l.peers[by].state != Dead { // reports of dead nodes do not count
 			count++
 		}
 	}
 	return count
 }
 
-// silent is since when a suspected one has said nothing to this node: what it has heard
-// itself goes before what it is told.
+// silentSince returns since when a suspected peer has sent nothing to this node. What this
+// node received itself takes precedence over the reports of others.
 func (p *peer) silentSince() time.Duration { return max(p.since, p.lastHeard) }
 
-// Seen is told that something came from a node itself.
+// RecordContact records that something arrived from a node itself.
 func (l *List) RecordContact(now time.Duration, from ID) {
 	if p := l.peers[from]; p != nil {
 		p.lastHeard = now
 	}
 }
 
-// checkUp probes one that others suspect before it is taken for gone on their word, also by
-// way of another: what it would answer them may be late.
+// verifySuspect probes a peer that others suspect before it is declared dead on their
+// reports, also through a third node, because its refutation may reach them late.
 func (l *List) verifySuspect(now time.Duration, p *peer) []Send {
 	every := 2 * l.options.ProbeTimeout
 	if p.state != Suspected || p.probeFailed || now < p.verifiedAt+every || now < p.silentSince()+l.suspicionTimeout(l.suspectCount(p))-(verificationProbes+1)*every {
@@ -284,9 +287,9 @@
 	return out
 }
 
-// patience is how long a suspected one may answer: the more suspect it the shorter.
+// suspicionTimeout returns how long a suspected node has to refute. More suspecting nodes shorten it.
 func (l *List) suspicionTimeout(count int) time.Duration {
-	if len(l.peers) <= suspicionQuorum { // few there are: two are many
+	if len(l.peers) <= suspicionQuorum { // in a small fleet two suspecting nodes are many
 		count++
 	}
 	part := math.Log(float64(min(count, suspicionQuorum))) / math.Log(suspicionQuorum)
@@ -294,12 +297,12 @@
 	return span * time.Duration(1+l.healthScore/2)
 }
 
-// wait is a time, longer the less this node trusts itself.
+// scaleByHealth lengthens a time as the health score of this node gets worse.
 func (l *List) scaleByHealth(d time.Duration) time.Duration {
 	return d * time.Duration(1+l.healthScore)
 }
 
-// Heard takes a message and returns what it calls for. Whoever is heard is there.
+// HandleMessage handles a message and returns the replies. The sender is alive.
 func (l *List) HandleMessage(now time.Duration, from ID, m Message) []Send {
 	l.RecordContact(now, from)
 	if p := l.peers[from]; p != nil && p.probeFailed {
@@ -324,7 +327,7 @@
 		if p := l.verifications[m.Probe]; p != nil {
 			p.lastHeard = now
 		}
-		if o := l.pending; o != nil && o.number == m.Probe { // by itself, or by way of another
+		if o := l.pending; o != nil && o.number == m.Probe { // acknowledged directly or through a relay
 			if p := l.peers[o.to]; p.probeFailed {
 				p.probeFailed = false
 				l.updateState(now, p)
@@ -340,7 +343,7 @@
 	return nil
 }
 
-// Tick does what is due and returns what is to be sent. It is called several times a period.
+// Tick does the work that is due and returns the messages to send. Call it several times a period.
 func (l *List) Tick(now time.Duration) (out []Send) {
 	for _, n := range slices.Sorted(maps.Keys(l.relayed)) {
 		if h := l.relayed[n]; now >= h.deadline {
@@ -351,7 +354,7 @@
 	if o := l.pending; o != nil && now >= o.deadline {
 		l.pending = nil
 		l.peers[o.to].probeFailed = true
-		// Who was asked and says nothing at all makes us doubt our own ways to the others.
+		// Helpers that send neither an Ack nor a Nack suggest that this node's own network is faulty.
 		l.adjustHealthScore(min(o.requested-o.nacked, 1))
 	} else if o != nil {
 		if now >= o.resendAt {
@@ -377,7 +380,7 @@
 	return out
 }
 
-// probe pings the next of the round, and one who is gone, who may be back.
+// probe pings the next node of the round, and one dead node in case it is back.
 func (l *List) probe(now time.Duration) (out []Send) {
 	if to := l.nextInRound(&l.deadQueue, func(p *peer) bool { return p.state == Dead }); to != "" {
 		l.lastProbe++
@@ -392,7 +395,7 @@
 	return append(out, Send{to, Message{Kind: Ping, Probe: l.lastProbe}})
 }
 
-// next takes one from the end of a round that all who fit are in once, in random order.
+// nextInRound takes the next eligible node of a round. A round holds all nodes in random order.
 func (l *List) nextInRound(round *[]ID, eligible func(*peer) bool) ID {
 	for attempt := range 2 {
 		for len(*round) > 0 {
@@ -410,7 +413,7 @@
 	return ""
 }
 
-// helpers draws who is asked to probe one.
+// pickHelpers draws the nodes that are asked to probe the target.
 func (l *List) pickHelpers(target ID) []ID {
 	all := slices.DeleteFunc(slices.Clone(l.order), func(id ID) bool {
 		return id == target || l.peers[id].state != Alive
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -12,15 +12,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// said is what a node tells of itself, as a record would carry it.
+// announcement is what a node publishes about itself, as a gossip record would carry it.
 type announcement struct {
 	incarnation uint32
 	number      int
 	suspects    map[ID]uint32
 }
 
-// world is nodes in virtual time. Messages are late by up to 12 ms and may be lost; what the
-// nodes say of themselves is passed on from node to node, to three others a step.
+// cluster runs nodes in virtual time. Messages take up to 12 ms and may be lost. Every 200 ms
+// each node passes the announcements that it knows on to three random nodes.
 type cluster struct {
 	rng           *rand.Rand
 	now           time.Duration
@@ -51,7 +51,7 @@
 	return w
 }
 
-// start starts a node that knows nothing but the names.
+// start starts a node that knows only the IDs of the others.
 func (w *cluster) start(id ID) {
 	w.nodes[id] = New(id, w.ids, Options{}, rand.New(rand.NewPCG(w.rng.Uint64(), 1)))
 	w.announcements[id] = map[ID]announcement{}
@@ -69,12 +69,12 @@
 	}
 }
 
-// say has a node's own word renewed, and hears one of another.
+// receive delivers an announcement: a node's own may raise its incarnation, others update its list.
 func (w *cluster) receive(to, origin ID, s announcement) {
 	n, was := w.nodes[to], w.announcements[to][origin]
 	if origin == to {
 		if s.incarnation > n.Incarnation() {
-			n.RaiseIncarnation(s.incarnation + 1) // an earlier life of its own
+			n.RaiseIncarnation(s.incarnation + 1) // its own, from before a restart
 		}
 		return
 	}
@@ -127,7 +127,7 @@
 	}
 }
 
-// states counts what live nodes take others for.
+// countStates counts the states in which live nodes see others, over the selected pairs.
 func (w *cluster) countStates(selected func(by, id ID) bool) (out [3]int) {
 	for by, n := range w.nodes {
 		if n == nil {
@@ -144,13 +144,13 @@
 
 func (w *cluster) anyPair(by, id ID) bool { return true }
 
-// A killed node is known as gone to all within a time that its probes bound; one that lives
-// is gone to nobody, whatever is lost.
+// Guards against failures that are detected late or not by all nodes, and against live nodes
+// that are declared dead when messages are lost.
 func TestDeadNodeIsDetectedByAll(t *testing.T) {
 	for _, tt := range []struct {
 		nodes        int
 		loss         float64
-		maxDetection time.Duration // until all know
+		maxDetection time.Duration // until all nodes know
 	}{{3, 0, 15 * time.Second}, {3, 0.2, 25 * time.Second}, {30, 0, 20 * time.Second}, {30, 0.2, 25 * time.Second}, {200, 0.2, 25 * time.Second}} {
 		if tt.nodes == 200 && testing.Short() {
 			continue
@@ -162,7 +162,7 @@
 			falseDead := 0
 			live := func(_, id ID) bool { return w.nodes[id] != nil }
 			w.run(20*time.Second, func() { falseDead = max(falseDead, w.countStates(live)[Dead]) })
-			assert.Zero(t, falseDead, "live nodes taken for gone")
+			assert.Zero(t, falseDead, "live nodes declared dead")
 			dead := w.ids[1]
 			w.nodes[dead] = nil
 			killed, first := w.now, time.Duration(0)
@@ -171,25 +171,25 @@
 				if first == 0 && w.countStates(func(_, id ID) bool { return id == dead })[Dead] > 0 {
 					first = w.now - killed
 				}
-				require.Less(t, w.now-killed, tt.maxDetection, "not all know")
+				require.Less(t, w.now-killed, tt.maxDetection, "not detected by all nodes")
 			}
-			t.Logf("gone to the first after %v, to all after %v", first, w.now-killed)
-			assert.Zero(t, w.countStates(live)[Dead], "live nodes taken for gone")
+			t.Logf("declared dead by the first after %v, by all after %v", first, w.now-killed)
+			assert.Zero(t, w.countStates(live)[Dead], "live nodes declared dead")
 
-			w.start(dead) // from nothing, under its name
+			w.start(dead) // restarted without state, under the same ID
 			back := w.now
 			for w.countStates(func(_, id ID) bool { return id == dead })[Alive] < tt.nodes-1 {
 				w.run(step, nil)
-				require.Less(t, w.now-back, 15*time.Second, "not there to all again")
+				require.Less(t, w.now-back, 15*time.Second, "not alive to all nodes again")
 			}
-			t.Logf("there to all %v after its return", w.now-back)
-			assert.Zero(t, w.countStates(w.anyPair)[Dead], "taken for gone once it is back")
+			t.Logf("alive to all %v after its return", w.now-back)
+			assert.Zero(t, w.countStates(w.anyPair)[Dead], "declared dead after its return")
 		})
 	}
 }
 
-// Both sides of a cut go on as fleets of their own and are one again once they hear each
-// other; nobody is dead for good, and nobody needs to be told.
+// Guards against partitions that leave nodes dead: both sides keep running as fleets of their
+// own and become one again when the partition ends, without help from outside.
 func TestPartitionHeals(t *testing.T) {
 	for name, oneWay := range map[string]bool{"both ways": false, "one way": true} {
 		t.Run(name, func(t *testing.T) {
@@ -207,12 +207,12 @@
 			}
 			w.blocked = func(ID, ID) bool { return false }
 			w.run(30*time.Second, nil)
-			assert.Equal(t, [3]int{12 * 11, 0, 0}, w.countStates(w.anyPair), "there, suspected, gone after healing")
+			assert.Equal(t, [3]int{12 * 11, 0, 0}, w.countStates(w.anyPair), "alive, suspected, dead after healing")
 		})
 	}
 }
 
-// One path that is broken between two who both live is got round by others.
+// A broken path between two live nodes must be covered by indirect probes through the others.
 func TestBrokenPathDoesNotKillNode(t *testing.T) {
 	w := newCluster(6, 2)
 	w.blocked = func(from, to ID) bool { return from == "n000" && to == "n001" || from == "n001" && to == "n000" }
@@ -221,12 +221,12 @@
 	assert.Zero(t, worst)
 }
 
-// A node whose own ways are bad comes to distrust itself, waits longer, and trusts itself
-// again; nobody takes the others for gone on its word.
+// A node with a bad network must raise its health score, wait longer and recover later. The
+// other nodes must not be declared dead on its reports.
 func TestUnhealthyNodeRaisesItsHealthScore(t *testing.T) {
 	w := newCluster(20, 4)
 	w.run(10*time.Second, nil)
-	w.blocked = func(from, to ID) bool { return to == "n000" && w.rng.Float64() < 0.8 } // it hears little
+	w.blocked = func(from, to ID) bool { return to == "n000" && w.rng.Float64() < 0.8 } // it receives little
 	health, wrong := 0, 0
 	w.run(time.Minute, func() {
 		health = max(health, w.nodes["n000"].HealthScore())
@@ -240,9 +240,9 @@
 	assert.LessOrEqual(t, w.nodes["n000"].HealthScore(), 1)
 }
 
-// TestEveryInterleaving plays every order of losses, deliveries, a restart and time at three
-// nodes up to a depth, and then lets all go well: whatever came before, no node is ever gone
-// to itself, incarnations only grow, and all are there to all in the end.
+// TestEveryInterleaving runs every order of losses, deliveries, a restart and clock steps on
+// three nodes up to a depth, and then lets the network work. Incarnations must only grow, and
+// in the end all nodes must see each other alive, whatever came before.
 func TestEveryInterleaving(t *testing.T) {
 	depth := 6
 	if testing.Short() {
@@ -254,7 +254,7 @@
 		m := newModel()
 		for _, c := range prefix {
 			if !m.apply(t, c) {
-				return // nothing under way to deliver or lose
+				return // no message in flight to deliver or drop
 			}
 		}
 		if len(prefix) < depth {
@@ -271,8 +271,8 @@
 	assert.Greater(t, played, 1000)
 }
 
-// The actions of the model: a second and a half passes at one of the nodes, the oldest message
-// under way comes or is lost, the first node tells what it holds, it starts anew.
+// The actions of the model: 1.5 s pass at one of the three nodes; the oldest message in flight
+// is delivered or dropped; the first node announces what it knows; the first node restarts.
 const actions = 7
 
 type model struct {
@@ -320,7 +320,7 @@
 	return true
 }
 
-// tell has a node say what it holds to both others.
+// announce has a node send the announcements that it knows to both others.
 func (m *model) announce(id ID) {
 	n := m.nodes[id]
 	own := m.announcements[id][id]
@@ -351,17 +351,17 @@
 		}
 	}
 	if got := m.countStates(m.anyPair); got != [3]int{6, 0, 0} {
-		require.Fail(t, "not all are there to all", "%v after %v", got, prefix)
+		require.Fail(t, "not all nodes see each other alive", "%v after %v", got, prefix)
 	}
 }
 
-// What a node hears itself goes before what it is told: one that many suspect is not gone while
-// it says something to this node, or answers by way of another, and is once it does neither.
+// Guards against declaring a node dead on the reports of others while it still sends messages
+// to this node or answers through a relay. A node that does neither must be declared dead.
 func TestNodeHeardFromIsNotDeclaredDead(t *testing.T) {
 	for name, answer := range map[string]func(l *List, now time.Duration, out []Send){
 		"silent": func(*List, time.Duration, []Send) {},
 		"heard":  func(l *List, now time.Duration, _ []Send) { l.RecordContact(now, "x") },
-		"answers by way of another": func(l *List, now time.Duration, out []Send) {
+		"answers through a relay": func(l *List, now time.Duration, out []Send) {
 			for _, s := range out {
 				if s.Kind == PingRequest && s.Target == "x" {
 					l.HandleMessage(now, s.To, Message{Kind: Ack, Probe: s.Probe})
@@ -378,17 +378,17 @@
 			}
 			state := func() State { return l.Members()[5].State }
 			assert.Equal(t, Suspected, state())
-			gone := time.Duration(0)
-			for now := step; now <= 20*time.Second && gone == 0; now += step {
+			deadAt := time.Duration(0)
+			for now := step; now <= 20*time.Second && deadAt == 0; now += step {
 				answer(l, now, l.Tick(now))
 				if state() == Dead {
-					gone = now
+					deadAt = now
 				}
 			}
 			if name == "silent" {
-				assert.Equal(t, 3*time.Second, gone)
+				assert.Equal(t, 3*time.Second, deadAt)
 			} else {
-				assert.Zero(t, gone)
+				assert.Zero(t, deadAt)
 			}
 		})
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,7 +1,7 @@
-// Package peers joins who is there (member), what the nodes tell each other (gossip) and the
-// datagrams between them. Circle is one node's part in it and pure, so the lab plays it in
-// virtual time; Run stands round it with a Transport and a clock. It must not know what the
-// records of others' kinds mean.
+// Package peers combines failure detection (member), gossip and the datagrams between nodes.
+// Engine is one node's part and pure, so the emulator can run it in virtual time. Peers runs
+// an Engine with a Transport and the real clock. The package must not know what gossip records
+// of other kinds mean.
 package peers
 
 import (
@@ -14,31 +14,31 @@
 	"pipitmux/internal/member"
 )
 
-// KindMember is the kind of the record in which a node says whom it suspects. That of its
-// incarnation is the node's.
+// KindMember is the kind of the record in which a node publishes whom it suspects. The
+// record's incarnation is the node's.
 const KindMember gossip.Kind = 1
 
-// formMember is the form of a message of membership.
+// formMember is the entry form of membership messages.
 const formMember = gossip.FirstNoteForm
 
-// tellEvery is how often a node tells another one, drawn, what is new.
+// gossipInterval is how often a node sends news to a random other node.
 const gossipInterval = 200 * time.Millisecond
 
-// message is the form of a member.Message.
+// message is the encoding of a member.Message.
 type message struct {
 	_     struct{} `cbor:",toarray"`
 	Kind  uint8
 	Probe uint32
-	About int16 // the number of a node, -1: none
+	About int16 // number of the target node; -1: none
 }
 
-// Datagram is what goes to the node of a number.
+// Datagram is a datagram and the number of the node it goes to.
 type Datagram struct {
 	To      int
 	Payload []byte
 }
 
-// Circle is one node's part in its fleet. It is not safe for concurrent use.
+// Engine is one node's part in its fleet. It is not safe for concurrent use.
 type Engine struct {
 	List                 *member.List
 	Gossip               *gossip.Engine
@@ -47,7 +47,7 @@
 	rng                  *rand.Rand
 	nextGossip           time.Duration
 	published            map[member.ID]uint32
-	publishedIncarnation uint32 // the incarnation in which that was published
+	publishedIncarnation uint32 // the incarnation of the last published record
 }
 
 func memberID(number int) member.ID { return member.ID("n" + strconv.Itoa(number)) }
@@ -60,8 +60,8 @@
 	return n
 }
 
-// NewCircle returns that of a node of a number among so many, which may send so many bytes a
-// second. It knows nothing of an earlier life.
+// NewEngine returns the engine of node number self in a fleet of that many nodes, with a budget
+// in bytes per second. It knows nothing of a previous run.
 func NewEngine(self, nodes int, budget float64, rng *rand.Rand) *Engine {
 	var ids []member.ID
 	for n := range nodes {
@@ -73,7 +73,7 @@
 	return c
 }
 
-// Heard takes a datagram from the node of a number; from nobody's it is dropped.
+// HandleDatagram handles a datagram from a node. Datagrams of unknown numbers are dropped.
 func (c *Engine) HandleDatagram(now time.Duration, from int, payload []byte) (out []Datagram) {
 	if from < 0 || from >= c.nodes || from == c.self {
 		return nil
@@ -86,7 +86,7 @@
 		}
 		suspects := map[string]uint32{}
 		if gossip.Decode(r.Value, &suspects) != nil {
-			continue // a liar's: what it published before holds
+			continue // malformed or forged: the earlier suspicions stay
 		}
 		by, of := member.ID(r.Origin), map[member.ID]uint32{}
 		for s, at := range suspects {
@@ -110,19 +110,19 @@
 	return out
 }
 
-// settle makes what the node says of itself follow what it knows.
+// publishSuspicions publishes this node's suspicions and incarnation when they have changed.
 func (c *Engine) publishSuspicions() {
 	c.Gossip.RaiseIncarnation(c.List.Incarnation())
 	c.List.RaiseIncarnation(c.Gossip.Incarnation())
 	suspects := c.List.Suspects()
-	// Who has never suspected anybody nor been suspected says nothing: where all start at once
-	// that would be told many times over, and tells nobody anything. Once it is suspected,
-	// though, its incarnation, which those who suspect it don't know, is the answer.
+	// A node that has never suspected another nor been suspected publishes nothing: when all
+	// nodes start at once, that would be sent many times without any information. Once others
+	// suspect the node, its incarnation, which they do not know, is the refutation.
 	if maps.Equal(suspects, c.published) && c.Gossip.Incarnation() == c.publishedIncarnation && (c.published != nil || !c.List.EverSuspected()) {
 		return
 	}
 	value, err := gossip.Encode(suspects)
-	if err == nil && len(value) <= gossip.MaxValue { // else most are gone, and what was published holds
+	if err == nil && len(value) <= gossip.MaxValue { // else most nodes are dead, and the last record stays
 		err = c.Gossip.Publish(KindMember, value)
 	}
 	if err == nil {
@@ -130,7 +130,7 @@
 	}
 }
 
-// send puts messages of membership into datagrams, each with what news has room beside it.
+// sendMessages puts membership messages into datagrams and fills these up with gossip.
 func (c *Engine) sendMessages(now time.Duration, all []member.Send) (out []Datagram) {
 	for _, s := range all {
 		m := message{Kind: uint8(s.Kind), Probe: s.Probe, About: -1}
@@ -153,7 +153,7 @@
 	return out
 }
 
-// Tick does what is due. It is called several times in tellEvery.
+// Tick does the work that is due. Call it several times per gossipInterval.
 func (c *Engine) Tick(now time.Duration) []Datagram {
 	out := c.sendMessages(now, c.List.Tick(now))
 	c.publishSuspicions()
@@ -175,7 +175,7 @@
 	Previous member.State
 }
 
-// Changes compares the members with what they were, which it brings up to date.
+// Changes returns the members whose state differs from lastStates, and updates lastStates.
 func (c *Engine) Changes(lastStates map[member.ID]member.State) (out []Change) {
 	for _, m := range c.List.Members() {
 		if was := lastStates[m.ID]; was != m.State {
@@ -186,8 +186,8 @@
 	return out
 }
 
-// Names of the states, in logs.
+// The names of the states in logs.
 var stateNames = []string{member.Alive: "there", member.Suspected: "suspected", member.Dead: "gone"}
 
-// StateName is the word for a state.
+// StateName returns the name of a state in logs.
 func StateName(s member.State) string { return stateNames[s] }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -13,20 +13,20 @@
 	"pipitmux/internal/member"
 )
 
-// tier is circles in virtual time, whose datagrams take 1.2 to 12 ms or are lost.
+// testFleet runs engines in virtual time. Datagrams take 10 or 20 ms or are lost.
 type testFleet struct {
-	rng     *rand.Rand
-	now     time.Duration
-	loss    float64
-	engines []*Engine // nil: killed
-	way     map[time.Duration][]func()
-	bytes   int
+	rng      *rand.Rand
+	now      time.Duration
+	loss     float64
+	engines  []*Engine // nil: killed
+	inFlight map[time.Duration][]func()
+	bytes    int
 }
 
 const step = 10 * time.Millisecond
 
 func newTestFleet(nodes int, budget float64, loss float64) *testFleet {
-	w := &testFleet{rng: rand.New(rand.NewPCG(uint64(nodes), 11)), loss: loss, way: map[time.Duration][]func(){}}
+	w := &testFleet{rng: rand.New(rand.NewPCG(uint64(nodes), 11)), loss: loss, inFlight: map[time.Duration][]func(){}}
 	for n := range nodes {
 		w.engines = append(w.engines, NewEngine(n, nodes, budget, rand.New(rand.NewPCG(uint64(n), 1))))
 	}
@@ -40,7 +40,7 @@
 			continue
 		}
 		at := w.now + step + step*time.Duration(w.rng.IntN(2))
-		w.way[at] = append(w.way[at], func() {
+		w.inFlight[at] = append(w.inFlight[at], func() {
 			if c := w.engines[d.To]; c != nil {
 				w.sendMessages(d.To, c.HandleDatagram(w.now, from, d.Payload))
 			}
@@ -51,8 +51,8 @@
 func (w *testFleet) run(span time.Duration) {
 	for end := w.now + span; w.now < end; {
 		w.now += step
-		due := w.way[w.now]
-		delete(w.way, w.now)
+		due := w.inFlight[w.now]
+		delete(w.inFlight, w.now)
 		for _, deliver := range due {
 			deliver()
 		}
@@ -66,8 +66,8 @@
 	}
 }
 
-// count is how many living nodes take one of a number for something, and how many live ones
-// are gone to any.
+// count returns how many live nodes see a node in a state, and how often live nodes see any
+// other node dead.
 func (w *testFleet) count(number int, s member.State) (all, wrong int) {
 	for _, c := range w.engines {
 		if c == nil {
@@ -85,9 +85,9 @@
 	return all, wrong
 }
 
-// Within 512 bytes a second a node, a killed one is gone to all and no other is, at a fifth of
-// the datagrams lost; the budget holds in every second, and what a node says of itself is held
-// alike by all.
+// Guards against failures that not all nodes detect and against live nodes declared dead, with
+// 512 bytes per second and node and up to a fifth of the datagrams lost. The send rate must
+// stay within the budget.
 func TestFleetDetectsDeathWithinBandwidthBudget(t *testing.T) {
 	for _, tt := range []struct {
 		nodes int
@@ -112,31 +112,31 @@
 				}
 			}
 			_, wrong := w.count(0, member.Dead)
-			assert.Zero(t, wrong, "live nodes gone to others")
+			assert.Zero(t, wrong, "live nodes declared dead")
 			w.engines[1] = nil
 			killed := w.now
 			for {
 				w.run(100 * time.Millisecond)
-				if gone, _ := w.count(1, member.Dead); gone == tt.nodes-1 {
+				if detected, _ := w.count(1, member.Dead); detected == tt.nodes-1 {
 					break
 				}
-				require.Less(t, w.now-killed, 30*time.Second, "not gone to all")
+				require.Less(t, w.now-killed, 30*time.Second, "not declared dead by all")
 			}
 			_, wrong = w.count(1, member.Dead)
-			assert.Zero(t, wrong, "live nodes gone to others")
-			t.Logf("%.0f bytes a second a node; of its %d records on a further subject a node has heard %d after 20 s; a killed one is gone to all after %v", rate, tt.nodes, held, w.now-killed)
+			assert.Zero(t, wrong, "live nodes declared dead")
+			t.Logf("%.0f bytes per second and node; of %d records of another kind a node holds %d after 20 s; a killed node is dead to all after %v", rate, tt.nodes, held, w.now-killed)
 		})
 	}
 }
 
-// Noise and lies on the wire change nothing of what a node knows.
+// Malformed and forged datagrams must not change what a node knows.
 func TestMalformedDatagramsAreIgnored(t *testing.T) {
 	c := NewEngine(0, 3, 1e6, rand.New(rand.NewPCG(1, 1)))
-	assert.Empty(t, c.HandleDatagram(0, 7, []byte{1}), "a number that nobody has")
+	assert.Empty(t, c.HandleDatagram(0, 7, []byte{1}), "unknown node number")
 	assert.Empty(t, c.HandleDatagram(0, 0, []byte{1}), "itself")
-	liar := gossip.NewEngine("n1", 1, 1e6)
-	require.NoError(t, liar.Publish(KindMember, []byte("no map")))
-	for _, d := range liar.DatagramsFor(0, "n0", gossip.Note{Form: formMember, Payload: []byte("no message")}) {
+	forger := gossip.NewEngine("n1", 1, 1e6)
+	require.NoError(t, forger.Publish(KindMember, []byte("no map")))
+	for _, d := range forger.DatagramsFor(0, "n0", gossip.Note{Form: formMember, Payload: []byte("no message")}) {
 		assert.Empty(t, c.HandleDatagram(0, 1, d))
 	}
 	all, wrong := 0, 0
@@ -148,7 +148,8 @@
 	assert.Equal(t, []int{2, 0}, []int{all, wrong})
 }
 
-// A node that has said nothing yet answers those who suspect it: they know no incarnation of it.
+// Guards against a suspected node that stays silent because it has published nothing so far:
+// the others do not know its incarnation until it publishes one.
 func TestSuspectedNodeAnswers(t *testing.T) {
 	accuser, accused := NewEngine(0, 3, 1e6, rand.New(rand.NewPCG(1, 1))), NewEngine(1, 3, 1e6, rand.New(rand.NewPCG(2, 1)))
 	value, err := gossip.Encode(map[member.ID]uint32{memberID(1): 0})
--- a/internal/peers/run.go
+++ b/internal/peers/run.go
@@ -13,21 +13,21 @@
 	"pipitmux/internal/member"
 )
 
-// tick is how often what is due is looked at.
+// tickInterval is how often Tick is called.
 const tickInterval = 50 * time.Millisecond
 
-// listenAgain is how long a taken address is left alone.
+// listenRetryInterval is the pause before another attempt to open an address in use.
 const listenRetryInterval = 250 * time.Millisecond
 
-// Options are what a node is told of its fleet.
+// Options configure a node's part in its fleet.
 type Options struct {
-	Addrs  []string // of all nodes in the order of their numbers, as this one reaches them; all differ
-	Number int      // this one's
-	Budget float64  // bytes a second that it may send
+	Addrs  []string // of all nodes by number, as this node reaches them; all differ
+	Number int      // of this node
+	Budget float64  // bytes per second that this node may send
 	Rng    *rand.Rand
 }
 
-// Peers is a node's part in its fleet, running.
+// Peers runs a node's part in its fleet.
 type Peers struct {
 	options      Options
 	log          *slog.Logger
@@ -37,7 +37,7 @@
 	start        time.Time
 }
 
-// New returns that of a node that has yet to talk.
+// New returns Peers that do not communicate before Run.
 func New(o Options, log *slog.Logger) *Peers {
 	p := &Peers{options: o, log: log, numberByAddr: map[string]int{}, engine: NewEngine(o.Number, len(o.Addrs), o.Budget, o.Rng), start: time.Now()}
 	for n, a := range o.Addrs {
@@ -46,13 +46,13 @@
 	return p
 }
 
-// Run talks until ctx ends, over what listen opens. While another process has the address, as
-// the one that this one replaces, it tries again. Nothing of a req ever waits for it.
+// Run communicates until ctx ends, over the transport that listen opens. While another process
+// holds the address, such as the one being replaced, it retries. No request ever waits for it.
 func (p *Peers) Run(ctx context.Context, listen func() (gossip.Transport, error)) {
 	t, err := listen()
 	for tries := 1; err != nil; tries++ {
 		if tries&(tries-1) == 0 {
-			p.log.Warn("peers: no address yet", "tries", tries, logging.Cause, err)
+			p.log.Warn("peers: cannot listen yet", "tries", tries, logging.Cause, err)
 		}
 		select {
 		case <-ctx.Done():
@@ -69,7 +69,7 @@
 			if errors.Is(err, gossip.ErrClosed) {
 				return
 			}
-			if n, ok := p.numberByAddr[from]; ok && err == nil { // who is not in the list is nobody
+			if n, ok := p.numberByAddr[from]; ok && err == nil { // datagrams of unlisted addresses are dropped
 				p.runAndSend(t, func(c *Engine, now time.Duration) []Datagram { return c.HandleDatagram(now, n, payload) })
 			}
 		}
@@ -81,7 +81,7 @@
 		select {
 		case <-ctx.Done():
 			if err := t.Close(); err != nil {
-				p.log.Warn("peers: closing", logging.Cause, err)
+				p.log.Warn("peers: cannot close the transport", logging.Cause, err)
 			}
 			<-read
 			return
@@ -97,15 +97,15 @@
 	}
 }
 
-// do has the circle do something and sends what comes of it. A datagram that can't be sent is
-// lost like any other.
+// runAndSend runs a step of the engine and sends the resulting datagrams. A datagram that
+// cannot be sent is lost like any other.
 func (p *Peers) runAndSend(t gossip.Transport, what func(*Engine, time.Duration) []Datagram) {
 	p.mu.Lock()
 	out := what(p.engine, time.Since(p.start))
 	p.mu.Unlock()
 	for _, d := range out {
 		if err := t.Send(p.options.Addrs[d.To], d.Payload); err != nil && !errors.Is(err, gossip.ErrClosed) {
-			p.log.Warn("peers: not sent", logging.Cause, err)
+			p.log.Warn("peers: cannot send a datagram", logging.Cause, err)
 		}
 	}
 }
