--- a/cmd/oaklab/emulate.go
+++ b/cmd/oaklab/emulate.go
@@ -52,11 +52,11 @@
 			}
 			sc, err := readScenario(args[0], sets)
 			if err != nil {
-				return cli.Wrong(err)
+				return cli.UsageError(err)
 			}
 			if policy != "" {
 				if _, err := emulator.Policy(policy); err != nil {
-					return cli.Wrong(err)
+					return cli.UsageError(err)
 				}
 			}
 			if profile != "" {
@@ -76,7 +76,7 @@
 			if timed {
 				make, err := emulator.Policy(cmp.Or(policy, sc.Policy))
 				if err != nil {
-					return cli.Wrong(err)
+					return cli.UsageError(err)
 				}
 				opt.Make = spent.around(make)
 			}
@@ -126,7 +126,7 @@
 func play(ctx context.Context, sc *emulator.Scenario, seed uint64, opt emulator.Options, progress io.Writer) (*emulator.Result, error) {
 	p := cli.NewProgress(progress)
 	opt.Progress = func(at, of time.Duration) bool {
-		p.Say("%.1f of %.1f s emulated", at.Seconds(), of.Seconds())
+		p.Printf("%.1f of %.1f s emulated", at.Seconds(), of.Seconds())
 		return ctx.Err() == nil
 	}
 	r, err := emulator.Run(sc, seed, opt)
@@ -192,7 +192,7 @@
 		more()
 	}
 	if !r.Rules.Clean() {
-		return cli.Exit(cli.Failed)
+		return cli.ExitSilently(cli.ExitFailure)
 	}
 	return nil
 }
--- a/cmd/oaklab/experiment.go
+++ b/cmd/oaklab/experiment.go
@@ -32,7 +32,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			plan, cells, print, err := experiment.Read(args[0])
 			if err != nil {
-				return cli.Wrong(err)
+				return cli.UsageError(err)
 			}
 			if dir == "" {
 				name := strings.TrimSuffix(filepath.Base(args[0]), filepath.Ext(args[0]))
@@ -40,7 +40,7 @@
 			}
 			s, err := experiment.Open(dir, print)
 			if errors.Is(err, experiment.ErrOther) {
-				return cli.Wrong(fmt.Errorf("%w; name another folder with --dir", err))
+				return cli.UsageError(fmt.Errorf("%w; name another folder with --dir", err))
 			}
 			if err != nil {
 				return err
@@ -48,7 +48,7 @@
 			defer s.Close()
 			p := cli.NewProgress(c.ErrOrStderr())
 			if _, err := experiment.Run(c.Context(), cells, s, workers, func(done, of int) {
-				p.Say("%s: %d of %d cells", plan.Name, done, of)
+				p.Printf("%s: %d of %d cells", plan.Name, done, of)
 			}); err != nil {
 				return err
 			}
@@ -85,7 +85,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := experiment.Open(args[0], "")
 			if err != nil {
-				return cli.Wrong(fmt.Errorf("%s: no results: %w", args[0], err))
+				return cli.UsageError(fmt.Errorf("%s: no results: %w", args[0], err))
 			}
 			defer s.Close()
 			if title == "" {
--- a/cmd/oaklab/fault.go
+++ b/cmd/oaklab/fault.go
@@ -75,10 +75,10 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			sc, err := readScenario(args[0], sets)
 			if err != nil {
-				return cli.Wrong(err)
+				return cli.UsageError(err)
 			}
 			if _, _, err := fault.Window(sc, kinds); err != nil {
-				return cli.Wrong(fmt.Errorf("%s: %w", args[0], err))
+				return cli.UsageError(fmt.Errorf("%s: %w", args[0], err))
 			}
 			played := "processes"
 			var r *emulator.Result
@@ -101,7 +101,7 @@
 				s.print(c.OutOrStdout())
 			}
 			if err == nil && !s.Clean() {
-				err = cli.Exit(cli.Failed)
+				err = cli.ExitSilently(cli.ExitFailure)
 			}
 			return err
 		},
@@ -121,16 +121,16 @@
 	var err error
 	if opt.Program == "" {
 		if opt.Program, err = beside("oakseam"); err != nil {
-			return nil, cli.Wrong(fmt.Errorf("--node: %w", err))
+			return nil, cli.UsageError(fmt.Errorf("--node: %w", err))
 		}
 	}
 	if opt.LogDir != "" {
 		if err := os.MkdirAll(opt.LogDir, 0o755); err != nil {
-			return nil, cli.Wrong(err)
+			return nil, cli.UsageError(err)
 		}
 	}
 	p := cli.NewProgress(progress)
-	opt.Progress = func(at, of time.Duration) { p.Say("%.0f of %.0f s played", at.Seconds(), of.Seconds()) }
+	opt.Progress = func(at, of time.Duration) { p.Printf("%.0f of %.0f s played", at.Seconds(), of.Seconds()) }
 	return fleet.Run(ctx, sc, seed, opt)
 }
 
--- a/cmd/oaklab/fault_test.go
+++ b/cmd/oaklab/fault_test.go
@@ -133,7 +133,7 @@
 func TestSiteLossEmulated(t *testing.T) {
 	args := []string{"fault", "site-loss", "../../deploy/lab/site-loss.yaml", "--emulated", "--json", "--seed", "3"}
 	code, first, errs := lab(args...)
-	require.Equal(t, cli.OK, code, errs)
+	require.Equal(t, cli.ExitOK, code, errs)
 	_, second, _ := lab(args...)
 	assert.Equal(t, first, second)
 	var s map[string]any
@@ -146,9 +146,9 @@
 	day, _, _ := strings.Cut(onSockets, "troubles:")
 	require.NoError(t, os.WriteFile(bad, []byte(day), 0o600))
 	code, _, errs = lab("fault", "site-loss", bad)
-	assert.Equal(t, cli.Misuse, code)
+	assert.Equal(t, cli.ExitUsage, code)
 	assert.Contains(t, errs, "no such loss at a stated time: zone_loss or cut")
 	code, _, errs = lab("emulate", "../../deploy/lab/site-loss.yaml", "--set", "troubles.0.kind=cut")
-	assert.Equal(t, cli.Misuse, code)
+	assert.Equal(t, cli.ExitUsage, code)
 	assert.Contains(t, errs, "troubles.0.to")
 }
--- a/cmd/oaklab/fleet.go
+++ b/cmd/oaklab/fleet.go
@@ -28,7 +28,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			sc, err := readScenario(args[0], sets)
 			if err != nil {
-				return cli.Wrong(err)
+				return cli.UsageError(err)
 			}
 			r, err := onLoopback(c.Context(), sc, seed, opt, c.ErrOrStderr())
 			if err != nil {
--- a/cmd/oaklab/load.go
+++ b/cmd/oaklab/load.go
@@ -36,7 +36,7 @@
 				c.Flags().Visit(func(g *pflag.Flag) { given[g] = g.Value.String() })
 				var err error
 				if f, err = yamlfile.Read(args[0], &p); err != nil {
-					return cli.Wrong(err)
+					return cli.UsageError(err)
 				}
 				for g, v := range given {
 					if err := g.Value.Set(v); err != nil {
@@ -48,7 +48,7 @@
 				p.Seconds = span.Seconds()
 			}
 			if key, err := p.Check(); err != nil {
-				return cli.Wrong(f.Errorf(key, "%v", err))
+				return cli.UsageError(f.Errorf(key, "%v", err))
 			}
 			r := load.Run(c.Context(), p, func(l load.Live) {
 				fmt.Fprintf(c.ErrOrStderr(), "%3.0f of %.0f s: due %d, done %d, open %d, not served %d; last second p50 %.1f ms, p99 %.1f ms\n",
@@ -63,7 +63,7 @@
 			}
 			if r.LateMS.P99 > lateMost {
 				fmt.Fprintf(c.ErrOrStderr(), "oaklab: the tool was late itself (p99 %.1f ms): these times are not the target's alone\n", r.LateMS.P99)
-				return cli.Exit(cli.Failed)
+				return cli.ExitSilently(cli.ExitFailure)
 			}
 			return nil
 		},
--- a/cmd/oaklab/load_test.go
+++ b/cmd/oaklab/load_test.go
@@ -53,7 +53,7 @@
 		<-done
 		var r load.Report
 		require.NoError(t, json.Unmarshal([]byte(text), &r), errs)
-		if code != cli.OK {
+		if code != cli.ExitOK {
 			t.Log(errs) // a busy machine: the tool says so itself
 		}
 		c := r.Classes["topup"]
--- a/cmd/oaklab/oaklab_test.go
+++ b/cmd/oaklab/oaklab_test.go
@@ -31,7 +31,7 @@
 func TestEmulate(t *testing.T) {
 	const scenario = "../../deploy/lab/meter-platform.yaml"
 	code, first, _ := lab("emulate", scenario, "--seed", "1", "--json", "--set", "seconds=8")
-	assert.Equal(t, cli.OK, code)
+	assert.Equal(t, cli.ExitOK, code)
 	_, second, _ := lab("emulate", scenario, "--seed", "1", "--json", "--set", "seconds=8")
 	assert.Equal(t, first, second)
 	var r map[string]any
@@ -43,7 +43,7 @@
 		assert.Contains(t, r["rules"], key)
 	}
 	code, out, _ := lab("emulate", "--list-policies")
-	assert.Equal(t, cli.OK, code)
+	assert.Equal(t, cli.ExitOK, code)
 	assert.Equal(t, strings.Join(emulator.Policies(), "\n")+"\n", out)
 	for _, tt := range []struct{ args, want string }{
 		{"emulate", "accepts 1 arg(s)"},
@@ -55,7 +55,7 @@
 		{"nonesuch", "unknown command"},
 	} {
 		code, _, errs := lab(strings.Fields(tt.args)...)
-		assert.Equal(t, cli.Misuse, code, tt.args)
+		assert.Equal(t, cli.ExitUsage, code, tt.args)
 		assert.Contains(t, errs, tt.want)
 		assert.Equal(t, 1, strings.Count(errs, "\n"), errs)
 	}
--- a/cmd/oaklab/tier.go
+++ b/cmd/oaklab/tier.go
@@ -24,11 +24,11 @@
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := tierPrograms(&opt); err != nil {
-				return cli.Wrong(err)
+				return cli.UsageError(err)
 			}
 			progress := cli.NewProgress(c.ErrOrStderr())
 			opt.Progress = func(at time.Duration, ended, served, edges int) {
-				progress.Say("%3.0f s: %d requests ended, %d of them served; %d edges take clients", at.Seconds(), ended, served, edges)
+				progress.Printf("%3.0f s: %d requests ended, %d of them served; %d edges take clients", at.Seconds(), ended, served, edges)
 			}
 			r, err := tierlab.Run(c.Context(), opt)
 			if err != nil {
@@ -39,7 +39,7 @@
 				return err
 			}
 			if !r.Clean() {
-				return cli.Exit(cli.Failed)
+				return cli.ExitSilently(cli.ExitFailure)
 			}
 			return nil
 		},
--- a/cmd/oaklab/tier_test.go
+++ b/cmd/oaklab/tier_test.go
@@ -59,9 +59,9 @@
 // A program that isn't there, and one that ends at once, are told.
 func TestTierWithoutPrograms(t *testing.T) {
 	code, _, errs := lab("tier", "--barograph", "/bin/false")
-	assert.Equal(t, cli.Misuse, code, "there is no anemometer beside the test")
+	assert.Equal(t, cli.ExitUsage, code, "there is no anemometer beside the test")
 	assert.Contains(t, errs, "anemometer")
 	code, _, errs = lab("tier", "--network", "127.31", "--anemometer", "/bin/false", "--barograph", "/bin/false")
-	assert.Equal(t, cli.Failed, code)
+	assert.Equal(t, cli.ExitFailure, code)
 	assert.Contains(t, errs, tierlab.ErrCrashed.Error())
 }
--- a/cmd/oakseam/console_test.go
+++ b/cmd/oakseam/console_test.go
@@ -95,7 +95,7 @@
 		c["console"] = addr
 		cmd := command(t, c)
 		out, _ := cmd.CombinedOutput()
-		assert.Equal(t, cli.Misuse, cmd.ProcessState.ExitCode(), addr)
+		assert.Equal(t, cli.ExitUsage, cmd.ProcessState.ExitCode(), addr)
 		assert.Contains(t, string(out), "console:", addr)
 	}
 }
--- a/cmd/oakseam/main.go
+++ b/cmd/oakseam/main.go
@@ -27,7 +27,7 @@
 	runNode := func(optionsFile string) error {
 		c, err := config.Load(os.Getenv, optionsFile)
 		if err != nil {
-			return cli.Wrong(fmt.Errorf("config: %w", err))
+			return cli.UsageError(fmt.Errorf("config: %w", err))
 		}
 		return run(c, optionsFile, signals)
 	}
@@ -67,10 +67,10 @@
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if os.Getenv("PROXY_CONFIG") == "" && optionsFile == "" {
-				return cli.Wrong(fmt.Errorf("nothing to check: neither --config nor PROXY_CONFIG is set"))
+				return cli.UsageError(fmt.Errorf("nothing to check: neither --config nor PROXY_CONFIG is set"))
 			}
 			if _, err := config.Show(os.Getenv, optionsFile); err != nil {
-				return cli.Wrong(err)
+				return cli.UsageError(err)
 			}
 			fmt.Fprintln(c.OutOrStdout(), "sound")
 			return nil
@@ -84,7 +84,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			values, err := config.Show(os.Getenv, optionsFile)
 			if err != nil {
-				return cli.Wrong(err)
+				return cli.UsageError(err)
 			}
 			if asJSON {
 				return json.NewEncoder(c.OutOrStdout()).Encode(values)
--- a/cmd/oakseam/node.go
+++ b/cmd/oakseam/node.go
@@ -68,7 +68,7 @@
 	pool := upstream.New(backend.Codec{ReportFields: c.Settings.ReportFields}, upstream.Options{
 		ConnectTimeout: c.ConnectTimeout,
 		IdleTimeout:    time.Duration(float64(c.Settings.ConnIdle) * c.Options.Backend.IdleShare),
-		OmitHeader:     true, OnRequestWritten: figureSet.Relayed, Budget: budget,
+		OmitHeader:     true, OnRequestWritten: figureSet.CountAttempt, Budget: budget,
 	}, count, log)
 	frontend := session.New(session.Options{
 		Classes: c.Settings.Classes, RetryAfter: c.RetryAfter,
@@ -90,7 +90,9 @@
 	quit := make(chan struct{})
 	defer close(quit)
 	if handoff.console != nil {
-		loop.ObserveBackendCounts(func(listed, avoided int) { figureSet.Know(figures.Registry{Listed: listed, Avoided: avoided}) })
+		loop.ObserveBackendCounts(func(listed, avoided int) {
+			figureSet.SetBackendCounts(figures.BackendCounts{Listed: listed, OutOfRotation: avoided})
+		})
 		go console.New(handoff.console, operatorView{frontend, figureSet}, log).Serve()
 	}
 	go loop.Run(pool, registry)
@@ -137,8 +139,8 @@
 	figures *figures.Set
 }
 
-// Figures writes one line per figure.
-func (o operatorView) Figures(w io.Writer) { o.figures.Print(w) }
+// WriteFigures writes one line per figure.
+func (o operatorView) WriteFigures(w io.Writer) { o.figures.Print(w) }
 
 // reload reads the configuration again and moves to the registry that it names.
 // An invalid one changes nothing.
--- a/cmd/oakseam/oakseam_test.go
+++ b/cmd/oakseam/oakseam_test.go
@@ -424,7 +424,7 @@
 		out, err := command(t, c).CombinedOutput()
 		var exit *exec.ExitError
 		if assert.ErrorAs(t, err, &exit, key) {
-			assert.Equal(t, cli.Misuse, exit.ExitCode(), key)
+			assert.Equal(t, cli.ExitUsage, exit.ExitCode(), key)
 		}
 		assert.Contains(t, string(out), key+":", key)
 		assert.Equal(t, 1, strings.Count(string(out), "\n"), "one line: %s", out)
--- a/cmd/oakseam/statefile.go
+++ b/cmd/oakseam/statefile.go
@@ -32,7 +32,7 @@
 	if dir == "" {
 		return ""
 	}
-	return filepath.Join(dir, durable.NameOf(listen)+".state")
+	return filepath.Join(dir, durable.BaseName(listen)+".state")
 }
 
 // restore adopts the contents of a state file, each part only where it is still valid. A file
--- a/cmd/oakseam/takeover.go
+++ b/cmd/oakseam/takeover.go
@@ -39,8 +39,8 @@
 	console     net.Listener // nil: none
 	listener    *net.TCPListener
 	known       discovery.List
-	moduleState []byte          // what the predecessor's module learned
-	predecessor *handover.Taken // nil: none handed over to this process
+	moduleState []byte             // what the predecessor's module learned
+	predecessor *handover.Takeover // nil: none handed over to this process
 	quit        chan struct{}
 }
 
@@ -58,12 +58,12 @@
 		return t, nil
 	}
 	if t.console, err = net.Listen("tcp", c.Console); err != nil {
-		return nil, cli.Wrong(fmt.Errorf("config: console: %w", err))
+		return nil, cli.UsageError(fmt.Errorf("config: console: %w", err))
 	}
 	// A process that has itself taken over accepts a successor once its own predecessor has ended.
 	for deadline := time.Now().Add(claimTimeout); ; time.Sleep(claimRetryDelay) {
-		t.predecessor, err = handover.Claim(os.TempDir(), c.Listen)
-		if !errors.Is(err, handover.ErrNobody) || !handover.InUse(c.Listen) || time.Now().After(deadline) {
+		t.predecessor, err = handover.TakeOver(os.TempDir(), c.Listen)
+		if !errors.Is(err, handover.ErrNoPredecessor) || !handover.AddressInUse(c.Listen) || time.Now().After(deadline) {
 			break
 		}
 	}
@@ -75,10 +75,10 @@
 		}
 		log.Info("handover: took over from a running process")
 		return t, nil
-	case !errors.Is(err, handover.ErrNobody):
+	case !errors.Is(err, handover.ErrNoPredecessor):
 		log.Warn("handover: taking over failed", logging.Cause, err)
 	}
-	if handover.InUse(c.Listen) {
+	if handover.AddressInUse(c.Listen) {
 		log.Warn("handover: another process listens at the same address without handing over")
 	}
 	if t.listener, err = handover.Listen(c.Listen); err != nil {
@@ -135,11 +135,11 @@
 	}
 	go func() {
 		if t.predecessor != nil {
-			if err := t.predecessor.Ready(); err != nil {
+			if err := t.predecessor.SignalReady(); err != nil {
 				t.log.Warn("handover: the predecessor was not notified", logging.Cause, err)
 			}
 			select {
-			case <-t.predecessor.Gone():
+			case <-t.predecessor.PredecessorExited():
 			case <-t.quit:
 				return
 			}
@@ -147,13 +147,13 @@
 			t.log.Info("handover: the predecessor has ended")
 		}
 		for {
-			offer, err := handover.Wait(os.TempDir(), t.config.Listen, t.listener, state, shares, t.log)
+			offer, err := handover.NewOffer(os.TempDir(), t.config.Listen, t.listener, state, shares, t.log)
 			switch {
 			case err == nil:
 				<-t.quit
 				offer.Close()
 				return
-			case !errors.Is(err, handover.ErrTaken):
+			case !errors.Is(err, handover.ErrAlreadyOffered):
 				t.log.Warn("handover: cannot accept a successor", logging.Cause, err)
 				return
 			}
@@ -207,18 +207,18 @@
 	s.frontend.SetLimits(int(usable*s.config.Options.Session.Share), int(share*session.SessionOverflow), int(share*float64(s.config.Sockets)*s.config.Options.Session.RequestShare))
 }
 
-// Began is called when a successor starts: from then on it and this process share.
-func (s resourceShares) Began() {
+// SuccessorStarted is called when a successor starts: from then on it and this process share.
+func (s resourceShares) SuccessorStarted() {
 	s.log.Info("handover: a successor is starting")
 	s.apply(true)
 }
 
-// Ready is called when the successor is ready: it gets the new connections once this process
+// SuccessorReady is called when the successor is ready: it gets the new connections once this process
 // is told to end.
-func (s resourceShares) Ready() { s.frontend.SetHasSuccessor(true) }
+func (s resourceShares) SuccessorReady() { s.frontend.SetHasSuccessor(true) }
 
-// Gone is called when the successor has ended: this process uses all resources again.
-func (s resourceShares) Gone() {
+// SuccessorExited is called when the successor has ended: this process uses all resources again.
+func (s resourceShares) SuccessorExited() {
 	s.log.Info("handover: the successor has ended")
 	s.frontend.SetHasSuccessor(false)
 	s.apply(false)
--- a/cmd/oakseam/upgrade_test.go
+++ b/cmd/oakseam/upgrade_test.go
@@ -122,14 +122,14 @@
 func TestFailedUpgradeChangesNothing(t *testing.T) {
 	b := newBackend(t, ok)
 	n, config := startReplaceable(t, b.Addr)
-	var claimed *handover.Taken
+	var claimed *handover.Takeover
 	n.waitUntil("it accepts a successor", func() (ok bool) {
 		var err error
-		claimed, err = handover.Claim(config["tmp"].(string), n.addr)
+		claimed, err = handover.TakeOver(config["tmp"].(string), n.addr)
 		return err == nil
 	})
 	claimed.Listener.Close()
-	claimed.Abandon()
+	claimed.Abort()
 	n.waitUntil("it continues alone", func() bool { return strings.Contains(n.log.String(), "the successor has ended") })
 	assert.Equal(t, 200, n.ask("topup").status)
 	assert.Equal(t, 200, n.send("GET", "/ready", "", nil).status)
--- a/internal/audit/tier/report.go
+++ b/internal/audit/tier/report.go
@@ -68,9 +68,9 @@
 		}
 	}
 	for k := range whole {
-		r.Kinds[k].Latency = latency.Of(whole[k])
+		r.Kinds[k].Latency = latency.FromHistogram(whole[k])
 	}
-	r.First, r.Programs, r.Spent = latency.Of(first), len(programs), len(spent)
+	r.First, r.Programs, r.Spent = latency.FromHistogram(first), len(programs), len(spent)
 	for _, c := range h.Configurations {
 		r.Orders++
 		r.Tries += c.Tries
--- a/internal/barograph/node/node.go
+++ b/internal/barograph/node/node.go
@@ -84,10 +84,10 @@
 		return nil, errors.Wrap(err, "identity")
 	}
 	n.Self = protocol.Node{ID: id, Name: o.Name, Class: o.Class, Address: o.Address, Zone: o.Zone}
-	if n.Addresses, err = LoadAddresses(durable.Folder(o.DataDir)); err != nil {
+	if n.Addresses, err = LoadAddresses(durable.Directory(o.DataDir)); err != nil {
 		klog.ErrorS(err, "The known nodes can't be read: the seeds are asked")
-		n.Addresses, _ = LoadAddresses(&durable.Memory{})
-		n.Addresses.store = durable.Folder(o.DataDir)
+		n.Addresses, _ = LoadAddresses(&durable.MemoryStore{})
+		n.Addresses.store = durable.Directory(o.DataDir)
 	}
 	if o.First {
 		for _, seed := range o.Seeds {
--- a/internal/barograph/node/node_test.go
+++ b/internal/barograph/node/node_test.go
@@ -20,7 +20,7 @@
 }
 
 func TestLaterIncarnationTakesTheEarliersPlace(t *testing.T) {
-	a, err := LoadAddresses(&durable.Memory{})
+	a, err := LoadAddresses(&durable.MemoryStore{})
 	assert.NilError(t, err)
 	assert.Assert(t, a.Learn(core(1, "a", "h:1"), core(2, "b", "h:2")))
 	assert.Assert(t, !a.Learn(core(1, "a", "h:1")), "it is no news")
@@ -35,7 +35,7 @@
 }
 
 func TestKnownNodesOutliveTheProcess(t *testing.T) {
-	disk := &durable.Memory{}
+	disk := &durable.MemoryStore{}
 	a, err := LoadAddresses(disk)
 	assert.NilError(t, err)
 	a.Learn(core(1, "a", "h:1"), core(2, "b", "h:2"))
@@ -46,7 +46,7 @@
 }
 
 func TestUnreadableNodesAreAFailure(t *testing.T) {
-	disk := &durable.Memory{}
+	disk := &durable.MemoryStore{}
 	assert.NilError(t, disk.Write(addressesName, []byte("no nodes")))
 	_, err := LoadAddresses(disk)
 	assert.ErrorContains(t, err, "read known nodes")
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -17,29 +17,29 @@
 
 // The exit codes.
 const (
-	OK     = 0
-	Failed = 1
-	Misuse = 2
+	ExitOK      = 0
+	ExitFailure = 1
+	ExitUsage   = 2
 )
 
-type misuse struct{ error }
+type usageError struct{ error }
 
-func (m misuse) Unwrap() error { return m.error }
+func (m usageError) Unwrap() error { return m.error }
 
-// Wrong marks an error as the caller's: of arguments, configuration or input.
-func Wrong(err error) error {
+// UsageError marks an error as the caller's: of arguments, configuration or input.
+func UsageError(err error) error {
 	if err == nil {
 		return nil
 	}
-	return misuse{err}
+	return usageError{err}
 }
 
-type quiet struct{ code int }
+type silentExit struct{ code int }
 
-func (q quiet) Error() string { return fmt.Sprintf("exit code %d", q.code) }
+func (q silentExit) Error() string { return fmt.Sprintf("exit code %d", q.code) }
 
-// Exit ends a command with a code, all having been said.
-func Exit(code int) error { return quiet{code} }
+// ExitSilently ends a command with a code, all having been said.
+func ExitSilently(code int) error { return silentExit{code} }
 
 // Run executes the command that the arguments name, and returns its exit code.
 // SIGINT and SIGTERM end its context; what it has started it ends itself.
@@ -48,27 +48,27 @@
 	defer stop()
 	root.SetArgs(args)
 	root.SilenceErrors, root.SilenceUsage = true, true
-	root.AddCommand(version(root.Name()))
+	root.AddCommand(versionCommand(root.Name()))
 	// What fails before a command has begun is a fault of its arguments.
-	begun := false
-	root.PersistentPreRun = func(*cobra.Command, []string) { begun = true }
+	started := false
+	root.PersistentPreRun = func(*cobra.Command, []string) { started = true }
 	err := root.ExecuteContext(ctx)
 	if err == nil {
-		return OK
+		return ExitOK
 	}
-	var q quiet
+	var q silentExit
 	if errors.As(err, &q) {
 		return q.code
 	}
 	fmt.Fprintf(root.ErrOrStderr(), "%s: %v\n", root.Name(), err)
-	var m misuse
-	if errors.As(err, &m) || !begun {
-		return Misuse
+	var m usageError
+	if errors.As(err, &m) || !started {
+		return ExitUsage
 	}
-	return Failed
+	return ExitFailure
 }
 
-func version(name string) *cobra.Command {
+func versionCommand(name string) *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Print the version and the Go that built it", Args: cobra.NoArgs,
 		Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), name, Version()) }}
 }
@@ -103,8 +103,8 @@
 	return &Progress{out: w, next: time.Now().Add(2 * time.Second)}
 }
 
-// Say writes a line if one is due.
-func (p *Progress) Say(format string, args ...any) {
+// Printf writes a line if one is due.
+func (p *Progress) Printf(format string, args ...any) {
 	if now := time.Now(); now.After(p.next) {
 		p.next = now.Add(2 * time.Second)
 		fmt.Fprintf(p.out, format+"\n", args...)
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// Callers is how many may be connected at once; the descriptors are kept spare.
+	// MaxConnections is how many may be connected at once; the descriptors are kept spare.
 	// Beyond, the one that has been silent longest goes.
-	Callers = 16
-	maxCall = 256
+	MaxConnections = 16
+	maxCommand     = 256
 	// callWithin ends a caller that brings no whole call.
-	callWithin = 3 * time.Second
+	commandTimeout = 3 * time.Second
 	// answerWithin ends one that does not read, and leaveWithin one that stays after.
-	answerWithin = time.Second
-	leaveWithin  = 200 * time.Millisecond
+	responseTimeout = time.Second
+	lingerTimeout   = 200 * time.Millisecond
 )
 
 // Node is what is asked and told. Its methods must not wait for the node's work.
@@ -33,30 +33,30 @@
 	Ready() error
 	Drain() error
 	Resume() error
-	// Figures writes a line a figure.
-	Figures(io.Writer)
+	// WriteFigures writes a line a figure.
+	WriteFigures(io.Writer)
 }
 
 // Server answers calls.
 type Server struct {
-	node Node
-	l    net.Listener
-	log  *slog.Logger
+	node     Node
+	listener net.Listener
+	log      *slog.Logger
 
-	mu      sync.Mutex
-	silent  []net.Conn // callers that have brought no whole call, the longest first
-	callers int
+	mu          sync.Mutex
+	idle        []net.Conn // callers that have brought no whole call, the longest first
+	connections int
 }
 
 // New returns a Server that has yet to serve on l.
-func New(l net.Listener, n Node, log *slog.Logger) *Server {
-	return &Server{node: n, l: l, log: log}
+func New(listener net.Listener, n Node, log *slog.Logger) *Server {
+	return &Server{node: n, listener: listener, log: log}
 }
 
 // Serve answers until the listener ends.
 func (s *Server) Serve() {
 	for {
-		c, err := s.l.Accept()
+		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -64,32 +64,32 @@
 			time.Sleep(10 * time.Millisecond) // no descriptor, or a caller that has gone already
 			continue
 		}
-		s.enter(c)
+		s.track(c)
 		go s.serve(c)
 	}
 }
 
 // Close ends the listener. Answers under way go out.
-func (s *Server) Close() { s.l.Close() }
+func (s *Server) Close() { s.listener.Close() }
 
-func (s *Server) enter(c net.Conn) {
+func (s *Server) track(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.callers++
-	s.silent = append(s.silent, c)
-	if s.callers > Callers && len(s.silent) > 1 {
-		s.silent[0].Close()
-		s.silent = s.silent[1:]
+	s.connections++
+	s.idle = append(s.idle, c)
+	if s.connections > MaxConnections && len(s.idle) > 1 {
+		s.idle[0].Close()
+		s.idle = s.idle[1:]
 	}
 }
 
 // spoke takes a caller out of the silent ones.
-func (s *Server) spoke(c net.Conn) {
+func (s *Server) removeIdle(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, o := range s.silent {
+	for i, o := range s.idle {
 		if o == c {
-			s.silent = append(s.silent[:i:i], s.silent[i+1:]...)
+			s.idle = append(s.idle[:i:i], s.idle[i+1:]...)
 			return
 		}
 	}
@@ -101,24 +101,24 @@
 			s.log.Error("console: panic", logging.Cause, v)
 		}
 		c.Close()
-		s.spoke(c)
+		s.removeIdle(c)
 		s.mu.Lock()
-		s.callers--
+		s.connections--
 		s.mu.Unlock()
 	}()
-	c.SetReadDeadline(time.Now().Add(callWithin))
-	call, err := readCall(c)
-	s.spoke(c)
+	c.SetReadDeadline(time.Now().Add(commandTimeout))
+	command, err := readCommand(c)
+	s.removeIdle(c)
 	var out bytes.Buffer
 	switch {
-	case errors.Is(err, errLong):
+	case errors.Is(err, errTooLong):
 		out.WriteString("ERR the call is too long\n")
 	case err != nil:
 		return
 	default:
-		s.answer(&out, call)
+		s.respond(&out, command)
 	}
-	c.SetWriteDeadline(time.Now().Add(answerWithin))
+	c.SetWriteDeadline(time.Now().Add(responseTimeout))
 	if _, err := c.Write(out.Bytes()); err != nil {
 		return
 	}
@@ -126,15 +126,15 @@
 	if t, ok := c.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
-	c.SetReadDeadline(time.Now().Add(leaveWithin))
-	io.CopyN(io.Discard, c, 16*maxCall)
+	c.SetReadDeadline(time.Now().Add(lingerTimeout))
+	io.CopyN(io.Discard, c, 16*maxCommand)
 }
 
-var errLong = errors.New("too long")
+var errTooLong = errors.New("too long")
 
 // readCall reads a line. The end of sending ends it as well.
-func readCall(c io.Reader) (string, error) {
-	buf := make([]byte, 0, maxCall)
+func readCommand(c io.Reader) (string, error) {
+	buf := make([]byte, 0, maxCommand)
 	for {
 		n, err := c.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
@@ -145,31 +145,31 @@
 			return "", err
 		}
 		if len(buf) == cap(buf) {
-			return "", errLong
+			return "", errTooLong
 		}
 	}
 }
 
-func (s *Server) answer(out *bytes.Buffer, call string) {
-	say := func(err error, done string) {
+func (s *Server) respond(out *bytes.Buffer, command string) {
+	reply := func(err error, done string) {
 		if err != nil {
 			out.WriteString("ERR " + err.Error() + "\n")
 			return
 		}
 		out.WriteString("OK " + done + "\n")
 	}
-	switch call {
+	switch command {
 	case "ready":
-		say(s.node.Ready(), "ready")
+		reply(s.node.Ready(), "ready")
 	case "show-stat":
 		out.WriteString("OK\n")
-		s.node.Figures(out)
+		s.node.WriteFigures(out)
 		out.WriteString("END\n")
 	case "drain":
-		say(s.node.Drain(), "draining")
+		reply(s.node.Drain(), "draining")
 	case "resume":
-		say(s.node.Resume(), "serving")
+		reply(s.node.Resume(), "serving")
 	default:
-		say(errors.New("unknown call; there are ready, show-stat, drain, resume"), "")
+		reply(errors.New("unknown call; there are ready, show-stat, drain, resume"), "")
 	}
 }
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -12,19 +12,19 @@
 
 // FuzzReadCall: a call is the same however its bytes come, and never over its bound.
 func FuzzReadCall(f *testing.F) {
-	for _, s := range []string{"ready\n", "ready", "show-stat\r\nready\n", "\n", "", strings.Repeat("x", maxCall), strings.Repeat("x", maxCall-1) + "\n"} {
+	for _, s := range []string{"ready\n", "ready", "show-stat\r\nready\n", "\n", "", strings.Repeat("x", maxCommand), strings.Repeat("x", maxCommand-1) + "\n"} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		atOnce, err := readCall(bytes.NewReader(text))
-		singly, err2 := readCall(iotest.OneByteReader(bytes.NewReader(text)))
+		atOnce, err := readCommand(bytes.NewReader(text))
+		singly, err2 := readCommand(iotest.OneByteReader(bytes.NewReader(text)))
 		assert.Equal(t, atOnce, singly)
 		assert.Equal(t, err, err2)
-		assert.Less(t, len(atOnce), maxCall+1)
+		assert.Less(t, len(atOnce), maxCommand+1)
 		if err == nil && len(text) == 0 {
 			t.Fatal("no call, and no error")
 		}
-		if err != nil && err != errLong {
+		if err != nil && err != errTooLong {
 			assert.ErrorIs(t, err, io.EOF)
 		}
 	})
--- a/internal/durable/contract_test.go
+++ b/internal/durable/contract_test.go
@@ -21,7 +21,7 @@
 	// Open returns a store over what the place holds, as a process would after a start.
 	Open func() durable.Store
 	// Spoil changes the bytes that the place holds under a name.
-	Spoil func(name string, change func([]byte) []byte) error
+	Corrupt func(name string, change func([]byte) []byte) error
 	// Fill makes the place full: further writes fail. Nil where the kind can't be filled.
 	Fill func()
 	// Crash has a value written under a name by a process that is killed meanwhile, any
@@ -37,20 +37,20 @@
 
 // Clauses are the contract.
 var Clauses = []Clause{
-	{"a name never written does not exist", absent},
-	{"what was written is read, by a later store too", kept},
-	{"a value belongs to its caller", owned},
-	{"names are apart, and plain", names},
-	{"the largest value is kept and a longer one refused", bounds},
-	{"a value cut anywhere is torn", torn},
-	{"what is not ours, or another version's, is told apart", foreign},
-	{"a full place leaves the old value", full},
-	{"of two writers of a name one wins, whole", writers},
-	{"a crash leaves the old or the new value", crash},
+	{"a name never written does not exist", checkAbsent},
+	{"what was written is read, by a later store too", checkPersistence},
+	{"a value belongs to its caller", checkBufferOwnership},
+	{"names are apart, and plain", checkNames},
+	{"the largest value is kept and a longer one refused", checkSizeLimit},
+	{"a value cut anywhere is torn", checkTruncation},
+	{"what is not ours, or another version's, is told apart", checkForeign},
+	{"a full place leaves the old value", checkFullDisk},
+	{"of two writers of a name one wins, whole", checkConcurrentWriters},
+	{"a crash leaves the old or the new value", checkCrash},
 }
 
 // judgeStore has a kind of store judged by every clause, each in a place of its own.
-func judgeStore(t *testing.T, place func(*testing.T) Place) {
+func checkStore(t *testing.T, place func(*testing.T) Place) {
 	for _, c := range Clauses {
 		t.Run(c.Name, func(t *testing.T) {
 			if err := c.Check(place(t)); err != nil {
@@ -60,7 +60,7 @@
 	}
 }
 
-func reads(s durable.Store, name, want string) error {
+func expectValue(s durable.Store, name, want string) error {
 	got, err := s.Read(name)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
@@ -71,27 +71,27 @@
 	return nil
 }
 
-func absent(p Place) error {
+func checkAbsent(p Place) error {
 	if got, err := p.Open().Read("nothing"); !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("read %q, %v", got, err)
 	}
 	return nil
 }
 
-func kept(p Place) error {
+func checkPersistence(p Place) error {
 	for _, v := range []string{"one", "", "the third, which is longer", "4"} {
 		s := p.Open()
 		if err := s.Write("a", []byte(v)); err != nil {
 			return err
 		}
-		if err := errors.Join(reads(s, "a", v), reads(p.Open(), "a", v)); err != nil {
+		if err := errors.Join(expectValue(s, "a", v), expectValue(p.Open(), "a", v)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func owned(p Place) error {
+func checkBufferOwnership(p Place) error {
 	s, value := p.Open(), []byte("value")
 	if err := s.Write("a", value); err != nil {
 		return err
@@ -105,10 +105,10 @@
 		return fmt.Errorf("the writer's bytes were kept: %q", got)
 	}
 	got[0] = 'Y'
-	return reads(s, "a", "value")
+	return expectValue(s, "a", "value")
 }
 
-func names(p Place) error {
+func checkNames(p Place) error {
 	s := p.Open()
 	all := []string{"a", "A", "a.b", "a b", "node-127.0.0.1-80", "ä"}
 	for _, n := range all {
@@ -117,40 +117,40 @@
 		}
 	}
 	for _, n := range all {
-		if err := reads(s, n, "of "+n); err != nil {
+		if err := expectValue(s, n, "of "+n); err != nil {
 			return err
 		}
 	}
 	for _, n := range []string{"", ".", "..", "../a", "a/b", "/a", "a\x00"} {
-		if err := s.Write(n, []byte("x")); !errors.Is(err, durable.ErrName) {
+		if err := s.Write(n, []byte("x")); !errors.Is(err, durable.ErrInvalidName) {
 			return fmt.Errorf("the name %q: %v", n, err)
 		}
-		if _, err := s.Read(n); !errors.Is(err, durable.ErrName) {
+		if _, err := s.Read(n); !errors.Is(err, durable.ErrInvalidName) {
 			return fmt.Errorf("the name %q is read: %v", n, err)
 		}
 	}
 	return nil
 }
 
-func bounds(p Place) error {
-	s, most := p.Open(), bytes.Repeat([]byte("m"), durable.Most)
+func checkSizeLimit(p Place) error {
+	s, most := p.Open(), bytes.Repeat([]byte("m"), durable.MaxValueSize)
 	if err := s.Write("a", most); err != nil {
 		return err
 	}
-	if err := s.Write("a", append(most, 'm')); !errors.Is(err, durable.ErrLong) {
+	if err := s.Write("a", append(most, 'm')); !errors.Is(err, durable.ErrTooLong) {
 		return fmt.Errorf("a value over the bound: %v", err)
 	}
-	return reads(s, "a", string(most))
+	return expectValue(s, "a", string(most))
 }
 
-func torn(p Place) error {
+func checkTruncation(p Place) error {
 	s := p.Open()
 	if err := s.Write("a", []byte("a value")); err != nil {
 		return err
 	}
 	size := durable.HeaderSize + len("a value")
 	for n := size - 1; n >= 0; n-- {
-		if err := p.Spoil("a", func(b []byte) []byte { return b[:min(n, len(b))] }); err != nil {
+		if err := p.Corrupt("a", func(b []byte) []byte { return b[:min(n, len(b))] }); err != nil {
 			return err
 		}
 		if got, err := p.Open().Read("a"); !errors.Is(err, durable.ErrTorn) {
@@ -160,10 +160,10 @@
 	if err := p.Open().Write("a", []byte("new")); err != nil { // what is torn is no reason to keep nothing
 		return err
 	}
-	return reads(p.Open(), "a", "new")
+	return expectValue(p.Open(), "a", "new")
 }
 
-func foreign(p Place) error {
+func checkForeign(p Place) error {
 	for want, change := range map[error]func([]byte) []byte{
 		durable.ErrForeign: func(b []byte) []byte { b[0]++; return b },
 		durable.ErrVersion: func(b []byte) []byte { b[7]++; return b },
@@ -172,7 +172,7 @@
 		if err := p.Open().Write("a", []byte("value")); err != nil {
 			return err
 		}
-		if err := p.Spoil("a", change); err != nil {
+		if err := p.Corrupt("a", change); err != nil {
 			return err
 		}
 		if got, err := p.Open().Read("a"); !errors.Is(err, want) {
@@ -182,7 +182,7 @@
 	return nil
 }
 
-func full(p Place) error {
+func checkFullDisk(p Place) error {
 	if p.Fill == nil {
 		return nil
 	}
@@ -200,10 +200,10 @@
 	if _, err := s.Read("b"); !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("after a failed first write: %v", err)
 	}
-	return errors.Join(reads(s, "a", "old"), reads(p.Open(), "a", "old"))
+	return errors.Join(expectValue(s, "a", "old"), expectValue(p.Open(), "a", "old"))
 }
 
-func writers(p Place) error {
+func checkConcurrentWriters(p Place) error {
 	values := map[string]bool{}
 	for w := range 4 {
 		values[strings.Repeat(string(rune('a'+w)), 20000+w)] = true
@@ -230,7 +230,7 @@
 	return <-errs
 }
 
-func crash(p Place) error {
+func checkCrash(p Place) error {
 	if p.Crash == nil {
 		return nil
 	}
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -19,8 +19,8 @@
 	// Version names the form of what is framed. Another's is not read.
 	Version = 1
 	magic   = "oakseam"
-	// Most bounds a value, so that what reads one needs bounded memory.
-	Most = 4 << 20
+	// MaxValueSize bounds a value, so that what reads one needs bounded memory.
+	MaxValueSize = 4 << 20
 )
 
 type header struct {
@@ -39,13 +39,13 @@
 	ErrForeign = errors.New("not of this program")
 	ErrVersion = errors.New("of another version")
 	ErrTorn    = errors.New("torn")
-	ErrLong    = errors.New("too long")
+	ErrTooLong = errors.New("too long")
 )
 
 // Frame puts a value's header before it.
 func Frame(value []byte) ([]byte, error) {
-	if len(value) > Most {
-		return nil, fmt.Errorf("%w: %d bytes", ErrLong, len(value))
+	if len(value) > MaxValueSize {
+		return nil, fmt.Errorf("%w: %d bytes", ErrTooLong, len(value))
 	}
 	h := header{Version: Version, Length: uint32(len(value)), Sum: crc32.ChecksumIEEE(value)}
 	copy(h.Magic[:], magic)
@@ -64,8 +64,8 @@
 		return nil, ErrForeign
 	case h.Version != Version:
 		return nil, fmt.Errorf("%w: %d, and this program reads %d", ErrVersion, h.Version, Version)
-	case h.Length > Most:
-		return nil, fmt.Errorf("%w: %d bytes", ErrLong, h.Length)
+	case h.Length > MaxValueSize:
+		return nil, fmt.Errorf("%w: %d bytes", ErrTooLong, h.Length)
 	}
 	value := make([]byte, h.Length)
 	if _, err := io.ReadFull(in, value); err != nil {
@@ -77,9 +77,9 @@
 	return value, nil
 }
 
-// NameOf is the name, but for its ending, of what the node that listens at an address keeps
+// BaseName is the name, but for its ending, of what the node that listens at an address keeps
 // in a folder: nodes that share one have each their own.
-func NameOf(listen string) string {
+func BaseName(listen string) string {
 	return "oakseam-" + strings.NewReplacer("/", "_", ":", "-", "%", "_").Replace(listen)
 }
 
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -12,7 +12,7 @@
 
 // A file holds the old value or the new one; one cut anywhere is refused as torn; a write
 // that fails leaves the old one and nothing beside it.
-func TestAFileIsWholeOrRefused(t *testing.T) {
+func TestFileIsWholeOrRejected(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "value")
 	_, err := Read(name)
 	assert.ErrorIs(t, err, os.ErrNotExist)
@@ -21,10 +21,10 @@
 	got, err := Read(name)
 	require.NoError(t, err)
 	assert.Equal(t, "new one", string(got))
-	assert.ErrorIs(t, Write(name, make([]byte, Most+1)), ErrLong)
-	full := filepath.Join(filepath.Dir(name), "folder")
-	require.NoError(t, os.MkdirAll(filepath.Join(full, "in the way"), 0o700))
-	assert.Error(t, Write(full, []byte("x")), "the rename fails")
+	assert.ErrorIs(t, Write(name, make([]byte, MaxValueSize+1)), ErrTooLong)
+	blocked := filepath.Join(filepath.Dir(name), "folder")
+	require.NoError(t, os.MkdirAll(filepath.Join(blocked, "in the way"), 0o700))
+	assert.Error(t, Write(blocked, []byte("x")), "the rename fails")
 	left, err := os.ReadDir(filepath.Dir(name))
 	require.NoError(t, err)
 	assert.Len(t, left, 2, "nothing is left beside them")
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestValuesThatAreNotRead(t *testing.T) {
+func TestInvalidFramesAreRejected(t *testing.T) {
 	whole, err := Frame([]byte("state"))
 	require.NoError(t, err)
 	for want, change := range map[string]func([]byte) []byte{
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -24,21 +24,21 @@
 	Read(name string) ([]byte, error)
 }
 
-// ErrName refuses a name under which nothing is kept.
-var ErrName = errors.New("no plain name")
+// ErrInvalidName refuses a name under which nothing is kept.
+var ErrInvalidName = errors.New("no plain name")
 
 func checkName(name string) error {
 	if !fs.ValidPath(name) || name == "." || strings.ContainsAny(name, "/\\\x00") {
-		return fmt.Errorf("%w: %q", ErrName, name)
+		return fmt.Errorf("%w: %q", ErrInvalidName, name)
 	}
 	return nil
 }
 
-// Folder is the Store on disk: a file a name.
-type Folder string
+// Directory is the Store on disk: a file a name.
+type Directory string
 
 // Write implements Store.
-func (f Folder) Write(name string, value []byte) error {
+func (f Directory) Write(name string, value []byte) error {
 	if err := checkName(name); err != nil {
 		return err
 	}
@@ -46,41 +46,41 @@
 }
 
 // Read implements Store.
-func (f Folder) Read(name string) ([]byte, error) {
+func (f Directory) Read(name string) ([]byte, error) {
 	if err := checkName(name); err != nil {
 		return nil, err
 	}
 	return Read(filepath.Join(string(f), name))
 }
 
-// Memory is a Store for tests and for the emulator: its "crash" is one of the emulated node,
+// MemoryStore is a Store for tests and for the emulator: its "crash" is one of the emulated node,
 // which the values outlive. The zero value is empty.
-type Memory struct {
-	mu    sync.Mutex
-	disk  map[string][]byte // framed, as a file would hold them
-	room  int               // bytes that the disk takes yet, where limited
-	limit bool
+type MemoryStore struct {
+	mu        sync.Mutex
+	disk      map[string][]byte // framed, as a file would hold them
+	freeSpace int               // bytes that the disk takes yet, where limited
+	limited   bool
 }
 
 // ErrFull is the error of a disk that takes no more.
 var ErrFull = errors.New("no space left")
 
-// Limit leaves room for so many bytes more; below 0, any number.
-func (m *Memory) Limit(room int) {
+// SetFreeSpace leaves room for so many bytes more; below 0, any number.
+func (m *MemoryStore) SetFreeSpace(freeSpace int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.room, m.limit = room, room >= 0
+	m.freeSpace, m.limited = freeSpace, freeSpace >= 0
 }
 
-// Spoil changes what the disk holds under a name, as a fault would.
-func (m *Memory) Spoil(name string, change func([]byte) []byte) {
+// Corrupt changes what the disk holds under a name, as a fault would.
+func (m *MemoryStore) Corrupt(name string, change func([]byte) []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.disk[name] = change(bytes.Clone(m.disk[name]))
 }
 
 // Write implements Store.
-func (m *Memory) Write(name string, value []byte) error {
+func (m *MemoryStore) Write(name string, value []byte) error {
 	if err := checkName(name); err != nil {
 		return err
 	}
@@ -90,11 +90,11 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.limit {
-		if m.room < len(text) {
+	if m.limited {
+		if m.freeSpace < len(text) {
 			return fmt.Errorf("%s: %w", name, ErrFull)
 		}
-		m.room -= len(text)
+		m.freeSpace -= len(text)
 	}
 	if m.disk == nil {
 		m.disk = map[string][]byte{}
@@ -104,7 +104,7 @@
 }
 
 // Read implements Store.
-func (m *Memory) Read(name string) ([]byte, error) {
+func (m *MemoryStore) Read(name string) ([]byte, error) {
 	if err := checkName(name); err != nil {
 		return nil, err
 	}
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -28,7 +28,7 @@
 			for j := range value {
 				value[j] = byte('1' + i%2)
 			}
-			if err := durable.Folder(dir).Write("a", value); err != nil {
+			if err := durable.Directory(dir).Write("a", value); err != nil {
 				fmt.Fprintln(os.Stderr, err)
 				os.Exit(1)
 			}
@@ -39,7 +39,7 @@
 }
 
 // kill starts a process that writes without end, and kills it after some of its writes.
-func kill(dir string, after int) error {
+func runAndKillWriter(dir string, after int) error {
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), "DURABLE_WRITE_TO="+dir)
 	out, err := c.StdoutPipe()
@@ -62,7 +62,7 @@
 
 // fill has files of this process end at a few bytes, as on a disk that is full; the log that
 // go test has a test program write is such a file too.
-func fill(t *testing.T) {
+func limitFileSize(t *testing.T) {
 	signal.Ignore(syscall.SIGXFSZ)
 	var was syscall.Rlimit
 	require.NoError(t, syscall.Getrlimit(syscall.RLIMIT_FSIZE, &was))
@@ -80,27 +80,27 @@
 		require.Contains(t, string(out), "PASS: TestStoreContractFolder/a_full_place")
 		return
 	}
-	judgeStore(t, func(t *testing.T) Place {
+	checkStore(t, func(t *testing.T) Place {
 		dir, kills := t.TempDir(), 0
 		return Place{
-			Open: func() durable.Store { return durable.Folder(dir) },
-			Spoil: func(name string, change func([]byte) []byte) error {
+			Open: func() durable.Store { return durable.Directory(dir) },
+			Corrupt: func(name string, change func([]byte) []byte) error {
 				text, err := os.ReadFile(filepath.Join(dir, name))
 				if err != nil {
 					return err
 				}
 				return os.WriteFile(filepath.Join(dir, name), change(text), 0o600)
 			},
-			Fill:  func() { fill(t) },
-			Crash: func(string, [][]byte) error { kills++; return kill(dir, kills) },
+			Fill:  func() { limitFileSize(t) },
+			Crash: func(string, [][]byte) error { kills++; return runAndKillWriter(dir, kills) },
 		}
 	})
 }
 
-func memory(*testing.T) Place { return placeOf(&durable.Memory{}, nil) }
+func memory(*testing.T) Place { return memoryPlace(&durable.MemoryStore{}, nil) }
 
 // placeOf is a place in memory whose stores may be wrapped, rightly or wrongly.
-func placeOf(m *durable.Memory, wrap func(*durable.Memory) durable.Store) Place {
+func memoryPlace(m *durable.MemoryStore, wrap func(*durable.MemoryStore) durable.Store) Place {
 	return Place{
 		Open: func() durable.Store {
 			if wrap != nil {
@@ -108,37 +108,37 @@
 			}
 			return m
 		},
-		Spoil: func(name string, change func([]byte) []byte) error { m.Spoil(name, change); return nil },
-		Fill:  func() { m.Limit(5) },
+		Corrupt: func(name string, change func([]byte) []byte) error { m.Corrupt(name, change); return nil },
+		Fill:    func() { m.SetFreeSpace(5) },
 	}
 }
 
-func TestStoreContractMemory(t *testing.T) { judgeStore(t, memory) }
+func TestStoreContractMemory(t *testing.T) { checkStore(t, memory) }
 
 // wrong is a store that breaks one promise.
 type wrong struct {
-	*durable.Memory
-	write func(m *durable.Memory, name string, value []byte) error
-	read  func(m *durable.Memory, name string) ([]byte, error)
+	*durable.MemoryStore
+	write func(m *durable.MemoryStore, name string, value []byte) error
+	read  func(m *durable.MemoryStore, name string) ([]byte, error)
 }
 
 func (w wrong) Write(name string, value []byte) error {
 	if w.write != nil {
-		return w.write(w.Memory, name, value)
+		return w.write(w.MemoryStore, name, value)
 	}
-	return w.Memory.Write(name, value)
+	return w.MemoryStore.Write(name, value)
 }
 
 func (w wrong) Read(name string) ([]byte, error) {
 	if w.read != nil {
-		return w.read(w.Memory, name)
+		return w.read(w.MemoryStore, name)
 	}
-	return w.Memory.Read(name)
+	return w.MemoryStore.Read(name)
 }
 
 // Each clause bites: a store that breaks its promise fails it, and no other clause but those
 // named.
-func TestStoreContractBites(t *testing.T) {
+func TestStoreContractDetectsViolations(t *testing.T) {
 	var mu sync.Mutex
 	var last []byte
 	for name, tt := range map[string]struct {
@@ -147,7 +147,7 @@
 		fails []string
 		more  bool // other clauses may fail with it
 	}{
-		"invents a value": {w: wrong{read: func(m *durable.Memory, n string) ([]byte, error) {
+		"invents a value": {w: wrong{read: func(m *durable.MemoryStore, n string) ([]byte, error) {
 			v, err := m.Read(n)
 			if errors.Is(err, fs.ErrNotExist) {
 				return nil, nil
@@ -161,16 +161,16 @@
 				if opened.Add(1) == 1 {
 					return first
 				}
-				return &durable.Memory{}
+				return &durable.MemoryStore{}
 			}
 			return p
 		}, fails: []string{"what was written is read, by a later store too"}, more: true},
-		"hands out its own bytes": {w: wrong{write: func(m *durable.Memory, n string, v []byte) error {
+		"hands out its own bytes": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
 			mu.Lock()
 			defer mu.Unlock()
 			last = v
 			return m.Write(n, v)
-		}, read: func(m *durable.Memory, n string) ([]byte, error) {
+		}, read: func(m *durable.MemoryStore, n string) ([]byte, error) {
 			got, err := m.Read(n)
 			mu.Lock()
 			defer mu.Unlock()
@@ -179,37 +179,37 @@
 			}
 			return got, err
 		}}, fails: []string{"a value belongs to its caller"}},
-		"folds case": {w: wrong{write: func(m *durable.Memory, n string, v []byte) error {
+		"folds case": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
 			if n == "A" {
 				n = "a"
 			}
 			return m.Write(n, v)
 		}}, fails: []string{"names are apart, and plain"}},
-		"cuts what is long": {w: wrong{write: func(m *durable.Memory, n string, v []byte) error {
-			return m.Write(n, v[:min(len(v), durable.Most)])
+		"cuts what is long": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
+			return m.Write(n, v[:min(len(v), durable.MaxValueSize)])
 		}}, fails: []string{"the largest value is kept and a longer one refused"}},
-		"trusts what is torn": {w: wrong{read: func(m *durable.Memory, n string) ([]byte, error) {
+		"trusts what is torn": {w: wrong{read: func(m *durable.MemoryStore, n string) ([]byte, error) {
 			v, err := m.Read(n)
 			if errors.Is(err, durable.ErrTorn) {
 				return []byte("a val"), nil
 			}
 			return v, err
 		}}, fails: []string{"a value cut anywhere is torn", "what is not ours, or another version's, is told apart"}},
-		"reads other versions": {w: wrong{read: func(m *durable.Memory, n string) ([]byte, error) {
+		"reads other versions": {w: wrong{read: func(m *durable.MemoryStore, n string) ([]byte, error) {
 			v, err := m.Read(n)
 			if errors.Is(err, durable.ErrVersion) {
 				return []byte("value"), nil
 			}
 			return v, err
 		}}, fails: []string{"what is not ours, or another version's, is told apart"}},
-		"loses the old value on a full place": {w: wrong{write: func(m *durable.Memory, n string, v []byte) error {
+		"loses the old value on a full place": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
 			err := m.Write(n, v)
 			if errors.Is(err, durable.ErrFull) {
-				m.Spoil(n, func([]byte) []byte { return nil })
+				m.Corrupt(n, func([]byte) []byte { return nil })
 			}
 			return err
 		}}, fails: []string{"a full place leaves the old value"}},
-		"mixes two writers": {w: wrong{write: func(m *durable.Memory, n string, v []byte) error {
+		"mixes two writers": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
 			if len(v) == 20003 {
 				v = append(v[:1:1], make([]byte, 20000)...)
 			}
@@ -217,16 +217,16 @@
 		}}, fails: []string{"of two writers of a name one wins, whole"}},
 		"is torn by a crash": {place: func(p Place) Place {
 			p.Crash = func(n string, _ [][]byte) error {
-				return p.Spoil(n, func(b []byte) []byte { return b[:len(b)/2] })
+				return p.Corrupt(n, func(b []byte) []byte { return b[:len(b)/2] })
 			}
 			return p
 		}, fails: []string{"a crash leaves the old or the new value"}},
 	} {
 		var failed []string
 		for _, c := range Clauses {
-			p := placeOf(&durable.Memory{}, func(m *durable.Memory) durable.Store {
+			p := memoryPlace(&durable.MemoryStore{}, func(m *durable.MemoryStore) durable.Store {
 				w := tt.w
-				w.Memory = m
+				w.MemoryStore = m
 				return w
 			})
 			if tt.place != nil {
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -219,7 +219,7 @@
 		}
 		won += ct.won
 		r.Classes[c.Name] = round(ct.ClassResult)
-		r.LatencyMS[c.Name] = latency.Of(ct.hist)
+		r.LatencyMS[c.Name] = latency.FromHistogram(ct.hist)
 	}
 	if t.worth > 0 {
 		whole := won / t.worth
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -22,22 +22,22 @@
 
 const (
 	// maxPath is the most that a Unix socket's address holds.
-	maxPath = 104
+	maxSocketPath = 104
 	// speakWithin is how long either side may take for its part of the start.
-	speakWithin = 2 * time.Second
-	isReady     = 'R'
+	handshakeTimeout = 2 * time.Second
+	readyByte        = 'R'
 )
 
-// ErrNobody tells that there is no process to take over from.
-var ErrNobody = errors.New("handover: nobody to take over from")
+// ErrNoPredecessor tells that there is no process to take over from.
+var ErrNoPredecessor = errors.New("handover: nobody to take over from")
 
 // path is where the process that listens at an address waits for its successor. Where
 // dir is too long for a socket's address, it is reached by an open descriptor of it;
 // done closes that.
-func path(dir, listen string) (name string, done func(), err error) {
-	base := durable.NameOf(listen) + ".sock"
+func socketPath(dir, listen string) (name string, closeDir func(), err error) {
+	base := durable.BaseName(listen) + ".sock"
 	name = filepath.Join(dir, base)
-	if len(name) <= maxPath {
+	if len(name) <= maxSocketPath {
 		return name, func() {}, nil
 	}
 	f, err := os.Open(dir)
@@ -47,59 +47,59 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", f.Fd(), base), func() { f.Close() }, nil
 }
 
-// Taken is the place of another process.
-type Taken struct {
+// Takeover is the place of another process.
+type Takeover struct {
 	Listener *net.TCPListener // the same queue of connections as the predecessor's
 	State    []byte
-	link     *net.UnixConn
-	gone     chan struct{}
+	conn     *net.UnixConn
+	exited   chan struct{}
 }
 
-// Claim asks the process that listens at an address for its place. It returns
+// TakeOver asks the process that listens at an address for its place. It returns
 // ErrNobody where there is none, and another error where one is not to be had.
-func Claim(dir, listen string) (*Taken, error) {
-	name, done, err := path(dir, listen)
+func TakeOver(dir, listen string) (*Takeover, error) {
+	name, closeDir, err := socketPath(dir, listen)
 	if err != nil {
 		return nil, err
 	}
-	defer done()
-	c, err := net.DialTimeout("unix", name, speakWithin)
+	defer closeDir()
+	c, err := net.DialTimeout("unix", name, handshakeTimeout)
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, ErrNobody // a dead one's leavings are none
+		return nil, ErrNoPredecessor // a dead one's leavings are none
 	}
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	t := &Taken{link: c.(*net.UnixConn), gone: make(chan struct{})}
+	t := &Takeover{conn: c.(*net.UnixConn), exited: make(chan struct{})}
 	if err := t.receive(); err != nil {
 		c.Close()
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	go func() {
-		io.Copy(io.Discard, t.link)
-		close(t.gone)
+		io.Copy(io.Discard, t.conn)
+		close(t.exited)
 	}()
 	return t, nil
 }
 
 // receive reads what the predecessor hands over. The socket comes with the header.
-func (t *Taken) receive() error {
-	t.link.SetDeadline(time.Now().Add(speakWithin))
+func (t *Takeover) receive() error {
+	t.conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	head, rights := make([]byte, durable.HeaderSize), make([]byte, syscall.CmsgSpace(4))
-	n, rn, _, _, err := t.link.ReadMsgUnix(head, rights)
+	n, rn, _, _, err := t.conn.ReadMsgUnix(head, rights)
 	if err != nil {
 		return err
 	}
-	fd, err := descriptor(rights[:rn])
+	fd, err := receivedDescriptor(rights[:rn])
 	if err != nil {
 		return err
 	}
 	f := os.NewFile(uintptr(fd), "listener")
 	defer f.Close()
-	if _, err := io.ReadFull(t.link, head[n:]); err != nil {
+	if _, err := io.ReadFull(t.conn, head[n:]); err != nil {
 		return err
 	}
-	if t.State, err = durable.Unframe(head, t.link); err != nil {
+	if t.State, err = durable.Unframe(head, t.conn); err != nil {
 		return err
 	}
 	l, err := net.FileListener(f)
@@ -112,11 +112,11 @@
 		return errors.New("what was handed over is no listener for TCP")
 	}
 	t.Listener = tl
-	return t.link.SetDeadline(time.Time{})
+	return t.conn.SetDeadline(time.Time{})
 }
 
 // descriptor returns the one descriptor that came.
-func descriptor(rights []byte) (int, error) {
+func receivedDescriptor(rights []byte) (int, error) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil || len(messages) != 1 {
 		return 0, errors.New("no socket came")
@@ -129,84 +129,84 @@
 	return fds[0], nil
 }
 
-// Ready tells the predecessor that its successor serves.
-func (t *Taken) Ready() error {
-	_, err := t.link.Write([]byte{isReady})
+// SignalReady tells the predecessor that its successor serves.
+func (t *Takeover) SignalReady() error {
+	_, err := t.conn.Write([]byte{readyByte})
 	return err
 }
 
-// Abandon ends the link: the predecessor goes on as if nothing had been.
-func (t *Taken) Abandon() { t.link.Close() }
+// Abort ends the link: the predecessor goes on as if nothing had been.
+func (t *Takeover) Abort() { t.conn.Close() }
 
-// Gone is closed when the predecessor has ended.
-func (t *Taken) Gone() <-chan struct{} { return t.gone }
+// PredecessorExited is closed when the predecessor has ended.
+func (t *Takeover) PredecessorExited() <-chan struct{} { return t.exited }
 
-// Heir is told of a successor. One is there at a time.
-type Heir interface {
-	// Began: a process has been handed the place, and gets ready.
-	Began()
-	// Ready: it serves.
-	Ready()
-	// Gone: it has ended.
-	Gone()
+// SuccessorObserver is told of a successor. One is there at a time.
+type SuccessorObserver interface {
+	// SuccessorStarted: a process has been handed the place, and gets ready.
+	SuccessorStarted()
+	// SuccessorReady: it serves.
+	SuccessorReady()
+	// SuccessorExited: it has ended.
+	SuccessorExited()
 }
 
 // Offer waits for successors.
 type Offer struct {
-	l     *net.UnixListener
-	lock  *os.File
-	done  func()
-	front *net.TCPListener
-	state func() ([]byte, error)
-	heir  Heir
-	log   *slog.Logger
+	socket   *net.UnixListener
+	lock     *os.File
+	closeDir func()
+	listener *net.TCPListener
+	state    func() ([]byte, error)
+	observer SuccessorObserver
+	log      *slog.Logger
 
-	mu   sync.Mutex
-	busy bool
+	mu           sync.Mutex
+	hasSuccessor bool
 }
 
-// ErrTaken tells that another process waits for a successor at the same place.
-var ErrTaken = errors.New("handover: another process waits for a successor here")
+// ErrAlreadyOffered tells that another process waits for a successor at the same place.
+var ErrAlreadyOffered = errors.New("handover: another process waits for a successor here")
 
-// Wait offers the place of the process that listens with l until Close. A socket that
+// NewOffer offers the place of the process that listens with l until Close. A socket that
 // a dead process left is replaced: who holds the lock beside it is the one that waits.
-func Wait(dir, listen string, l *net.TCPListener, state func() ([]byte, error), heir Heir, log *slog.Logger) (*Offer, error) {
-	name, done, err := path(dir, listen)
+func NewOffer(dir, listen string, l *net.TCPListener, state func() ([]byte, error), observer SuccessorObserver, log *slog.Logger) (*Offer, error) {
+	name, closeDir, err := socketPath(dir, listen)
 	if err != nil {
 		return nil, err
 	}
 	lock, err := os.OpenFile(name+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		done()
+		closeDir()
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		done()
+		closeDir()
 		lock.Close()
-		return nil, ErrTaken
+		return nil, ErrAlreadyOffered
 	}
 	os.Remove(name)
 	ul, err := net.ListenUnix("unix", &net.UnixAddr{Name: name, Net: "unix"})
 	if err != nil {
-		done()
+		closeDir()
 		lock.Close()
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	o := &Offer{l: ul, lock: lock, done: done, front: l, state: state, heir: heir, log: log}
+	o := &Offer{socket: ul, lock: lock, closeDir: closeDir, listener: l, state: state, observer: observer, log: log}
 	go o.serve()
 	return o, nil
 }
 
 // Close ends the offer.
 func (o *Offer) Close() {
-	o.l.Close() // it also removes the socket
+	o.socket.Close() // it also removes the socket
 	o.lock.Close()
-	o.done()
+	o.closeDir()
 }
 
 func (o *Offer) serve() {
 	for {
-		c, err := o.l.AcceptUnix()
+		c, err := o.socket.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -215,45 +215,45 @@
 			continue
 		}
 		o.mu.Lock()
-		taken := o.busy
-		o.busy = true
+		alreadyTaken := o.hasSuccessor
+		o.hasSuccessor = true
 		o.mu.Unlock()
-		if taken { // one successor at a time
+		if alreadyTaken { // one successor at a time
 			c.Close()
 			continue
 		}
-		go o.hand(c)
+		go o.handOver(c)
 	}
 }
 
 // hand hands the place over on a link, and follows it to its end.
-func (o *Offer) hand(c *net.UnixConn) {
+func (o *Offer) handOver(c *net.UnixConn) {
 	defer func() {
 		c.Close()
 		o.mu.Lock()
-		o.busy = false
+		o.hasSuccessor = false
 		o.mu.Unlock()
 	}()
-	c.SetDeadline(time.Now().Add(speakWithin))
-	if err := o.send(c); err != nil {
+	c.SetDeadline(time.Now().Add(handshakeTimeout))
+	if err := o.sendState(c); err != nil {
 		o.log.Warn("handover: not handed over", logging.Cause, err)
 		return
 	}
-	o.heir.Began()
-	defer o.heir.Gone()
+	o.observer.SuccessorStarted()
+	defer o.observer.SuccessorExited()
 	c.SetDeadline(time.Time{})
 	var word [1]byte
 	for {
 		if _, err := c.Read(word[:]); err != nil {
 			return
 		}
-		if word[0] == isReady {
-			o.heir.Ready()
+		if word[0] == readyByte {
+			o.observer.SuccessorReady()
 		}
 	}
 }
 
-func (o *Offer) send(c *net.UnixConn) error {
+func (o *Offer) sendState(c *net.UnixConn) error {
 	state, err := o.state()
 	if err != nil {
 		return err
@@ -262,7 +262,7 @@
 	if err != nil {
 		return err
 	}
-	raw, err := o.front.SyscallConn()
+	raw, err := o.listener.SyscallConn()
 	if err != nil {
 		return err
 	}
@@ -280,8 +280,8 @@
 	return err
 }
 
-// InUse tells whether a process listens at the address.
-func InUse(listen string) bool {
+// AddressInUse tells whether a process listens at the address.
+func AddressInUse(listen string) bool {
 	l, err := net.Listen("tcp", listen)
 	if err == nil {
 		l.Close()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,13 +15,13 @@
 )
 
 // heir notes what it is told.
-type heir chan string
+type recorder chan string
 
-func (h heir) Began() { h <- "began" }
-func (h heir) Ready() { h <- "ready" }
-func (h heir) Gone()  { h <- "gone" }
+func (h recorder) SuccessorStarted() { h <- "began" }
+func (h recorder) SuccessorReady()   { h <- "ready" }
+func (h recorder) SuccessorExited()  { h <- "gone" }
 
-func (h heir) hears(t *testing.T, want string) {
+func (h recorder) expect(t *testing.T, want string) {
 	t.Helper()
 	select {
 	case got := <-h:
@@ -31,71 +31,71 @@
 	}
 }
 
-func offer(t *testing.T, dir, state string) (*Offer, *net.TCPListener, heir) {
+func offer(t *testing.T, dir, state string) (*Offer, *net.TCPListener, recorder) {
 	l, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	h := make(heir, 10)
-	o, err := Wait(dir, "here:1", l, func() ([]byte, error) { return []byte(state), nil }, h, slog.New(slog.DiscardHandler))
+	h := make(recorder, 10)
+	o, err := NewOffer(dir, "here:1", l, func() ([]byte, error) { return []byte(state), nil }, h, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	return o, l, h
 }
 
 // The successor has the very queue of its predecessor: what waited there when that
 // one closed is not reset.
-func TestTheQueueOfConnectionsGoesOn(t *testing.T) {
+func TestQueuedConnectionsSurviveHandover(t *testing.T) {
 	for _, dir := range []string{t.TempDir(), t.TempDir() + "/" + strings.Repeat("long/", 25)} {
 		require.NoError(t, os.MkdirAll(dir, 0o700))
 		o, l, h := offer(t, dir, strings.Repeat("state ", 100000))
-		taken, err := Claim(dir, "here:1")
+		takeover, err := TakeOver(dir, "here:1")
 		require.NoError(t, err)
-		h.hears(t, "began")
-		assert.Equal(t, strings.Repeat("state ", 100000), string(taken.State))
-		require.NoError(t, taken.Ready())
-		h.hears(t, "ready")
-		_, err = Claim(dir, "here:1")
+		h.expect(t, "began")
+		assert.Equal(t, strings.Repeat("state ", 100000), string(takeover.State))
+		require.NoError(t, takeover.SignalReady())
+		h.expect(t, "ready")
+		_, err = TakeOver(dir, "here:1")
 		assert.Error(t, err, "one successor at a time")
 
 		waiting, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
 		defer waiting.Close()
 		l.Close()
-		c, err := taken.Listener.Accept()
+		c, err := takeover.Listener.Accept()
 		require.NoError(t, err)
 		c.Write([]byte("x"))
 		_, err = waiting.Read(make([]byte, 1))
 		assert.NoError(t, err)
-		taken.Abandon()
-		h.hears(t, "gone")
+		takeover.Abort()
+		h.expect(t, "gone")
 		o.Close()
-		taken.Listener.Close()
+		takeover.Listener.Close()
 	}
 }
 
-func TestPlacesThatAreNotToBeHad(t *testing.T) {
+func TestTakeOverFromDeadOrWrongProcess(t *testing.T) {
 	dir := t.TempDir()
-	_, err := Claim(dir, "here:1")
-	assert.ErrorIs(t, err, ErrNobody)
+	_, err := TakeOver(dir, "here:1")
+	assert.ErrorIs(t, err, ErrNoPredecessor)
 	o, l, _ := offer(t, dir, "")
-	_, err = Wait(dir, "here:1", l, nil, nil, nil)
-	assert.ErrorIs(t, err, ErrTaken)
+	_, err = NewOffer(dir, "here:1", l, nil, nil, nil)
+	assert.ErrorIs(t, err, ErrAlreadyOffered)
 	o.Close()
 
 	// A dead one's leavings: its socket is there, and nobody behind it.
-	name, _, err := path(dir, "here:1")
+	name, _, err := socketPath(dir, "here:1")
 	require.NoError(t, err)
 	dead, err := net.ListenUnix("unix", &net.UnixAddr{Name: name, Net: "unix"})
 	require.NoError(t, err)
 	dead.SetUnlinkOnClose(false)
 	dead.Close()
-	_, err = Claim(dir, "here:1")
-	assert.ErrorIs(t, err, ErrNobody)
+	_, err = TakeOver(dir, "here:1")
+	assert.ErrorIs(t, err, ErrNoPredecessor)
 	o, _, _ = offer(t, dir, "")
-	taken, err := Claim(dir, "here:1")
+	takeover, err := TakeOver(dir, "here:1")
 	require.NoError(t, err)
 	o.Close()
-	taken.Listener.Close()
-	taken.Abandon()
+	takeover.Listener.Close()
+	takeover.Abort()
 
 	// One that hands over no socket.
 	odd, err := net.ListenUnix("unix", &net.UnixAddr{Name: name, Net: "unix"})
@@ -107,6 +107,6 @@
 			c.Write(text)
 		}
 	}()
-	_, err = Claim(dir, "here:1")
+	_, err = TakeOver(dir, "here:1")
 	assert.ErrorContains(t, err, "no socket came")
 }
--- a/internal/ingress/lifecycle.go
+++ b/internal/ingress/lifecycle.go
@@ -46,7 +46,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lifecycle.Takes(time.Now())
+	return s.lifecycle.AcceptsRequest(time.Now())
 }
 
 // RespondNow returns a channel that is closed when each open request must be answered at once:
@@ -60,7 +60,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lifecycle.Closes(time.Now())
+	return s.lifecycle.ClosesSession(time.Now())
 }
 
 // changeLifecycle applies a transition of the lifecycle, and starts to close idle sessions if the
@@ -71,8 +71,8 @@
 	if err := transition(time.Now()); err != nil {
 		return err
 	}
-	s.leaving.Store(s.lifecycle.Leaving())
-	if s.lifecycle.Leaving() && !s.closingIdle {
+	s.leaving.Store(s.lifecycle.IsDraining())
+	if s.lifecycle.IsDraining() && !s.closingIdle {
 		s.closingIdle = true
 		go s.closeIdleSessions()
 	}
@@ -96,14 +96,14 @@
 func (s *Server) closeDueSessions(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.lifecycle.Leaving() {
+	if !s.lifecycle.IsDraining() {
 		s.closingIdle = false
 		return false
 	}
 	idle := slices.SortedFunc(maps.Keys(s.idleSessions), func(a, b *Conn) int {
 		return s.idleSessions[a].since.Compare(s.idleSessions[b].since)
 	})
-	for n := s.lifecycle.End(now, len(idle)); n > 0 && len(idle) > 0; idle = idle[1:] {
+	for n := s.lifecycle.IdleSessionsToClose(now, len(idle)); n > 0 && len(idle) > 0; idle = idle[1:] {
 		// A session on which bytes have arrived gets a request, and its response closes it.
 		if idle[0].closeIfIdle() {
 			delete(s.idleSessions, idle[0])
@@ -126,7 +126,7 @@
 	if s.hasSuccessor.Load() {
 		s.listener.Close() // the successor accepts new connections from the same queue
 	} else {
-		wait.For(ctx, s.opt.Lifecycle.StayOpen)
+		wait.For(ctx, s.opt.Lifecycle.ListenFor)
 		s.listener.close()
 	}
 	ticker := time.NewTicker(lifecyclePollInterval)
--- a/internal/ingress/lifecycle_test.go
+++ b/internal/ingress/lifecycle_test.go
@@ -13,7 +13,7 @@
 // leaving returns a timing in which responses close their sessions once the time closes has passed
 // since the call, and idle sessions are closed once the time from has passed.
 func leaving(closes, from time.Duration) lifecycle.Timing {
-	leave := lifecycle.Leave{From: from, Until: from + 1, Closes: closes}
+	leave := lifecycle.DrainSchedule{CloseIdleFrom: from, CloseIdleUntil: from + 1, CloseSessionsFrom: closes}
 	return lifecycle.Timing{Drain: leave, Stop: leave}
 }
 
@@ -85,7 +85,7 @@
 // completes when open requests are answered, long before its timeout.
 func TestShutdown(t *testing.T) {
 	timing := leaving(0, 0)
-	timing.StayOpen = time.Second
+	timing.ListenFor = time.Second
 	arrived := make(chan bool)
 	proceed := make(chan bool)
 	s, addr := startServer(t, Options{Lifecycle: timing}, func(w http.ResponseWriter, r *http.Request, c *Conn) {
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -67,7 +67,7 @@
 	respondNow      chan struct{} // closed when every open request must be answered at once
 
 	mu           sync.Mutex
-	lifecycle    *lifecycle.Node
+	lifecycle    *lifecycle.StateMachine
 	closingIdle  bool                  // the goroutine that closes idle sessions runs
 	idleSessions map[*Conn]idleSession // client sessions without an open request
 }
@@ -109,7 +109,7 @@
 // Serve accepts client sessions until Shutdown, and then returns nil.
 func (s *Server) Serve() error {
 	defer close(s.closed)
-	s.changeLifecycle(func(now time.Time) error { s.lifecycle.Begin(now); return nil })
+	s.changeLifecycle(func(now time.Time) error { s.lifecycle.StartServing(now); return nil })
 	if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) && !s.leaving.Load() {
 		return err
 	}
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -13,8 +13,8 @@
 	Max  float64 `json:"max"`
 }
 
-// Of returns the quantiles of a histogram in microseconds.
-func Of(h *hdrhistogram.Histogram) Quantiles {
+// FromHistogram returns the quantiles of a histogram in microseconds.
+func FromHistogram(h *hdrhistogram.Histogram) Quantiles {
 	q := func(p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1000 }
 	return Quantiles{q(50), q(90), q(99), q(99.9), q(100)}
 }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -20,114 +20,116 @@
 	Stopping // told to end
 )
 
-var names = [...]string{"starting", "serving", "draining", "stopping"}
+var phaseNames = [...]string{"starting", "serving", "draining", "stopping"}
 
 // String gives the phase's name.
-func (p Phase) String() string { return names[p] }
+func (p Phase) String() string { return phaseNames[p] }
 
 // ErrStopping tells that a node that ends can't be told anything else.
 var ErrStopping = errors.New("the node is stopping")
 
-// Node is the life cycle of one process. It is not safe for concurrent use.
-type Node struct {
-	timing Timing
-	phase  Phase
-	since  time.Time
-	step   time.Time // up to which idle sessions have been ended
-	begun  bool      // it has served, or would but for a drain
+// StateMachine is the life cycle of one process. It is not safe for concurrent use.
+type StateMachine struct {
+	timing          Timing
+	phase           Phase
+	phaseStart      time.Time
+	idleClosedUntil time.Time // up to which idle sessions have been ended
+	started         bool      // it has served, or would but for a drain
 }
 
 // New returns the life cycle of a process that starts.
-func New(timing Timing) *Node { return &Node{timing: timing} }
+func New(timing Timing) *StateMachine { return &StateMachine{timing: timing} }
 
 // Phase returns where the node stands.
-func (n *Node) Phase() Phase { return n.phase }
+func (n *StateMachine) Phase() Phase { return n.phase }
 
-func (n *Node) enter(p Phase, now time.Time) { n.phase, n.since, n.step = p, now, now }
+func (n *StateMachine) setPhase(p Phase, now time.Time) {
+	n.phase, n.phaseStart, n.idleClosedUntil = p, now, now
+}
 
-// Begin ends the start. A node that was told to drain meanwhile goes on draining.
-func (n *Node) Begin(now time.Time) {
-	n.begun = true
+// StartServing ends the start. A node that was told to drain meanwhile goes on draining.
+func (n *StateMachine) StartServing(now time.Time) {
+	n.started = true
 	if n.phase == Starting {
-		n.enter(Serving, now)
+		n.setPhase(Serving, now)
 	}
 }
 
 // Drain has clients sent away. Told again, it goes on from the first call.
-func (n *Node) Drain(now time.Time) error {
+func (n *StateMachine) Drain(now time.Time) error {
 	switch n.phase {
 	case Stopping:
 		return ErrStopping
 	case Draining:
 		return nil
 	}
-	n.enter(Draining, now)
+	n.setPhase(Draining, now)
 	return nil
 }
 
 // Resume has clients taken again. Without a drain it changes nothing.
-func (n *Node) Resume(now time.Time) error {
+func (n *StateMachine) Resume(now time.Time) error {
 	switch {
 	case n.phase == Stopping:
 		return ErrStopping
-	case n.phase == Draining && n.begun:
-		n.enter(Serving, now)
+	case n.phase == Draining && n.started:
+		n.setPhase(Serving, now)
 	case n.phase == Draining:
-		n.enter(Starting, now)
+		n.setPhase(Starting, now)
 	}
 	return nil
 }
 
 // Stop has the node end, whatever it was told before.
-func (n *Node) Stop(now time.Time) {
+func (n *StateMachine) Stop(now time.Time) {
 	if n.phase != Stopping {
-		n.enter(Stopping, now)
+		n.setPhase(Stopping, now)
 	}
 }
 
-// Leaving tells whether the clients are sent away.
-func (n *Node) Leaving() bool { return n.phase >= Draining }
+// IsDraining tells whether the clients are sent away.
+func (n *StateMachine) IsDraining() bool { return n.phase >= Draining }
 
 // leave is how the clients are sent away in this phase.
-func (n *Node) leave() Leave {
+func (n *StateMachine) schedule() DrainSchedule {
 	if n.phase == Stopping {
 		return n.timing.Stop
 	}
 	return n.timing.Drain
 }
 
-// Closes tells whether an answer that is given now ends its client session.
-func (n *Node) Closes(now time.Time) bool {
-	return n.Leaving() && now.Sub(n.since) >= n.leave().Closes
+// ClosesSession tells whether an answer that is given now ends its client session.
+func (n *StateMachine) ClosesSession(now time.Time) bool {
+	return n.IsDraining() && now.Sub(n.phaseStart) >= n.schedule().CloseSessionsFrom
 }
 
-// Takes tells whether a request that has come now is taken.
-func (n *Node) Takes(now time.Time) bool {
-	takes := n.leave().Takes
-	return !n.Leaving() || takes == 0 || now.Sub(n.since) < takes
+// AcceptsRequest tells whether a request that has come now is taken.
+func (n *StateMachine) AcceptsRequest(now time.Time) bool {
+	acceptUntil := n.schedule().AcceptUntil
+	return !n.IsDraining() || acceptUntil == 0 || now.Sub(n.phaseStart) < acceptUntil
 }
 
-// End returns how many of so many idle client sessions are to end now. Asked again
+// IdleSessionsToClose returns how many of so many idle client sessions are to end now. Asked again
 // and again, it ends them in even steps.
-func (n *Node) End(now time.Time, idle int) int {
-	if !n.Leaving() {
+func (n *StateMachine) IdleSessionsToClose(now time.Time, idle int) int {
+	if !n.IsDraining() {
 		return 0
 	}
-	leave := n.leave()
-	begin, end := n.since.Add(leave.From), n.since.Add(leave.Until)
-	if n.step.Before(begin) {
-		n.step = begin
+	schedule := n.schedule()
+	begin, end := n.phaseStart.Add(schedule.CloseIdleFrom), n.phaseStart.Add(schedule.CloseIdleUntil)
+	if n.idleClosedUntil.Before(begin) {
+		n.idleClosedUntil = begin
 	}
 	switch {
-	case !now.After(n.step) || idle <= 0:
+	case !now.After(n.idleClosedUntil) || idle <= 0:
 		return 0
 	case !now.Before(end):
-		n.step = now
+		n.idleClosedUntil = now
 		return idle
 	}
-	due := int(int64(idle) * int64(now.Sub(n.step)) / int64(end.Sub(n.step)))
+	due := int(int64(idle) * int64(now.Sub(n.idleClosedUntil)) / int64(end.Sub(n.idleClosedUntil)))
 	if due > 0 { // else the step grows until one is due
-		n.step = now
+		n.idleClosedUntil = now
 	}
 	return due
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -209,9 +209,9 @@
 	close(stop)
 	<-watched
 	took := time.Since(began)
-	r := &Report{Target: p.Target, Seconds: took.Seconds(), Due: t.due, Classes: map[string]ClassReport{}, LateMS: latency.Of(t.late)}
+	r := &Report{Target: p.Target, Seconds: took.Seconds(), Due: t.due, Classes: map[string]ClassReport{}, LateMS: latency.FromHistogram(t.late)}
 	for i, c := range t.classes {
-		r.Classes[p.Classes[i].Name] = ClassReport{c.sent, c.status, latency.Of(c.all), latency.Of(c.served), latency.Of(c.service)}
+		r.Classes[p.Classes[i].Name] = ClassReport{c.sent, c.status, latency.FromHistogram(c.all), latency.FromHistogram(c.served), latency.FromHistogram(c.service)}
 	}
 	r.PerSecond = float64(t.done) / max(took.Seconds(), 1e-9)
 	return r
--- a/internal/session/answer.go
+++ b/internal/session/answer.go
@@ -11,14 +11,14 @@
 )
 
 // answerFigures maps the kinds of answers to the figures that they count for.
-var answerFigures = [...]figures.Kind{core.Served: figures.Served, core.Rejected: figures.Refused,
+var answerFigures = [...]figures.Outcome{core.Served: figures.Served, core.Rejected: figures.Rejected,
 	core.Failed: figures.Failed, core.Duplicate: figures.Failed}
 
 // rejectUnsubmitted rejects a request that the frontend has not submitted: nothing has run.
 func (f *Frontend) rejectUnsubmitted(w http.ResponseWriter, class, counter string) {
 	f.count.Add(counter)
 	f.writeRejection(w, f.opt.RetryAfter)
-	f.opt.Figures.Ended(class, figures.Refused)
+	f.opt.Figures.CountRequest(class, figures.Rejected)
 }
 
 // writeAnswer sends a request's final answer, and counts it.
@@ -48,7 +48,7 @@
 	default:
 		http.Error(w, "no backend answered", http.StatusBadGateway)
 	}
-	f.opt.Figures.Ended(class, figure)
+	f.opt.Figures.CountRequest(class, figure)
 }
 
 // streamReply passes a long response on as it arrives. Once part of it is sent no other answer is
@@ -58,7 +58,7 @@
 	switch {
 	case backendErr != nil:
 		f.count.Add("answer.broken")
-		f.opt.Figures.Ended(class, figures.Failed)
+		f.opt.Figures.CountRequest(class, figures.Failed)
 	case clientErr != nil:
 		f.count.Add("client.gone")
 	default:
--- a/internal/session/api.go
+++ b/internal/session/api.go
@@ -110,7 +110,7 @@
 	defer p.mu.Unlock()
 	if !p.closed && p.countedIn == nil {
 		p.countedIn = f
-		f.Open(1)
+		f.AddOpen(1)
 	}
 }
 
@@ -125,6 +125,6 @@
 	default:
 	}
 	if p.countedIn != nil {
-		p.countedIn.Open(-1)
+		p.countedIn.AddOpen(-1)
 	}
 }
--- a/internal/tierlab/disk.go
+++ b/internal/tierlab/disk.go
@@ -42,7 +42,7 @@
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return latency.Of(times), nil
+			return latency.FromHistogram(times), nil
 		}
 	}
 }
--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -87,7 +87,7 @@
 	}
 	tree, err := parser.ParseBytes(text, 0)
 	if err != nil {
-		return nil, from(name, err)
+		return nil, fromLibraryError(name, err)
 	}
 	f = &File{Name: name, lines: map[string]int{}}
 	if len(tree.Docs) > 1 {
@@ -96,18 +96,18 @@
 	if len(tree.Docs) == 0 || tree.Docs[0].Body == nil {
 		return f, nil
 	}
-	if err := f.walk(tree.Docs[0].Body, reflect.TypeOf(into).Elem(), "", 0); err != nil {
+	if err := f.checkNode(tree.Docs[0].Body, reflect.TypeOf(into).Elem(), "", 0); err != nil {
 		return nil, err
 	}
 	if err := yaml.NodeToValue(tree.Docs[0].Body, into, yaml.Strict()); err != nil {
-		return nil, f.typed(name, err)
+		return nil, f.addKey(name, err)
 	}
 	return f, nil
 }
 
 // typed names the key of a fault that the library found.
-func (f *File) typed(name string, err error) error {
-	e := from(name, err)
+func (f *File) addKey(name string, err error) error {
+	e := fromLibraryError(name, err)
 	for key, line := range f.lines {
 		if line == e.Line && (len(key) > len(e.Key) || len(key) == len(e.Key) && key < e.Key) {
 			e.Key = key
@@ -116,7 +116,7 @@
 	return e
 }
 
-func from(name string, err error) *Error {
+func fromLibraryError(name string, err error) *Error {
 	e := &Error{File: name, Text: err.Error()}
 	var placed yaml.Error
 	if errors.As(err, &placed) {
@@ -131,7 +131,7 @@
 const maxDepth = 32
 
 // walk checks that the keys below n are those of t and notes their lines.
-func (f *File) walk(n ast.Node, t reflect.Type, path string, depth int) error {
+func (f *File) checkNode(n ast.Node, t reflect.Type, path string, depth int) error {
 	line := n.GetToken().Position.Line
 	if depth > maxDepth {
 		return &Error{f.Name, line, path, "nested too deep"}
@@ -150,9 +150,9 @@
 	case *ast.AliasNode, *ast.AnchorNode, *ast.MergeKeyNode, *ast.TagNode:
 		return &Error{f.Name, line, path, "anchors, aliases, merges and tags are not read"}
 	case *ast.MappingNode:
-		return f.mapping(n.Values, t, path, depth, line)
+		return f.checkMapping(n.Values, t, path, depth, line)
 	case *ast.MappingValueNode:
-		return f.mapping([]*ast.MappingValueNode{n}, t, path, depth, line)
+		return f.checkMapping([]*ast.MappingValueNode{n}, t, path, depth, line)
 	case *ast.SequenceNode:
 		for i, v := range n.Values {
 			key := join(path, fmt.Sprint(i))
@@ -161,7 +161,7 @@
 			if k := t.Kind(); k == reflect.Slice || k == reflect.Array {
 				elem = t.Elem()
 			}
-			if err := f.walk(v, elem, key, depth+1); err != nil {
+			if err := f.checkNode(v, elem, key, depth+1); err != nil {
 				return err
 			}
 		}
@@ -169,16 +169,16 @@
 	return nil
 }
 
-func (f *File) mapping(values []*ast.MappingValueNode, t reflect.Type, path string, depth, line int) error {
+func (f *File) checkMapping(values []*ast.MappingValueNode, t reflect.Type, path string, depth, line int) error {
 	if t.Kind() != reflect.Struct {
 		if t.Kind() == reflect.Map || t.Kind() == reflect.Interface {
 			for _, v := range values {
 				key := join(path, v.Key.GetToken().Value)
 				if f.lines[key] = v.Key.GetToken().Position.Line; t.Kind() == reflect.Map {
-					if err := f.walk(v.Value, t.Elem(), key, depth+1); err != nil {
+					if err := f.checkNode(v.Value, t.Elem(), key, depth+1); err != nil {
 						return err
 					}
-				} else if err := f.walk(v.Value, t, key, depth+1); err != nil {
+				} else if err := f.checkNode(v.Value, t, key, depth+1); err != nil {
 					return err
 				}
 			}
@@ -190,7 +190,7 @@
 		name := v.Key.GetToken().Value
 		at := v.Key.GetToken().Position.Line
 		key := join(path, name)
-		field, allowed := Field(t, name)
+		field, allowed := FindField(t, name)
 		if field == nil {
 			return &Error{f.Name, at, key, "unknown key; allowed here: " + strings.Join(allowed, ", ")}
 		}
@@ -198,21 +198,21 @@
 			return &Error{f.Name, at, key, fmt.Sprintf("stands in line %d already", f.lines[key])}
 		}
 		f.lines[key] = at
-		if err := f.walk(v.Value, field.Type, key, depth+1); err != nil {
+		if err := f.checkNode(v.Value, field.Type, key, depth+1); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Field returns the field of a struct that a key names, and all keys that the
+// FindField returns the field of a struct that a key names, and all keys that the
 // struct has.
-func Field(t reflect.Type, name string) (found *reflect.StructField, keys []string) {
+func FindField(t reflect.Type, name string) (found *reflect.StructField, keys []string) {
 	for i := range t.NumField() {
 		sf := t.Field(i)
 		key, options, _ := strings.Cut(sf.Tag.Get("yaml"), ",")
 		if options == "inline" {
-			in, more := Field(sf.Type, name)
+			in, more := FindField(sf.Type, name)
 			if in != nil {
 				found = in
 			}
@@ -256,41 +256,41 @@
 func Set(name string, text []byte, key, value string) ([]byte, error) {
 	var tree, v any
 	if err := yaml.UnmarshalWithOptions(text, &tree, yaml.UseOrderedMap()); err != nil {
-		return nil, from(name, err)
+		return nil, fromLibraryError(name, err)
 	}
 	if err := yaml.UnmarshalWithOptions([]byte(value), &v, yaml.UseOrderedMap()); err != nil {
 		return nil, &Error{File: name, Key: key, Text: fmt.Sprintf("%q is no YAML value", value)}
 	}
-	tree, err := put(tree, strings.Split(key, "."), v)
+	tree, err := setValue(tree, strings.Split(key, "."), v)
 	if err != nil {
 		return nil, &Error{File: name, Key: key, Text: err.Error()}
 	}
 	return yaml.Marshal(tree)
 }
 
-func put(tree any, path []string, v any) (any, error) {
+func setValue(tree any, path []string, v any) (any, error) {
 	if len(path) == 0 {
 		return v, nil
 	}
 	switch t := tree.(type) {
 	case nil:
-		return put(yaml.MapSlice{}, path, v)
+		return setValue(yaml.MapSlice{}, path, v)
 	case yaml.MapSlice:
 		for i := range t {
 			if t[i].Key == path[0] {
-				in, err := put(t[i].Value, path[1:], v)
+				in, err := setValue(t[i].Value, path[1:], v)
 				t[i].Value = in
 				return t, err
 			}
 		}
-		in, err := put(nil, path[1:], v)
+		in, err := setValue(nil, path[1:], v)
 		return append(t, yaml.MapItem{Key: path[0], Value: in}), err
 	case []any:
 		i, err := strconv.Atoi(path[0])
 		if err != nil || i < 0 || i >= len(t) {
 			return nil, fmt.Errorf("%q is no place in a list of %d", path[0], len(t))
 		}
-		t[i], err = put(t[i], path[1:], v)
+		t[i], err = setValue(t[i], path[1:], v)
 		return t, err
 	}
 	return nil, fmt.Errorf("there is no %q below a plain value", path[0])
--- a/internal/yamlfile/yamlfile_test.go
+++ b/internal/yamlfile/yamlfile_test.go
@@ -20,7 +20,7 @@
 	Free map[string]string `yaml:"free"`
 }
 
-func TestFaultsNameFileLineAndKey(t *testing.T) {
+func TestErrorsNameFileLineAndKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"name: a\ncuont: 1\n":                 "f.yaml:2: cuont: unknown key; allowed here: name, count, inner, list, free",
 		"name: a\ninner:\n  off: true\n":      "f.yaml:3: inner.off: unknown key; allowed here: on",
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestDecodeKeepsWhatTheFileLacks(t *testing.T) {
+func TestDecodeKeepsDefaultsOfAbsentKeys(t *testing.T) {
 	v := target{Name: "was", Count: 3}
 	f, err := Decode("f.yaml", []byte("# nothing but\ncount: 4\ninner: {on: true}\nfree: {a: b}\n"), &v)
 	require.NoError(t, err)
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestSet(t *testing.T) {
+func TestSetReplacesOrAddsKeys(t *testing.T) {
 	text := []byte("name: a\nlist:\n  - size: 1\n  - size: 2\n")
 	for _, s := range [][2]string{{"list.1.size", "7"}, {"inner.on", "true"}, {"name", "b"}} {
 		var err error
