--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is what the programs' command lines share: exit codes, version,
-// progress on long work. It knows no command.
+// Package cli holds what the programs' command lines share: exit codes, version, and progress
+// output. It must not know any command.
 package cli
 
 import (
@@ -26,7 +26,7 @@
 
 func (m usageError) Unwrap() error { return m.error }
 
-// UsageError marks an error as the caller's: of arguments, configuration or input.
+// UsageError marks an error as caused by the arguments, the configuration or the input.
 func UsageError(err error) error {
 	if err == nil {
 		return nil
@@ -38,18 +38,18 @@
 
 func (q silentExit) Error() string { return fmt.Sprintf("exit code %d", q.code) }
 
-// ExitSilently ends a command with a code, all having been said.
+// ExitSilently returns an error that ends the program with a code and without a message.
 func ExitSilently(code int) error { return silentExit{code} }
 
-// Run executes the command that the arguments name, and returns its exit code.
-// SIGINT and SIGTERM end its context; what it has started it ends itself.
+// Run executes the command that the arguments name, and returns its exit code. SIGINT and
+// SIGTERM cancel the context; commands stop what they have started.
 func Run(root *cobra.Command, args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	root.SetArgs(args)
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.AddCommand(versionCommand(root.Name()))
-	// What fails before a command has begun is a fault of its arguments.
+	// An error before the command has started is an error of its arguments.
 	started := false
 	root.PersistentPreRun = func(*cobra.Command, []string) { started = true }
 	err := root.ExecuteContext(ctx)
@@ -73,7 +73,7 @@
 		Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), name, Version()) }}
 }
 
-// Version is the build's: the module's version or the commit, and the Go release.
+// Version returns the module's version or the commit, and the Go release of the build.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -91,19 +91,18 @@
 	return v + " " + info.GoVersion
 }
 
-// Progress writes a line now and then while long work goes on: none in its first
-// seconds, then one every other second.
+// Progress prints at most one line every two seconds during long work, and none in the first two.
 type Progress struct {
 	out  io.Writer
 	next time.Time
 }
 
-// NewProgress writes to w.
+// NewProgress returns a Progress that writes to w.
 func NewProgress(w io.Writer) *Progress {
 	return &Progress{out: w, next: time.Now().Add(2 * time.Second)}
 }
 
-// Printf writes a line if one is due.
+// Printf prints a line if one is due.
 func (p *Progress) Printf(format string, args ...any) {
 	if now := time.Now(); now.After(p.next) {
 		p.next = now.Add(2 * time.Second)
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,6 +1,6 @@
-// Package console answers the operators' calls at the node's second address: one line
-// to a connection, and an answer that begins with OK or ERR. It must not know how a
-// node serves; what it asks its Node must be there at once.
+// Package console answers operators' commands at the node's second address: one line per
+// connection, and a response that begins with OK or ERR. It must not know how a node serves.
+// Its Node must answer without delay.
 package console
 
 import (
@@ -16,44 +16,44 @@
 )
 
 const (
-	// MaxConnections is how many may be connected at once; the descriptors are kept spare.
-	// Beyond, the one that has been silent longest goes.
+	// MaxConnections is the number of connections for which descriptors are reserved. Beyond
+	// it the connection that has been idle longest is closed.
 	MaxConnections = 16
 	maxCommand     = 256
-	// callWithin ends a caller that brings no whole call.
+	// commandTimeout closes a connection that does not send a whole command.
 	commandTimeout = 3 * time.Second
-	// answerWithin ends one that does not read, and leaveWithin one that stays after.
+	// responseTimeout closes one that does not read; lingerTimeout one that stays open afterwards.
 	responseTimeout = time.Second
 	lingerTimeout   = 200 * time.Millisecond
 )
 
-// Node is what is asked and told. Its methods must not wait for the node's work.
+// Node executes the commands. Its methods must not wait for the node's work.
 type Node interface {
-	// Ready returns nil where the process is ready to serve, or why it is not.
+	// Ready returns nil if the process is ready to serve, and otherwise the reason.
 	Ready() error
 	Drain() error
 	Resume() error
-	// WriteFigures writes a line a figure.
+	// WriteFigures writes one line per figure.
 	WriteFigures(io.Writer)
 }
 
-// Server answers calls.
+// Server answers commands.
 type Server struct {
 	node     Node
 	listener net.Listener
 	log      *slog.Logger
 
 	mu          sync.Mutex
-	idle        []net.Conn // callers that have brought no whole call, the longest first
+	idle        []net.Conn // connections without a whole command so far, the oldest first
 	connections int
 }
 
-// New returns a Server that has yet to serve on l.
+// New returns a Server for a listener.
 func New(listener net.Listener, n Node, log *slog.Logger) *Server {
 	return &Server{node: n, listener: listener, log: log}
 }
 
-// Serve answers until the listener ends.
+// Serve answers until the listener is closed.
 func (s *Server) Serve() {
 	for {
 		c, err := s.listener.Accept()
@@ -61,7 +61,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // no descriptor, or a caller that has gone already
+			time.Sleep(10 * time.Millisecond) // no descriptor, or the peer has closed already
 			continue
 		}
 		s.track(c)
@@ -69,7 +69,7 @@
 	}
 }
 
-// Close ends the listener. Answers under way go out.
+// Close closes the listener. Responses in progress are completed.
 func (s *Server) Close() { s.listener.Close() }
 
 func (s *Server) track(c net.Conn) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// spoke takes a caller out of the silent ones.
+// removeIdle removes a connection from the idle ones.
 func (s *Server) removeIdle(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +97,7 @@
 
 func (s *Server) serve(c net.Conn) {
 	defer func() {
-		if v := recover(); v != nil { // it ends this caller only
+		if v := recover(); v != nil { // a panic closes only this connection
 			s.log.Error("console: panic", logging.Cause, v)
 		}
 		c.Close()
@@ -122,7 +122,7 @@
 	if _, err := c.Write(out.Bytes()); err != nil {
 		return
 	}
-	// Closed with bytes unread, the connection would be reset, and the answer lost.
+	// Closing with unread bytes would reset the connection and lose the response.
 	if t, ok := c.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
@@ -132,7 +132,7 @@
 
 var errTooLong = errors.New("too long")
 
-// readCall reads a line. The end of sending ends it as well.
+// readCommand reads one line. The end of input also ends the line.
 func readCommand(c io.Reader) (string, error) {
 	buf := make([]byte, 0, maxCommand)
 	for {
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// FuzzReadCall: a call is the same however its bytes come, and never over its bound.
-func FuzzReadCall(f *testing.F) {
+// FuzzReadCommand checks that a command does not depend on how its bytes are split, and stays
+// within its limit.
+func FuzzReadCommand(f *testing.F) {
 	for _, s := range []string{"ready\n", "ready", "show-stat\r\nready\n", "\n", "", strings.Repeat("x", maxCommand), strings.Repeat("x", maxCommand-1) + "\n"} {
 		f.Add([]byte(s))
 	}
@@ -22,7 +23,7 @@
 		assert.Equal(t, err, err2)
 		assert.Less(t, len(atOnce), maxCommand+1)
 		if err == nil && len(text) == 0 {
-			t.Fatal("no call, and no error")
+			t.Fatal("no command and no error")
 		}
 		if err != nil && err != errTooLong {
 			assert.ErrorIs(t, err, io.EOF)
--- a/internal/durable/contract_test.go
+++ b/internal/durable/contract_test.go
@@ -12,44 +12,44 @@
 	"pipitmux/internal/durable"
 )
 
-// This file holds the contract that every durable.Store must pass. Each clause
-// judges one promise of the interface from outside and returns an error where it is broken,
-// so that wrong stores can be shown to break it. It must not know any kind of store.
+// This file holds the contract that every durable.Store must pass. Each clause checks one
+// promise of the interface from outside and returns an error where it is broken, so that
+// deliberately wrong stores can be shown to break it. It must not know any implementation.
 
-// Place is where stores of one kind keep their values through a crash.
+// Place is where the stores of one implementation keep their values across a crash.
 type Place struct {
-	// Open returns a store over what the place holds, as a process would after a start.
+	// Open returns a store over the place's contents, as a restarted process would.
 	Open func() durable.Store
-	// Spoil changes the bytes that the place holds under a name.
+	// Corrupt changes the stored bytes of a name.
 	Corrupt func(name string, change func([]byte) []byte) error
-	// Fill makes the place full: further writes fail. Nil where the kind can't be filled.
+	// Fill makes the place full, so that further writes fail. Nil where that is impossible.
 	Fill func()
-	// Crash has a value written under a name by a process that is killed meanwhile, any
-	// number of writes after its start. Nil where a write can't be cut off.
+	// Crash kills a process after any number of its writes, while it writes a value. Nil
+	// where a write cannot be interrupted.
 	Crash func(name string, values [][]byte) error
 }
 
-// Clause is one promise.
+// Clause is one promise of the contract.
 type Clause struct {
 	Name  string
 	Check func(Place) error
 }
 
-// Clauses are the contract.
+// Clauses are all clauses of the contract.
 var Clauses = []Clause{
-	{"a name never written does not exist", checkAbsent},
-	{"what was written is read, by a later store too", checkPersistence},
-	{"a value belongs to its caller", checkBufferOwnership},
-	{"names are apart, and plain", checkNames},
-	{"the largest value is kept and a longer one refused", checkSizeLimit},
-	{"a value cut anywhere is torn", checkTruncation},
-	{"what is not ours, or another version's, is told apart", checkForeign},
-	{"a full place leaves the old value", checkFullDisk},
-	{"of two writers of a name one wins, whole", checkConcurrentWriters},
+	{"a name that was never written does not exist", checkAbsent},
+	{"a written value is read, also by a later store", checkPersistence},
+	{"callers own their buffers", checkBufferOwnership},
+	{"names are distinct and plain", checkNames},
+	{"the largest value is stored and a longer one rejected", checkSizeLimit},
+	{"a value truncated anywhere is torn", checkTruncation},
+	{"foreign data and other versions are distinguished", checkForeign},
+	{"a full disk leaves the old value", checkFullDisk},
+	{"of two writers of a name one wins whole", checkConcurrentWriters},
 	{"a crash leaves the old or the new value", checkCrash},
 }
 
-// judgeStore has a kind of store judged by every clause, each in a place of its own.
+// checkStore checks an implementation against every clause, each in a place of its own.
 func checkStore(t *testing.T, place func(*testing.T) Place) {
 	for _, c := range Clauses {
 		t.Run(c.Name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 		return err
 	}
 	if string(got) != "value" {
-		return fmt.Errorf("the writer's bytes were kept: %q", got)
+		return fmt.Errorf("the store kept the writer's buffer: %q", got)
 	}
 	got[0] = 'Y'
 	return expectValue(s, "a", "value")
@@ -123,10 +123,10 @@
 	}
 	for _, n := range []string{"", ".", "..", "../a", "a/b", "/a", "a\x00"} {
 		if err := s.Write(n, []byte("x")); !errors.Is(err, durable.ErrInvalidName) {
-			return fmt.Errorf("the name %q: %v", n, err)
+			return fmt.Errorf("writing the name %q returned %v", n, err)
 		}
 		if _, err := s.Read(n); !errors.Is(err, durable.ErrInvalidName) {
-			return fmt.Errorf("the name %q is read: %v", n, err)
+			return fmt.Errorf("reading the name %q returned %v", n, err)
 		}
 	}
 	return nil
@@ -138,7 +138,7 @@
 		return err
 	}
 	if err := s.Write("a", append(most, 'm')); !errors.Is(err, durable.ErrTooLong) {
-		return fmt.Errorf("a value over the bound: %v", err)
+		return fmt.Errorf("a value over the limit: %v", err)
 	}
 	return expectValue(s, "a", string(most))
 }
@@ -154,10 +154,10 @@
 			return err
 		}
 		if got, err := p.Open().Read("a"); !errors.Is(err, durable.ErrTorn) {
-			return fmt.Errorf("cut at %d of %d: read %q, %v", n, size, got, err)
+			return fmt.Errorf("truncated at %d of %d: read %q, %v", n, size, got, err)
 		}
 	}
-	if err := p.Open().Write("a", []byte("new")); err != nil { // what is torn is no reason to keep nothing
+	if err := p.Open().Write("a", []byte("new")); err != nil { // a torn value must not prevent writes
 		return err
 	}
 	return expectValue(p.Open(), "a", "new")
@@ -168,7 +168,7 @@
 		durable.ErrForeign: func(b []byte) []byte { b[0]++; return b },
 		durable.ErrVersion: func(b []byte) []byte { b[7]++; return b },
 		durable.ErrTorn:    func(b []byte) []byte { b[len(b)-1]++; return b },
-	} { // the frame: seven bytes of magic, one of version
+	} { // the header starts with seven bytes of magic and one of version
 		if err := p.Open().Write("a", []byte("value")); err != nil {
 			return err
 		}
@@ -192,10 +192,10 @@
 	}
 	p.Fill()
 	if err := s.Write("a", []byte("the new value")); err == nil {
-		return errors.New("a write to a full place succeeds")
+		return errors.New("a write to a full disk succeeds")
 	}
 	if err := s.Write("b", []byte("x")); err == nil {
-		return errors.New("a first write to a full place succeeds")
+		return errors.New("a first write to a full disk succeeds")
 	}
 	if _, err := s.Read("b"); !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("after a failed first write: %v", err)
@@ -220,7 +220,7 @@
 					errs <- err
 				}
 				if got, err := s.Read("a"); err != nil || !values[string(got)] {
-					errs <- fmt.Errorf("read %d bytes, %v while others write", len(got), err)
+					errs <- fmt.Errorf("read %d bytes, %v during concurrent writes", len(got), err)
 				}
 			}
 		}()
@@ -247,7 +247,7 @@
 			return fmt.Errorf("after a crash: %w", err)
 		}
 		if !bytes.Equal(got, values[0]) && !bytes.Equal(got, values[1]) {
-			return fmt.Errorf("after a crash neither value is there: %d bytes", len(got))
+			return fmt.Errorf("after a crash neither value was read: %d bytes", len(got))
 		}
 	}
 	return nil
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,7 +1,7 @@
-// Package durable keeps one value in a file through crashes: it is either the old one or
-// the new one, whole, or it is refused. The frame, a header of magic, version, length and
-// checksum before the bytes, also serves values that go from process to process. It must not
-// know what a value holds.
+// Package durable stores one value in a file so that it survives crashes: a reader gets the old
+// value or the new one, whole, or an error. The frame is a header of magic, version, length and
+// checksum in front of the value. It also serves for values sent between processes. The package
+// must not know what a value contains.
 package durable
 
 import (
@@ -16,10 +16,10 @@
 )
 
 const (
-	// Version names the form of what is framed. Another's is not read.
+	// Version is the version of the frame. Frames of other versions are rejected.
 	Version = 1
 	magic   = "oakseam"
-	// MaxValueSize bounds a value, so that what reads one needs bounded memory.
+	// MaxValueSize is the maximum size of a value in bytes. It bounds a reader's memory.
 	MaxValueSize = 4 << 20
 )
 
@@ -30,11 +30,10 @@
 	Sum     uint32
 }
 
-// HeaderSize is how many bytes stand before a value.
+// HeaderSize is the size of the header in bytes.
 var HeaderSize = binary.Size(header{})
 
-// What a frame is refused for. Each error that Unframe returns is one of these, with more
-// said.
+// The reasons to reject a frame. Each error that Unframe returns wraps one of these.
 var (
 	ErrForeign = errors.New("not of this program")
 	ErrVersion = errors.New("of another version")
@@ -42,7 +41,7 @@
 	ErrTooLong = errors.New("too long")
 )
 
-// Frame puts a value's header before it.
+// Frame returns the header and the value.
 func Frame(value []byte) ([]byte, error) {
 	if len(value) > MaxValueSize {
 		return nil, fmt.Errorf("%w: %d bytes", ErrTooLong, len(value))
@@ -53,7 +52,7 @@
 	return append(text, value...), err
 }
 
-// Unframe reads the value behind a header that has been read.
+// Unframe reads the value that follows a header.
 func Unframe(head []byte, in io.Reader) ([]byte, error) {
 	var h header
 	if _, err := binary.Decode(head, binary.BigEndian, &h); err != nil {
@@ -77,13 +76,13 @@
 	return value, nil
 }
 
-// BaseName is the name, but for its ending, of what the node that listens at an address keeps
-// in a folder: nodes that share one have each their own.
+// BaseName returns the file name, without extension, for what the node that listens at an
+// address stores in a directory. Nodes that share the directory get different names.
 func BaseName(listen string) string {
 	return "oakseam-" + strings.NewReplacer("/", "_", ":", "-", "%", "_").Replace(listen)
 }
 
-// Write replaces the file of a name by a value. Where it fails, the old file stands.
+// Write atomically replaces the value in a file. If it fails, the old value stays.
 func Write(name string, value []byte) (err error) {
 	text, err := Frame(value)
 	if err != nil {
@@ -91,7 +90,7 @@
 	}
 	dir, base := filepath.Split(name)
 	if dir == "" {
-		dir = "." // not the system's folder for temporary files: a rename stays on one disk
+		dir = "." // not the system's temporary directory: a rename must stay on one file system
 	}
 	f, err := os.CreateTemp(dir, base+".new-*")
 	if err != nil {
@@ -116,10 +115,10 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close()) // the new name is on disk too
+	return errors.Join(d.Sync(), d.Close()) // makes the rename durable
 }
 
-// Read returns the value in the file of a name; os.ErrNotExist where there is none.
+// Read returns the value in a file, or os.ErrNotExist where there is none.
 func Read(name string) ([]byte, error) {
 	f, err := os.Open(name)
 	if err != nil {
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A file holds the old value or the new one; one cut anywhere is refused as torn; a write
-// that fails leaves the old one and nothing beside it.
+// Guards against partial values: a file holds the old or the new value, a file truncated
+// anywhere is rejected as torn, and a failed write leaves the old value and no temporary file.
 func TestFileIsWholeOrRejected(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "value")
 	_, err := Read(name)
@@ -24,16 +24,16 @@
 	assert.ErrorIs(t, Write(name, make([]byte, MaxValueSize+1)), ErrTooLong)
 	blocked := filepath.Join(filepath.Dir(name), "folder")
 	require.NoError(t, os.MkdirAll(filepath.Join(blocked, "in the way"), 0o700))
-	assert.Error(t, Write(blocked, []byte("x")), "the rename fails")
+	assert.Error(t, Write(blocked, []byte("x")), "the rename must fail")
 	left, err := os.ReadDir(filepath.Dir(name))
 	require.NoError(t, err)
-	assert.Len(t, left, 2, "nothing is left beside them")
+	assert.Len(t, left, 2, "a temporary file is left")
 	whole, err := os.ReadFile(name)
 	require.NoError(t, err)
 	for n := range whole {
 		require.NoError(t, os.WriteFile(name, whole[:n], 0o600))
 		_, err := Read(name)
-		assert.ErrorIs(t, err, ErrTorn, "cut at %d", n)
+		assert.ErrorIs(t, err, ErrTorn, "truncated at %d", n)
 	}
 }
 
@@ -56,7 +56,7 @@
 	assert.Equal(t, "state", string(state))
 }
 
-// FuzzUnframe: whatever a link or a file brings, a value is read whole or not at all.
+// FuzzUnframe checks that a value is read whole or not at all, whatever the input.
 func FuzzUnframe(f *testing.F) {
 	whole, _ := Frame([]byte("state"))
 	f.Add(whole)
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -10,22 +10,23 @@
 	"sync"
 )
 
-// Store keeps values by name through crashes. It may be used from several goroutines, and a
-// folder's by several processes. What every Store promises is judged by the clauses of contract_test.go.
+// Store keeps values by name across crashes. It is safe for concurrent use, and a directory
+// also for use by several processes. contract_test.go checks every promise made here.
 type Store interface {
-	// Write replaces the value of a name. Once it has returned without an error, Read
-	// returns this value, also after a crash; where it fails or is cut off at any moment,
-	// Read returns the value before or this one, whole. Of two writers of one name one
-	// wins, whole. The value is not kept: the caller may change it afterwards. One of more
-	// than Most bytes is refused with ErrLong, a name that is no plain file name with ErrName.
+	// Write replaces the value of a name. After it has returned without an error, Read
+	// returns this value, also after a crash. If it fails or is interrupted at any moment,
+	// Read returns the previous value or this one, whole. Of two concurrent writers of one
+	// name one wins, whole. The caller may change the value afterwards. More than
+	// MaxValueSize bytes return ErrTooLong, a name that is not a plain file name returns
+	// ErrInvalidName.
 	Write(name string, value []byte) error
-	// Read returns the value of a name, the caller's to change: fs.ErrNotExist where there
-	// is none, ErrTorn, ErrForeign or ErrVersion where what is there can't be trusted.
+	// Read returns the value of a name, owned by the caller: fs.ErrNotExist where there is
+	// none; ErrTorn, ErrForeign or ErrVersion where the stored bytes are not valid.
 	Read(name string) ([]byte, error)
 }
 
-// ErrInvalidName refuses a name under which nothing is kept.
-var ErrInvalidName = errors.New("no plain name")
+// ErrInvalidName is returned for a name that is not a plain file name.
+var ErrInvalidName = errors.New("not a plain file name")
 
 func checkName(name string) error {
 	if !fs.ValidPath(name) || name == "." || strings.ContainsAny(name, "/\\\x00") {
@@ -34,7 +35,7 @@
 	return nil
 }
 
-// Directory is the Store on disk: a file a name.
+// Directory is the Store on disk, with one file per name.
 type Directory string
 
 // Write implements Store.
@@ -53,26 +54,26 @@
 	return Read(filepath.Join(string(f), name))
 }
 
-// MemoryStore is a Store for tests and for the emulator: its "crash" is one of the emulated node,
-// which the values outlive. The zero value is empty.
+// MemoryStore is a Store for tests and for the emulator, in which a node's values survive its
+// simulated crash. The zero value is empty.
 type MemoryStore struct {
 	mu        sync.Mutex
-	disk      map[string][]byte // framed, as a file would hold them
-	freeSpace int               // bytes that the disk takes yet, where limited
+	disk      map[string][]byte // framed, as a file would contain them
+	freeSpace int               // bytes, if limited
 	limited   bool
 }
 
-// ErrFull is the error of a disk that takes no more.
+// ErrFull is returned when the simulated disk is full.
 var ErrFull = errors.New("no space left")
 
-// SetFreeSpace leaves room for so many bytes more; below 0, any number.
+// SetFreeSpace limits the bytes of further writes. A negative value removes the limit.
 func (m *MemoryStore) SetFreeSpace(freeSpace int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.freeSpace, m.limited = freeSpace, freeSpace >= 0
 }
 
-// Corrupt changes what the disk holds under a name, as a fault would.
+// Corrupt changes the stored bytes of a name, as a disk fault would.
 func (m *MemoryStore) Corrupt(name string, change func([]byte) []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -20,7 +20,7 @@
 	"pipitmux/internal/durable"
 )
 
-// TestMain lets the test program be the process that is killed as it writes.
+// TestMain lets the test program also be the writer process that is killed.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("DURABLE_WRITE_TO"); dir != "" {
 		for i := 0; ; i++ {
@@ -38,7 +38,7 @@
 	os.Exit(m.Run())
 }
 
-// kill starts a process that writes without end, and kills it after some of its writes.
+// runAndKillWriter starts a process that writes in a loop, and kills it after some writes.
 func runAndKillWriter(dir string, after int) error {
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), "DURABLE_WRITE_TO="+dir)
@@ -52,7 +52,7 @@
 	in := bufio.NewScanner(out)
 	for range after {
 		if !in.Scan() {
-			return errors.Join(errors.New("the writer ended by itself"), c.Wait())
+			return errors.Join(errors.New("the writer exited by itself"), c.Wait())
 		}
 	}
 	c.Process.Signal(syscall.SIGKILL)
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// fill has files of this process end at a few bytes, as on a disk that is full; the log that
-// go test has a test program write is such a file too.
+// limitFileSize limits the files of this process to a few bytes, as a full disk would. The log
+// that go test makes a test program write is also such a file.
 func limitFileSize(t *testing.T) {
 	signal.Ignore(syscall.SIGXFSZ)
 	var was syscall.Rlimit
@@ -70,14 +70,14 @@
 	require.NoError(t, syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: 4, Max: was.Max}))
 }
 
-// The folder is judged by a process of its own, which writes no file but the folder's.
-func TestStoreContractFolder(t *testing.T) {
+// The directory is tested in a process of its own that writes no other files.
+func TestStoreContractDirectory(t *testing.T) {
 	if os.Getenv("DURABLE_JUDGE") == "" {
-		c := exec.Command(os.Args[0], "-test.run=^TestStoreContractFolder$", "-test.v")
+		c := exec.Command(os.Args[0], "-test.run=^TestStoreContractDirectory$", "-test.v")
 		c.Env = append(os.Environ(), "DURABLE_JUDGE=folder")
 		out, err := c.CombinedOutput()
 		require.NoError(t, err, "%s", out)
-		require.Contains(t, string(out), "PASS: TestStoreContractFolder/a_full_place")
+		require.Contains(t, string(out), "PASS: TestStoreContractDirectory/a_full_disk")
 		return
 	}
 	checkStore(t, func(t *testing.T) Place {
@@ -99,7 +99,7 @@
 
 func memory(*testing.T) Place { return memoryPlace(&durable.MemoryStore{}, nil) }
 
-// placeOf is a place in memory whose stores may be wrapped, rightly or wrongly.
+// memoryPlace returns a place in memory whose stores may be wrapped, correctly or wrongly.
 func memoryPlace(m *durable.MemoryStore, wrap func(*durable.MemoryStore) durable.Store) Place {
 	return Place{
 		Open: func() durable.Store {
@@ -136,8 +136,8 @@
 	return w.MemoryStore.Read(name)
 }
 
-// Each clause bites: a store that breaks its promise fails it, and no other clause but those
-// named.
+// Guards against clauses that check nothing: a store that breaks a promise must fail its clause
+// and no clauses but those listed.
 func TestStoreContractDetectsViolations(t *testing.T) {
 	var mu sync.Mutex
 	var last []byte
@@ -145,7 +145,7 @@
 		w     wrong
 		place func(Place) Place
 		fails []string
-		more  bool // other clauses may fail with it
+		more  bool // other clauses may fail as well
 	}{
 		"invents a value": {w: wrong{read: func(m *durable.MemoryStore, n string) ([]byte, error) {
 			v, err := m.Read(n)
@@ -153,10 +153,10 @@
 				return nil, nil
 			}
 			return v, err
-		}}, fails: []string{"a name never written does not exist", "a full place leaves the old value"}},
-		"keeps values in the process": {place: func(p Place) Place {
+		}}, fails: []string{"a name that was never written does not exist", "a full disk leaves the old value"}},
+		"keeps values only in the process": {place: func(p Place) Place {
 			first := p.Open()
-			var opened atomic.Int32 // writers open their stores at once
+			var opened atomic.Int32 // writers open their stores concurrently
 			p.Open = func() durable.Store {
 				if opened.Add(1) == 1 {
 					return first
@@ -164,8 +164,8 @@
 				return &durable.MemoryStore{}
 			}
 			return p
-		}, fails: []string{"what was written is read, by a later store too"}, more: true},
-		"hands out its own bytes": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
+		}, fails: []string{"a written value is read, also by a later store"}, more: true},
+		"returns its own buffer": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
 			mu.Lock()
 			defer mu.Unlock()
 			last = v
@@ -178,43 +178,43 @@
 				return last, nil
 			}
 			return got, err
-		}}, fails: []string{"a value belongs to its caller"}},
+		}}, fails: []string{"callers own their buffers"}},
 		"folds case": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
 			if n == "A" {
 				n = "a"
 			}
 			return m.Write(n, v)
-		}}, fails: []string{"names are apart, and plain"}},
-		"cuts what is long": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
+		}}, fails: []string{"names are distinct and plain"}},
+		"truncates long values": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
 			return m.Write(n, v[:min(len(v), durable.MaxValueSize)])
-		}}, fails: []string{"the largest value is kept and a longer one refused"}},
-		"trusts what is torn": {w: wrong{read: func(m *durable.MemoryStore, n string) ([]byte, error) {
+		}}, fails: []string{"the largest value is stored and a longer one rejected"}},
+		"accepts torn values": {w: wrong{read: func(m *durable.MemoryStore, n string) ([]byte, error) {
 			v, err := m.Read(n)
 			if errors.Is(err, durable.ErrTorn) {
 				return []byte("a val"), nil
 			}
 			return v, err
-		}}, fails: []string{"a value cut anywhere is torn", "what is not ours, or another version's, is told apart"}},
+		}}, fails: []string{"a value truncated anywhere is torn", "foreign data and other versions are distinguished"}},
 		"reads other versions": {w: wrong{read: func(m *durable.MemoryStore, n string) ([]byte, error) {
 			v, err := m.Read(n)
 			if errors.Is(err, durable.ErrVersion) {
 				return []byte("value"), nil
 			}
 			return v, err
-		}}, fails: []string{"what is not ours, or another version's, is told apart"}},
-		"loses the old value on a full place": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
+		}}, fails: []string{"foreign data and other versions are distinguished"}},
+		"loses the old value on a full disk": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
 			err := m.Write(n, v)
 			if errors.Is(err, durable.ErrFull) {
 				m.Corrupt(n, func([]byte) []byte { return nil })
 			}
 			return err
-		}}, fails: []string{"a full place leaves the old value"}},
+		}}, fails: []string{"a full disk leaves the old value"}},
 		"mixes two writers": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
 			if len(v) == 20003 {
 				v = append(v[:1:1], make([]byte, 20000)...)
 			}
 			return m.Write(n, v)
-		}}, fails: []string{"of two writers of a name one wins, whole"}},
+		}}, fails: []string{"of two writers of a name one wins whole"}},
 		"is torn by a crash": {place: func(p Place) Place {
 			p.Crash = func(n string, _ [][]byte) error {
 				return p.Corrupt(n, func(b []byte) []byte { return b[:len(b)/2] })
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -1,5 +1,5 @@
-// Package figures keeps what a node tells its operators of its work, and gives each
-// figure the name that they know it by. It must not know who counts or who asks.
+// Package figures holds the counters and gauges that a node reports to its operators, under the
+// names that they use. It must not know who counts or who reads.
 package figures
 
 import (
@@ -11,7 +11,7 @@
 // Outcome is how a request ended.
 type Outcome uint8
 
-// The ends of a request.
+// The outcomes of a request.
 const (
 	Served Outcome = iota
 	Rejected
@@ -19,20 +19,20 @@
 	outcomeCount
 )
 
-// prefix and the names below are the operators'. They stand here only.
+// prefix and the names below are the operators' names. They appear only in this file.
 const prefix = "svc."
 
 var outcomeNames = [outcomeCount]string{"fulfilled", "throttled", "faulted"}
 
-// BackendCounts is what the node knows of the list of backends.
+// BackendCounts are the numbers of backends that the node knows.
 type BackendCounts struct {
-	Listed        int // backends in the list
-	OutOfRotation int // of these, the node sends nothing to now
+	Listed        int // in the registry's list
+	OutOfRotation int // of these, backends to which the node sends nothing now
 }
 
-// Set holds a process's figures, from its start. It is safe for concurrent use.
+// Set holds the figures of a process since its start. It is safe for concurrent use.
 type Set struct {
-	classes      []string // in the order of the settings
+	classes      []string // in the order of the configuration
 	index        map[string]int
 	outcomes     [][outcomeCount]atomic.Uint64
 	attempts     atomic.Uint64
@@ -40,7 +40,7 @@
 	backends     atomic.Pointer[BackendCounts]
 }
 
-// New returns a Set in which each class stands at 0.
+// New returns a Set in which all counts are 0.
 func New(classes []string) *Set {
 	s := &Set{classes: classes, index: map[string]int{}, outcomes: make([][outcomeCount]atomic.Uint64, len(classes))}
 	for i, c := range classes {
@@ -50,24 +50,24 @@
 	return s
 }
 
-// CountRequest counts a request of a class whose last byte is written.
+// CountRequest counts a request of a class after its last byte was written.
 func (s *Set) CountRequest(class string, k Outcome) {
 	if i, ok := s.index[class]; ok {
 		s.outcomes[i][k].Add(1)
 	}
 }
 
-// CountAttempt counts an attempt whose last byte is written to a backend.
+// CountAttempt counts an attempt after its last byte was written to a backend.
 func (s *Set) CountAttempt() { s.attempts.Add(1) }
 
-// AddOpen counts a request that is taken, with 1, and at its end with -1. It returns how
-// many are open.
+// AddOpen adds 1 to the number of open requests when one is accepted, and -1 at its end. It
+// returns the new number.
 func (s *Set) AddOpen(by int64) int64 { return s.openRequests.Add(by) }
 
-// SetBackendCounts publishes what is known of the list.
+// SetBackendCounts replaces the backend counts.
 func (s *Set) SetBackendCounts(r BackendCounts) { s.backends.Store(&r) }
 
-// Print writes a line a figure.
+// Print writes one line per figure.
 func (s *Set) Print(w io.Writer) {
 	for i, c := range s.classes {
 		for k, name := range outcomeNames {
--- a/internal/gossip/engine_test.go
+++ b/internal/gossip/engine_test.go
@@ -264,8 +264,8 @@
 	assert.Len(t, engine.partials, maxPartials)
 }
 
-// FuzzHeard checks that no datagram harms its receiver, and that what it sends next is valid.
-func FuzzHeard(f *testing.F) {
+// FuzzHandleDatagram checks that no datagram harms its receiver, and that what it sends next is valid.
+func FuzzHandleDatagram(f *testing.F) {
 	a := NewEngine("a", 1, 1e6)
 	a.Publish(1, []byte("short"))
 	a.Publish(2, make([]byte, 600))
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,7 +1,7 @@
-// Package handover passes a node's place from one process to its successor over a
-// Unix socket in a folder that both see: the listening socket, and a state that is
-// bytes to it. The link's end tells each that the other has gone. It must not know
-// what a state holds, nor what a node does with its place.
+// Package handover transfers the listening socket and the state of a running process to its
+// successor, over a Unix socket in a directory that both can access. The state is opaque bytes
+// to it. The end of the connection tells each side that the other has exited. The package must
+// not know what a state contains, nor what a node does with the socket.
 package handover
 
 import (
@@ -21,19 +21,19 @@
 )
 
 const (
-	// maxPath is the most that a Unix socket's address holds.
+	// maxSocketPath is the maximum length of a Unix socket's address.
 	maxSocketPath = 104
-	// speakWithin is how long either side may take for its part of the start.
+	// handshakeTimeout is how long either side may take for its part of the handshake.
 	handshakeTimeout = 2 * time.Second
 	readyByte        = 'R'
 )
 
-// ErrNoPredecessor tells that there is no process to take over from.
-var ErrNoPredecessor = errors.New("handover: nobody to take over from")
+// ErrNoPredecessor is returned when there is no process to take over from.
+var ErrNoPredecessor = errors.New("handover: no process to take over from")
 
-// path is where the process that listens at an address waits for its successor. Where
-// dir is too long for a socket's address, it is reached by an open descriptor of it;
-// done closes that.
+// socketPath returns the path of the socket on which the process that listens at an address
+// waits for its successor. Where dir is too long for a socket's address, the path goes through
+// an open descriptor of dir, which closeDir closes.
 func socketPath(dir, listen string) (name string, closeDir func(), err error) {
 	base := durable.BaseName(listen) + ".sock"
 	name = filepath.Join(dir, base)
@@ -47,16 +47,16 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", f.Fd(), base), func() { f.Close() }, nil
 }
 
-// Takeover is the place of another process.
+// Takeover is the socket and state taken over from another process.
 type Takeover struct {
-	Listener *net.TCPListener // the same queue of connections as the predecessor's
+	Listener *net.TCPListener // shares the accept queue with the predecessor's
 	State    []byte
 	conn     *net.UnixConn
 	exited   chan struct{}
 }
 
-// TakeOver asks the process that listens at an address for its place. It returns
-// ErrNobody where there is none, and another error where one is not to be had.
+// TakeOver asks the process that listens at an address for its socket and state. It returns
+// ErrNoPredecessor where there is none, and another error where the handover fails.
 func TakeOver(dir, listen string) (*Takeover, error) {
 	name, closeDir, err := socketPath(dir, listen)
 	if err != nil {
@@ -65,7 +65,7 @@
 	defer closeDir()
 	c, err := net.DialTimeout("unix", name, handshakeTimeout)
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, ErrNoPredecessor // a dead one's leavings are none
+		return nil, ErrNoPredecessor // no socket, or one left by a dead process
 	}
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -82,7 +82,7 @@
 	return t, nil
 }
 
-// receive reads what the predecessor hands over. The socket comes with the header.
+// receive reads the predecessor's state. The socket arrives with the header.
 func (t *Takeover) receive() error {
 	t.conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	head, rights := make([]byte, durable.HeaderSize), make([]byte, syscall.CmsgSpace(4))
@@ -109,45 +109,45 @@
 	tl, ok := l.(*net.TCPListener)
 	if !ok {
 		l.Close()
-		return errors.New("what was handed over is no listener for TCP")
+		return errors.New("the received socket is not a TCP listener")
 	}
 	t.Listener = tl
 	return t.conn.SetDeadline(time.Time{})
 }
 
-// descriptor returns the one descriptor that came.
+// receivedDescriptor returns the descriptor in a control message, which must be the only one.
 func receivedDescriptor(rights []byte) (int, error) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil || len(messages) != 1 {
-		return 0, errors.New("no socket came")
+		return 0, errors.New("received no socket")
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return 0, errors.New("no socket came")
+		return 0, errors.New("received no socket")
 	}
 	syscall.CloseOnExec(fds[0])
 	return fds[0], nil
 }
 
-// SignalReady tells the predecessor that its successor serves.
+// SignalReady tells the predecessor that this process serves.
 func (t *Takeover) SignalReady() error {
 	_, err := t.conn.Write([]byte{readyByte})
 	return err
 }
 
-// Abort ends the link: the predecessor goes on as if nothing had been.
+// Abort closes the connection: the predecessor continues as before.
 func (t *Takeover) Abort() { t.conn.Close() }
 
-// PredecessorExited is closed when the predecessor has ended.
+// PredecessorExited returns a channel that is closed when the predecessor has exited.
 func (t *Takeover) PredecessorExited() <-chan struct{} { return t.exited }
 
-// SuccessorObserver is told of a successor. One is there at a time.
+// SuccessorObserver receives the events of a successor. There is one successor at a time.
 type SuccessorObserver interface {
-	// SuccessorStarted: a process has been handed the place, and gets ready.
+	// SuccessorStarted is called when a process has received the socket and the state.
 	SuccessorStarted()
-	// SuccessorReady: it serves.
+	// SuccessorReady is called when that process serves.
 	SuccessorReady()
-	// SuccessorExited: it has ended.
+	// SuccessorExited is called when that process has exited or given up.
 	SuccessorExited()
 }
 
@@ -165,11 +165,11 @@
 	hasSuccessor bool
 }
 
-// ErrAlreadyOffered tells that another process waits for a successor at the same place.
+// ErrAlreadyOffered is returned when another process waits for a successor at the same address.
 var ErrAlreadyOffered = errors.New("handover: another process waits for a successor here")
 
-// NewOffer offers the place of the process that listens with l until Close. A socket that
-// a dead process left is replaced: who holds the lock beside it is the one that waits.
+// NewOffer offers the listener l and the state to successors until Close. The lock file shows
+// which process waits; a socket left by a dead process is replaced.
 func NewOffer(dir, listen string, l *net.TCPListener, state func() ([]byte, error), observer SuccessorObserver, log *slog.Logger) (*Offer, error) {
 	name, closeDir, err := socketPath(dir, listen)
 	if err != nil {
@@ -197,9 +197,9 @@
 	return o, nil
 }
 
-// Close ends the offer.
+// Close stops waiting for successors.
 func (o *Offer) Close() {
-	o.socket.Close() // it also removes the socket
+	o.socket.Close() // also removes the socket file
 	o.lock.Close()
 	o.closeDir()
 }
@@ -226,7 +226,7 @@
 	}
 }
 
-// hand hands the place over on a link, and follows it to its end.
+// handOver sends the socket and the state on a connection, and follows it until it closes.
 func (o *Offer) handOver(c *net.UnixConn) {
 	defer func() {
 		c.Close()
@@ -236,7 +236,7 @@
 	}()
 	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	if err := o.sendState(c); err != nil {
-		o.log.Warn("handover: not handed over", logging.Cause, err)
+		o.log.Warn("handover: sending the state failed", logging.Cause, err)
 		return
 	}
 	o.observer.SuccessorStarted()
@@ -266,8 +266,8 @@
 	if err != nil {
 		return err
 	}
-	// The descriptor is used in place: asked for as a file it would leave its non-blocking
-	// mode, which the two processes share.
+	// The descriptor is used in place: File would switch it to blocking mode, which the two
+	// processes share.
 	var sent error
 	n := 0
 	err = raw.Control(func(fd uintptr) {
@@ -280,7 +280,7 @@
 	return err
 }
 
-// AddressInUse tells whether a process listens at the address.
+// AddressInUse reports whether a process listens at the address.
 func AddressInUse(listen string) bool {
 	l, err := net.Listen("tcp", listen)
 	if err == nil {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -14,7 +14,7 @@
 	"pipitmux/internal/durable"
 )
 
-// heir notes what it is told.
+// recorder records the events of a successor.
 type recorder chan string
 
 func (h recorder) SuccessorStarted() { h <- "began" }
@@ -27,7 +27,7 @@
 	case got := <-h:
 		assert.Equal(t, want, got)
 	case <-time.After(20 * time.Second):
-		require.Fail(t, "not told "+want)
+		require.Fail(t, "no event "+want)
 	}
 }
 
@@ -41,8 +41,8 @@
 	return o, l, h
 }
 
-// The successor has the very queue of its predecessor: what waited there when that
-// one closed is not reset.
+// Guards against connections that are reset when the predecessor closes its listener: the
+// successor must have the same accept queue.
 func TestQueuedConnectionsSurviveHandover(t *testing.T) {
 	for _, dir := range []string{t.TempDir(), t.TempDir() + "/" + strings.Repeat("long/", 25)} {
 		require.NoError(t, os.MkdirAll(dir, 0o700))
@@ -81,7 +81,7 @@
 	assert.ErrorIs(t, err, ErrAlreadyOffered)
 	o.Close()
 
-	// A dead one's leavings: its socket is there, and nobody behind it.
+	// A dead process left its socket file.
 	name, _, err := socketPath(dir, "here:1")
 	require.NoError(t, err)
 	dead, err := net.ListenUnix("unix", &net.UnixAddr{Name: name, Net: "unix"})
@@ -97,7 +97,7 @@
 	takeover.Listener.Close()
 	takeover.Abort()
 
-	// One that hands over no socket.
+	// A process that sends no socket.
 	odd, err := net.ListenUnix("unix", &net.UnixAddr{Name: name, Net: "unix"})
 	require.NoError(t, err)
 	defer odd.Close()
@@ -108,5 +108,5 @@
 		}
 	}()
 	_, err = TakeOver(dir, "here:1")
-	assert.ErrorContains(t, err, "no socket came")
+	assert.ErrorContains(t, err, "received no socket")
 }
--- a/internal/handover/listen_linux.go
+++ b/internal/handover/listen_linux.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen opens the listener for clients, beside those that other processes opened at the
-// address in the same way.
+// Listen opens the listener for clients with SO_REUSEPORT, next to those that other processes
+// opened at the address in the same way.
 func Listen(listen string) (*net.TCPListener, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var set error
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -1,5 +1,4 @@
-// Package latency sums histograms of latencies up, for the emulator and the load
-// tool alike.
+// Package latency summarizes latency histograms for the emulator and the load tool.
 package latency
 
 import "github.com/HdrHistogram/hdrhistogram-go"
@@ -13,7 +12,7 @@
 	Max  float64 `json:"max"`
 }
 
-// FromHistogram returns the quantiles of a histogram in microseconds.
+// FromHistogram returns the quantiles of a histogram whose values are in microseconds.
 func FromHistogram(h *hdrhistogram.Histogram) Quantiles {
 	q := func(p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1000 }
 	return Quantiles{q(50), q(90), q(99), q(99.9), q(100)}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,7 +1,7 @@
-// Package lifecycle decides how a node comes and goes: whether it is ready, when
-// answers end their client sessions, which of the idle ones end now, and whether a
-// request that comes late is still taken. It is pure: the clock is handed in, and it
-// must not know of sockets, signals or consoles.
+// Package lifecycle decides how a process starts, drains and stops: whether it is ready, when
+// responses close their client sessions, how many idle sessions to close now, and whether a
+// late request is still accepted. It is pure: the time is passed in. It must not know sockets,
+// signals or the console.
 package lifecycle
 
 import (
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// Phase is where a node stands.
+// Phase is a phase of the life cycle.
 type Phase uint8
 
-// The phases of a node.
+// The phases of a process.
 const (
-	Starting Phase = iota // knows too little to serve
+	Starting Phase = iota // does not know enough to serve
 	Serving
-	Draining // told to send its clients away; may be told to take them again
-	Stopping // told to end
+	Draining // moves its clients elsewhere; may be resumed
+	Stopping // has been told to exit
 )
 
 var phaseNames = [...]string{"starting", "serving", "draining", "stopping"}
 
-// String gives the phase's name.
+// String returns the name of the phase.
 func (p Phase) String() string { return phaseNames[p] }
 
-// ErrStopping tells that a node that ends can't be told anything else.
+// ErrStopping is returned for calls to a process that is stopping.
 var ErrStopping = errors.New("the node is stopping")
 
 // StateMachine is the life cycle of one process. It is not safe for concurrent use.
@@ -33,21 +33,21 @@
 	timing          Timing
 	phase           Phase
 	phaseStart      time.Time
-	idleClosedUntil time.Time // up to which idle sessions have been ended
-	started         bool      // it has served, or would but for a drain
+	idleClosedUntil time.Time // time up to which idle sessions have been closed
+	started         bool      // serves, or would serve but for a drain
 }
 
 // New returns the life cycle of a process that starts.
 func New(timing Timing) *StateMachine { return &StateMachine{timing: timing} }
 
-// Phase returns where the node stands.
+// Phase returns the current phase.
 func (n *StateMachine) Phase() Phase { return n.phase }
 
 func (n *StateMachine) setPhase(p Phase, now time.Time) {
 	n.phase, n.phaseStart, n.idleClosedUntil = p, now, now
 }
 
-// StartServing ends the start. A node that was told to drain meanwhile goes on draining.
+// StartServing ends the start. A process told to drain before that stays draining.
 func (n *StateMachine) StartServing(now time.Time) {
 	n.started = true
 	if n.phase == Starting {
@@ -55,7 +55,7 @@
 	}
 }
 
-// Drain has clients sent away. Told again, it goes on from the first call.
+// Drain starts moving clients elsewhere. A second call does not restart the schedule.
 func (n *StateMachine) Drain(now time.Time) error {
 	switch n.phase {
 	case Stopping:
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// Resume has clients taken again. Without a drain it changes nothing.
+// Resume ends a drain. Without a drain it changes nothing.
 func (n *StateMachine) Resume(now time.Time) error {
 	switch {
 	case n.phase == Stopping:
@@ -80,17 +80,17 @@
 	return nil
 }
 
-// Stop has the node end, whatever it was told before.
+// Stop enters the last phase, whatever the current one is.
 func (n *StateMachine) Stop(now time.Time) {
 	if n.phase != Stopping {
 		n.setPhase(Stopping, now)
 	}
 }
 
-// IsDraining tells whether the clients are sent away.
+// IsDraining reports whether clients are being moved elsewhere, to drain or to stop.
 func (n *StateMachine) IsDraining() bool { return n.phase >= Draining }
 
-// leave is how the clients are sent away in this phase.
+// schedule returns the drain schedule of the current phase.
 func (n *StateMachine) schedule() DrainSchedule {
 	if n.phase == Stopping {
 		return n.timing.Stop
@@ -98,19 +98,19 @@
 	return n.timing.Drain
 }
 
-// ClosesSession tells whether an answer that is given now ends its client session.
+// ClosesSession reports whether a response given now closes its client session.
 func (n *StateMachine) ClosesSession(now time.Time) bool {
 	return n.IsDraining() && now.Sub(n.phaseStart) >= n.schedule().CloseSessionsFrom
 }
 
-// AcceptsRequest tells whether a request that has come now is taken.
+// AcceptsRequest reports whether a request that arrives now is accepted.
 func (n *StateMachine) AcceptsRequest(now time.Time) bool {
 	acceptUntil := n.schedule().AcceptUntil
 	return !n.IsDraining() || acceptUntil == 0 || now.Sub(n.phaseStart) < acceptUntil
 }
 
-// IdleSessionsToClose returns how many of so many idle client sessions are to end now. Asked again
-// and again, it ends them in even steps.
+// IdleSessionsToClose returns how many of the idle client sessions to close now. Called
+// repeatedly, it spreads the closing evenly.
 func (n *StateMachine) IdleSessionsToClose(now time.Time, idle int) int {
 	if !n.IsDraining() {
 		return 0
@@ -128,7 +128,7 @@
 		return idle
 	}
 	due := int(int64(idle) * int64(now.Sub(n.idleClosedUntil)) / int64(end.Sub(n.idleClosedUntil)))
-	if due > 0 { // else the step grows until one is due
+	if due > 0 { // otherwise the interval grows until one is due
 		n.idleClosedUntil = now
 	}
 	return due
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the programs' loggers, and names the keys that their
-// lines share. It knows nothing of what is logged.
+// Package logging creates the programs' loggers and defines the keys that log lines share. It
+// must not know what is logged.
 package logging
 
 import (
@@ -7,16 +7,16 @@
 	"log/slog"
 )
 
-// The keys. A line about a request, a backend or an attempt names it by these, so
-// that all lines about one can be found.
+// The shared keys. Every line about a request, backend or attempt uses them, so that all lines
+// about one can be found.
 const (
-	Request = "req"     // the id of a request
-	Backend = "backend" // the id of a backend
-	Attempt = "attempt" // the number of an attempt of a request, from 0
-	Cause   = "cause"   // why, as an error or a word
+	Request = "req"     // id of a request
+	Backend = "backend" // id of a backend
+	Attempt = "attempt" // number of a request's attempt, from 0
+	Cause   = "cause"   // reason, as an error or a word
 )
 
-// Formats and Levels are what a configuration may name.
+// Formats and Levels are the values allowed in a configuration.
 var (
 	Formats = []string{"text", "json"}
 	Levels  = []string{"debug", "info", "warn", "error"}
@@ -24,8 +24,8 @@
 
 var levels = map[string]slog.Level{"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn, "error": slog.LevelError}
 
-// New returns a logger of a level and a format, which must be of Levels and
-// Formats; any other word stands for info and text.
+// New returns a logger with a level and a format of Levels and Formats. Other values mean info
+// and text.
 func New(w io.Writer, level, format string) *slog.Logger {
 	opt := &slog.HandlerOptions{Level: levels[level]}
 	if format == "json" {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -81,7 +81,7 @@
 	options       Options
 	rng           *rand.Rand
 	peers         map[ID]*peer
-	order         []ID // sorted IDs; all loops over the peers use this order
+	order         []ID // sorted IDs; Tick works through the peers in this order
 	probeQueue    []ID // nodes to probe in this round, taken from the end
 	deadQueue     []ID // the same for dead nodes
 	healthScore   int
@@ -89,14 +89,14 @@
 	pending       *probe                  // the probe in progress
 	relayed       map[uint32]relayedProbe // probes made on behalf of others, by this node's probe number
 	verifications map[uint32]*peer        // probes of suspected nodes, the latest of each
-	nextProbe     time.Duration
+	nextProbe     time.Duration           // when the next period starts
 }
 
 type peer struct {
 	id               ID
 	incarnation      uint32
 	state            State
-	since            time.Duration
+	since            time.Duration // when the state was entered
 	probeFailed      bool          // this node's own probe failed
 	announced        bool          // this node publishes its suspicion, because too few others did
 	suspectedBy      map[ID]uint32 // other nodes that suspect it, and at which incarnation
@@ -107,11 +107,13 @@
 }
 
 type probe struct {
-	number              uint32
-	to                  ID
-	requested, nacked   int
-	requestAt, deadline time.Duration // when indirect probes are requested, and when the probe has failed
-	resendAt            time.Duration // when the ping is repeated, because a single datagram may be lost
+	number    uint32
+	to        ID
+	requested int           // indirect probes
+	nacked    int           // helpers that answered with a Nack
+	requestAt time.Duration // when indirect probes are requested
+	deadline  time.Duration // when the probe has failed
+	resendAt  time.Duration // when the ping is repeated, because a single datagram may be lost
 }
 
 type relayedProbe struct {
--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -1,6 +1,6 @@
-// Package yamlfile reads YAML files strictly: each key must be one that the
-// target has, once, and each fault is told with file, line, key and what is
-// allowed there. It knows YAML and reflection, and nothing of what files mean.
+// Package yamlfile reads YAML files strictly: each key must exist in the target and occur once,
+// and each error names file, line, key and what is allowed there. It uses YAML and reflection,
+// and must not know what a file means.
 package yamlfile
 
 import (
@@ -16,19 +16,19 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// maxSize bounds a file. An alias may not stand in one, so its tree is no
-// larger than its text.
+// maxSize is the maximum size of a file in bytes. Aliases are not allowed, so the parsed tree is
+// no larger than the text.
 const maxSize = 4 << 20
 
-// Error is a fault in a file.
+// Error is an error in a file.
 type Error struct {
 	File string
-	Line int    // from 1, 0 where the fault has no place
-	Key  string // as a path such as backends.2.cores, empty for the file as a whole
+	Line int    // from 1; 0 for an error without a position
+	Key  string // path such as backends.2.cores; empty for the whole file
 	Text string
 }
 
-// Error gives it all in one line.
+// Error returns file, line, key and reason in one line.
 func (e *Error) Error() string {
 	s := e.File
 	if e.Line > 0 {
@@ -40,16 +40,16 @@
 	return s + ": " + strings.Join(strings.Fields(e.Text), " ")
 }
 
-// File is a file that was decoded, and where its keys stand.
+// File is a decoded file with the lines of its keys.
 type File struct {
 	Name  string
 	lines map[string]int
 }
 
-// Line returns the line that a key stands in, 0 where the file does not have it.
+// Line returns the line of a key, or 0 if the file does not contain it.
 func (f *File) Line(key string) int { return f.lines[key] }
 
-// Errorf returns a fault at a key, or at the nearest key above it that the file has.
+// Errorf returns an error at a key, with the line of the key or of its nearest parent in the file.
 func (f *File) Errorf(key, format string, args ...any) *Error {
 	line := 0
 	for at := key; line == 0 && at != ""; {
@@ -60,8 +60,8 @@
 	return &Error{File: f.Name, Line: line, Key: key, Text: fmt.Sprintf(format, args...)}
 }
 
-// Read decodes the file of a name into the struct that into points to. Keys that
-// the file does not have keep their values.
+// Read decodes a file into the struct that into points to. Keys that the file does not contain
+// keep their values.
 func Read(name string, into any) (*File, error) {
 	info, err := os.Stat(name)
 	if err == nil && info.Size() > maxSize {
@@ -74,9 +74,9 @@
 	return Decode(name, text, into)
 }
 
-// Decode decodes text, as Read does; the name is for errors only.
+// Decode decodes text like Read; the name is only for errors.
 func Decode(name string, text []byte, into any) (f *File, err error) {
-	// The library's parser has had panics on texts that are no YAML.
+	// The library's parser has panicked on invalid YAML.
 	defer func() {
 		if p := recover(); p != nil {
 			f, err = nil, &Error{File: name, Text: fmt.Sprint("cannot be parsed: ", p)}
@@ -105,7 +105,7 @@
 	return f, nil
 }
 
-// typed names the key of a fault that the library found.
+// addKey adds the key to an error that the library reported with a line.
 func (f *File) addKey(name string, err error) error {
 	e := fromLibraryError(name, err)
 	for key, line := range f.lines {
@@ -128,9 +128,10 @@
 	return e
 }
 
+// maxDepth is the maximum nesting depth of a file.
 const maxDepth = 32
 
-// walk checks that the keys below n are those of t and notes their lines.
+// checkNode checks that the keys below n exist in t, and records their lines.
 func (f *File) checkNode(n ast.Node, t reflect.Type, path string, depth int) error {
 	line := n.GetToken().Position.Line
 	if depth > maxDepth {
@@ -139,7 +140,7 @@
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
-	// What decodes itself tells no place, so it is asked here.
+	// The library reports no position for types that decode themselves, so they are checked here.
 	if u, ok := reflect.New(t).Interface().(yaml.BytesUnmarshaler); ok {
 		if err := u.UnmarshalYAML([]byte(n.String())); err != nil {
 			return &Error{f.Name, line, path, err.Error()}
@@ -205,8 +206,7 @@
 	return nil
 }
 
-// FindField returns the field of a struct that a key names, and all keys that the
-// struct has.
+// FindField returns the field of a struct for a key, and all keys of the struct.
 func FindField(t reflect.Type, name string) (found *reflect.StructField, keys []string) {
 	for i := range t.NumField() {
 		sf := t.Field(i)
@@ -251,8 +251,8 @@
 	return t.Kind().String()
 }
 
-// Set returns text with the value of a key replaced or added. The key is a path
-// such as backends.2.cores; the value is YAML.
+// Set returns text with the value of a key replaced or added. The key is a path such as
+// backends.2.cores; the value is YAML.
 func Set(name string, text []byte, key, value string) ([]byte, error) {
 	var tree, v any
 	if err := yaml.UnmarshalWithOptions(text, &tree, yaml.UseOrderedMap()); err != nil {
