--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -72,6 +72,7 @@
 // Close closes the listener. Responses in progress are completed.
 func (s *Server) Close() { s.listener.Close() }
 
+// track adds a new connection and, over the limit, closes the one that has been idle longest.
 func (s *Server) track(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,6 +96,7 @@
 	}
 }
 
+// serve reads one command, answers it and closes the connection.
 func (s *Server) serve(c net.Conn) {
 	defer func() {
 		if v := recover(); v != nil { // a panic closes only this connection
@@ -150,6 +152,7 @@
 	}
 }
 
+// respond executes a command and writes the response.
 func (s *Server) respond(out *bytes.Buffer, command string) {
 	reply := func(err error, done string) {
 		if err != nil {
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -28,6 +28,7 @@
 // ErrInvalidName is returned for a name that is not a plain file name.
 var ErrInvalidName = errors.New("not a plain file name")
 
+// checkName returns ErrInvalidName for anything but a plain file name.
 func checkName(name string) error {
 	if !fs.ValidPath(name) || name == "." || strings.ContainsAny(name, "/\\\x00") {
 		return fmt.Errorf("%w: %q", ErrInvalidName, name)
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -142,12 +142,12 @@
 	var mu sync.Mutex
 	var last []byte
 	for name, tt := range map[string]struct {
-		w     wrong
+		store wrong
 		place func(Place) Place
 		fails []string
 		more  bool // other clauses may fail as well
 	}{
-		"invents a value": {w: wrong{read: func(m *durable.MemoryStore, n string) ([]byte, error) {
+		"invents a value": {store: wrong{read: func(m *durable.MemoryStore, n string) ([]byte, error) {
 			v, err := m.Read(n)
 			if errors.Is(err, fs.ErrNotExist) {
 				return nil, nil
@@ -165,7 +165,7 @@
 			}
 			return p
 		}, fails: []string{"a written value is read, also by a later store"}, more: true},
-		"returns its own buffer": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
+		"returns its own buffer": {store: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
 			mu.Lock()
 			defer mu.Unlock()
 			last = v
@@ -179,37 +179,37 @@
 			}
 			return got, err
 		}}, fails: []string{"callers own their buffers"}},
-		"folds case": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
+		"folds case": {store: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
 			if n == "A" {
 				n = "a"
 			}
 			return m.Write(n, v)
 		}}, fails: []string{"names are distinct and plain"}},
-		"truncates long values": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
+		"truncates long values": {store: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
 			return m.Write(n, v[:min(len(v), durable.MaxValueSize)])
 		}}, fails: []string{"the largest value is stored and a longer one rejected"}},
-		"accepts torn values": {w: wrong{read: func(m *durable.MemoryStore, n string) ([]byte, error) {
+		"accepts torn values": {store: wrong{read: func(m *durable.MemoryStore, n string) ([]byte, error) {
 			v, err := m.Read(n)
 			if errors.Is(err, durable.ErrTorn) {
 				return []byte("a val"), nil
 			}
 			return v, err
 		}}, fails: []string{"a value truncated anywhere is torn", "foreign data and other versions are distinguished"}},
-		"reads other versions": {w: wrong{read: func(m *durable.MemoryStore, n string) ([]byte, error) {
+		"reads other versions": {store: wrong{read: func(m *durable.MemoryStore, n string) ([]byte, error) {
 			v, err := m.Read(n)
 			if errors.Is(err, durable.ErrVersion) {
 				return []byte("value"), nil
 			}
 			return v, err
 		}}, fails: []string{"foreign data and other versions are distinguished"}},
-		"loses the old value on a full disk": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
+		"loses the old value on a full disk": {store: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
 			err := m.Write(n, v)
 			if errors.Is(err, durable.ErrFull) {
 				m.Corrupt(n, func([]byte) []byte { return nil })
 			}
 			return err
 		}}, fails: []string{"a full disk leaves the old value"}},
-		"mixes two writers": {w: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
+		"mixes two writers": {store: wrong{write: func(m *durable.MemoryStore, n string, v []byte) error {
 			if len(v) == 20003 {
 				v = append(v[:1:1], make([]byte, 20000)...)
 			}
@@ -225,7 +225,7 @@
 		var failed []string
 		for _, c := range Clauses {
 			p := memoryPlace(&durable.MemoryStore{}, func(m *durable.MemoryStore) durable.Store {
-				w := tt.w
+				w := tt.store
 				w.MemoryStore = m
 				return w
 			})
--- a/internal/gossip/engine.go
+++ b/internal/gossip/engine.go
@@ -97,55 +97,55 @@
 // NewEngine returns the engine of the named node with a budget in bytes per second. The
 // incarnation is 1, or one more than that of the node's previous run where it is known.
 func NewEngine(self string, incarnation uint32, budget float64) *Engine {
-	t := &Engine{self: self, incarnation: max(incarnation, 1), budget: budget, tokens: MaxDatagram,
+	g := &Engine{self: self, incarnation: max(incarnation, 1), budget: budget, tokens: MaxDatagram,
 		partials: map[key]*partial{}, owedBuckets: map[string]uint16{}, digestSentAt: -digestInterval}
-	t.SetFleetSize(1)
-	return t
+	g.SetFleetSize(1)
+	return g
 }
 
 // Incarnation returns the current incarnation of this node.
-func (t *Engine) Incarnation() uint32 { return t.incarnation }
+func (g *Engine) Incarnation() uint32 { return g.incarnation }
 
 // SetFleetSize sets the number of nodes. Changed records are sent more often in a larger fleet.
-func (t *Engine) SetFleetSize(nodes int) {
-	t.maxSends = int(math.Ceil(2 * math.Log2(float64(nodes)+1)))
+func (g *Engine) SetFleetSize(nodes int) {
+	g.maxSends = int(math.Ceil(2 * math.Log2(float64(nodes)+1)))
 }
 
 // Publish sets this node's record of a kind and replaces the previous one.
-func (t *Engine) Publish(kind Kind, value []byte) error {
-	r := Record{Kind: kind, Origin: t.self, Incarnation: t.incarnation, Sequence: 1, Value: bytes.Clone(value)}
-	if stored, ok := t.Get(kind, t.self); ok {
-		if bytes.Equal(stored.Value, value) && stored.Incarnation == t.incarnation {
+func (g *Engine) Publish(kind Kind, value []byte) error {
+	r := Record{Kind: kind, Origin: g.self, Incarnation: g.incarnation, Sequence: 1, Value: bytes.Clone(value)}
+	if stored, ok := g.Get(kind, g.self); ok {
+		if bytes.Equal(stored.Value, value) && stored.Incarnation == g.incarnation {
 			return nil
 		}
 		r.Sequence = stored.Sequence + 1
 	}
-	_, err := t.Merge(r)
+	_, err := g.Merge(r)
 	return err
 }
 
 // HandleDatagram handles a datagram from a peer. It returns the records that replaced older
 // ones and the notes to this node, in the order of the datagram.
-func (t *Engine) HandleDatagram(now time.Duration, from string, datagram []byte) (news []Record, notes []Note) {
-	t.Counts.DatagramsReceived++
+func (g *Engine) HandleDatagram(now time.Duration, from string, datagram []byte) (news []Record, notes []Note) {
+	g.Counts.DatagramsReceived++
 	if len(datagram) > MaxDatagram {
-		t.Counts.Malformed++
+		g.Counts.Malformed++
 		return nil, nil
 	}
 	var v uint8
 	rest, err := decMode.UnmarshalFirst(datagram, &v)
 	if err != nil {
-		t.Counts.Malformed++
+		g.Counts.Malformed++
 		return nil, nil
 	}
 	if v != protocolVersion {
-		t.Counts.Unknown++
+		g.Counts.Unknown++
 		return nil, nil
 	}
 	for len(rest) > 0 {
 		var e entry
 		if rest, err = decMode.UnmarshalFirst(rest, &e); err != nil {
-			t.Counts.Malformed++
+			g.Counts.Malformed++
 			return news, notes
 		}
 		var r *Record
@@ -158,24 +158,24 @@
 		case formPiece:
 			var p piece
 			if err = decMode.Unmarshal(e.Text, &p); err == nil {
-				r = t.addPiece(now, &p)
+				r = g.addPiece(now, &p)
 			}
 		case formDigest:
 			var bucketSums []byte
 			if err = decMode.Unmarshal(e.Text, &bucketSums); err == nil {
-				t.compareDigest(from, bucketSums)
+				g.compareDigest(from, bucketSums)
 			}
 		default:
 			if e.Form >= FirstNoteForm {
 				notes = append(notes, Note{e.Form, e.Text})
 			} else {
-				t.Counts.Unknown++
+				g.Counts.Unknown++
 			}
 		}
 		if err != nil {
-			t.Counts.Malformed++
+			g.Counts.Malformed++
 		}
-		if r != nil && t.mergeReceived(*r) {
+		if r != nil && g.mergeReceived(*r) {
 			news = append(news, *r)
 		}
 	}
@@ -183,16 +183,16 @@
 }
 
 // RaiseIncarnation adopts a higher incarnation and publishes all records of this node again in it.
-func (t *Engine) RaiseIncarnation(incarnation uint32) {
-	if incarnation <= t.incarnation {
+func (g *Engine) RaiseIncarnation(incarnation uint32) {
+	if incarnation <= g.incarnation {
 		return
 	}
-	t.incarnation = incarnation
-	for k, stored := range t.records { // the order does not matter: the records are independent
-		if k.origin == t.self {
+	g.incarnation = incarnation
+	for k, stored := range g.records { // the order does not matter: the records are independent
+		if k.origin == g.self {
 			again := stored.Record
-			again.Incarnation = t.incarnation
-			t.Merge(again)
+			again.Incarnation = g.incarnation
+			g.Merge(again)
 		}
 	}
 }
@@ -200,48 +200,48 @@
 // mergeReceived merges a received record. A record under this node's name that supersedes its
 // own comes from a previous run or from another node with the same name; this node answers it
 // with a higher incarnation.
-func (t *Engine) mergeReceived(r Record) bool {
-	if r.Origin == t.self && r.Incarnation >= t.incarnation {
-		own, ok := t.Get(r.Kind, t.self)
+func (g *Engine) mergeReceived(r Record) bool {
+	if r.Origin == g.self && r.Incarnation >= g.incarnation {
+		own, ok := g.Get(r.Kind, g.self)
 		if ok && !r.Supersedes(&own) {
 			return false
 		}
 		if r.Incarnation == math.MaxUint32 {
-			t.Counts.Rejected++ // forged: no incarnation could follow it
+			g.Counts.Rejected++ // forged: no incarnation could follow it
 			return false
 		}
-		t.RaiseIncarnation(r.Incarnation + 1)
+		g.RaiseIncarnation(r.Incarnation + 1)
 	}
-	held, err := t.Merge(r)
+	held, err := g.Merge(r)
 	if err != nil {
-		t.Counts.Rejected++
+		g.Counts.Rejected++
 	}
 	return held
 }
 
 // addPiece stores a piece and returns the record once its value is complete.
-func (t *Engine) addPiece(now time.Duration, p *piece) *Record {
+func (g *Engine) addPiece(now time.Duration, p *piece) *Record {
 	count := (int(p.Length) + pieceBytes - 1) / pieceBytes
 	i := int(p.At) / pieceBytes
 	if p.Of.check() != nil || p.Length > MaxValue || int(p.At)%pieceBytes != 0 || i >= count ||
 		len(p.Part) != min(pieceBytes, int(p.Length)-int(p.At)) {
-		t.Counts.Malformed++
+		g.Counts.Malformed++
 		return nil
 	}
 	k := p.Of.key()
-	if stored := t.records[k]; stored != nil && p.Of.compareVersion(&stored.Record) < 0 {
+	if stored := g.records[k]; stored != nil && p.Of.compareVersion(&stored.Record) < 0 {
 		return nil
 	}
-	pending := t.partials[k]
+	pending := g.partials[k]
 	if pending == nil || p.Of.compareVersion(&pending.Record) != 0 || pending.sum != p.Sum || len(pending.pieces) != count {
 		if pending != nil && p.Of.compareVersion(&pending.Record) < 0 {
 			return nil
 		}
 		pending = &partial{Record: p.Of, sum: p.Sum, pieces: make([][]byte, count), missing: count}
-		if len(t.partials) >= maxPartials {
-			t.evictOldestPartial()
+		if len(g.partials) >= maxPartials {
+			g.evictOldestPartial()
 		}
-		t.partials[k] = pending
+		g.partials[k] = pending
 	}
 	pending.updatedAt = now
 	if pending.pieces[i] == nil {
@@ -251,61 +251,61 @@
 	if pending.missing > 0 {
 		return nil
 	}
-	delete(t.partials, k)
+	delete(g.partials, k)
 	r := pending.Record
 	if r.Value = bytes.Join(pending.pieces, nil); crc32.ChecksumIEEE(r.Value) != pending.sum {
-		t.Counts.ChecksumMismatches++
+		g.Counts.ChecksumMismatches++
 		return nil
 	}
 	return &r
 }
 
 // evictOldestPartial drops the value whose latest piece is the oldest; its pieces are sent again.
-func (t *Engine) evictOldestPartial() {
+func (g *Engine) evictOldestPartial() {
 	var oldest key
 	first := true
-	for k, pending := range t.partials {
-		if o := t.partials[oldest]; first || pending.updatedAt < o.updatedAt || pending.updatedAt == o.updatedAt && k.origin < oldest.origin {
+	for k, pending := range g.partials {
+		if o := g.partials[oldest]; first || pending.updatedAt < o.updatedAt || pending.updatedAt == o.updatedAt && k.origin < oldest.origin {
 			oldest, first = k, false
 		}
 	}
-	delete(t.partials, oldest)
+	delete(g.partials, oldest)
 }
 
 // compareDigest compares a peer's bucket sums with this node's. Records of the buckets that
 // differ are owed to the peer. The peer does the same when it receives this node's sums.
-func (t *Engine) compareDigest(from string, bucketSums []byte) {
+func (g *Engine) compareDigest(from string, bucketSums []byte) {
 	if len(bucketSums) != 8*bucketCount {
-		t.Counts.Malformed++
+		g.Counts.Malformed++
 		return
 	}
 	differ := uint16(0)
-	for i := range t.bucketSums {
-		if binary.BigEndian.Uint64(bucketSums[8*i:]) != t.bucketSums[i] {
+	for i := range g.bucketSums {
+		if binary.BigEndian.Uint64(bucketSums[8*i:]) != g.bucketSums[i] {
 			differ |= 1 << i
 		}
 	}
-	if differ != 0 && (len(t.owedBuckets) < maxOwedPeers || t.owedBuckets[from] != 0) {
-		t.owedBuckets[from] |= differ
+	if differ != 0 && (len(g.owedBuckets) < maxOwedPeers || g.owedBuckets[from] != 0) {
+		g.owedBuckets[from] |= differ
 	} else if differ == 0 {
-		delete(t.owedBuckets, from)
+		delete(g.owedBuckets, from)
 	}
 }
 
 // DatagramsFor returns the datagrams to send to a peer now, the notes first. It returns nil
 // when there is nothing to send or no budget left: in any period at most the budget of that
 // period and of one more second is sent. Notes that exceed the budget are dropped.
-func (t *Engine) DatagramsFor(now time.Duration, to string, notes ...Note) [][]byte {
-	t.tokens = min(t.tokens+t.budget*max(now-t.refilledAt, 0).Seconds(), max(t.budget, MaxDatagram))
-	t.refilledAt = max(now, t.refilledAt)
+func (g *Engine) DatagramsFor(now time.Duration, to string, notes ...Note) [][]byte {
+	g.tokens = min(g.tokens+g.budget*max(now-g.refilledAt, 0).Seconds(), max(g.budget, MaxDatagram))
+	g.refilledAt = max(now, g.refilledAt)
 	var out [][]byte
 	datagram := []byte{protocolVersion}
 	flush := func() {
 		if len(datagram) > 1 {
 			out = append(out, datagram)
-			t.tokens -= float64(len(datagram))
-			t.Counts.DatagramsSent++
-			t.Counts.BytesSent += len(datagram)
+			g.tokens -= float64(len(datagram))
+			g.Counts.DatagramsSent++
+			g.Counts.BytesSent += len(datagram)
 		}
 		datagram = []byte{protocolVersion}
 	}
@@ -329,7 +329,7 @@
 		if form >= FirstNoteForm {
 			reserved = 0
 		}
-		if t.tokens < float64(len(datagram)+len(e)+reserved) {
+		if g.tokens < float64(len(datagram)+len(e)+reserved) {
 			return false
 		}
 		datagram = append(datagram, e...)
@@ -358,42 +358,42 @@
 	for _, n := range notes {
 		addEntry(n.Form, n.Payload)
 	}
-	slices.SortStableFunc(t.recent, func(a, b *storedRecord) int {
+	slices.SortStableFunc(g.recent, func(a, b *storedRecord) int {
 		return cmp.Or(cmp.Compare(min(a.Kind, FirstOrdinaryKind), min(b.Kind, FirstOrdinaryKind)), cmp.Compare(a.sentCount, b.sentCount), cmp.Compare(a.Kind, b.Kind))
 	})
-	t.recent = slices.DeleteFunc(t.recent, func(stored *storedRecord) bool {
-		stored.queued = stored.sentCount < t.maxSends
+	g.recent = slices.DeleteFunc(g.recent, func(stored *storedRecord) bool {
+		stored.queued = stored.sentCount < g.maxSends
 		return !stored.queued
 	})
 	full := false
-	for _, stored := range t.recent {
+	for _, stored := range g.recent {
 		if full = !addRecord(stored); full {
 			break
 		}
 		stored.sentCount++
 	}
-	if owedBuckets := t.owedBuckets[to]; owedBuckets != 0 && !full {
-		all := t.sortedRecords()
-		from := t.nextOwed // when the budget does not suffice for all, the rest is sent first the next time
+	if owedBuckets := g.owedBuckets[to]; owedBuckets != 0 && !full {
+		all := g.sortedRecords()
+		from := g.nextOwed // when the budget does not suffice for all, the rest is sent first the next time
 		for i := range all {
 			stored := all[(from+i)%len(all)]
 			if owedBuckets&(1<<stored.bucket) == 0 {
 				continue
 			}
 			if full = !addRecord(stored); full {
-				t.nextOwed = (from + i) % len(all)
+				g.nextOwed = (from + i) % len(all)
 				break
 			}
 		}
-		delete(t.owedBuckets, to) // the next digest shows what is still missing
+		delete(g.owedBuckets, to) // the next digest shows what is still missing
 	}
-	if !full && now-t.digestSentAt >= digestInterval {
+	if !full && now-g.digestSentAt >= digestInterval {
 		bucketSums := make([]byte, 0, 8*bucketCount)
-		for _, s := range t.bucketSums {
+		for _, s := range g.bucketSums {
 			bucketSums = binary.BigEndian.AppendUint64(bucketSums, s)
 		}
 		if addEntry(formDigest, bucketSums) {
-			t.digestSentAt = now
+			g.digestSentAt = now
 		}
 	}
 	flush()
@@ -401,9 +401,9 @@
 }
 
 // sortedRecords returns all stored records in a fixed order.
-func (t *Engine) sortedRecords() []*storedRecord {
-	all := make([]*storedRecord, 0, len(t.records))
-	for _, stored := range t.records {
+func (g *Engine) sortedRecords() []*storedRecord {
+	all := make([]*storedRecord, 0, len(g.records))
+	for _, stored := range g.records {
 		all = append(all, stored)
 	}
 	slices.SortFunc(all, func(a, b *storedRecord) int {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -204,6 +204,7 @@
 	o.closeDir()
 }
 
+// serve accepts successors, one at a time, until Close.
 func (o *Offer) serve() {
 	for {
 		c, err := o.socket.AcceptUnix()
@@ -236,23 +237,24 @@
 	}()
 	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	if err := o.sendState(c); err != nil {
-		o.log.Warn("handover: sending the state failed", logging.Cause, err)
+		o.log.Warn("handover: sending the listener and the state failed", logging.Cause, err)
 		return
 	}
 	o.observer.SuccessorStarted()
 	defer o.observer.SuccessorExited()
 	c.SetDeadline(time.Time{})
-	var word [1]byte
+	var signal [1]byte
 	for {
-		if _, err := c.Read(word[:]); err != nil {
+		if _, err := c.Read(signal[:]); err != nil {
 			return
 		}
-		if word[0] == readyByte {
+		if signal[0] == readyByte {
 			o.observer.SuccessorReady()
 		}
 	}
 }
 
+// sendState sends the framed state, with the descriptor of the listener at its header.
 func (o *Offer) sendState(c *net.UnixConn) error {
 	state, err := o.state()
 	if err != nil {
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -41,95 +41,95 @@
 func New(timing Timing) *StateMachine { return &StateMachine{timing: timing} }
 
 // Phase returns the current phase.
-func (n *StateMachine) Phase() Phase { return n.phase }
+func (m *StateMachine) Phase() Phase { return m.phase }
 
-func (n *StateMachine) setPhase(p Phase, now time.Time) {
-	n.phase, n.phaseStart, n.idleClosedUntil = p, now, now
+func (m *StateMachine) setPhase(p Phase, now time.Time) {
+	m.phase, m.phaseStart, m.idleClosedUntil = p, now, now
 }
 
 // StartServing ends the start. A process told to drain before that stays draining.
-func (n *StateMachine) StartServing(now time.Time) {
-	n.started = true
-	if n.phase == Starting {
-		n.setPhase(Serving, now)
+func (m *StateMachine) StartServing(now time.Time) {
+	m.started = true
+	if m.phase == Starting {
+		m.setPhase(Serving, now)
 	}
 }
 
 // Drain starts moving clients elsewhere. A second call does not restart the schedule.
-func (n *StateMachine) Drain(now time.Time) error {
-	switch n.phase {
+func (m *StateMachine) Drain(now time.Time) error {
+	switch m.phase {
 	case Stopping:
 		return ErrStopping
 	case Draining:
 		return nil
 	}
-	n.setPhase(Draining, now)
+	m.setPhase(Draining, now)
 	return nil
 }
 
 // Resume ends a drain. Without a drain it changes nothing.
-func (n *StateMachine) Resume(now time.Time) error {
+func (m *StateMachine) Resume(now time.Time) error {
 	switch {
-	case n.phase == Stopping:
+	case m.phase == Stopping:
 		return ErrStopping
-	case n.phase == Draining && n.started:
-		n.setPhase(Serving, now)
-	case n.phase == Draining:
-		n.setPhase(Starting, now)
+	case m.phase == Draining && m.started:
+		m.setPhase(Serving, now)
+	case m.phase == Draining:
+		m.setPhase(Starting, now)
 	}
 	return nil
 }
 
 // Stop enters the last phase, whatever the current one is.
-func (n *StateMachine) Stop(now time.Time) {
-	if n.phase != Stopping {
-		n.setPhase(Stopping, now)
+func (m *StateMachine) Stop(now time.Time) {
+	if m.phase != Stopping {
+		m.setPhase(Stopping, now)
 	}
 }
 
 // IsDraining reports whether clients are being moved elsewhere, to drain or to stop.
-func (n *StateMachine) IsDraining() bool { return n.phase >= Draining }
+func (m *StateMachine) IsDraining() bool { return m.phase >= Draining }
 
 // schedule returns the drain schedule of the current phase.
-func (n *StateMachine) schedule() DrainSchedule {
-	if n.phase == Stopping {
-		return n.timing.Stop
+func (m *StateMachine) schedule() DrainSchedule {
+	if m.phase == Stopping {
+		return m.timing.Stop
 	}
-	return n.timing.Drain
+	return m.timing.Drain
 }
 
 // ClosesSession reports whether a response given now closes its client session.
-func (n *StateMachine) ClosesSession(now time.Time) bool {
-	return n.IsDraining() && now.Sub(n.phaseStart) >= n.schedule().CloseSessionsFrom
+func (m *StateMachine) ClosesSession(now time.Time) bool {
+	return m.IsDraining() && now.Sub(m.phaseStart) >= m.schedule().CloseSessionsFrom
 }
 
 // AcceptsRequest reports whether a request that arrives now is accepted.
-func (n *StateMachine) AcceptsRequest(now time.Time) bool {
-	acceptUntil := n.schedule().AcceptUntil
-	return !n.IsDraining() || acceptUntil == 0 || now.Sub(n.phaseStart) < acceptUntil
+func (m *StateMachine) AcceptsRequest(now time.Time) bool {
+	acceptUntil := m.schedule().AcceptUntil
+	return !m.IsDraining() || acceptUntil == 0 || now.Sub(m.phaseStart) < acceptUntil
 }
 
 // IdleSessionsToClose returns how many of the idle client sessions to close now. Called
 // repeatedly, it spreads the closing evenly.
-func (n *StateMachine) IdleSessionsToClose(now time.Time, idle int) int {
-	if !n.IsDraining() {
+func (m *StateMachine) IdleSessionsToClose(now time.Time, idle int) int {
+	if !m.IsDraining() {
 		return 0
 	}
-	schedule := n.schedule()
-	begin, end := n.phaseStart.Add(schedule.CloseIdleFrom), n.phaseStart.Add(schedule.CloseIdleUntil)
-	if n.idleClosedUntil.Before(begin) {
-		n.idleClosedUntil = begin
+	schedule := m.schedule()
+	begin, end := m.phaseStart.Add(schedule.CloseIdleFrom), m.phaseStart.Add(schedule.CloseIdleUntil)
+	if m.idleClosedUntil.Before(begin) {
+		m.idleClosedUntil = begin
 	}
 	switch {
-	case !now.After(n.idleClosedUntil) || idle <= 0:
+	case !now.After(m.idleClosedUntil) || idle <= 0:
 		return 0
 	case !now.Before(end):
-		n.idleClosedUntil = now
+		m.idleClosedUntil = now
 		return idle
 	}
-	due := int(int64(idle) * int64(now.Sub(n.idleClosedUntil)) / int64(end.Sub(n.idleClosedUntil)))
+	due := int(int64(idle) * int64(now.Sub(m.idleClosedUntil)) / int64(end.Sub(m.idleClosedUntil)))
 	if due > 0 { // otherwise the interval grows until one is due
-		n.idleClosedUntil = now
+		m.idleClosedUntil = now
 	}
 	return due
 }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -35,7 +35,7 @@
 type delivery struct {
 	at       time.Duration
 	from, to ID
-	m        Message
+	message  Message
 }
 
 const step = 20 * time.Millisecond
@@ -93,7 +93,7 @@
 		n := 0
 		for ; n < len(w.inFlight) && w.inFlight[n].at <= w.now; n++ {
 			if u := w.inFlight[n]; w.nodes[u.to] != nil {
-				w.send(u.to, w.nodes[u.to].HandleMessage(w.now, u.from, u.m))
+				w.send(u.to, w.nodes[u.to].HandleMessage(w.now, u.from, u.message))
 			}
 		}
 		w.inFlight = slices.Clone(w.inFlight[n:])
@@ -304,7 +304,7 @@
 		u := m.inFlight[0]
 		m.inFlight = m.inFlight[1:]
 		if c == 3 {
-			for _, s := range m.nodes[u.to].HandleMessage(m.times[u.to], u.from, u.m) {
+			for _, s := range m.nodes[u.to].HandleMessage(m.times[u.to], u.from, u.message) {
 				m.inFlight = append(m.inFlight, delivery{0, u.to, s.To, s.Message})
 			}
 		}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -67,21 +67,21 @@
 	for n := range nodes {
 		ids = append(ids, memberID(n))
 	}
-	c := &Engine{List: member.New(memberID(self), ids, member.Options{}, rng), Gossip: gossip.NewEngine(string(memberID(self)), 1, budget),
+	e := &Engine{List: member.New(memberID(self), ids, member.Options{}, rng), Gossip: gossip.NewEngine(string(memberID(self)), 1, budget),
 		self: self, nodes: nodes, rng: rng, publishedIncarnation: 1}
-	c.Gossip.SetFleetSize(nodes)
-	return c
+	e.Gossip.SetFleetSize(nodes)
+	return e
 }
 
 // HandleDatagram handles a datagram from a node. Datagrams of unknown numbers are dropped.
-func (c *Engine) HandleDatagram(now time.Duration, from int, payload []byte) (out []Datagram) {
-	if from < 0 || from >= c.nodes || from == c.self {
+func (e *Engine) HandleDatagram(now time.Duration, from int, payload []byte) (out []Datagram) {
+	if from < 0 || from >= e.nodes || from == e.self {
 		return nil
 	}
-	c.List.RecordContact(now, memberID(from))
-	news, notes := c.Gossip.HandleDatagram(now, string(memberID(from)), payload)
+	e.List.RecordContact(now, memberID(from))
+	news, notes := e.Gossip.HandleDatagram(now, string(memberID(from)), payload)
 	for _, r := range news {
-		if r.Kind != KindMember || r.Origin == string(memberID(c.self)) {
+		if r.Kind != KindMember || r.Origin == string(memberID(e.self)) {
 			continue
 		}
 		suspects := map[string]uint32{}
@@ -92,8 +92,8 @@
 		for s, at := range suspects {
 			of[member.ID(s)] = at
 		}
-		c.List.UpdateIncarnation(now, by, r.Incarnation)
-		c.List.UpdateSuspicions(now, by, of)
+		e.List.UpdateIncarnation(now, by, r.Incarnation)
+		e.List.UpdateSuspicions(now, by, of)
 	}
 	for _, n := range notes {
 		var m message
@@ -104,34 +104,34 @@
 		if m.About >= 0 {
 			about = memberID(int(m.About))
 		}
-		out = append(out, c.sendMessages(now, c.List.HandleMessage(now, memberID(from), member.Message{Kind: member.Kind(m.Kind), Probe: m.Probe, Target: about}))...)
+		out = append(out, e.sendMessages(now, e.List.HandleMessage(now, memberID(from), member.Message{Kind: member.Kind(m.Kind), Probe: m.Probe, Target: about}))...)
 	}
-	c.publishSuspicions()
+	e.publishSuspicions()
 	return out
 }
 
 // publishSuspicions publishes this node's suspicions and incarnation when they have changed.
-func (c *Engine) publishSuspicions() {
-	c.Gossip.RaiseIncarnation(c.List.Incarnation())
-	c.List.RaiseIncarnation(c.Gossip.Incarnation())
-	suspects := c.List.Suspects()
+func (e *Engine) publishSuspicions() {
+	e.Gossip.RaiseIncarnation(e.List.Incarnation())
+	e.List.RaiseIncarnation(e.Gossip.Incarnation())
+	suspects := e.List.Suspects()
 	// A node that has never suspected another nor been suspected publishes nothing: when all
 	// nodes start at once, that would be sent many times without any information. Once others
 	// suspect the node, its incarnation, which they do not know, is the refutation.
-	if maps.Equal(suspects, c.published) && c.Gossip.Incarnation() == c.publishedIncarnation && (c.published != nil || !c.List.EverSuspected()) {
+	if maps.Equal(suspects, e.published) && e.Gossip.Incarnation() == e.publishedIncarnation && (e.published != nil || !e.List.EverSuspected()) {
 		return
 	}
 	value, err := gossip.Encode(suspects)
 	if err == nil && len(value) <= gossip.MaxValue { // else most nodes are dead, and the last record stays
-		err = c.Gossip.Publish(KindMember, value)
+		err = e.Gossip.Publish(KindMember, value)
 	}
 	if err == nil {
-		c.published, c.publishedIncarnation = suspects, c.Gossip.Incarnation()
+		e.published, e.publishedIncarnation = suspects, e.Gossip.Incarnation()
 	}
 }
 
 // sendMessages puts membership messages into datagrams and fills these up with gossip.
-func (c *Engine) sendMessages(now time.Duration, all []member.Send) (out []Datagram) {
+func (e *Engine) sendMessages(now time.Duration, all []member.Send) (out []Datagram) {
 	for _, s := range all {
 		m := message{Kind: uint8(s.Kind), Probe: s.Probe, About: -1}
 		if s.Target != "" {
@@ -141,29 +141,29 @@
 		if err != nil {
 			continue
 		}
-		out = append(out, c.sendGossip(now, memberNumber(s.To), gossip.Note{Form: formMember, Payload: payload})...)
+		out = append(out, e.sendGossip(now, memberNumber(s.To), gossip.Note{Form: formMember, Payload: payload})...)
 	}
 	return out
 }
 
-func (c *Engine) sendGossip(now time.Duration, to int, notes ...gossip.Note) (out []Datagram) {
-	for _, payload := range c.Gossip.DatagramsFor(now, string(memberID(to)), notes...) {
+func (e *Engine) sendGossip(now time.Duration, to int, notes ...gossip.Note) (out []Datagram) {
+	for _, payload := range e.Gossip.DatagramsFor(now, string(memberID(to)), notes...) {
 		out = append(out, Datagram{to, payload})
 	}
 	return out
 }
 
 // Tick does the work that is due. Call it several times per gossipInterval.
-func (c *Engine) Tick(now time.Duration) []Datagram {
-	out := c.sendMessages(now, c.List.Tick(now))
-	c.publishSuspicions()
-	if now >= c.nextGossip && c.nodes > 1 {
-		c.nextGossip = max(c.nextGossip, now-gossipInterval) + gossipInterval
-		to := c.rng.IntN(c.nodes - 1)
-		if to >= c.self {
+func (e *Engine) Tick(now time.Duration) []Datagram {
+	out := e.sendMessages(now, e.List.Tick(now))
+	e.publishSuspicions()
+	if now >= e.nextGossip && e.nodes > 1 {
+		e.nextGossip = max(e.nextGossip, now-gossipInterval) + gossipInterval
+		to := e.rng.IntN(e.nodes - 1)
+		if to >= e.self {
 			to++
 		}
-		out = append(out, c.sendGossip(now, to)...)
+		out = append(out, e.sendGossip(now, to)...)
 	}
 	return out
 }
@@ -176,8 +176,8 @@
 }
 
 // Changes returns the members whose state differs from lastStates, and updates lastStates.
-func (c *Engine) Changes(lastStates map[member.ID]member.State) (out []Change) {
-	for _, m := range c.List.Members() {
+func (e *Engine) Changes(lastStates map[member.ID]member.State) (out []Change) {
+	for _, m := range e.List.Members() {
 		if was := lastStates[m.ID]; was != m.State {
 			out = append(out, Change{memberNumber(m.ID), m, was})
 			lastStates[m.ID] = m.State
--- a/internal/peers/run.go
+++ b/internal/peers/run.go
@@ -70,7 +70,7 @@
 				return
 			}
 			if n, ok := p.numberByAddr[from]; ok && err == nil { // datagrams of unlisted addresses are dropped
-				p.runAndSend(t, func(c *Engine, now time.Duration) []Datagram { return c.HandleDatagram(now, n, payload) })
+				p.runAndSend(t, func(e *Engine, now time.Duration) []Datagram { return e.HandleDatagram(now, n, payload) })
 			}
 		}
 	}()
@@ -86,7 +86,7 @@
 			<-read
 			return
 		case <-ticker.C:
-			p.runAndSend(t, func(c *Engine, now time.Duration) []Datagram { return c.Tick(now) })
+			p.runAndSend(t, func(e *Engine, now time.Duration) []Datagram { return e.Tick(now) })
 			p.mu.Lock()
 			changes := p.engine.Changes(lastStates)
 			p.mu.Unlock()
@@ -99,9 +99,9 @@
 
 // runAndSend runs a step of the engine and sends the resulting datagrams. A datagram that
 // cannot be sent is lost like any other.
-func (p *Peers) runAndSend(t gossip.Transport, what func(*Engine, time.Duration) []Datagram) {
+func (p *Peers) runAndSend(t gossip.Transport, step func(*Engine, time.Duration) []Datagram) {
 	p.mu.Lock()
-	out := what(p.engine, time.Since(p.start))
+	out := step(p.engine, time.Since(p.start))
 	p.mu.Unlock()
 	for _, d := range out {
 		if err := t.Send(p.options.Addrs[d.To], d.Payload); err != nil && !errors.Is(err, gossip.ErrClosed) {
--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -116,6 +116,7 @@
 	return e
 }
 
+// fromLibraryError converts an error of the YAML library, with its line if it has one.
 func fromLibraryError(name string, err error) *Error {
 	e := &Error{File: name, Text: err.Error()}
 	var placed yaml.Error
@@ -170,6 +171,7 @@
 	return nil
 }
 
+// checkMapping checks the keys of a mapping and the values below them.
 func (f *File) checkMapping(values []*ast.MappingValueNode, t reflect.Type, path string, depth, line int) error {
 	if t.Kind() != reflect.Struct {
 		if t.Kind() == reflect.Map || t.Kind() == reflect.Interface {
@@ -237,6 +239,7 @@
 	return path + "." + key
 }
 
+// describe returns the word for a type in error messages.
 func describe(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Slice, reflect.Array:
@@ -268,6 +271,7 @@
 	return yaml.Marshal(tree)
 }
 
+// setValue returns the tree with the value at a path replaced or added.
 func setValue(tree any, path []string, v any) (any, error) {
 	if len(path) == 0 {
 		return v, nil
