--- a/internal/barograph/node/node.go
+++ b/internal/barograph/node/node.go
@@ -84,10 +84,10 @@
 		return nil, errors.Wrap(err, "identity")
 	}
 	n.Self = protocol.Node{ID: id, Name: options.Name, Class: options.Class, Address: options.Address, Zone: options.Zone}
-	if n.Addresses, err = LoadAddressBook(durable.Folder(options.DataDir)); err != nil {
+	if n.Addresses, err = LoadAddressBook(durable.Directory(options.DataDir)); err != nil {
 		klog.ErrorS(err, "Reading the known nodes failed; relying on the seeds")
-		n.Addresses, _ = LoadAddressBook(&durable.Memory{})
-		n.Addresses.store = durable.Folder(options.DataDir)
+		n.Addresses, _ = LoadAddressBook(&durable.MemoryStore{})
+		n.Addresses.store = durable.Directory(options.DataDir)
 	}
 	if options.Bootstrap {
 		for _, seed := range options.Seeds {
--- a/internal/barograph/node/node_test.go
+++ b/internal/barograph/node/node_test.go
@@ -20,7 +20,7 @@
 }
 
 func TestLaterIncarnationReplacesTheEarlier(t *testing.T) {
-	a, err := LoadAddressBook(&durable.Memory{})
+	a, err := LoadAddressBook(&durable.MemoryStore{})
 	assert.NilError(t, err)
 	assert.Assert(t, a.Learn(core(1, "a", "h:1"), core(2, "b", "h:2")))
 	assert.Assert(t, !a.Learn(core(1, "a", "h:1")), "the node is known already")
@@ -35,7 +35,7 @@
 }
 
 func TestKnownNodesSurviveARestart(t *testing.T) {
-	disk := &durable.Memory{}
+	disk := &durable.MemoryStore{}
 	a, err := LoadAddressBook(disk)
 	assert.NilError(t, err)
 	a.Learn(core(1, "a", "h:1"), core(2, "b", "h:2"))
@@ -46,7 +46,7 @@
 }
 
 func TestUnreadableKnownNodesFail(t *testing.T) {
-	disk := &durable.Memory{}
+	disk := &durable.MemoryStore{}
 	assert.NilError(t, disk.Write(knownNodesFile, []byte("no nodes")))
 	_, err := LoadAddressBook(disk)
 	assert.ErrorContains(t, err, "read known nodes")
--- a/internal/durable/contract_test.go
+++ b/internal/durable/contract_test.go
@@ -12,45 +12,45 @@
 	"pipitmux/internal/durable"
 )
 
-// This file holds the contract that every durable.Store must pass. Each clause
-// judges one promise of the interface from outside and returns an error where it is broken,
-// so that wrong stores can be shown to break it. It must not know any kind of store.
+// This file holds the contract that every durable.Store must pass. Each clause checks one
+// promise of the interface from outside and returns an error where it is broken, so that
+// deliberately wrong stores can be shown to break it. It must not know any implementation.
 
-// Place is where stores of one kind keep their values through a crash.
+// Place is where the stores of one implementation keep their values across a crash.
 type Place struct {
-	// Open returns a store over what the place holds, as a process would after a start.
+	// Open returns a store over the place's contents, as a restarted process would.
 	Open func() durable.Store
-	// Spoil changes the bytes that the place holds under a name.
-	Spoil func(name string, change func([]byte) []byte) error
-	// Fill makes the place full: further writes fail. Nil where the kind can't be filled.
+	// Corrupt changes the stored bytes of a name.
+	Corrupt func(name string, change func([]byte) []byte) error
+	// Fill makes the place full, so that further writes fail. Nil where that is impossible.
 	Fill func()
-	// Crash has a value written under a name by a process that is killed meanwhile, any
-	// number of writes after its start. Nil where a write can't be cut off.
+	// Crash kills a process after any number of its writes, while it writes a value. Nil
+	// where a write cannot be interrupted.
 	Crash func(name string, values [][]byte) error
 }
 
-// Clause is one promise.
+// Clause is one promise of the contract.
 type Clause struct {
 	Name  string
 	Check func(Place) error
 }
 
-// Clauses are the contract.
+// Clauses are all clauses of the contract.
 var Clauses = []Clause{
-	{"a name never written does not exist", absent},
-	{"what was written is read, by a later store too", kept},
-	{"a value belongs to its caller", owned},
-	{"names are apart, and plain", names},
-	{"the largest value is kept and a longer one refused", bounds},
-	{"a value cut anywhere is torn", torn},
-	{"what is not ours, or another version's, is told apart", foreign},
-	{"a full place leaves the old value", full},
-	{"of two writers of a name one wins, whole", writers},
-	{"a crash leaves the old or the new value", crash},
+	{"a name that was never written does not exist", checkAbsent},
+	{"a written value is read, also by a later store", checkPersistence},
+	{"callers own their buffers", checkBufferOwnership},
+	{"names are distinct and plain", checkNames},
+	{"the largest value is stored and a longer one rejected", checkSizeLimit},
+	{"a value truncated anywhere is torn", checkTruncation},
+	{"foreign data and other versions are distinguished", checkForeign},
+	{"a full disk leaves the old value", checkFullDisk},
+	{"of two writers of a name one wins whole", checkConcurrentWriters},
+	{"a crash leaves the old or the new value", checkCrash},
 }
 
-// judgeStore has a kind of store judged by every clause, each in a place of its own.
-func judgeStore(t *testing.T, place func(*testing.T) Place) {
+// checkStore checks an implementation against every clause, each in a place of its own.
+func checkStore(t *testing.T, place func(*testing.T) Place) {
 	for _, c := range Clauses {
 		t.Run(c.Name, func(t *testing.T) {
 			if err := c.Check(place(t)); err != nil {
@@ -60,7 +60,7 @@
 	}
 }
 
-func reads(s durable.Store, name, want string) error {
+func expectValue(s durable.Store, name, want string) error {
 	got, err := s.Read(name)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
@@ -71,27 +71,27 @@
 	return nil
 }
 
-func absent(p Place) error {
+func checkAbsent(p Place) error {
 	if got, err := p.Open().Read("nothing"); !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("read %q, %v", got, err)
 	}
 	return nil
 }
 
-func kept(p Place) error {
+func checkPersistence(p Place) error {
 	for _, v := range []string{"one", "", "the third, which is longer", "4"} {
 		s := p.Open()
 		if err := s.Write("a", []byte(v)); err != nil {
 			return err
 		}
-		if err := errors.Join(reads(s, "a", v), reads(p.Open(), "a", v)); err != nil {
+		if err := errors.Join(expectValue(s, "a", v), expectValue(p.Open(), "a", v)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func owned(p Place) error {
+func checkBufferOwnership(p Place) error {
 	s, value := p.Open(), []byte("value")
 	if err := s.Write("a", value); err != nil {
 		return err
@@ -102,13 +102,13 @@
 		return err
 	}
 	if string(got) != "value" {
-		return fmt.Errorf("the writer's bytes were kept: %q", got)
+		return fmt.Errorf("the store kept the writer's buffer: %q", got)
 	}
 	got[0] = 'Y'
-	return reads(s, "a", "value")
+	return expectValue(s, "a", "value")
 }
 
-func names(p Place) error {
+func checkNames(p Place) error {
 	s := p.Open()
 	all := []string{"a", "A", "a.b", "a b", "node-127.0.0.1-80", "ä"}
 	for _, n := range all {
@@ -117,62 +117,62 @@
 		}
 	}
 	for _, n := range all {
-		if err := reads(s, n, "of "+n); err != nil {
+		if err := expectValue(s, n, "of "+n); err != nil {
 			return err
 		}
 	}
 	for _, n := range []string{"", ".", "..", "../a", "a/b", "/a", "a\x00"} {
-		if err := s.Write(n, []byte("x")); !errors.Is(err, durable.ErrName) {
-			return fmt.Errorf("the name %q: %v", n, err)
+		if err := s.Write(n, []byte("x")); !errors.Is(err, durable.ErrInvalidName) {
+			return fmt.Errorf("writing the name %q returned %v", n, err)
 		}
-		if _, err := s.Read(n); !errors.Is(err, durable.ErrName) {
-			return fmt.Errorf("the name %q is read: %v", n, err)
+		if _, err := s.Read(n); !errors.Is(err, durable.ErrInvalidName) {
+			return fmt.Errorf("reading the name %q returned %v", n, err)
 		}
 	}
 	return nil
 }
 
-func bounds(p Place) error {
-	s, most := p.Open(), bytes.Repeat([]byte("m"), durable.Most)
+func checkSizeLimit(p Place) error {
+	s, most := p.Open(), bytes.Repeat([]byte("m"), durable.MaxValueSize)
 	if err := s.Write("a", most); err != nil {
 		return err
 	}
-	if err := s.Write("a", append(most, 'm')); !errors.Is(err, durable.ErrLong) {
-		return fmt.Errorf("a value over the bound: %v", err)
+	if err := s.Write("a", append(most, 'm')); !errors.Is(err, durable.ErrTooLong) {
+		return fmt.Errorf("a value over the limit: %v", err)
 	}
-	return reads(s, "a", string(most))
+	return expectValue(s, "a", string(most))
 }
 
-func torn(p Place) error {
+func checkTruncation(p Place) error {
 	s := p.Open()
 	if err := s.Write("a", []byte("a value")); err != nil {
 		return err
 	}
 	size := durable.HeaderSize + len("a value")
 	for n := size - 1; n >= 0; n-- {
-		if err := p.Spoil("a", func(b []byte) []byte { return b[:min(n, len(b))] }); err != nil {
+		if err := p.Corrupt("a", func(b []byte) []byte { return b[:min(n, len(b))] }); err != nil {
 			return err
 		}
 		if got, err := p.Open().Read("a"); !errors.Is(err, durable.ErrTorn) {
-			return fmt.Errorf("cut at %d of %d: read %q, %v", n, size, got, err)
+			return fmt.Errorf("truncated at %d of %d: read %q, %v", n, size, got, err)
 		}
 	}
-	if err := p.Open().Write("a", []byte("new")); err != nil { // what is torn is no reason to keep nothing
+	if err := p.Open().Write("a", []byte("new")); err != nil { // a torn value must not prevent writes
 		return err
 	}
-	return reads(p.Open(), "a", "new")
+	return expectValue(p.Open(), "a", "new")
 }
 
-func foreign(p Place) error {
+func checkForeign(p Place) error {
 	for want, change := range map[error]func([]byte) []byte{
 		durable.ErrForeign: func(b []byte) []byte { b[0]++; return b },
 		durable.ErrVersion: func(b []byte) []byte { b[7]++; return b },
 		durable.ErrTorn:    func(b []byte) []byte { b[len(b)-1]++; return b },
-	} { // the frame: seven bytes of magic, one of version
+	} { // the header starts with seven bytes of magic and one of version
 		if err := p.Open().Write("a", []byte("value")); err != nil {
 			return err
 		}
-		if err := p.Spoil("a", change); err != nil {
+		if err := p.Corrupt("a", change); err != nil {
 			return err
 		}
 		if got, err := p.Open().Read("a"); !errors.Is(err, want) {
@@ -182,7 +182,7 @@
 	return nil
 }
 
-func full(p Place) error {
+func checkFullDisk(p Place) error {
 	if p.Fill == nil {
 		return nil
 	}
@@ -192,18 +192,18 @@
 	}
 	p.Fill()
 	if err := s.Write("a", []byte("the new value")); err == nil {
-		return errors.New("a write to a full place succeeds")
+		return errors.New("a write to a full disk succeeds")
 	}
 	if err := s.Write("b", []byte("x")); err == nil {
-		return errors.New("a first write to a full place succeeds")
+		return errors.New("a first write to a full disk succeeds")
 	}
 	if _, err := s.Read("b"); !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("after a failed first write: %v", err)
 	}
-	return errors.Join(reads(s, "a", "old"), reads(p.Open(), "a", "old"))
+	return errors.Join(expectValue(s, "a", "old"), expectValue(p.Open(), "a", "old"))
 }
 
-func writers(p Place) error {
+func checkConcurrentWriters(p Place) error {
 	values := map[string]bool{}
 	for w := range 4 {
 		values[strings.Repeat(string(rune('a'+w)), 20000+w)] = true
@@ -220,7 +220,7 @@
 					errs <- err
 				}
 				if got, err := s.Read("a"); err != nil || !values[string(got)] {
-					errs <- fmt.Errorf("read %d bytes, %v while others write", len(got), err)
+					errs <- fmt.Errorf("read %d bytes, %v during concurrent writes", len(got), err)
 				}
 			}
 		}()
@@ -230,7 +230,7 @@
 	return <-errs
 }
 
-func crash(p Place) error {
+func checkCrash(p Place) error {
 	if p.Crash == nil {
 		return nil
 	}
@@ -247,7 +247,7 @@
 			return fmt.Errorf("after a crash: %w", err)
 		}
 		if !bytes.Equal(got, values[0]) && !bytes.Equal(got, values[1]) {
-			return fmt.Errorf("after a crash neither value is there: %d bytes", len(got))
+			return fmt.Errorf("after a crash neither value was read: %d bytes", len(got))
 		}
 	}
 	return nil
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,7 +1,7 @@
-// Package lifecycle decides how a node comes and goes: whether it is ready, when
-// answers end their client sessions, which of the idle ones end now, and whether a
-// request that comes late is still taken. It is pure: the clock is handed in, and it
-// must not know of sockets, signals or consoles.
+// Package lifecycle decides how a process starts, drains and stops: whether it is ready, when
+// responses close their client sessions, how many idle sessions to close now, and whether a
+// late request is still accepted. It is pure: the time is passed in. It must not know sockets,
+// signals or the console.
 package lifecycle
 
 import (
@@ -9,125 +9,127 @@
 	"time"
 )
 
-// Phase is where a node stands.
+// Phase is a phase of the life cycle.
 type Phase uint8
 
-// The phases of a node.
+// The phases of a process.
 const (
-	Starting Phase = iota // knows too little to serve
+	Starting Phase = iota // does not know enough to serve
 	Serving
-	Draining // told to send its clients away; may be told to take them again
-	Stopping // told to end
+	Draining // moves its clients elsewhere; may be resumed
+	Stopping // has been told to exit
 )
 
-var names = [...]string{"starting", "serving", "draining", "stopping"}
+var phaseNames = [...]string{"starting", "serving", "draining", "stopping"}
 
-// String gives the phase's name.
-func (p Phase) String() string { return names[p] }
+// String returns the name of the phase.
+func (p Phase) String() string { return phaseNames[p] }
 
-// ErrStopping tells that a node that ends can't be told anything else.
+// ErrStopping is returned for calls to a process that is stopping.
 var ErrStopping = errors.New("the node is stopping")
 
-// Node is the life cycle of one process. It is not safe for concurrent use.
-type Node struct {
-	timing Timing
-	phase  Phase
-	since  time.Time
-	step   time.Time // up to which idle sessions have been ended
-	begun  bool      // it has served, or would but for a drain
+// StateMachine is the life cycle of one process. It is not safe for concurrent use.
+type StateMachine struct {
+	timing          Timing
+	phase           Phase
+	phaseStart      time.Time
+	idleClosedUntil time.Time // time up to which idle sessions have been closed
+	started         bool      // serves, or would serve but for a drain
 }
 
 // New returns the life cycle of a process that starts.
-func New(timing Timing) *Node { return &Node{timing: timing} }
+func New(timing Timing) *StateMachine { return &StateMachine{timing: timing} }
 
-// Phase returns where the node stands.
-func (n *Node) Phase() Phase { return n.phase }
+// Phase returns the current phase.
+func (m *StateMachine) Phase() Phase { return m.phase }
 
-func (n *Node) enter(p Phase, now time.Time) { n.phase, n.since, n.step = p, now, now }
+func (m *StateMachine) setPhase(p Phase, now time.Time) {
+	m.phase, m.phaseStart, m.idleClosedUntil = p, now, now
+}
 
-// Begin ends the start. A node that was told to drain meanwhile goes on draining.
-func (n *Node) Begin(now time.Time) {
-	n.begun = true
-	if n.phase == Starting {
-		n.enter(Serving, now)
+// StartServing ends the start. A process told to drain before that stays draining.
+func (m *StateMachine) StartServing(now time.Time) {
+	m.started = true
+	if m.phase == Starting {
+		m.setPhase(Serving, now)
 	}
 }
 
-// Drain has clients sent away. Told again, it goes on from the first call.
-func (n *Node) Drain(now time.Time) error {
-	switch n.phase {
+// Drain starts moving clients elsewhere. A second call does not restart the schedule.
+func (m *StateMachine) Drain(now time.Time) error {
+	switch m.phase {
 	case Stopping:
 		return ErrStopping
 	case Draining:
 		return nil
 	}
-	n.enter(Draining, now)
+	m.setPhase(Draining, now)
 	return nil
 }
 
-// Resume has clients taken again. Without a drain it changes nothing.
-func (n *Node) Resume(now time.Time) error {
+// Resume ends a drain. Without a drain it changes nothing.
+func (m *StateMachine) Resume(now time.Time) error {
 	switch {
-	case n.phase == Stopping:
+	case m.phase == Stopping:
 		return ErrStopping
-	case n.phase == Draining && n.begun:
-		n.enter(Serving, now)
-	case n.phase == Draining:
-		n.enter(Starting, now)
+	case m.phase == Draining && m.started:
+		m.setPhase(Serving, now)
+	case m.phase == Draining:
+		m.setPhase(Starting, now)
 	}
 	return nil
 }
 
-// Stop has the node end, whatever it was told before.
-func (n *Node) Stop(now time.Time) {
-	if n.phase != Stopping {
-		n.enter(Stopping, now)
+// Stop enters the last phase, whatever the current one is.
+func (m *StateMachine) Stop(now time.Time) {
+	if m.phase != Stopping {
+		m.setPhase(Stopping, now)
 	}
 }
 
-// Leaving tells whether the clients are sent away.
-func (n *Node) Leaving() bool { return n.phase >= Draining }
+// IsDraining reports whether clients are being moved elsewhere, to drain or to stop.
+func (m *StateMachine) IsDraining() bool { return m.phase >= Draining }
 
-// leave is how the clients are sent away in this phase.
-func (n *Node) leave() Leave {
-	if n.phase == Stopping {
-		return n.timing.Stop
+// schedule returns the drain schedule of the current phase.
+func (m *StateMachine) schedule() DrainSchedule {
+	if m.phase == Stopping {
+		return m.timing.Stop
 	}
-	return n.timing.Drain
+	return m.timing.Drain
 }
 
-// Closes tells whether an answer that is given now ends its client session.
-func (n *Node) Closes(now time.Time) bool {
-	return n.Leaving() && now.Sub(n.since) >= n.leave().Closes
+// ClosesSession reports whether a response given now closes its client session.
+func (m *StateMachine) ClosesSession(now time.Time) bool {
+	return m.IsDraining() && now.Sub(m.phaseStart) >= m.schedule().CloseSessionsFrom
 }
 
-// Takes tells whether a request that has come now is taken.
-func (n *Node) Takes(now time.Time) bool {
-	takes := n.leave().Takes
-	return !n.Leaving() || takes == 0 || now.Sub(n.since) < takes
+// AcceptsRequest reports whether a request that arrives now is accepted.
+func (m *StateMachine) AcceptsRequest(now time.Time) bool {
+	acceptUntil := m.schedule().AcceptUntil
+	return !m.IsDraining() || acceptUntil == 0 || now.Sub(m.phaseStart) < acceptUntil
 }
 
-// End returns how many of so many idle client sessions are to end now. Asked again
-// and again, it ends them in even steps.
-func (n *Node) End(now time.Time, idle int) int {
-	if !n.Leaving() {
+// IdleSessionsToClose returns how many of the idle client sessions to close now. Called
+// repeatedly, it spreads the closing evenly.
+func (m *StateMachine) IdleSessionsToClose(now time.Time, idle int) int {
+	if !m.IsDraining() {
 		return 0
 	}
-	leave := n.leave()
-	begin, end := n.since.Add(leave.From), n.since.Add(leave.Until)
-	if n.step.Before(begin) {
-		n.step = begin
+	schedule := m.schedule()
+	begin, end := m.phaseStart.Add(schedule.CloseIdleFrom), m.phaseStart.Add(schedule.CloseIdleUntil)
+	if m.idleClosedUntil.Before(begin) {
+		m.idleClosedUntil = begin
 	}
 	switch {
-	case !now.After(n.step) || idle <= 0:
+	case !now.After(m.idleClosedUntil) || idle <= 0:
 		return 0
 	case !now.Before(end):
-		n.step = now
+		m.idleClosedUntil = now
 		return idle
 	}
-	due := int(int64(idle) * int64(now.Sub(n.step)) / int64(end.Sub(n.step)))
-	if due > 0 { // else the step grows until one is due
-		n.step = now
+	due := int(int64(idle) * int64(now.Sub(m.idleClosedUntil)) / int64(end.Sub(m.idleClosedUntil)))
+	if due > 0 { // otherwise the interval grows until one is due
+		m.idleClosedUntil = now
 	}
 	return due
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,7 +1,7 @@
-// Package peers joins who is there (member), what the nodes tell each other (gossip) and the
-// datagrams between them. Circle is one node's part in it and pure, so the lab plays it in
-// virtual time; Run stands round it with a Transport and a clock. It must not know what the
-// records of others' kinds mean.
+// Package peers combines failure detection (member), gossip and the datagrams between nodes.
+// Engine is one node's part and pure, so the emulator can run it in virtual time. Peers runs
+// an Engine with a Transport and the real clock. The package must not know what gossip records
+// of other kinds mean.
 package peers
 
 import (
@@ -14,45 +14,45 @@
 	"pipitmux/internal/member"
 )
 
-// KindMember is the kind of the record in which a node says whom it suspects. That of its
-// incarnation is the node's.
+// KindMember is the kind of the record in which a node publishes whom it suspects. The
+// record's incarnation is the node's.
 const KindMember gossip.Kind = 1
 
-// formMember is the form of a message of membership.
-const formMember = gossip.FormNote
+// formMember is the entry form of membership messages.
+const formMember = gossip.FirstNoteForm
 
-// tellEvery is how often a node tells another one, drawn, what is new.
-const tellEvery = 200 * time.Millisecond
+// gossipInterval is how often a node sends news to a random other node.
+const gossipInterval = 200 * time.Millisecond
 
-// message is the form of a member.Message.
+// message is the encoding of a member.Message.
 type message struct {
 	_     struct{} `cbor:",toarray"`
 	Kind  uint8
 	Probe uint32
-	About int16 // the number of a node, -1: none
+	About int16 // number of the target node; -1: none
 }
 
-// Datagram is what goes to the node of a number.
+// Datagram is a datagram and the number of the node it goes to.
 type Datagram struct {
-	To   int
-	Text []byte
+	To      int
+	Payload []byte
 }
 
-// Circle is one node's part in its fleet. It is not safe for concurrent use.
-type Circle struct {
-	List  *member.List
-	Talk  *gossip.Talk
-	self  int
-	nodes int
-	rng   *rand.Rand
-	due   time.Duration
-	said  map[member.ID]uint32
-	life  uint32 // the incarnation in which that was said
+// Engine is one node's part in its fleet. It is not safe for concurrent use.
+type Engine struct {
+	List                 *member.List
+	Gossip               *gossip.Engine
+	self                 int
+	nodes                int
+	rng                  *rand.Rand
+	nextGossip           time.Duration
+	published            map[member.ID]uint32
+	publishedIncarnation uint32 // the incarnation of the last published record
 }
 
-func id(number int) member.ID { return member.ID("n" + strconv.Itoa(number)) }
+func memberID(number int) member.ID { return member.ID("n" + strconv.Itoa(number)) }
 
-func number(of member.ID) int {
+func memberNumber(of member.ID) int {
 	n, err := strconv.Atoi(string(of[1:]))
 	if err != nil {
 		return -1
@@ -60,110 +60,110 @@
 	return n
 }
 
-// NewCircle returns that of a node of a number among so many, which may send so many bytes a
-// second. It knows nothing of an earlier life.
-func NewCircle(self, nodes int, budget float64, rng *rand.Rand) *Circle {
+// NewEngine returns the engine of node number self in a fleet of that many nodes, with a budget
+// in bytes per second. It knows nothing of a previous run.
+func NewEngine(self, nodes int, budget float64, rng *rand.Rand) *Engine {
 	var ids []member.ID
 	for n := range nodes {
-		ids = append(ids, id(n))
+		ids = append(ids, memberID(n))
 	}
-	c := &Circle{List: member.New(id(self), ids, member.Options{}, rng), Talk: gossip.NewTalk(string(id(self)), 1, budget),
-		self: self, nodes: nodes, rng: rng, life: 1}
-	c.Talk.Fleet(nodes)
-	return c
+	e := &Engine{List: member.New(memberID(self), ids, member.Options{}, rng), Gossip: gossip.NewEngine(string(memberID(self)), 1, budget),
+		self: self, nodes: nodes, rng: rng, publishedIncarnation: 1}
+	e.Gossip.SetFleetSize(nodes)
+	return e
 }
 
-// Heard takes a datagram from the node of a number; from nobody's it is dropped.
-func (c *Circle) Heard(now time.Duration, from int, text []byte) (out []Datagram) {
-	if from < 0 || from >= c.nodes || from == c.self {
+// HandleDatagram handles a datagram from a node. Datagrams of unknown numbers are dropped.
+func (e *Engine) HandleDatagram(now time.Duration, from int, payload []byte) (out []Datagram) {
+	if from < 0 || from >= e.nodes || from == e.self {
 		return nil
 	}
-	c.List.Seen(now, id(from))
-	news, notes := c.Talk.Heard(now, string(id(from)), text)
+	e.List.RecordContact(now, memberID(from))
+	news, notes := e.Gossip.HandleDatagram(now, string(memberID(from)), payload)
 	for _, r := range news {
-		if r.Kind != KindMember || r.Origin == string(id(c.self)) {
+		if r.Kind != KindMember || r.Origin == string(memberID(e.self)) {
 			continue
 		}
 		suspects := map[string]uint32{}
 		if gossip.Decode(r.Value, &suspects) != nil {
-			continue // a liar's: what it said before holds
+			continue // malformed or forged: the earlier suspicions stay
 		}
 		by, of := member.ID(r.Origin), map[member.ID]uint32{}
 		for s, at := range suspects {
 			of[member.ID(s)] = at
 		}
-		c.List.Alive(now, by, r.Incarnation)
-		c.List.Told(now, by, of)
+		e.List.UpdateIncarnation(now, by, r.Incarnation)
+		e.List.UpdateSuspicions(now, by, of)
 	}
 	for _, n := range notes {
 		var m message
-		if n.Form != formMember || gossip.Decode(n.Text, &m) != nil {
+		if n.Form != formMember || gossip.Decode(n.Payload, &m) != nil {
 			continue
 		}
 		about := member.ID("")
 		if m.About >= 0 {
-			about = id(int(m.About))
+			about = memberID(int(m.About))
 		}
-		out = append(out, c.send(now, c.List.Heard(now, id(from), member.Message{Kind: member.Kind(m.Kind), Probe: m.Probe, About: about}))...)
+		out = append(out, e.sendMessages(now, e.List.HandleMessage(now, memberID(from), member.Message{Kind: member.Kind(m.Kind), Probe: m.Probe, Target: about}))...)
 	}
-	c.settle()
+	e.publishSuspicions()
 	return out
 }
 
-// settle makes what the node says of itself follow what it knows.
-func (c *Circle) settle() {
-	c.Talk.Raise(c.List.Incarnation())
-	c.List.Raise(c.Talk.Incarnation())
-	suspects := c.List.Suspects()
-	// Who has never suspected anybody nor been suspected says nothing: where all start at once
-	// that would be told many times over, and tells nobody anything. Once it is suspected,
-	// though, its incarnation, which those who suspect it don't know, is the answer.
-	if maps.Equal(suspects, c.said) && c.Talk.Incarnation() == c.life && (c.said != nil || !c.List.Accused()) {
+// publishSuspicions publishes this node's suspicions and incarnation when they have changed.
+func (e *Engine) publishSuspicions() {
+	e.Gossip.RaiseIncarnation(e.List.Incarnation())
+	e.List.RaiseIncarnation(e.Gossip.Incarnation())
+	suspects := e.List.Suspects()
+	// A node that has never suspected another nor been suspected publishes nothing: when all
+	// nodes start at once, that would be sent many times without any information. Once others
+	// suspect the node, its incarnation, which they do not know, is the refutation.
+	if maps.Equal(suspects, e.published) && e.Gossip.Incarnation() == e.publishedIncarnation && (e.published != nil || !e.List.EverSuspected()) {
 		return
 	}
 	value, err := gossip.Encode(suspects)
-	if err == nil && len(value) <= gossip.MaxValue { // else most are gone, and what was said holds
-		err = c.Talk.Put(KindMember, value)
+	if err == nil && len(value) <= gossip.MaxValue { // else most nodes are dead, and the last record stays
+		err = e.Gossip.Publish(KindMember, value)
 	}
 	if err == nil {
-		c.said, c.life = suspects, c.Talk.Incarnation()
+		e.published, e.publishedIncarnation = suspects, e.Gossip.Incarnation()
 	}
 }
 
-// send puts messages of membership into datagrams, each with what news has room beside it.
-func (c *Circle) send(now time.Duration, all []member.Send) (out []Datagram) {
+// sendMessages puts membership messages into datagrams and fills these up with gossip.
+func (e *Engine) sendMessages(now time.Duration, all []member.Send) (out []Datagram) {
 	for _, s := range all {
 		m := message{Kind: uint8(s.Kind), Probe: s.Probe, About: -1}
-		if s.About != "" {
-			m.About = int16(number(s.About))
+		if s.Target != "" {
+			m.About = int16(memberNumber(s.Target))
 		}
-		text, err := gossip.Encode(m)
+		payload, err := gossip.Encode(m)
 		if err != nil {
 			continue
 		}
-		out = append(out, c.tell(now, number(s.To), gossip.Note{Form: formMember, Text: text})...)
+		out = append(out, e.sendGossip(now, memberNumber(s.To), gossip.Note{Form: formMember, Payload: payload})...)
 	}
 	return out
 }
 
-func (c *Circle) tell(now time.Duration, to int, notes ...gossip.Note) (out []Datagram) {
-	for _, text := range c.Talk.Next(now, string(id(to)), notes...) {
-		out = append(out, Datagram{to, text})
+func (e *Engine) sendGossip(now time.Duration, to int, notes ...gossip.Note) (out []Datagram) {
+	for _, payload := range e.Gossip.DatagramsFor(now, string(memberID(to)), notes...) {
+		out = append(out, Datagram{to, payload})
 	}
 	return out
 }
 
-// Tick does what is due. It is called several times in tellEvery.
-func (c *Circle) Tick(now time.Duration) []Datagram {
-	out := c.send(now, c.List.Tick(now))
-	c.settle()
-	if now >= c.due && c.nodes > 1 {
-		c.due = max(c.due, now-tellEvery) + tellEvery
-		to := c.rng.IntN(c.nodes - 1)
-		if to >= c.self {
+// Tick does the work that is due. Call it several times per gossipInterval.
+func (e *Engine) Tick(now time.Duration) []Datagram {
+	out := e.sendMessages(now, e.List.Tick(now))
+	e.publishSuspicions()
+	if now >= e.nextGossip && e.nodes > 1 {
+		e.nextGossip = max(e.nextGossip, now-gossipInterval) + gossipInterval
+		to := e.rng.IntN(e.nodes - 1)
+		if to >= e.self {
 			to++
 		}
-		out = append(out, c.tell(now, to)...)
+		out = append(out, e.sendGossip(now, to)...)
 	}
 	return out
 }
@@ -172,22 +172,22 @@
 type Change struct {
 	Number int
 	member.Member
-	Was member.State
+	Previous member.State
 }
 
-// Changes compares the members with what they were, which it brings up to date.
-func (c *Circle) Changes(were map[member.ID]member.State) (out []Change) {
-	for _, m := range c.List.Members() {
-		if was := were[m.ID]; was != m.State {
-			out = append(out, Change{number(m.ID), m, was})
-			were[m.ID] = m.State
+// Changes returns the members whose state differs from lastStates, and updates lastStates.
+func (e *Engine) Changes(lastStates map[member.ID]member.State) (out []Change) {
+	for _, m := range e.List.Members() {
+		if was := lastStates[m.ID]; was != m.State {
+			out = append(out, Change{memberNumber(m.ID), m, was})
+			lastStates[m.ID] = m.State
 		}
 	}
 	return out
 }
 
-// Names of the states, in logs.
-var stateNames = []string{member.There: "there", member.Suspected: "suspected", member.Gone: "gone"}
+// The names of the states in logs.
+var stateNames = []string{member.Alive: "there", member.Suspected: "suspected", member.Dead: "gone"}
 
-// StateName is the word for a state.
+// StateName returns the name of a state in logs.
 func StateName(s member.State) string { return stateNames[s] }
