--- a/cmd/oaklab/emulate.go
+++ b/cmd/oaklab/emulate.go
@@ -55,7 +55,7 @@
 				return cli.Wrong(err)
 			}
 			if policy != "" {
-				if _, err := emulator.Policy(policy); err != nil {
+				if _, err := emulator.FactoryFor(policy); err != nil {
 					return cli.Wrong(err)
 				}
 			}
@@ -74,11 +74,11 @@
 			opt := emulator.Options{Policy: policy, Workers: runtime.GOMAXPROCS(0)}
 			var spent stopwatch
 			if timed {
-				make, err := emulator.Policy(cmp.Or(policy, sc.Policy))
+				make, err := emulator.FactoryFor(cmp.Or(policy, sc.Policy))
 				if err != nil {
 					return cli.Wrong(err)
 				}
-				opt.Make = spent.around(make)
+				opt.NewModule = spent.around(make)
 			}
 			r, err := play(c.Context(), sc, seed, opt, c.ErrOrStderr())
 			if err != nil {
@@ -87,7 +87,7 @@
 			took := time.Since(began)
 			return tell(out, r, asJSON, func() {
 				spent.print(out)
-				fmt.Fprintf(out, "played in %.2f s, %.1f us a req\n", took.Seconds(), took.Seconds()*1e6/float64(max(r.Requests, 1)))
+				fmt.Fprintf(out, "played in %.2f s, %.1f us a req\n", took.Seconds(), took.Seconds()*1e6/float64(max(r.Operations, 1)))
 			})
 		},
 	}
@@ -144,7 +144,7 @@
 
 var eventNames = [...]string{"a req", "an outcome", "other events"}
 
-func (s *stopwatch) around(make emulator.Maker) emulator.Maker {
+func (s *stopwatch) around(make emulator.ModuleFactory) emulator.ModuleFactory {
 	return func(set logic.Settings, seed uint64) (core.Module, error) {
 		m, err := make(set, seed)
 		return &timedModule{m, s}, err
@@ -198,20 +198,20 @@
 }
 
 func printResult(w io.Writer, r *emulator.Result) {
-	fmt.Fprintf(w, "%s, policy %s, seed %d: %d nodes, %d backends, %d reqs in %d tries\n", r.Scenario, r.Policy, r.Seed, r.Nodes, r.Backends, r.Requests, r.Tries)
-	fmt.Fprintf(w, "G %.4f  (whole %.4f, worst window %.4f, worst class %.4f, prices %.4f)\n", r.G, r.Parts["whole"], r.Parts["worst_window"], r.Parts["worst_class"], r.Parts["prices"])
+	fmt.Fprintf(w, "%s, policy %s, seed %d: %d nodes, %d backends, %d reqs in %d tries\n", r.Scenario, r.Policy, r.Seed, r.Nodes, r.Backends, r.Operations, r.ClientRequests)
+	fmt.Fprintf(w, "G %.4f  (whole %.4f, worst window %.4f, worst class %.4f, prices %.4f)\n", r.Score, r.ScoreParts["whole"], r.ScoreParts["worst_window"], r.ScoreParts["worst_class"], r.ScoreParts["prices"])
 	for _, n := range slices.Sorted(maps.Keys(r.Classes)) {
 		c, l := r.Classes[n], r.LatencyMS[n]
-		fmt.Fprintf(w, "%-12s asked %7d  in aim %7d  G %.4f  ms p50 %.1f  p99 %.1f  p99.9 %.1f\n", n, c.Asked, c.InAim, c.G, l.P50, l.P99, l.P999)
+		fmt.Fprintf(w, "%-12s asked %7d  in aim %7d  G %.4f  ms p50 %.1f  p99 %.1f  p99.9 %.1f\n", n, c.Operations, c.WithinAim, c.Score, l.P50, l.P99, l.P999)
 	}
 	fmt.Fprintf(w, "answers: served %d, refused %d, failed %d; attempts %d, of these retries %d, to cold ones %d; connections opened %d; crowded %d times\n",
-		r.Answers["served"], r.Answers["refused"], r.Answers["failed"], r.Attempts, r.Retries, r.ToCold, r.Opened, r.Crowded)
+		r.Answers["served"], r.Answers["refused"], r.Answers["failed"], r.Attempts, r.Retries, r.SendsToCold, r.ConnectionsOpened, r.CongestionCount)
 	fmt.Fprintf(w, "rules broken: unanswered %d, double effects %d, late drain sends %d, felled backends %d\n",
 		r.Rules.Unanswered, r.Rules.DoubleEffects, r.Rules.LateDrainSends, r.Rules.FelledBackends)
-	for _, h := range r.Happened {
-		fmt.Fprintf(w, "%9.2f s  %s %s\n", h.AtS, h.What, h.On)
+	for _, h := range r.FaultEvents {
+		fmt.Fprintf(w, "%9.2f s  %s %s\n", h.AtSeconds, h.Kind, h.Target)
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		fmt.Fprintf(w, "BROKEN %s at %.3f s: %s", b.Rule, b.At.Seconds(), b.Why)
 		if b.Request != "" {
 			fmt.Fprintf(w, ", req %s", b.Request)
--- a/cmd/oaklab/fault.go
+++ b/cmd/oaklab/fault.go
@@ -171,6 +171,6 @@
 	fmt.Fprintf(w, "rules broken: unanswered %d, double effects %d, late drain sends %d, felled backends %d%s\n",
 		d.Unanswered, d.DoubleEffects, d.LateDrainSends, d.FelledBackends, more)
 	for _, h := range d.Happened {
-		fmt.Fprintf(w, "%9.2f s  %s %s\n", h.AtS, h.What, h.On)
+		fmt.Fprintf(w, "%9.2f s  %s %s\n", h.AtSeconds, h.Kind, h.Target)
 	}
 }
--- a/cmd/oaklab/fault_test.go
+++ b/cmd/oaklab/fault_test.go
@@ -33,7 +33,7 @@
 // No rule is broken, requests and answers were lost in the cut, and the fleet serves again.
 func TestSiteLossOfRealNodes(t *testing.T) {
 	sc, r := fourNodes(t, siteTroubles)
-	assert.Positive(t, r.CutOff)
+	assert.Positive(t, r.LostInPartitions)
 	s, err := fault.Sum(sc, r, "processes")
 	require.NoError(t, err)
 	assert.Less(t, s.ReturnOvershoot, s.OvershootLimit)
@@ -56,7 +56,7 @@
 }
 
 // stated is a figure that no seed draws.
-func stated(v float64) emulator.Span { return emulator.Span{From: v, To: v} }
+func stated(v float64) emulator.Range { return emulator.Range{From: v, To: v} }
 
 // playProcesses plays a day of real nodes, whose logs it prints where that fails.
 func playProcesses(t *testing.T, sc *emulator.Scenario) *emulator.Result {
@@ -71,7 +71,7 @@
 		}
 	}
 	require.NoError(t, err)
-	assert.True(t, r.Rules.Clean(), "%+v", r.Broken)
+	assert.True(t, r.Rules.Clean(), "%+v", r.Violations)
 	return r
 }
 
@@ -85,7 +85,7 @@
 	for i, s := range []float64{1, 3, 2} {
 		sc.Troubles[i].AtS = stated(s)
 	}
-	sc.Troubles[0].ForS, sc.Troubles[1].ForS = stated(0.5), stated(3)
+	sc.Troubles[0].DurationS, sc.Troubles[1].DurationS = stated(0.5), stated(3)
 	r := playProcesses(t, sc)
 	p, err := fault.Power(sc, r, "processes")
 	require.NoError(t, err)
@@ -122,8 +122,8 @@
 }
 
 func happened(r *emulator.Result) (what []string) {
-	for _, h := range r.Happened {
-		what = append(what, h.What)
+	for _, h := range r.FaultEvents {
+		what = append(what, h.Kind)
 	}
 	return what
 }
--- a/cmd/oaklab/members_test.go
+++ b/cmd/oaklab/members_test.go
@@ -202,16 +202,16 @@
 	sc, err := emulator.Read("../../deploy/lab/members.yaml")
 	require.NoError(t, err)
 	sc.Seconds, sc.Troubles = stated(18), sc.Troubles[:2]
-	sc.Troubles[0].AtS, sc.Troubles[0].ForS = stated(1), stated(4)
-	sc.Troubles[1].AtS, sc.Troubles[1].ForS = stated(2), stated(60)
-	m := playProcesses(t, sc).Members
+	sc.Troubles[0].AtS, sc.Troubles[0].DurationS = stated(1), stated(4)
+	sc.Troubles[1].AtS, sc.Troubles[1].DurationS = stated(2), stated(60)
+	m := playProcesses(t, sc).Membership
 	require.NotNil(t, m)
 	assert.Equal(t, 8, m.Detected, "each of four takes each of two for gone")
 	assert.Zero(t, m.Undetected)
 	assert.Zero(t, m.FalseGone)
-	assert.Zero(t, m.Disagree)
+	assert.Zero(t, m.Disagreements)
 	assert.Positive(t, m.DetectMSP50)
-	assert.Less(t, m.BytesPerS, 512.0)
-	assert.Positive(t, m.BytesPerS)
+	assert.Less(t, m.BytesPerSecond, 512.0)
+	assert.Positive(t, m.BytesPerSecond)
 	t.Logf("%+v", *m)
 }
--- a/cmd/oaklab/oaklab_test.go
+++ b/cmd/oaklab/oaklab_test.go
@@ -78,7 +78,7 @@
 		require.NoError(t, err, f)
 		r, err := emulator.Run(sc, 1, emulator.Options{})
 		require.NoError(t, err, f)
-		assert.Positive(t, r.Requests, f)
+		assert.Positive(t, r.Operations, f)
 	}
 }
 
@@ -121,14 +121,14 @@
 	sc, err := emulator.Parse("sockets.yaml", []byte(onSockets))
 	require.NoError(t, err)
 	r := playProcesses(t, sc)
-	assert.Greater(t, r.Requests, 100)
-	assert.Greater(t, r.Classes["topup"].Served, r.Classes["topup"].Asked/2)
+	assert.Greater(t, r.Operations, 100)
+	assert.Greater(t, r.Classes["topup"].Served, r.Classes["topup"].Operations/2)
 	assert.Greater(t, r.Attempts, 100)
 
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err = fleet.Run(ctx, sc, 1, fleet.Options{Program: buildNode(t, t.TempDir()), Sockets: 512, MemoryMB: 64, Progress: func(_, _ time.Duration) {}})
-	assert.ErrorIs(t, err, emulator.ErrLate, "a day that is broken off ends what it started")
+	assert.ErrorIs(t, err, emulator.ErrAborted, "a day that is broken off ends what it started")
 	_, err = fleet.Run(t.Context(), sc, 1, fleet.Options{Program: "/bin/false", Sockets: 512, MemoryMB: 64, Progress: func(_, _ time.Duration) {}})
 	assert.ErrorContains(t, err, "before it was ready")
 }
--- a/internal/arrivals/arrivals_test.go
+++ b/internal/arrivals/arrivals_test.go
@@ -14,7 +14,7 @@
 func TestShapes(t *testing.T) {
 	for _, shape := range Shapes {
 		for _, even := range []bool{false, true} {
-			s := Schedule{PerSecond: 500, Shape: shape, Swing: .6, Period: 10 * time.Second, Even: even}
+			s := Schedule{PerSecond: 500, Shape: shape, Amplitude: .6, Period: 10 * time.Second, EvenlySpaced: even}
 			require.NoError(t, s.Check())
 			one, two := New(s, rand.New(rand.NewPCG(1, 2))), New(s, rand.New(rand.NewPCG(1, 2)))
 			seconds := make([]int, 100)
@@ -43,10 +43,10 @@
 		}
 	}
 	for phase, first := range map[float64]float64{0: 1, .25: 1.6, .75: .4} {
-		s := New(Schedule{PerSecond: 1, Shape: "wave", Swing: .6, Period: time.Second, Phase: phase}, rand.New(rand.NewPCG(1, 2)))
-		assert.InDelta(t, first, s.Strength(0), 1e-9)
+		s := New(Schedule{PerSecond: 1, Shape: "wave", Amplitude: .6, Period: time.Second, Phase: phase}, rand.New(rand.NewPCG(1, 2)))
+		assert.InDelta(t, first, s.RelativeRate(0), 1e-9)
 	}
-	for _, s := range []Schedule{{}, {PerSecond: -1}, {PerSecond: 1, Shape: "square"}, {PerSecond: 1, Shape: "wave", Swing: 2},
+	for _, s := range []Schedule{{}, {PerSecond: -1}, {PerSecond: 1, Shape: "square"}, {PerSecond: 1, Shape: "wave", Amplitude: 2},
 		{PerSecond: 1, Shape: "wave"}} {
 		assert.Error(t, s.Check())
 	}
--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -10,13 +10,13 @@
 )
 
 // Machine is how a backend's machine is.
-type Machine uint8
+type MachineState uint8
 
 // What a machine may be.
 const (
-	Up     Machine = iota // its process serves
-	Silent                // nothing comes up, nothing comes back
-	Down                  // no process listens
+	Up     MachineState = iota // its process serves
+	Silent                     // nothing comes up, nothing comes back
+	Down                       // no process listens
 )
 
 // backend is the model of one backend. All requests in work progress at the same
@@ -26,14 +26,14 @@
 	w      *world
 	no     int
 	id     logic.ServerID
-	kind   *Kind
+	kind   *BackendKind
 	zone   int
 	cell   int
 	speed  float64
 	weight float64
 	rng    *rand.Rand
 
-	state    Machine
+	state    MachineState
 	draining bool
 	retired  bool          // replaced by another for good
 	born     time.Duration // 0: long ago
@@ -99,7 +99,7 @@
 func (b *backend) capacity() float64 {
 	c := b.speed * float64(b.kind.Cores) * b.warmth() / b.slow
 	if b.crowded {
-		c /= b.w.sc.Crowded.Slower.From
+		c /= b.w.sc.Crowded.Slowdown.From
 	}
 	return c
 }
@@ -126,7 +126,7 @@
 			r /= 1 + b.kind.Thrash.From*over/(b.kind.ThrashAt.From*float64(b.kind.Cores))
 		}
 		if most := b.connCap(); most > 0 {
-			r *= 1 - b.w.sc.Conns.FullTax.From*min(float64(b.conns)/float64(most), 1)
+			r *= 1 - b.w.sc.Conns.FullTableCost.From*min(float64(b.conns)/float64(most), 1)
 		}
 		b.rate = r
 	}
@@ -202,7 +202,7 @@
 	if b.warmth() < 1 && b.w.audit.Work(b.w.now, string(b.id), work+opening, b.bearable()) {
 		b.w.happened("felled", string(b.id))
 		b.stop(Down)
-		b.w.news(b, b.w.sc.Discovery.SilentNoticeS.sec())
+		b.w.news(b, b.w.sc.Discovery.SilentNoticeDelayS.sec())
 		a.end(logic.Reset, nil, 0)
 		return
 	}
@@ -270,7 +270,7 @@
 
 // stop ends its process: what it held is lost. A silent machine says nothing; a
 // process that dies resets its connections.
-func (b *backend) stop(to Machine) {
+func (b *backend) stop(to MachineState) {
 	b.advance()
 	b.see()
 	lost := append([]*job{}, b.running...)
@@ -295,50 +295,50 @@
 	b.w.audit.Started(string(b.id))
 	b.changed()
 	b.w.live.backend(b)
-	b.w.news(b, b.w.sc.Discovery.AddS.sec())
+	b.w.news(b, b.w.sc.Discovery.AddDelayS.sec())
 }
 
 // judgeCrowd follows the state of being crowded, which outlasts its cause.
 func (b *backend) judgeCrowd() {
 	c := &b.w.sc.Crowded
-	if c.At.From == 0 {
+	if c.AboveHeld.From == 0 {
 		return
 	}
 	now := b.w.now
 	if !b.crowded {
-		if float64(b.held()) <= c.At.From {
+		if float64(b.held()) <= c.AboveHeld.From {
 			b.overSince = 0
 		} else if b.overSince == 0 {
 			b.overSince = now
-			b.w.after(c.OverS.sec(), func() { b.set(func() {}) })
-		} else if now-b.overSince >= c.OverS.sec() {
+			b.w.after(c.TriggerS.sec(), func() { b.set(func() {}) })
+		} else if now-b.overSince >= c.TriggerS.sec() {
 			b.crowded, b.ever, b.crowdedAt, b.restSince, b.overSince = true, true, now, 0, 0
 			b.w.crowdings++
-			b.w.after(c.MostS.sec(), func() { b.set(func() {}) })
+			b.w.after(c.MaxS.sec(), func() { b.set(func() {}) })
 		}
 		return
 	}
 	switch {
-	case now-b.crowdedAt >= c.MostS.sec():
+	case now-b.crowdedAt >= c.MaxS.sec():
 		b.crowded = false
-	case float64(b.held()) >= c.Below.From*float64(b.kind.Cores):
+	case float64(b.held()) >= c.RecoverBelow.From*float64(b.kind.Cores):
 		b.restSince = 0
 	case b.restSince == 0:
 		b.restSince = now
-		b.w.after(c.RestS.sec(), func() { b.set(func() {}) })
-	case now-b.restSince >= c.RestS.sec():
+		b.w.after(c.RecoverS.sec(), func() { b.set(func() {}) })
+	case now-b.restSince >= c.RecoverS.sec():
 		b.crowded = false
 	}
 }
 
 func (b *backend) connCap() int {
-	return int(b.w.sc.Conns.CapPerCore.From * float64(b.kind.Cores))
+	return int(b.w.sc.Conns.MaxPerCore.From * float64(b.kind.Cores))
 }
 
 // see notes what a look at its queue showed at each instant of looking that has
 // passed since the last change. It belongs before each change.
 func (b *backend) see() {
-	every := b.w.sc.Reports.EveryMS.ms()
+	every := b.w.sc.Reports.IntervalMS.ms()
 	if len(b.w.sc.Reports.Fields) == 0 || b.w.now < b.nextLook {
 		return
 	}
--- a/internal/emulator/check.go
+++ b/internal/emulator/check.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func (c *checker) span(k string, v Span, least, most float64) {
+func (c *checker) span(k string, v Range, least, most float64) {
 	if !v.within(least, most) {
 		c.bad(k, "must lie from %g to %g, the lower figure first", least, most)
 	}
@@ -73,23 +73,23 @@
 			c.bad(fmt.Sprintf("nodes.shares.%d", i), "must be over 0")
 		}
 	}
-	if s.Nodes.Connections < 0 {
+	if s.Nodes.MaxConnections < 0 {
 		c.bad("nodes.connections", "must not be negative")
 	}
 	c.span("nodes.start_ms", s.Nodes.StartMS, 0, 1e6)
-	c.span("nodes.notice_s", s.Nodes.NoticeS, 0, 1e6)
-	if s.Peers != (Peers{}) {
-		c.span("peers.bytes_per_s", s.Peers.BytesPerS, 256, 100000)
+	c.span("nodes.notice_s", s.Nodes.NoticeDelayS, 0, 1e6)
+	if s.Peers != (PeerNetwork{}) {
+		c.span("peers.bytes_per_s", s.Peers.BytesPerSecond, 256, 100000)
 	}
 	c.span("peers.loss", s.Peers.Loss, 0, .99)
-	c.span("peers.twice", s.Peers.Twice, 0, .99)
+	c.span("peers.twice", s.Peers.Duplicates, 0, .99)
 	c.span("peers.delay_ms", s.Peers.DelayMS, 0, 1e5)
 	c.span("peers.spread_ms", s.Peers.SpreadMS, 0, 1e5)
 	s.checkFleet(c, names)
-	if s.Arrivals.PerSecond != (Span{}) && s.Arrivals.Load != (Span{}) {
+	if s.Arrivals.PerSecond != (Range{}) && s.Arrivals.Load != (Range{}) {
 		c.bad("arrivals.load", "stands beside per_second; one of them is wanted")
 	}
-	if s.Arrivals.PerSecond == (Span{}) {
+	if s.Arrivals.PerSecond == (Range{}) {
 		c.span("arrivals.load", s.Arrivals.Load, 1e-6, 1000)
 	} else {
 		c.span("arrivals.per_second", s.Arrivals.PerSecond, 1e-6, 1e7)
@@ -99,17 +99,17 @@
 	c.span("arrivals.period_s", s.Arrivals.PeriodS, .01, far)
 	c.span("arrivals.phase", s.Arrivals.Phase, -1, 1)
 	c.span("clients.retries", s.Clients.Retries, 0, 100)
-	c.span("clients.try_share", s.Clients.TryShare, .001, 1)
+	c.span("clients.try_share", s.Clients.RequestTimeoutShare, .001, 1)
 	c.span("clients.backoff_ms", s.Clients.BackoffMS, 0, 1e6)
-	c.span("clients.honour", s.Clients.Honour, 0, 1)
+	c.span("clients.honour", s.Clients.HonourRetryAfter, 0, 1)
 	c.span("clients.max_retry_after_ms", s.Clients.MaxRetryAfterMS, 0, 1e7)
 	s.checkClasses(c)
-	if s.Limits.Attempts < 0 {
+	if s.Limits.MaxAttempts < 0 {
 		c.bad("limits.attempts", "must not be negative")
 	}
 	for _, r := range []struct {
 		k string
-		v Span
+		v Range
 	}{{"answer_slack_ms", s.Rules.AnswerSlackMS}, {"drain_grace_ms", s.Rules.DrainGraceMS}, {"warm_within_s", s.Rules.WarmWithinS},
 		{"fall_multiple", s.Rules.FallMultiple}, {"fall_after_ms", s.Rules.FallAfterMS}, {"fall_slack", s.Rules.FallSlack}} {
 		c.span("rules."+r.k, r.v, 0, 1e7)
@@ -117,29 +117,29 @@
 	c.span("rules.cold_from", s.Rules.ColdFrom, 0, 1)
 	for _, g := range []struct {
 		k string
-		v Span
-	}{{"goal.whole", s.Goal.Whole}, {"goal.worst_window", s.Goal.WorstWindow}, {"goal.worst_class", s.Goal.WorstClass}} {
+		v Range
+	}{{"goal.whole", s.Goal.Overall}, {"goal.worst_window", s.Goal.WorstWindow}, {"goal.worst_class", s.Goal.WorstClass}} {
 		if !g.v.within(0, 1) {
 			c.bad("goal", "%s must lie from 0 to 1", g.k)
 		}
 	}
-	if sum := s.Goal.Whole.From + s.Goal.WorstWindow.From + s.Goal.WorstClass.From; math.Abs(sum-1) > 1e-6 {
+	if sum := s.Goal.Overall.From + s.Goal.WorstWindow.From + s.Goal.WorstClass.From; math.Abs(sum-1) > 1e-6 {
 		c.bad("goal", "the parts add up to %g, not to 1", sum)
 	}
-	c.span("prices.waste", s.Prices.Waste, 0, 1)
-	c.span("prices.late_fail", s.Prices.LateFail, 0, 1)
+	c.span("prices.waste", s.Prices.WastedWork, 0, 1)
+	c.span("prices.late_fail", s.Prices.LateFailure, 0, 1)
 	c.span("prices.handshake", s.Prices.Handshake, 0, 1)
 	c.span("prices.cross_zone", s.Prices.CrossZone, 0, 1)
-	c.span("prices.crowded", s.Prices.Crowded, 0, 1)
+	c.span("prices.crowded", s.Prices.CongestedBackends, 0, 1)
 	for i := range s.Troubles {
 		s.checkTrouble(c, fmt.Sprintf("troubles.%d", i), &s.Troubles[i], names)
 	}
 	c.span("incidental.count", s.Incidental.Count, 0, 1000)
-	if s.Incidental.Count.To > 0 && len(s.Incidental.Of) == 0 {
+	if s.Incidental.Count.To > 0 && len(s.Incidental.Candidates) == 0 {
 		c.bad("incidental.of", "is empty")
 	}
-	for i := range s.Incidental.Of {
-		s.checkTrouble(c, fmt.Sprintf("incidental.of.%d", i), &s.Incidental.Of[i], names)
+	for i := range s.Incidental.Candidates {
+		s.checkTrouble(c, fmt.Sprintf("incidental.of.%d", i), &s.Incidental.Candidates[i], names)
 	}
 	return c.key, c.fault
 }
@@ -155,7 +155,7 @@
 		if kind.Cores < 1 || kind.Cores > 4096 {
 			c.bad(k+".cores", "must lie from 1 to 4096")
 		}
-		c.span(k+".share", kind.Share, 0, far)
+		c.span(k+".share", kind.FleetShare, 0, far)
 		c.span(k+".speed", kind.Speed, 1e-3, 1e3)
 		c.span(k+".speed_cv", kind.SpeedCV, 0, 1)
 		c.span(k+".weight", kind.Weight, 0, far)
@@ -172,46 +172,46 @@
 	}
 	if len(s.Fleet.Backends) == 0 {
 		c.span("fleet.size", s.Fleet.Size, 1, 1e6)
-	} else if s.Fleet.Size != (Span{}) {
+	} else if s.Fleet.Size != (Range{}) {
 		c.bad("fleet.size", "stands beside fleet.backends; one of them is wanted")
 	}
 	for i, b := range s.Fleet.Backends {
 		k := fmt.Sprintf("fleet.backends.%d", i)
 		c.oneOf(k+".kind", b.Kind, kinds)
 		c.oneOf(k+".zone", b.Zone, zones)
-		if b.Speed != (Span{}) {
+		if b.Speed != (Range{}) {
 			c.span(k+".speed", b.Speed, 1e-3, 1e3)
 		}
 	}
 	cr := &s.Crowded
-	c.span("crowded.at", cr.At, 0, 1e6)
-	if cr.At.To > 0 {
-		c.span("crowded.slower", cr.Slower, 1, 1e3)
-		c.span("crowded.most_s", cr.MostS, .001, 1e6)
-	}
-	c.span("crowded.over_s", cr.OverS, 0, 1e6)
-	c.span("crowded.below", cr.Below, 0, 1e6)
-	c.span("crowded.rest_s", cr.RestS, 0, 1e6)
+	c.span("crowded.at", cr.AboveHeld, 0, 1e6)
+	if cr.AboveHeld.To > 0 {
+		c.span("crowded.slower", cr.Slowdown, 1, 1e3)
+		c.span("crowded.most_s", cr.MaxS, .001, 1e6)
+	}
+	c.span("crowded.over_s", cr.TriggerS, 0, 1e6)
+	c.span("crowded.below", cr.RecoverBelow, 0, 1e6)
+	c.span("crowded.rest_s", cr.RecoverS, 0, 1e6)
 	n := &s.Conns
-	c.span("connections.rtts", n.RTTs, 0, 100)
-	c.span("connections.work_us", n.WorkUS, 0, 1e7)
-	c.span("connections.idle_s", n.IdleS, 0, 1e6)
-	c.span("connections.timeout_ms", n.TimeoutMS, 0, 1e6)
-	c.span("connections.cap_per_core", n.CapPerCore, 0, 1e7)
-	c.span("connections.full_tax", n.FullTax, 0, .99)
+	c.span("connections.rtts", n.HandshakeRTTs, 0, 100)
+	c.span("connections.work_us", n.HandshakeWorkUS, 0, 1e7)
+	c.span("connections.idle_s", n.IdleTimeoutS, 0, 1e6)
+	c.span("connections.timeout_ms", n.ConnectTimeoutMS, 0, 1e6)
+	c.span("connections.cap_per_core", n.MaxPerCore, 0, 1e7)
+	c.span("connections.full_tax", n.FullTableCost, 0, .99)
 	for i, f := range s.Reports.Fields {
 		c.oneOf(fmt.Sprintf("reports.fields.%d", i), f, reportNames)
 	}
-	c.span("reports.every_ms", s.Reports.EveryMS, 1, 1e6)
+	c.span("reports.every_ms", s.Reports.IntervalMS, 1, 1e6)
 	c.span("reports.delay_ms", s.Reports.DelayMS, 0, 1e6)
 	c.span("reports.noise", s.Reports.Noise, 0, 10)
 	d := &s.Discovery
-	c.span("discovery.notice_s", d.NoticeS, 0, 1e6)
-	c.span("discovery.silent_notice_s", d.SilentNoticeS, 0, 1e6)
-	c.span("discovery.add_s", d.AddS, 0, 1e6)
-	c.span("discovery.every_ms", d.EveryMS, 1, 1e6)
+	c.span("discovery.notice_s", d.NoticeDelayS, 0, 1e6)
+	c.span("discovery.silent_notice_s", d.SilentNoticeDelayS, 0, 1e6)
+	c.span("discovery.add_s", d.AddDelayS, 0, 1e6)
+	c.span("discovery.every_ms", d.IntervalMS, 1, 1e6)
 	c.span("discovery.spread_ms", d.SpreadMS, 0, 1e6)
-	c.span("discovery.lines_per_s", d.LinesPerS, 0, far)
+	c.span("discovery.lines_per_s", d.LinesPerSecond, 0, far)
 	c.span("discovery.call_lines", d.CallLines, 0, far)
 	c.span("discovery.timeout_ms", d.TimeoutMS, 1, 1e6)
 }
@@ -240,35 +240,35 @@
 	}
 }
 
-func (s *Scenario) checkTrouble(c *checker, k string, t *Trouble, zones []string) {
-	c.oneOf(k+".kind", t.Kind, TroubleKinds)
-	if strings.HasPrefix(t.Kind, "peer_") && s.Peers == (Peers{}) {
+func (s *Scenario) checkTrouble(c *checker, k string, t *Fault, zones []string) {
+	c.oneOf(k+".kind", t.Kind, FaultKinds)
+	if strings.HasPrefix(t.Kind, "peer_") && s.Peers == (PeerNetwork{}) {
 		c.bad(k+".kind", "the nodes don't talk: peers is missing")
 	}
 	c.span(k+".at_s", t.AtS, 0, 1e6)
-	c.span(k+".for_s", t.ForS, 0, 1e6)
-	c.span(k+".part", t.Part, 0, 1)
-	c.span(k+".lag_s", t.LagS, 0, 1e6)
-	c.span(k+".spread_s", t.SpreadS, 0, 1e6)
+	c.span(k+".for_s", t.DurationS, 0, 1e6)
+	c.span(k+".part", t.Fraction, 0, 1)
+	c.span(k+".lag_s", t.RecoveryLagS, 0, 1e6)
+	c.span(k+".spread_s", t.RestartSpreadS, 0, 1e6)
 	switch t.Kind {
 	case "slow", "shared_slow", "discovery_slow":
-		c.span(k+".size", t.Size, 1, 1e4)
+		c.span(k+".size", t.Severity, 1, 1e4)
 	default:
-		c.span(k+".size", t.Size, 0, 1)
+		c.span(k+".size", t.Severity, 0, 1)
 	}
 	if t.Zone != "" {
 		c.oneOf(k+".zone", t.Zone, zones)
 	}
 	if t.Kind == "cut" || t.Kind == "peer_cut" {
 		c.oneOf(k+".zone", t.Zone, zones)
-		c.oneOf(k+".to", t.To, zones)
-		if t.Zone == t.To {
+		c.oneOf(k+".to", t.ToZone, zones)
+		if t.Zone == t.ToZone {
 			c.bad(k+".to", "must be another zone than the one it cuts off")
 		}
-	} else if t.To != "" {
+	} else if t.ToZone != "" {
 		c.bad(k+".to", "belongs to a cut alone")
 	}
-	for _, n := range t.On {
+	for _, n := range t.Backends {
 		if size := max(len(s.Fleet.Backends), int(s.Fleet.Size.From)); n < 0 || n >= size {
 			c.bad(k+".on", "%d is no backend of the fleet", n)
 		}
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -43,7 +43,7 @@
 type traffic struct {
 	w      *world
 	rate   float64 // a second, on the mean
-	source *arrivals.Source
+	source *arrivals.Generator
 	cum    []float64 // shares of the classes, added up
 	zones  []float64 // and of the zones
 	began  time.Duration
@@ -81,7 +81,7 @@
 
 func (t *traffic) begin() {
 	a := &t.w.sc.Arrivals
-	t.source = arrivals.New(arrivals.Schedule{PerSecond: t.rate, Shape: a.Shape, Swing: a.Swing.From, Period: a.PeriodS.sec(), Phase: a.Phase.From}, t.w.clientsR)
+	t.source = arrivals.New(arrivals.Schedule{PerSecond: t.rate, Shape: a.Shape, Amplitude: a.Swing.From, Period: a.PeriodS.sec(), Phase: a.Phase.From}, t.w.clientsR)
 	t.began, t.until = t.w.now, t.w.now+t.w.sc.Seconds.sec()
 	t.next()
 }
@@ -102,14 +102,14 @@
 // meets the same clients.
 func (t *traffic) op(r *rand.Rand) {
 	t.ops++
-	o := &op{w: t.w, id: t.ops, class: &t.w.sc.Classes[arrivals.Pick(t.cum, r)], began: t.due}
+	o := &op{w: t.w, id: t.ops, class: &t.w.sc.Classes[arrivals.WeightedIndex(t.cum, r)], began: t.due}
 	if t.zones[len(t.zones)-1] > 0 {
-		o.zone = arrivals.Pick(t.zones, r)
+		o.zone = arrivals.WeightedIndex(t.zones, r)
 	} else {
 		o.zone = r.IntN(len(t.zones))
 	}
 	o.work = lognormal(r, o.class.WorkMS.From/1000, o.class.CV.From)
-	o.heeds = r.Float64() < t.w.sc.Clients.Honour.From
+	o.heeds = r.Float64() < t.w.sc.Clients.HonourRetryAfter.From
 	t.w.tally.asked(o)
 	o.try()
 }
@@ -119,7 +119,7 @@
 	w := o.w
 	o.tries++
 	left := o.began + o.class.DeadlineMS.ms() - w.now
-	patience := min(time.Duration(w.sc.Clients.TryShare.From*float64(o.class.DeadlineMS.ms())), left)
+	patience := min(time.Duration(w.sc.Clients.RequestTimeoutShare.From*float64(o.class.DeadlineMS.ms())), left)
 	n := w.front.pick(o.zone)
 	if n == nil {
 		w.after(w.jittered(w.sc.Net.ClientMS), func() { o.again(unreachable, 0) })
@@ -300,5 +300,5 @@
 
 // notice has the front see, late, whether a node is there.
 func (f *front) notice(n *node) {
-	f.w.after(f.w.sc.Nodes.NoticeS.sec(), func() { n.inFront = n.alive && !n.cutOff })
+	f.w.after(f.w.sc.Nodes.NoticeDelayS.sec(), func() { n.inFront = n.alive && !n.cutOff })
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -81,7 +81,7 @@
 
 // round draws when a node is told at the next round of news.
 func (d *discovery) round() time.Duration {
-	every := d.w.sc.Discovery.EveryMS.ms()
+	every := d.w.sc.Discovery.IntervalMS.ms()
 	spread := time.Duration(d.w.netR.Float64() * float64(d.w.sc.Discovery.SpreadMS.ms()))
 	return (d.w.now/every+1)*every + spread
 }
@@ -152,7 +152,7 @@
 		return 0, false
 	}
 	d.free = begin
-	if rate := sc.LinesPerS.From; rate > 0 {
+	if rate := sc.LinesPerSecond.From; rate > 0 {
 		lines := sc.CallLines.From + float64(len(d.states))
 		d.free += time.Duration(lines / rate * d.slower * 1e9)
 	}
--- a/internal/emulator/draw.go
+++ b/internal/emulator/draw.go
@@ -13,12 +13,12 @@
 	return out.Addr().Interface().(*Scenario)
 }
 
-var spanType = reflect.TypeOf(Span{})
+var spanType = reflect.TypeOf(Range{})
 
 func drawAll(v reflect.Value, rng *rand.Rand) {
 	switch {
 	case v.Type() == spanType:
-		x := v.Interface().(Span).draw(rng)
+		x := v.Interface().(Range).draw(rng)
 		v.Set(reflect.ValueOf(fixed(x)))
 	case v.Kind() == reflect.Struct:
 		for i := range v.NumField() {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -58,7 +58,7 @@
 // an end; each kind of trouble costs something against the same day without it.
 func TestModuleKeepsTheRulesInEachTrouble(t *testing.T) {
 	calm := run(t, scenario(t, ""), 1, Options{})
-	assert.Greater(t, calm.G, 0.85)
+	assert.Greater(t, calm.Score, 0.85)
 	assert.Zero(t, calm.Answers["duplicate"])
 	for _, trouble := range []string{
 		"{kind: vanish, at_s: 2, for_s: 4, part: 0.3}", "{kind: slow, at_s: 2, for_s: 6, part: 0.3, size: 8}",
@@ -69,19 +69,19 @@
 		t.Run(trouble, func(t *testing.T) {
 			t.Parallel()
 			r := run(t, scenario(t, "troubles: ["+trouble+"]"), 1, Options{})
-			assert.True(t, r.Rules.Clean(), "%+v", r.Broken)
-			assert.Less(t, r.G, calm.G)
-			assert.Equal(t, calm.Requests, r.Requests, "clients are the same in every world")
+			assert.True(t, r.Rules.Clean(), "%+v", r.Violations)
+			assert.Less(t, r.Score, calm.Score)
+			assert.Equal(t, calm.Operations, r.Operations, "clients are the same in every world")
 			for name, c := range r.Classes {
-				assert.Greater(t, c.G, 0.1, name)
+				assert.Greater(t, c.Score, 0.1, name)
 			}
 		})
 	}
 	for _, trouble := range []string{"{kind: replace, at_s: 1, for_s: 6, part: 0.5}",
 		"{kind: discovery_down, at_s: 1, for_s: 8}", "{kind: discovery_slow, at_s: 0, for_s: 8, size: 20}"} {
 		r := run(t, scenario(t, "troubles: ["+trouble+"]"), 1, Options{})
-		assert.True(t, r.Rules.Clean(), "%s: %+v", trouble, r.Broken)
-		assert.NotEmpty(t, r.Happened)
+		assert.True(t, r.Rules.Clean(), "%s: %+v", trouble, r.Violations)
+		assert.NotEmpty(t, r.FaultEvents)
 	}
 }
 
@@ -126,11 +126,11 @@
   - {kind: fast_errors, at_s: 7, for_s: 3, part: 0.3, size: 0.8}`)
 	for _, policy := range Policies() {
 		r := run(t, sc, 2, Options{Policy: policy})
-		assert.Zero(t, r.Rules.Unanswered+r.Rules.DoubleEffects+r.Rules.LateDrainSends, "%s: %+v", policy, r.Broken)
+		assert.Zero(t, r.Rules.Unanswered+r.Rules.DoubleEffects+r.Rules.LateDrainSends, "%s: %+v", policy, r.Violations)
 		if strings.HasSuffix(policy, "+budget") {
 			assert.Positive(t, r.Retries, policy)
 		}
-		assert.Equal(t, r.Tries, r.Answers["served"]+r.Answers["refused"]+r.Answers["failed"], policy)
+		assert.Equal(t, r.ClientRequests, r.Answers["served"]+r.Answers["refused"]+r.Answers["failed"], policy)
 	}
 }
 
@@ -191,7 +191,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			more := "limits: {attempts: 5}\n" + tt.more
-			r := run(t, scenario(t, more), 3, Options{Make: func(s logic.Settings, seed uint64) (core.Module, error) {
+			r := run(t, scenario(t, more), 3, Options{NewModule: func(s logic.Settings, seed uint64) (core.Module, error) {
 				p, err := rivals.New("least_outstanding", s, seed)
 				switch tt.name {
 				case "never heeds a drain":
@@ -211,8 +211,8 @@
 				}
 			}
 			if tt.rule != "" {
-				require.NotEmpty(t, r.Broken)
-				assert.Contains(t, strings.Join(r.Broken[0].Events, "\n"), tt.event)
+				require.NotEmpty(t, r.Violations)
+				assert.Contains(t, strings.Join(r.Violations[0].Events, "\n"), tt.event)
 			}
 		})
 	}
@@ -315,7 +315,7 @@
 		want     int
 	}{{6, 3 * time.Second, 0}, {7, time.Second, 0}, {7, 2 * time.Second, 1}} {
 		sc := scenario(t, "")
-		sc.Prices = Prices{Crowded: fixed(.8)}
+		sc.Prices = Penalties{CongestedBackends: fixed(.8)}
 		w := newWorld(sc, 1)
 		w.tally.worth = 1 // of something asked, or nothing is priced
 		b := w.backends[0]
@@ -330,7 +330,7 @@
 		}
 		assert.Equal(t, tt.want, w.crowdings, "%+v", tt)
 		assert.Equal(t, tt.want == 1, b.crowded)
-		assert.InDelta(t, .8/8*float64(tt.want), w.result("", 1).Parts["prices"], 1e-9)
+		assert.InDelta(t, .8/8*float64(tt.want), w.result("", 1).ScoreParts["prices"], 1e-9)
 	}
 }
 
@@ -338,10 +338,10 @@
 func TestBrokenOffAndPanics(t *testing.T) {
 	_, err := Run(scenario(t, ""), 1, Options{Progress: func(_, _ time.Duration) bool { return false }})
 	if err != nil { // a day of fewer events than one look at progress takes just ends
-		assert.ErrorIs(t, err, ErrLate)
+		assert.ErrorIs(t, err, ErrAborted)
 	}
 	n := 0
-	r := run(t, scenario(t, ""), 1, Options{Make: func(s logic.Settings, seed uint64) (core.Module, error) {
+	r := run(t, scenario(t, ""), 1, Options{NewModule: func(s logic.Settings, seed uint64) (core.Module, error) {
 		p, err := rivals.New("p2c", s, seed)
 		return &bad{p, func(_ time.Duration, ev logic.Event, out []logic.Action) []logic.Action {
 			if _, ok := ev.(logic.Request); ok {
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -18,11 +18,11 @@
 // clients, backends and registry are the same, but what passes between them and
 // the nodes goes over an Outside's sockets. One goroutine owns the day; all else
 // reaches it by a queue.
-type Live struct {
+type LiveRun struct {
 	w     *world
 	sc    *Scenario
 	seed  uint64
-	out   Outside
+	out   Environment
 	do    chan func()
 	began time.Time
 	over  chan struct{}
@@ -38,33 +38,33 @@
 // Outside is the real side of a live day: sockets and processes. Its methods are
 // called by the goroutine that owns the day, one after the other, and must not
 // block.
-type Outside interface {
+type Environment interface {
 	// Start starts a node with the list as it last held it, and calls Live.Up when it is ready.
-	Start(node int, rev int64, known []core.Backend)
+	StartNode(node int, rev int64, known []core.Backend)
 	// Kill ends a node's process at once.
-	Kill(node int)
+	KillNode(node int)
 	// Backend tells how a backend's machine is from now on. The first call makes it.
-	Backend(no int, how Machine)
+	SetBackend(no int, how MachineState)
 	// Cut tells whether new connections of a node to a backend come up from now on. What
 	// is open stays open; where the cut heals, it is reset.
-	Cut(node, backend int, cut bool)
+	SetPartition(node, backend int, cut bool)
 	// Send sends a client's request to a node and calls Live.Sending, then Live.Done once.
-	Send(Try)
+	SendRequest(ClientRequest)
 }
 
 // Try is one request of a client.
-type Try struct {
-	ID       string
-	Class    logic.Class
-	Key      string // of a keyed class
-	Node     int
-	Repeat   bool
-	Patience time.Duration
+type ClientRequest struct {
+	ID      string
+	Class   logic.Class
+	Key     string // of a keyed class
+	Node    int
+	Retry   bool
+	Timeout time.Duration
 }
 
 // NewLive sets a day up. Nothing happens before Run.
-func NewLive(sc *Scenario, seed uint64) *Live {
-	l := &Live{sc: sc, seed: seed, do: make(chan func(), 4096), over: make(chan struct{}), tries: map[string]*try{}}
+func NewLiveRun(sc *Scenario, seed uint64) *LiveRun {
+	l := &LiveRun{sc: sc, seed: seed, do: make(chan func(), 4096), over: make(chan struct{}), tries: map[string]*try{}}
 	l.w = newWorld(sc, seed)
 	l.w.live = l
 	for range l.w.nodes {
@@ -76,7 +76,7 @@
 }
 
 // Nodes returns the zone of each node.
-func (l *Live) Nodes() (zones []string) {
+func (l *LiveRun) NodeZones() (zones []string) {
 	for _, n := range l.w.nodes {
 		zones = append(zones, l.w.sc.Zones[n.zone].Name)
 	}
@@ -84,15 +84,15 @@
 }
 
 // Settings returns what the module of a node is told.
-func (l *Live) Settings(node int) logic.Settings {
+func (l *LiveRun) Settings(node int) logic.Settings {
 	return l.w.sc.settings(l.w.sc.Zones[l.w.nodes[node].zone].Name, node, len(l.w.nodes))
 }
 
 // Connect is how long a connection to a backend may take to come up.
-func (l *Live) Connect() time.Duration { return l.w.sc.Conns.TimeoutMS.ms() }
+func (l *LiveRun) ConnectTimeout() time.Duration { return l.w.sc.Conns.ConnectTimeoutMS.ms() }
 
 // post has something happen in the day.
-func (l *Live) post(do func()) {
+func (l *LiveRun) post(do func()) {
 	select {
 	case l.do <- do:
 	case <-l.over:
@@ -100,7 +100,7 @@
 }
 
 // Run plays the day. It returns when it is over, with ErrLate where ctx ended it.
-func (l *Live) Run(ctx context.Context, out Outside, progress func(at, of time.Duration)) (*Result, error) {
+func (l *LiveRun) Run(ctx context.Context, out Environment, progress func(at, of time.Duration)) (*Result, error) {
 	w := l.w
 	l.out, l.began = out, time.Now()
 	w.base = l.began
@@ -146,27 +146,27 @@
 			do()
 		case <-alarm.C:
 		case <-ctx.Done():
-			return nil, fmt.Errorf("%w: %w", ErrLate, context.Cause(ctx))
+			return nil, fmt.Errorf("%w: %w", ErrAborted, context.Cause(ctx))
 		}
 	}
 }
 
 // Fail ends the day with an error of the outside.
-func (l *Live) Fail(err error) { l.post(func() { l.w.fail(err) }) }
+func (l *LiveRun) Fail(err error) { l.post(func() { l.w.fail(err) }) }
 
-func (l *Live) start(n *node) {
+func (l *LiveRun) start(n *node) {
 	seen := len(l.w.disc.log)
 	l.mu.Lock()
 	l.shown[n.no] = seen
 	l.mu.Unlock()
-	l.out.Start(n.no, firstRev+int64(seen), l.w.entries(n.view))
+	l.out.StartNode(n.no, firstRev+int64(seen), l.w.entries(n.view))
 }
 
 // firstRev is the version of the list as the day begins.
 const firstRev = 1
 
 // Up tells that a node is ready.
-func (l *Live) Up(node int) {
+func (l *LiveRun) NodeReady(node int) {
 	l.post(func() {
 		n := l.w.nodes[node]
 		n.alive = true
@@ -180,33 +180,35 @@
 }
 
 // Talk is how many bytes a second a node may send to others, 0 where they don't talk.
-func (l *Live) Talk() float64 { return l.w.sc.Peers.BytesPerS.From }
+func (l *LiveRun) PeerBytesPerSecond() float64 { return l.w.sc.Peers.BytesPerSecond.From }
 
 // Passes tells that a datagram of a length goes from one node to another, and returns how long
 // each of its copies takes; none: it is lost.
-func (l *Live) Passes(from, to, length int) []time.Duration {
+func (l *LiveRun) DatagramDelays(from, to, length int) []time.Duration {
 	l.post(func() { l.w.tier.sent(length) })
 	return l.w.tier.ways.fate(from, to)
 }
 
 // Takes tells what a node now takes another for.
-func (l *Live) Takes(by, about int, s member.State) { l.post(func() { l.w.tier.takes(by, about, s) }) }
+func (l *LiveRun) RecordPeerState(by, about int, s member.State) {
+	l.post(func() { l.w.tier.takes(by, about, s) })
+}
 
 // Crashed tells that a node's process has ended by itself.
-func (l *Live) Crashed(node int, err error) {
+func (l *LiveRun) NodeCrashed(node int, err error) {
 	l.post(func() { l.w.fail(fmt.Errorf("node %d has crashed: %w", node, err)) })
 }
 
 // backend tells the outside how a machine is. A nil Live is a day in virtual time.
-func (l *Live) backend(b *backend) {
+func (l *LiveRun) backend(b *backend) {
 	if l == nil || l.out == nil {
 		return
 	}
-	l.out.Backend(b.no, b.state)
+	l.out.SetBackend(b.no, b.state)
 }
 
 // send has the outside send a client's request.
-func (l *Live) send(t *try, patience time.Duration) {
+func (l *LiveRun) send(t *try, patience time.Duration) {
 	l.tries[t.id] = t
 	key := ""
 	c := t.op.class.class()
@@ -214,12 +216,12 @@
 		key = "k" + strconv.FormatUint(t.op.id, 36)
 	}
 	l.w.at(t.until, late, func() { t.settle(timedOut, 0) })
-	l.out.Send(Try{ID: t.id, Class: c, Key: key, Node: t.n.no, Patience: patience, Repeat: l.w.sc.Clients.MarksRetry && t.op.tries > 1})
+	l.out.SendRequest(ClientRequest{ID: t.id, Class: c, Key: key, Node: t.n.no, Timeout: patience, Retry: l.w.sc.Clients.MarksRetry && t.op.tries > 1})
 }
 
 // Sending tells that a request begins to be written to its node. A second call says
 // nothing new: the client writes it once more where a close crossed it.
-func (l *Live) Sending(id string, patience time.Duration) {
+func (l *LiveRun) RequestStarted(id string, patience time.Duration) {
 	l.post(func() {
 		if t := l.tries[id]; t != nil && !t.sent {
 			t.sent = true
@@ -236,15 +238,15 @@
 func (t *try) orphan() bool { return !t.n.alive || t.n.epoch != t.epoch }
 
 // Verdict is how a try ended, as its client saw it.
-type Verdict struct {
+type RequestOutcome struct {
 	Answer     audit.Answer // None: no whole answer came
-	Taken      bool         // its last byte had been written; else nothing of it counts as taken
-	Patient    bool         // the client waited until its patience was over
+	FullySent  bool         // its last byte had been written; else nothing of it counts as taken
+	TimedOut   bool         // the client waited until its patience was over
 	RetryAfter time.Duration
 }
 
 // Done tells how a try ended.
-func (l *Live) Done(id string, v Verdict) {
+func (l *LiveRun) RequestDone(id string, v RequestOutcome) {
 	l.post(func() {
 		t := l.tries[id]
 		if t == nil {
@@ -260,10 +262,10 @@
 			w.tally.answered([...]core.AnswerKind{audit.Served: core.Served, audit.Refused: core.Rejected, audit.Failed: core.Failed}[v.Answer])
 			t.answered = true
 			t.settle([...]verdict{audit.Served: served, audit.Refused: refused, audit.Failed: failed}[v.Answer], v.RetryAfter)
-		case !v.Taken:
+		case !v.FullySent:
 			w.audit.Left(w.now, id)
 			t.settle(unreachable, 0)
-		case v.Patient:
+		case v.TimedOut:
 			t.settle(timedOut, 0) // owed an answer: the auditor sees that none came
 		case died:
 			t.settle(broken, 0)
@@ -278,7 +280,7 @@
 // node that is new or not. The reply is called once, unless the machine is
 // silent, or Gone comes first; it must not block. The returned function tells
 // that the node gave it up.
-func (l *Live) Arrived(backend, node int, id string, fresh bool, reply func(logic.Result, []float64)) (gone func()) {
+func (l *LiveRun) BackendReceived(backend, node int, id string, fresh bool, reply func(logic.Result, []float64)) (gone func()) {
 	var a *attempt
 	l.post(func() {
 		w := l.w
@@ -293,7 +295,7 @@
 		}
 		opening := 0.0
 		if fresh {
-			opening = w.sc.Conns.WorkUS.From / 1e6
+			opening = w.sc.Conns.HandshakeWorkUS.From / 1e6
 			w.handshakes++
 		}
 		if w.loses(n.zone, b.zone) {
@@ -329,10 +331,10 @@
 }
 
 // Serves tells whether a backend's process is up. It belongs to the calls of an Outside.
-func (l *Live) Serves(backend int) bool { return l.w.backends[backend].state == Up }
+func (l *LiveRun) BackendUp(backend int) bool { return l.w.backends[backend].state == Up }
 
 // Conns tells that a node opened (1) or closed (-1) a connection to a backend.
-func (l *Live) Conns(backend, by int) {
+func (l *LiveRun) AdjustConnections(backend, by int) {
 	l.post(func() {
 		b := l.w.backends[backend]
 		b.set(func() { b.conns = max(b.conns+by, 0) })
@@ -340,7 +342,7 @@
 }
 
 // news lets each node see what the registry has learnt, at its next round.
-func (l *Live) news() {
+func (l *LiveRun) news() {
 	w, n := l.w, len(l.w.disc.log)
 	for i := range w.nodes {
 		w.at(w.disc.round(), 0, func() {
@@ -355,7 +357,7 @@
 	}
 }
 
-func (l *Live) breakWatches() {
+func (l *LiveRun) breakWatches() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := range l.broken {
@@ -365,16 +367,16 @@
 }
 
 // ListChanges is what a node is told: a version and entries, all or those changed.
-type ListChanges struct {
-	Rev     int64
-	All     bool
-	Entries []core.Backend
+type ListUpdate struct {
+	Revision int64
+	Full     bool
+	Backends []core.Backend
 }
 
 // List serves a node's call for the whole list in its turn; false where it fails.
-func (l *Live) List(node int) (ListChanges, bool) {
+func (l *LiveRun) FetchList(node int) (ListUpdate, bool) {
 	type reply struct {
-		list ListChanges
+		list ListUpdate
 		ok   bool
 	}
 	c := make(chan reply, 1)
@@ -383,7 +385,7 @@
 		answer := func(ok bool) {
 			r := reply{ok: ok && d.down == 0}
 			if r.ok {
-				r.list = ListChanges{Rev: firstRev + int64(len(d.log)), All: true, Entries: d.whole()}
+				r.list = ListUpdate{Revision: firstRev + int64(len(d.log)), Full: true, Backends: d.whole()}
 				l.mu.Lock()
 				l.shown[node] = max(l.shown[node], len(d.log))
 				l.mu.Unlock()
@@ -402,49 +404,49 @@
 	case r := <-c:
 		return r.list, r.ok
 	case <-l.over:
-		return ListChanges{}, false
+		return ListUpdate{}, false
 	}
 }
 
 // Next waits for what a node may see beyond a version, and returns what changed
 // since; false where the watch breaks or stop is closed.
-func (l *Live) Next(node int, rev int64, stop <-chan struct{}) (ListChanges, bool) {
+func (l *LiveRun) WaitForChanges(node int, rev int64, stop <-chan struct{}) (ListUpdate, bool) {
 	for {
 		l.mu.Lock()
 		shown, change, broken := l.shown[node], l.change[node], l.broken[node]
 		l.mu.Unlock()
 		if firstRev+int64(shown) > rev {
-			c := make(chan ListChanges, 1)
+			c := make(chan ListUpdate, 1)
 			l.post(func() {
 				from := max(int(rev-firstRev), 0)
-				c <- ListChanges{Rev: firstRev + int64(shown), Entries: l.w.disc.since(from, shown)}
+				c <- ListUpdate{Revision: firstRev + int64(shown), Backends: l.w.disc.since(from, shown)}
 			})
 			select {
 			case out := <-c:
 				return out, true
 			case <-l.over:
-				return ListChanges{}, false
+				return ListUpdate{}, false
 			}
 		}
 		select {
 		case <-change:
 		case <-broken:
-			return ListChanges{}, false
+			return ListUpdate{}, false
 		case <-stop:
-			return ListChanges{}, false
+			return ListUpdate{}, false
 		case <-l.over:
-			return ListChanges{}, false
+			return ListUpdate{}, false
 		}
 	}
 }
 
 // Told tells that a list has been written to a node.
-func (l *Live) Told(node int, list ListChanges) {
-	l.post(func() { l.w.nodes[node].heard(list.Entries, list.All) })
+func (l *LiveRun) ListDelivered(node int, list ListUpdate) {
+	l.post(func() { l.w.nodes[node].heard(list.Backends, list.Full) })
 }
 
 // BackendNo returns the number of the backend that an entry's endpoint names.
-func (l *Live) BackendNo(endpoint string) (int, error) {
+func (l *LiveRun) BackendNumber(endpoint string) (int, error) {
 	if len(endpoint) < 2 || endpoint[0] != 'b' {
 		return 0, errors.New("no endpoint of this day")
 	}
--- a/internal/emulator/live_test.go
+++ b/internal/emulator/live_test.go
@@ -15,20 +15,20 @@
 // crossed is an Outside whose clients begin to write only once their node is killed, and
 // whose nodes take nothing before.
 type crossed struct {
-	*Live
+	*LiveRun
 	killed chan struct{}
 }
 
-func (c *crossed) Start(node int, _ int64, _ []core.Backend) { go c.Up(node) }
-func (c *crossed) Kill(int)                                  { close(c.killed) }
-func (c *crossed) Backend(int, Machine)                      {}
-func (c *crossed) Cut(int, int, bool)                        {}
+func (c *crossed) StartNode(node int, _ int64, _ []core.Backend) { go c.NodeReady(node) }
+func (c *crossed) KillNode(int)                                  { close(c.killed) }
+func (c *crossed) SetBackend(int, MachineState)                  {}
+func (c *crossed) SetPartition(int, int, bool)                   {}
 
-func (c *crossed) Send(t Try) {
+func (c *crossed) SendRequest(t ClientRequest) {
 	go func() {
 		<-c.killed
-		c.Sending(t.ID, t.Patience)
-		c.Done(t.ID, Verdict{Answer: audit.None, Taken: true})
+		c.RequestStarted(t.ID, t.Timeout)
+		c.RequestDone(t.ID, RequestOutcome{Answer: audit.None, FullySent: true})
 	}()
 }
 
@@ -50,12 +50,12 @@
 			}
 			sc, err := Parse("crossed.yaml", []byte(day))
 			require.NoError(t, err)
-			c.Live = NewLive(sc, 1)
+			c.LiveRun = NewLiveRun(sc, 1)
 			r, err := c.Run(t.Context(), c, func(_, _ time.Duration) {})
 			require.NoError(t, err)
 			assert.Positive(t, r.Rules.Taken)
 			if killed {
-				assert.Zero(t, r.Rules.Unanswered, "%+v", r.Broken)
+				assert.Zero(t, r.Rules.Unanswered, "%+v", r.Violations)
 			} else {
 				assert.Equal(t, r.Rules.Taken, r.Rules.Unanswered)
 			}
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -115,7 +115,7 @@
 	n.w.audit.Died(n.w.now, n.no)
 	n.w.tier.died(n)
 	if n.w.live != nil {
-		n.w.live.out.Kill(n.no)
+		n.w.live.out.KillNode(n.no)
 		return
 	}
 	for _, b := range n.w.backends {
@@ -183,7 +183,7 @@
 	w.at(max(att.until, w.now), late, func() { att.timeOut() })
 	p := n.pool[b.no]
 	if p != nil && p.epoch == b.epoch {
-		fresh := w.sc.Conns.IdleS.sec() * 9 / 10
+		fresh := w.sc.Conns.IdleTimeoutS.sec() * 9 / 10
 		for len(p.since) > 0 {
 			last := p.since[len(p.since)-1]
 			p.since = p.since[:len(p.since)-1]
@@ -202,7 +202,7 @@
 		}
 		return
 	}
-	if most := w.sc.Nodes.Connections; most > 0 && n.open >= most {
+	if most := w.sc.Nodes.MaxConnections; most > 0 && n.open >= most {
 		att.end(logic.ConnectFailed, nil, 0)
 		return
 	}
@@ -211,21 +211,21 @@
 	n.opening = append(slices.DeleteFunc(n.opening, func(a *attempt) bool { return a.begun || a.over }), att)
 	w.handshakes++
 	if b.state == Silent || w.lost(n.zone, b.zone) || w.lost(b.zone, n.zone) {
-		w.after(w.sc.Conns.TimeoutMS.ms(), func() { att.endNow(logic.ConnectFailed, nil) })
+		w.after(w.sc.Conns.ConnectTimeoutMS.ms(), func() { att.endNow(logic.ConnectFailed, nil) })
 		return
 	}
-	trips := time.Duration(2 * w.sc.Conns.RTTs.From * float64(way))
+	trips := time.Duration(2 * w.sc.Conns.HandshakeRTTs.From * float64(way))
 	w.after(trips, func() {
 		switch most := b.connCap(); {
 		case att.over:
 		case b.state == Silent:
-			w.after(w.sc.Conns.TimeoutMS.ms(), func() { att.endNow(logic.ConnectFailed, nil) })
+			w.after(w.sc.Conns.ConnectTimeoutMS.ms(), func() { att.endNow(logic.ConnectFailed, nil) })
 		case b.state == Down || most > 0 && b.conns >= most:
 			att.endNow(logic.ConnectFailed, nil)
 		default:
 			b.set(func() { b.conns++ })
 			att.process, att.begun = b.epoch, true
-			w.after(way, func() { att.reach(w.sc.Conns.WorkUS.From / 1e6) })
+			w.after(way, func() { att.reach(w.sc.Conns.HandshakeWorkUS.From / 1e6) })
 		}
 	})
 }
--- a/internal/emulator/peers.go
+++ b/internal/emulator/peers.go
@@ -13,16 +13,16 @@
 )
 
 // Peers is how the nodes talk to each other.
-type Peers struct {
-	BytesPerS Span `yaml:"bytes_per_s"` // that a node may send; 0: they don't talk
-	Loss      Span `yaml:"loss"`        // part of the datagrams
-	Twice     Span `yaml:"twice"`       // part that comes twice
-	DelayMS   Span `yaml:"delay_ms"`    // one way, beside the network's own
-	SpreadMS  Span `yaml:"spread_ms"`   // and up to so much more, evenly: later ones overtake
+type PeerNetwork struct {
+	BytesPerSecond Range `yaml:"bytes_per_s"` // that a node may send; 0: they don't talk
+	Loss           Range `yaml:"loss"`        // part of the datagrams
+	Duplicates     Range `yaml:"twice"`       // part that comes twice
+	DelayMS        Range `yaml:"delay_ms"`    // one way, beside the network's own
+	SpreadMS       Range `yaml:"spread_ms"`   // and up to so much more, evenly: later ones overtake
 }
 
 // MembersResult is how well the nodes knew who was there.
-type MembersResult struct {
+type MembershipResult struct {
 	// From a node's death, or the other's start if that is later, until the other took it for
 	// gone, over those pairs.
 	DetectMSP50 float64 `json:"detect_ms_p50"`
@@ -32,8 +32,8 @@
 	// Nodes that lived and could be heard, on whatever way, taken for suspect or gone.
 	FalseSuspicions int     `json:"false_suspicions"`
 	FalseGone       int     `json:"false_gone"`
-	Disagree        int     `json:"disagree"` // pairs at the end in which a living one is not there
-	BytesPerS       float64 `json:"bytes_per_s"`
+	Disagreements   int     `json:"disagree"` // pairs at the end in which a living one is not there
+	BytesPerSecond  float64 `json:"bytes_per_s"`
 }
 
 // ways is what becomes of the datagrams between nodes. Relays ask it as well: it is safe for
@@ -54,7 +54,7 @@
 
 func newWays(sc *Scenario, nodes []*node, seed uint64) *ways {
 	w := &ways{least: sc.Peers.DelayMS.ms(), same: sc.Net.SameMS.ms(), cross: sc.Net.CrossMS.ms(), more: sc.Peers.SpreadMS.ms(),
-		twice: sc.Peers.Twice.From, loss: sc.Peers.Loss.From, cuts: map[[2]int]int{}, rng: rand.New(rand.NewPCG(seed, 6))}
+		twice: sc.Peers.Duplicates.From, loss: sc.Peers.Loss.From, cuts: map[[2]int]int{}, rng: rand.New(rand.NewPCG(seed, 6))}
 	for _, n := range nodes {
 		w.zones = append(w.zones, n.zone)
 	}
@@ -121,7 +121,7 @@
 	bytes int
 	alive time.Duration // of all nodes that have died since
 	took  []time.Duration
-	sum   MembersResult
+	sum   MembershipResult
 }
 
 // talker is one node's part in it.
@@ -136,7 +136,7 @@
 const tellEvery = 50 * time.Millisecond
 
 func newTier(w *world, seed uint64) *tier {
-	if w.sc.Peers.BytesPerS.From == 0 {
+	if w.sc.Peers.BytesPerSecond.From == 0 {
 		return nil
 	}
 	t := &tier{w: w, ways: newWays(w.sc, w.nodes, seed), rng: rand.New(rand.NewPCG(seed, 7)), nodes: make([]talker, len(w.nodes))}
@@ -160,7 +160,7 @@
 	if t.w.live != nil {
 		return
 	}
-	circle, were := peers.NewCircle(n.no, len(t.nodes), t.w.sc.Peers.BytesPerS.From, rand.New(rand.NewPCG(t.rng.Uint64(), 1))), map[member.ID]member.State{}
+	circle, were := peers.NewCircle(n.no, len(t.nodes), t.w.sc.Peers.BytesPerSecond.From, rand.New(rand.NewPCG(t.rng.Uint64(), 1))), map[member.ID]member.State{}
 	k.port = t.net.ListenFunc(strconv.Itoa(n.no), func(from string, text []byte) {
 		t.say(n.no, circle.Heard(t.w.now, nodeNo(from), text))
 	})
@@ -235,7 +235,7 @@
 }
 
 // result sums up.
-func (t *tier) result() *MembersResult {
+func (t *tier) result() *MembershipResult {
 	if t == nil {
 		return nil
 	}
@@ -253,7 +253,7 @@
 			case !k.alive && s != member.Gone:
 				r.Undetected++
 			case k.alive && s != member.There:
-				r.Disagree++
+				r.Disagreements++
 			}
 		}
 	}
@@ -265,7 +265,7 @@
 		r.DetectMSP50, r.DetectMSP99 = at(0.5), at(0.99)
 	}
 	if alive > 0 {
-		r.BytesPerS = round6(float64(t.bytes) / alive.Seconds())
+		r.BytesPerSecond = round6(float64(t.bytes) / alive.Seconds())
 	}
 	return &r
 }
--- a/internal/emulator/peers_test.go
+++ b/internal/emulator/peers_test.go
@@ -28,17 +28,17 @@
 			sc := membersDay(t)
 			sc.Nodes.Count, sc.Seconds, sc.Troubles = fixed(float64(nodes)), fixed(34), sc.Troubles[:2]
 			r := run(t, sc, 1, Options{})
-			m := r.Members
+			m := r.Membership
 			require.NotNil(t, m)
-			assert.True(t, r.Rules.Clean(), "%+v", r.Broken)
+			assert.True(t, r.Rules.Clean(), "%+v", r.Violations)
 			// In the time that a site of ten is away some of the many don't get round to one of it.
 			assert.Greater(t, float64(m.Detected), 0.8*float64(nodes/3*(nodes-nodes/3)), "who is left takes who died for gone")
 			assert.Zero(t, m.Undetected)
 			assert.LessOrEqual(t, m.FalseGone, nodes*nodes/100, "one view in a hundred")
-			assert.Zero(t, m.Disagree, "all are there to all again")
+			assert.Zero(t, m.Disagreements, "all are there to all again")
 			assert.Greater(t, m.DetectMSP50, 1000.0)
 			assert.Less(t, m.DetectMSP99, 15000.0, "while it was away")
-			assert.Less(t, m.BytesPerS, 512.0)
+			assert.Less(t, m.BytesPerSecond, 512.0)
 			t.Logf("%+v", *m)
 			assert.Equal(t, r, run(t, sc, 1, Options{Workers: 4}), "the same day again")
 		})
@@ -50,13 +50,13 @@
 	sc := membersDay(t)
 	sc.Seconds = fixed(20)
 	with := run(t, sc, 1, Options{})
-	require.NotNil(t, with.Members)
-	sc.Peers = Peers{}
+	require.NotNil(t, with.Membership)
+	sc.Peers = PeerNetwork{}
 	sc.Troubles = sc.Troubles[1:2]
 	without := run(t, sc, 1, Options{})
-	assert.Nil(t, without.Members)
+	assert.Nil(t, without.Membership)
 	assert.Greater(t, with.Events, without.Events)
-	with.Members, with.Events, with.Happened = nil, without.Events, without.Happened
+	with.Membership, with.Events, with.FaultEvents = nil, without.Events, without.FaultEvents
 	assert.Equal(t, without, with)
 }
 
@@ -89,5 +89,5 @@
 	w.tier.sent(500)
 	r := w.tier.result()
 	assert.Equal(t, []int{2, 3, 1}, []int{r.Detected, r.Undetected, r.FalseSuspicions}, "not by 1, 2 and 4")
-	assert.Equal(t, 3, r.Disagree)
+	assert.Equal(t, 3, r.Disagreements)
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -15,55 +15,55 @@
 
 // ClassResult is what became of one class.
 type ClassResult struct {
-	Asked  int `json:"asked"`
-	Served int `json:"served"`
-	InAim  int `json:"in_aim"`
+	Operations int `json:"asked"`
+	Served     int `json:"served"`
+	WithinAim  int `json:"in_aim"`
 	// Refused counts operations whose last try was refused, by which the client gave up.
-	Refused int     `json:"refused"`
-	G       float64 `json:"g"`
+	Rejected int     `json:"refused"`
+	Score    float64 `json:"g"`
 }
 
 // Second is one second of the day, by the operations that began in it.
-type Second struct {
-	Asked float64 `json:"asked"` // worth
-	Won   float64 `json:"won"`
-	Ideal float64 `json:"ideal"` // worth that the capacity of the backends that were up allows
+type SecondStats struct {
+	OfferedWorth float64 `json:"asked"` // worth
+	EarnedWorth  float64 `json:"won"`
+	IdealWorth   float64 `json:"ideal"` // worth that the capacity of the backends that were up allows
 }
 
 // Result is what a day came to. It holds no figure of the machine it ran on:
 // two runs of one scenario and seed are equal to the byte.
 type Result struct {
-	Scenario  string                       `json:"scenario"`
-	Policy    string                       `json:"policy"`
-	Seed      uint64                       `json:"seed"`
-	Nodes     int                          `json:"nodes"`
-	Backends  int                          `json:"backends"`
-	Requests  int                          `json:"reqs"`  // operations of clients
-	Tries     int                          `json:"tries"` // requests that they made of them
-	G         float64                      `json:"g"`
-	Parts     map[string]float64           `json:"parts"`      // of g: what it is mixed of, and the prices
-	LatencyMS map[string]latency.Quantiles `json:"latency_ms"` // of what was served, from the first try on
-	Classes   map[string]ClassResult       `json:"classes"`
-	Answers   map[string]int               `json:"answers"` // of nodes, by kind
-	Attempts  int                          `json:"attempts"`
-	Retries   int                          `json:"retries"` // attempts beyond the first of a request
-	ToCold    int                          `json:"sends_to_cold"`
-	Opened    int                          `json:"connections_opened"`
-	Crowded   int                          `json:"crowded"`      // times that a backend became so
-	CutOff    int                          `json:"lost_in_cuts"` // requests and answers
-	Stale     int                          `json:"stale_sends"`  // to a backend that its node had once been told was gone
-	Rules     *audit.Report                `json:"rules"`
-	Broken    []audit.Broken               `json:"broken,omitempty"`
-	Events    int                          `json:"events"` // emulated
-	Happened  []Happening                  `json:"happened"`
-	Seconds   []Second                     `json:"seconds"`
-	Members   *MembersResult               `json:"members,omitempty"`
+	Scenario          string                       `json:"scenario"`
+	Policy            string                       `json:"policy"`
+	Seed              uint64                       `json:"seed"`
+	Nodes             int                          `json:"nodes"`
+	Backends          int                          `json:"backends"`
+	Operations        int                          `json:"reqs"`  // operations of clients
+	ClientRequests    int                          `json:"tries"` // requests that they made of them
+	Score             float64                      `json:"g"`
+	ScoreParts        map[string]float64           `json:"parts"`      // of g: what it is mixed of, and the prices
+	LatencyMS         map[string]latency.Quantiles `json:"latency_ms"` // of what was served, from the first try on
+	Classes           map[string]ClassResult       `json:"classes"`
+	Answers           map[string]int               `json:"answers"` // of nodes, by kind
+	Attempts          int                          `json:"attempts"`
+	Retries           int                          `json:"retries"` // attempts beyond the first of a request
+	SendsToCold       int                          `json:"sends_to_cold"`
+	ConnectionsOpened int                          `json:"connections_opened"`
+	CongestionCount   int                          `json:"crowded"`      // times that a backend became so
+	LostInPartitions  int                          `json:"lost_in_cuts"` // requests and answers
+	StaleSends        int                          `json:"stale_sends"`  // to a backend that its node had once been told was gone
+	Rules             *audit.Report                `json:"rules"`
+	Violations        []audit.Broken               `json:"broken,omitempty"`
+	Events            int                          `json:"events"` // emulated
+	FaultEvents       []FaultEvent                 `json:"happened"`
+	Seconds           []SecondStats                `json:"seconds"`
+	Membership        *MembershipResult            `json:"members,omitempty"`
 }
 
 // tally counts what clients got.
 type tally struct {
 	w       *world
-	seconds []Second
+	seconds []SecondStats
 	asks    map[*Class]*classTally
 	answers [4]int
 	lateEnd float64 // worth of what ended unserved after its aim
@@ -135,10 +135,10 @@
 
 func (t *tally) counts(o *op) bool { return o.began >= t.start }
 
-func (t *tally) second(o *op) *Second {
+func (t *tally) second(o *op) *SecondStats {
 	i := int((o.began - t.start) / time.Second)
 	for len(t.seconds) <= i {
-		t.seconds = append(t.seconds, Second{})
+		t.seconds = append(t.seconds, SecondStats{})
 	}
 	return &t.seconds[i]
 }
@@ -148,10 +148,10 @@
 		return
 	}
 	c := t.asks[o.class]
-	c.Asked++
+	c.Operations++
 	c.worth += o.class.Worth.From
 	t.worth += o.class.Worth.From
-	t.second(o).Asked += o.class.Worth.From
+	t.second(o).OfferedWorth += o.class.Worth.From
 	i := len(t.seconds) - 1
 	for len(t.came) <= i {
 		t.came = append(t.came, make([]classDemand, len(t.w.sc.Classes)))
@@ -176,18 +176,18 @@
 	won := 0.0
 	switch {
 	case took <= o.class.AimMS.ms():
-		c.InAim++
+		c.WithinAim++
 		won = o.class.Worth.From
 	case took <= o.class.DeadlineMS.ms():
 		won = o.class.Worth.From * o.class.LateWorth.From
 	}
 	c.won += won
-	t.second(o).Won += won
+	t.second(o).EarnedWorth += won
 }
 
 func (t *tally) lost(o *op, v verdict) {
 	if t.counts(o) && v == refused {
-		t.asks[o.class].Refused++
+		t.asks[o.class].Rejected++
 	}
 	if t.counts(o) && t.w.now-o.began > o.class.AimMS.ms() {
 		t.lateEnd += o.class.Worth.From
@@ -198,9 +198,9 @@
 
 func (w *world) result(policy string, seed uint64) *Result {
 	t, sc := w.tally, w.sc
-	r := &Result{Scenario: sc.Name, Policy: policy, Seed: seed, Nodes: len(w.nodes), Requests: int(w.traffic.ops), Tries: int(w.traffic.tries),
-		LatencyMS: map[string]latency.Quantiles{}, Classes: map[string]ClassResult{}, Answers: map[string]int{}, Parts: map[string]float64{},
-		Attempts: w.sends, Retries: w.resent, ToCold: w.toCold, Opened: w.handshakes, Crowded: w.crowdings, CutOff: w.lostInCuts, Stale: w.stale, Events: w.events, Happened: w.happenings}
+	r := &Result{Scenario: sc.Name, Policy: policy, Seed: seed, Nodes: len(w.nodes), Operations: int(w.traffic.ops), ClientRequests: int(w.traffic.tries),
+		LatencyMS: map[string]latency.Quantiles{}, Classes: map[string]ClassResult{}, Answers: map[string]int{}, ScoreParts: map[string]float64{},
+		Attempts: w.sends, Retries: w.resent, SendsToCold: w.toCold, ConnectionsOpened: w.handshakes, CongestionCount: w.crowdings, LostInPartitions: w.lostInCuts, StaleSends: w.stale, Events: w.events, FaultEvents: w.happenings}
 	for _, b := range w.backends {
 		if !b.retired {
 			r.Backends++
@@ -214,8 +214,8 @@
 		c := &sc.Classes[i]
 		ct := t.asks[c]
 		if ct.worth > 0 {
-			ct.G = ct.won / ct.worth
-			worstClass = min(worstClass, ct.G)
+			ct.Score = ct.won / ct.worth
+			worstClass = min(worstClass, ct.Score)
 		}
 		won += ct.won
 		r.Classes[c.Name] = round(ct.ClassResult)
@@ -230,22 +230,22 @@
 				ever++
 			}
 		}
-		prices := sc.Prices.Waste.From*min(w.workWasted/max(w.workAsked, 1e-9), 1) + sc.Prices.LateFail.From*t.lateEnd/t.worth +
+		prices := sc.Prices.WastedWork.From*min(w.workWasted/max(w.workAsked, 1e-9), 1) + sc.Prices.LateFailure.From*t.lateEnd/t.worth +
 			sc.Prices.Handshake.From*float64(w.handshakes)/first + sc.Prices.CrossZone.From*float64(w.crossings)/first +
-			sc.Prices.Crowded.From*float64(ever)/float64(len(w.backends))
+			sc.Prices.CongestedBackends.From*float64(ever)/float64(len(w.backends))
 		window := t.worstWindow()
-		r.G = round6(sc.Goal.Whole.From*whole + sc.Goal.WorstWindow.From*window + sc.Goal.WorstClass.From*worstClass - prices)
-		r.Parts = map[string]float64{"whole": round6(whole), "worst_window": round6(window), "worst_class": round6(worstClass), "prices": round6(prices)}
+		r.Score = round6(sc.Goal.Overall.From*whole + sc.Goal.WorstWindow.From*window + sc.Goal.WorstClass.From*worstClass - prices)
+		r.ScoreParts = map[string]float64{"whole": round6(whole), "worst_window": round6(window), "worst_class": round6(worstClass), "prices": round6(prices)}
 	}
 	for i, s := range t.seconds {
 		if i < len(t.able) && i < len(t.came) {
-			s.Ideal = ideal(t.came[i], t.able[i])
+			s.IdealWorth = ideal(t.came[i], t.able[i])
 		}
-		r.Seconds = append(r.Seconds, Second{round6(s.Asked), round6(s.Won), round6(s.Ideal)})
+		r.Seconds = append(r.Seconds, SecondStats{round6(s.OfferedWorth), round6(s.EarnedWorth), round6(s.IdealWorth)})
 	}
-	r.Members = w.tier.result()
+	r.Membership = w.tier.result()
 	r.Rules = w.audit.Finish(w.now)
-	r.Broken = r.Rules.Broken
+	r.Violations = r.Rules.Broken
 	return r
 }
 
@@ -255,7 +255,7 @@
 	for i := 0; i == 0 || i+worstWindow <= len(t.seconds); i++ {
 		asked, won := 0.0, 0.0
 		for _, s := range t.seconds[i:min(i+worstWindow, len(t.seconds))] {
-			asked, won = asked+s.Asked, won+s.Won
+			asked, won = asked+s.OfferedWorth, won+s.EarnedWorth
 		}
 		if asked > 0 {
 			worst = min(worst, won/asked)
@@ -267,6 +267,6 @@
 func round6(x float64) float64 { return math.Round(x*1e6) / 1e6 }
 
 func round(c ClassResult) ClassResult {
-	c.G = round6(c.G)
+	c.Score = round6(c.Score)
 	return c
 }
--- a/internal/emulator/troubles.go
+++ b/internal/emulator/troubles.go
@@ -14,14 +14,14 @@
 	for i := range w.sc.Troubles {
 		w.befall(w.sc.Troubles[i], start, r)
 	}
-	if len(sc.Incidental.Of) == 0 {
+	if len(sc.Incidental.Candidates) == 0 {
 		return
 	}
 	for range int(sc.Incidental.Count.draw(r)) {
-		t := sc.Incidental.Of[r.IntN(len(sc.Incidental.Of))]
-		t.Part, t.Size, t.ForS = fixed(t.Part.draw(r)), fixed(t.Size.draw(r)), fixed(t.ForS.draw(r))
-		if t.AtS == (Span{}) { // some time, so that it is over before the day is
-			t.AtS = Span{0, max(w.sc.Seconds.From-t.ForS.From, 0)}
+		t := sc.Incidental.Candidates[r.IntN(len(sc.Incidental.Candidates))]
+		t.Fraction, t.Severity, t.DurationS = fixed(t.Fraction.draw(r)), fixed(t.Severity.draw(r)), fixed(t.DurationS.draw(r))
+		if t.AtS == (Range{}) { // some time, so that it is over before the day is
+			t.AtS = Range{0, max(w.sc.Seconds.From-t.DurationS.From, 0)}
 		}
 		t.AtS = fixed(t.AtS.draw(r))
 		w.befall(t, start, r)
@@ -30,17 +30,17 @@
 
 // befall plans one trouble. Whom it hits is drawn now, so that each policy meets
 // the same.
-func (w *world) befall(t Trouble, start time.Duration, r *rand.Rand) {
+func (w *world) befall(t Fault, start time.Duration, r *rand.Rand) {
 	var hit []*backend
-	for _, no := range t.On {
+	for _, no := range t.Backends {
 		if no < len(w.backends) {
 			hit = append(hit, w.backends[no])
 		}
 	}
-	if len(t.On) == 0 {
+	if len(t.Backends) == 0 {
 		n := len(w.backends)
-		if t.Part.From > 0 {
-			n = max(int(math.Round(t.Part.From*float64(n))), 1)
+		if t.Fraction.From > 0 {
+			n = max(int(math.Round(t.Fraction.From*float64(n))), 1)
 		}
 		for _, no := range r.Perm(len(w.backends))[:min(n, len(w.backends))] {
 			hit = append(hit, w.backends[no])
@@ -50,7 +50,7 @@
 	if t.Zone != "" {
 		zone = w.sc.zone(t.Zone)
 	}
-	at, last := start+t.AtS.sec(), t.ForS.sec()
+	at, last := start+t.AtS.sec(), t.DurationS.sec()
 	run := func(begin, end func()) {
 		w.at(at, 0, func() { w.happened(t.Kind, w.names(t.Kind, hit, zone)); begin() })
 		if end != nil {
@@ -64,12 +64,12 @@
 			}
 		}
 	}
-	size := t.Size.From
+	size := t.Severity.From
 	switch t.Kind {
 	case "vanish":
 		run(func() { w.vanish(hit) }, func() { w.comeBack(hit) })
 	case "slow", "shared_slow":
-		if t.Kind == "shared_slow" && len(t.On) == 0 {
+		if t.Kind == "shared_slow" && len(t.Backends) == 0 {
 			hit = w.backends
 		}
 		run(each(func(b *backend) { b.slow *= size }), each(func(b *backend) { b.slow /= size }))
@@ -78,7 +78,7 @@
 	case "fast_errors":
 		run(each(func(b *backend) { b.failing = size }), each(func(b *backend) { b.failing = 0 }))
 	case "zone_loss":
-		w.zoneLoss(run, zone, size > .5, t.LagS.sec())
+		w.zoneLoss(run, zone, size > .5, t.RecoveryLagS.sec())
 	case "replace":
 		w.replace(hit, at, last)
 	case "restart_nodes":
@@ -90,9 +90,9 @@
 	case "power_loss":
 		w.powerLoss(run, t, r)
 	case "cut":
-		run(func() { w.cutOff(zone, w.sc.zone(t.To), 1) }, func() { w.cutOff(zone, w.sc.zone(t.To), -1) })
+		run(func() { w.cutOff(zone, w.sc.zone(t.ToZone), 1) }, func() { w.cutOff(zone, w.sc.zone(t.ToZone), -1) })
 	case "peer_cut":
-		to := w.sc.zone(t.To)
+		to := w.sc.zone(t.ToZone)
 		run(func() { w.tier.ways.cut(zone, to, 1) }, func() { w.tier.ways.cut(zone, to, -1) })
 	case "peer_loss":
 		run(func() { w.tier.ways.lossy(size) }, func() { w.tier.ways.lossy(-size) })
@@ -127,7 +127,7 @@
 	for _, b := range hit {
 		if b.state == Up && !b.retired {
 			b.stop(Silent)
-			w.news(b, w.sc.Discovery.SilentNoticeS.sec())
+			w.news(b, w.sc.Discovery.SilentNoticeDelayS.sec())
 		}
 	}
 }
@@ -151,10 +151,10 @@
 			}
 			if whole {
 				b.stop(Silent)
-				w.news(b, w.sc.Discovery.SilentNoticeS.sec())
+				w.news(b, w.sc.Discovery.SilentNoticeDelayS.sec())
 			} else {
 				b.stop(Down)
-				w.news(b, w.sc.Discovery.NoticeS.sec())
+				w.news(b, w.sc.Discovery.NoticeDelayS.sec())
 			}
 		}
 		if whole {
@@ -186,8 +186,8 @@
 
 // powerLoss has every machine go silent at once: nodes, backends and the registry. They
 // start cold, in one instant or in a random order, the nodes with the list as last held.
-func (w *world) powerLoss(run func(begin, end func()), t Trouble, r *rand.Rand) {
-	spread := t.SpreadS.sec()
+func (w *world) powerLoss(run func(begin, end func()), t Fault, r *rand.Rand) {
+	spread := t.RestartSpreadS.sec()
 	starts := make([]time.Duration, len(w.nodes)+len(w.backends))
 	for i := range starts {
 		starts[i] = time.Duration(r.Float64() * float64(spread))
@@ -210,7 +210,7 @@
 			}
 		}
 	}, func() {
-		w.after(t.LagS.sec(), func() { w.disc.down-- })
+		w.after(t.RecoveryLagS.sec(), func() { w.disc.down-- })
 		for _, b := range lost {
 			w.after(starts[(len(w.nodes)+b.no)%len(starts)], b.rise)
 		}
@@ -240,7 +240,7 @@
 	for _, n := range w.nodes {
 		for _, b := range w.backends {
 			if n.zone != b.zone && (n.zone == from && b.zone == to || n.zone == to && b.zone == from) {
-				w.live.out.Cut(n.no, b.no, w.lost(n.zone, b.zone) || w.lost(b.zone, n.zone))
+				w.live.out.SetPartition(n.no, b.no, w.lost(n.zone, b.zone) || w.lost(b.zone, n.zone))
 			}
 		}
 	}
@@ -288,8 +288,8 @@
 				return
 			}
 			old.draining = true
-			w.news(old, w.sc.Discovery.NoticeS.sec())
-			w.after(drainFor+w.sc.Discovery.NoticeS.sec(), func() {
+			w.news(old, w.sc.Discovery.NoticeDelayS.sec())
+			w.after(drainFor+w.sc.Discovery.NoticeDelayS.sec(), func() {
 				if old.retired {
 					return
 				}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -21,17 +21,17 @@
 // Policies lists what a scenario's policy may be.
 func Policies() []string {
 	out := []string{"module"}
-	for _, p := range rivals.Picks {
+	for _, p := range rivals.Selections {
 		out = append(out, p, p+"+budget")
 	}
 	return out
 }
 
 // Maker makes the module of one node.
-type Maker func(logic.Settings, uint64) (core.Module, error)
+type ModuleFactory func(logic.Settings, uint64) (core.Module, error)
 
 // Policy returns what makes the modules of a policy.
-func Policy(name string) (Maker, error) {
+func FactoryFor(name string) (ModuleFactory, error) {
 	if name == "module" {
 		return func(s logic.Settings, seed uint64) (core.Module, error) { return logic.New(s, seed) }, nil
 	}
@@ -47,7 +47,7 @@
 // world is a day as it runs.
 type world struct {
 	sc       *Scenario // each figure drawn
-	policy   Maker
+	policy   ModuleFactory
 	rng      *rand.Rand // of the day at large; nodes, backends and clients have their own
 	clientsR *rand.Rand
 	netR     *rand.Rand
@@ -72,38 +72,38 @@
 	sends, resent, toCold, crossings, handshakes, crowdings int
 	lostInCuts, stale                                       int
 	workAsked, workWasted                                   float64
-	happenings                                              []Happening
-	live                                                    *Live // nil in virtual time
+	happenings                                              []FaultEvent
+	live                                                    *LiveRun // nil in virtual time
 	workers                                                 int
 	apart                                                   bool // nodes decide at once: what they do to the world waits
 	batch                                                   []*node
 }
 
 // Happening is something that befell the fleet.
-type Happening struct {
-	AtS  float64 `json:"at_s"`
-	What string  `json:"what"`
-	On   string  `json:"on,omitempty"`
+type FaultEvent struct {
+	AtSeconds float64 `json:"at_s"`
+	Kind      string  `json:"what"`
+	Target    string  `json:"on,omitempty"`
 }
 
 // ErrLate tells that a day was ended by its caller.
-var ErrLate = errors.New("the day was broken off")
+var ErrAborted = errors.New("the day was broken off")
 
 // Options are what a run may be given besides its scenario.
 type Options struct {
-	Policy   string                               // in place of the scenario's
-	Make     Maker                                // in place of a named policy, for tests
-	Progress func(at, of time.Duration) (on bool) // called now and then; false ends the day with ErrLate
-	Workers  int                                  // nodes that decide at once, 0: one; it does not show in the result
+	Policy    string                               // in place of the scenario's
+	NewModule ModuleFactory                        // in place of a named policy, for tests
+	Progress  func(at, of time.Duration) (on bool) // called now and then; false ends the day with ErrLate
+	Workers   int                                  // nodes that decide at once, 0: one; it does not show in the result
 }
 
 // Run plays the scenario's day of a seed.
 func Run(sc *Scenario, seed uint64, opt Options) (*Result, error) {
 	name := cmp.Or(opt.Policy, sc.Policy)
-	maker := opt.Make
+	maker := opt.NewModule
 	if maker == nil {
 		var err error
-		if maker, err = Policy(name); err != nil {
+		if maker, err = FactoryFor(name); err != nil {
 			return nil, err
 		}
 	}
@@ -130,7 +130,7 @@
 			w.together(e)
 		}
 		if w.events>>16 != looked && opt.Progress != nil && !opt.Progress(min(w.now, end), end) {
-			return nil, ErrLate
+			return nil, ErrAborted
 		}
 	}
 	if w.err != nil {
@@ -237,7 +237,7 @@
 func (w *world) timeAt(at time.Duration) time.Time { return w.base.Add(at) }
 func (w *world) since(t time.Time) time.Duration   { return t.Sub(w.base) }
 func (w *world) happened(what, on string) {
-	w.happenings = append(w.happenings, Happening{w.now.Seconds(), what, on})
+	w.happenings = append(w.happenings, FaultEvent{w.now.Seconds(), what, on})
 }
 
 // unix is an instant as a backend's start is told: 0 stays long ago.
@@ -265,7 +265,7 @@
 	return w.jittered(d)
 }
 
-func (w *world) jittered(d Span) time.Duration {
+func (w *world) jittered(d Range) time.Duration {
 	f := 1.0
 	if j := w.sc.Net.Jitter.From; j > 0 {
 		f = max(1+j*w.netR.NormFloat64(), .1)
@@ -293,7 +293,7 @@
 	}
 	if len(sc.Fleet.Backends) > 0 {
 		for _, s := range sc.Fleet.Backends {
-			k := &sc.Kinds[slices.IndexFunc(sc.Kinds, func(k Kind) bool { return k.Name == s.Kind })]
+			k := &sc.Kinds[slices.IndexFunc(sc.Kinds, func(k BackendKind) bool { return k.Name == s.Kind })]
 			b := w.add(k, sc.zone(s.Zone), 0)
 			if s.Speed.From > 0 {
 				b.speed = s.Speed.From
@@ -302,7 +302,7 @@
 		return
 	}
 	size := int(sc.Fleet.Size.From)
-	kinds := spread(size, sc.Kinds, func(k *Kind) float64 { return k.Share.From })
+	kinds := spread(size, sc.Kinds, func(k *BackendKind) float64 { return k.FleetShare.From })
 	zones := spread(size, sc.Zones, func(z *Zone) float64 { return z.Backends.From })
 	w.rng.Shuffle(size, func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
 	for i := range size {
@@ -358,7 +358,7 @@
 const cellSize = 6
 
 // add sets up one backend.
-func (w *world) add(k *Kind, zone, generation int) *backend {
+func (w *world) add(k *BackendKind, zone, generation int) *backend {
 	no := len(w.backends)
 	b := &backend{w: w, no: no, id: backendID(no, generation), kind: k, zone: zone, cell: no / cellSize, slow: 1,
 		speed: k.Speed.From, rng: rand.New(rand.NewPCG(w.rng.Uint64(), 6))}
@@ -369,7 +369,7 @@
 		b.weight = float64(k.Cores) * k.Speed.From
 	}
 	b.at = w.now
-	b.nextLook = w.now + time.Duration(b.rng.Float64()*float64(w.sc.Reports.EveryMS.ms()))
+	b.nextLook = w.now + time.Duration(b.rng.Float64()*float64(w.sc.Reports.IntervalMS.ms()))
 	w.backends = append(w.backends, b)
 	w.byEndpoint["b"+strconv.Itoa(no)] = b
 	b.pause()
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -72,7 +72,7 @@
 		return nil, nil, "", f.Errorf("scenario", "a scenario file is wanted")
 	}
 	for i, policy := range p.Policies {
-		if _, err := emulator.Policy(policy); err != nil {
+		if _, err := emulator.FactoryFor(policy); err != nil {
 			return nil, nil, "", f.Errorf(fmt.Sprintf("policies.%d", i), "%v", err)
 		}
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -113,8 +113,8 @@
 		for at := 0; ; at++ {
 			var v []float64
 			for _, rec := range r.records {
-				if at < len(rec.Result.Seconds) && rec.Result.Seconds[at].Asked > 0 {
-					v = append(v, rec.Result.Seconds[at].Won/rec.Result.Seconds[at].Asked)
+				if at < len(rec.Result.Seconds) && rec.Result.Seconds[at].OfferedWorth > 0 {
+					v = append(v, rec.Result.Seconds[at].EarnedWorth/rec.Result.Seconds[at].OfferedWorth)
 				}
 			}
 			if len(v) == 0 {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -41,7 +41,7 @@
 					err = s.Put(&Record{*c, r, time.Since(began).Nanoseconds()})
 				}
 				if err != nil {
-					if !errors.Is(err, emulator.ErrLate) {
+					if !errors.Is(err, emulator.ErrAborted) {
 						stop(err)
 					}
 					return
--- a/internal/experiment/summary.go
+++ b/internal/experiment/summary.go
@@ -105,14 +105,14 @@
 		return Median(v)
 	}
 	row.Days = len(row.records)
-	row.G = get(func(r *Record) float64 { return r.Result.G })
+	row.G = get(func(r *Record) float64 { return r.Result.Score })
 	row.P99 = get(func(r *Record) float64 { return r.Result.LatencyMS[mostAsked(r.Result)].P99 })
-	row.Retries = get(func(r *Record) float64 { return float64(r.Result.Retries) / float64(max(r.Result.Requests, 1)) })
-	row.ToCold = get(func(r *Record) float64 { return float64(r.Result.ToCold) })
-	cost := get(func(r *Record) float64 { return float64(r.TookNS) / 1000 / float64(max(r.Result.Requests, 1)) })
+	row.Retries = get(func(r *Record) float64 { return float64(r.Result.Retries) / float64(max(r.Result.Operations, 1)) })
+	row.ToCold = get(func(r *Record) float64 { return float64(r.Result.SendsToCold) })
+	cost := get(func(r *Record) float64 { return float64(r.TookNS) / 1000 / float64(max(r.Result.Operations, 1)) })
 	row.CostUS = &cost
 	row.Backends = get(func(r *Record) float64 { return float64(r.Result.Backends) }).Median
-	row.Requests = get(func(r *Record) float64 { return float64(r.Result.Requests) }).Median
+	row.Requests = get(func(r *Record) float64 { return float64(r.Result.Operations) }).Median
 	for _, r := range row.records {
 		for i, n := range []int{r.Result.Rules.Unanswered, r.Result.Rules.DoubleEffects, r.Result.Rules.LateDrainSends, r.Result.Rules.FelledBackends} {
 			if n > 0 {
@@ -126,8 +126,8 @@
 func mostAsked(r *emulator.Result) string {
 	best, n := "", -1
 	for name, c := range r.Classes {
-		if c.Asked > n || c.Asked == n && name < best {
-			best, n = name, c.Asked
+		if c.Operations > n || c.Operations == n && name < best {
+			best, n = name, c.Operations
 		}
 	}
 	return best
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -29,8 +29,8 @@
 	LateDrainSends int    `json:"late_drain_sends"`
 	FelledBackends int    `json:"felled_backends"`
 
-	Happened []emulator.Happening `json:"happened"`
-	Seconds  []emulator.Second    `json:"seconds"`
+	Happened []emulator.FaultEvent  `json:"happened"`
+	Seconds  []emulator.SecondStats `json:"seconds"`
 }
 
 // Clean tells that no rule was broken.
@@ -39,9 +39,9 @@
 }
 
 func dayOf(r *emulator.Result, played string) Day {
-	return Day{Scenario: r.Scenario, Seed: r.Seed, Played: played, Nodes: r.Nodes, Backends: r.Backends, Requests: r.Requests,
+	return Day{Scenario: r.Scenario, Seed: r.Seed, Played: played, Nodes: r.Nodes, Backends: r.Backends, Requests: r.Operations,
 		Unanswered: r.Rules.Unanswered, DoubleEffects: r.Rules.DoubleEffects, LateDrainSends: r.Rules.LateDrainSends,
-		FelledBackends: r.Rules.FelledBackends, Happened: r.Happened, Seconds: r.Seconds}
+		FelledBackends: r.Rules.FelledBackends, Happened: r.FaultEvents, Seconds: r.Seconds}
 }
 
 // Refusal is what was refused of one class.
@@ -113,11 +113,11 @@
 func Window(sc *emulator.Scenario, kinds []string) (from, to time.Duration, err error) {
 	for i := range sc.Troubles {
 		t := &sc.Troubles[i]
-		if !slices.Contains(kinds, t.Kind) || t.AtS.From != t.AtS.To || t.ForS.From != t.ForS.To {
+		if !slices.Contains(kinds, t.Kind) || t.AtS.From != t.AtS.To || t.DurationS.From != t.DurationS.To {
 			continue
 		}
 		begin := time.Duration(t.AtS.From * float64(time.Second))
-		end := begin + time.Duration(t.ForS.From*float64(time.Second))
+		end := begin + time.Duration(t.DurationS.From*float64(time.Second))
 		if to == 0 || begin < from {
 			from = begin
 		}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &PowerLoss{Day: dayOf(r, played), StaleSends: r.Stale, Overshoot: r.Rules.Overshoot,
+	p := &PowerLoss{Day: dayOf(r, played), StaleSends: r.StaleSends, Overshoot: r.Rules.Overshoot,
 		OvershootLimit: sc.Rules.FallMultiple.From}
 	back := int(to.Seconds())
 	p.GBefore, _ = share(r.Seconds, 0, int(from.Seconds())-1)
@@ -145,7 +145,7 @@
 }
 
 // steady is how many seconds after one the share won is steadyPart of a former one again.
-func steady(of []emulator.Second, back int, before float64) float64 {
+func steady(of []emulator.SecondStats, back int, before float64) float64 {
 	for i := back; i+steadyFor <= len(of); i++ {
 		if won, _ := share(of, i, i+steadyFor); won >= steadyPart*before {
 			return float64(i - back)
@@ -164,7 +164,7 @@
 	for i := range sc.Classes {
 		c := &sc.Classes[i]
 		got := r.Classes[c.Name]
-		f := Refusal{Class: c.Name, Worth: c.Worth.From, PerWork: c.Worth.From / c.WorkMS.From * 1000, Asked: got.Asked, Refused: got.Refused}
+		f := Refusal{Class: c.Name, Worth: c.Worth.From, PerWork: c.Worth.From / c.WorkMS.From * 1000, Asked: got.Operations, Refused: got.Rejected}
 		if f.Asked > 0 {
 			f.Part = float64(f.Refused) / float64(f.Asked)
 		}
@@ -181,10 +181,10 @@
 	return s, nil
 }
 
-func share(of []emulator.Second, from, to int) (won, ideal float64) {
+func share(of []emulator.SecondStats, from, to int) (won, ideal float64) {
 	asked := 0.0
 	for _, x := range of[min(max(from, 0), len(of)):min(max(to, 0), len(of))] {
-		asked, won, ideal = asked+x.Asked, won+x.Won, ideal+x.Ideal
+		asked, won, ideal = asked+x.OfferedWorth, won+x.EarnedWorth, ideal+x.IdealWorth
 	}
 	if asked == 0 {
 		return 0, 0
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -14,7 +14,7 @@
 )
 
 // Backend is emulator.Outside.
-func (f *fleet) Backend(no int, how emulator.Machine) {
+func (f *fleet) SetBackend(no int, how emulator.MachineState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for len(f.machines) <= no {
@@ -48,7 +48,7 @@
 }
 
 // Cut is emulator.Outside.
-func (f *fleet) Cut(node, backend int, cut bool) {
+func (f *fleet) SetPartition(node, backend int, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at := [2]int{node, backend}
@@ -58,7 +58,7 @@
 	m := f.machines[backend][node]
 	if f.cuts[at] = cut; cut {
 		f.jobs.Go(m.Vanish)
-	} else if f.day.Serves(backend) {
+	} else if f.day.BackendUp(backend) {
 		if err := m.Up(); err != nil {
 			f.day.Fail(fmt.Errorf("backend %d can be reached again: %w", backend, err))
 		}
@@ -67,8 +67,8 @@
 
 // serve is a backend's side of one connection.
 func (f *fleet) serve(c net.Conn, backend, node int) {
-	f.day.Conns(backend, 1)
-	defer f.day.Conns(backend, -1)
+	f.day.AdjustConnections(backend, 1)
+	defer f.day.AdjustConnections(backend, -1)
 	requests := make(chan string, 1) // ids
 	stop := make(chan struct{})
 	defer close(stop)
@@ -93,7 +93,7 @@
 	fresh := true
 	for id := range requests {
 		done := make(chan []byte, 1)
-		gone := f.day.Arrived(backend, node, id, fresh, func(r logic.Result, report []float64) { done <- answer(id, r, report, f.fields) })
+		gone := f.day.BackendReceived(backend, node, id, fresh, func(r logic.Result, report []float64) { done <- answer(id, r, report, f.fields) })
 		fresh = false
 		select {
 		case text := <-done:
--- a/internal/fleet/clients.go
+++ b/internal/fleet/clients.go
@@ -18,15 +18,15 @@
 )
 
 // Send is emulator.Outside: the front has picked the node, the client sends.
-func (f *fleet) Send(t emulator.Try) {
-	f.jobs.Go(func() { f.day.Done(t.ID, f.client(t)) })
+func (f *fleet) SendRequest(t emulator.ClientRequest) {
+	f.jobs.Go(func() { f.day.RequestDone(t.ID, f.client(t)) })
 }
 
 // client sends a request over a kept connection or a new one, and waits for its
 // answer until it is out of patience.
-func (f *fleet) client(t emulator.Try) emulator.Verdict {
+func (f *fleet) client(t emulator.ClientRequest) emulator.RequestOutcome {
 	n := f.nodes[t.Node]
-	until := time.Now().Add(t.Patience + onSockets + 20*time.Millisecond)
+	until := time.Now().Add(t.Timeout + onSockets + 20*time.Millisecond)
 	process := n.process()
 	c := n.take()
 	kept := c != nil
@@ -34,7 +34,7 @@
 		if c == nil {
 			var err error
 			if c, err = f.front.Dial(n.held.Addr, until); err != nil {
-				return emulator.Verdict{Answer: audit.None}
+				return emulator.RequestOutcome{Answer: audit.None}
 			}
 		}
 		v, crossed := f.talk(n, c, t, until)
@@ -47,7 +47,7 @@
 	}
 }
 
-func (f *fleet) talk(n *node, c net.Conn, t emulator.Try, until time.Time) (v emulator.Verdict, crossed bool) {
+func (f *fleet) talk(n *node, c net.Conn, t emulator.ClientRequest, until time.Time) (v emulator.RequestOutcome, crossed bool) {
 	c.SetDeadline(until)
 	stop := make(chan struct{})
 	defer close(stop)
@@ -64,26 +64,26 @@
 		method = http.MethodGet
 	}
 	fmt.Fprintf(&b, "%s /api HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: %s\r\nX-Service-Class: %s\r\nX-Time-Left: %du\r\n",
-		method, t.ID, t.Class.Name, max(t.Patience.Microseconds(), 1))
+		method, t.ID, t.Class.Name, max(t.Timeout.Microseconds(), 1))
 	if t.Key != "" {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", t.Key)
 	}
-	if t.Repeat {
+	if t.Retry {
 		b.WriteString("X-Repeat: 1\r\n")
 	}
 	if method == http.MethodPost {
 		b.WriteString("Content-Length: 0\r\n")
 	}
 	b.WriteString("\r\n")
-	f.day.Sending(t.ID, t.Patience)
+	f.day.RequestStarted(t.ID, t.Timeout)
 	if _, err := c.Write(b.Bytes()); err != nil {
 		c.Close()
-		return emulator.Verdict{Answer: audit.None}, true
+		return emulator.RequestOutcome{Answer: audit.None}, true
 	}
 	in := bufio.NewReader(c)
 	if _, err := in.Peek(1); err != nil {
 		c.Close()
-		return emulator.Verdict{Answer: audit.None, Taken: true, Patient: late(err)}, !late(err)
+		return emulator.RequestOutcome{Answer: audit.None, FullySent: true, TimedOut: late(err)}, !late(err)
 	}
 	res, err := http.ReadResponse(in, &http.Request{Method: method})
 	var body []byte
@@ -92,7 +92,7 @@
 	}
 	if err != nil {
 		c.Close()
-		return emulator.Verdict{Answer: audit.None, Taken: true, Patient: late(err)}, false
+		return emulator.RequestOutcome{Answer: audit.None, FullySent: true, TimedOut: late(err)}, false
 	}
 	if res.Close || in.Buffered() > 0 {
 		c.Close()
@@ -103,7 +103,7 @@
 	case res.StatusCode == http.StatusOK && string(body) == "for "+t.ID:
 		v.Answer = audit.Served
 	case res.StatusCode == http.StatusOK:
-		v.Answer, v.Taken = audit.None, true // served with what nobody made for it
+		v.Answer, v.FullySent = audit.None, true // served with what nobody made for it
 	case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests:
 		v.Answer = audit.Refused
 		if s, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -50,12 +50,12 @@
 	slower := *sc
 	slower.Rules.AnswerSlackMS.From += float64(onSockets / time.Millisecond)
 	slower.Rules.AnswerSlackMS.To += float64(onSockets / time.Millisecond)
-	slower.TickMS = emulator.Span{} // nodes on sockets handle what comes at once
-	f := &fleet{opt: opt, dir: dir, day: emulator.NewLive(&slower, seed), cuts: map[[2]int]bool{}, quit: make(chan struct{})}
+	slower.TickMS = emulator.Range{} // nodes on sockets handle what comes at once
+	f := &fleet{opt: opt, dir: dir, day: emulator.NewLiveRun(&slower, seed), cuts: map[[2]int]bool{}, quit: make(chan struct{})}
 	if f.front, err = standin.NewFront("127.0.0.1"); err != nil {
 		return nil, err
 	}
-	f.zones = f.day.Nodes()
+	f.zones = f.day.NodeZones()
 	f.fields = f.day.Settings(0).ReportFields
 	defer f.end()
 	for i := range f.zones {
@@ -70,7 +70,7 @@
 		}
 		f.nodes = append(f.nodes, &node{no: i, held: held, registry: d})
 	}
-	if f.day.Talk() > 0 {
+	if f.day.PeerBytesPerSecond() > 0 {
 		var at []string
 		for _, n := range f.nodes {
 			at = append(at, n.peerListen())
@@ -78,7 +78,7 @@
 		if f.relays, err = standin.NewRelays(at, seed); err != nil {
 			return nil, err
 		}
-		f.relays.Rule(f.day.Passes)
+		f.relays.Rule(f.day.DatagramDelays)
 	}
 	return f.day.Run(ctx, f, opt.Progress)
 }
@@ -87,7 +87,7 @@
 type fleet struct {
 	opt    Options
 	dir    string
-	day    *emulator.Live
+	day    *emulator.LiveRun
 	zones  []string
 	fields []string // of load reports
 	nodes  []*node
@@ -141,7 +141,7 @@
 }
 
 // Start is emulator.Outside.
-func (f *fleet) Start(no int, rev int64, known []core.Backend) {
+func (f *fleet) StartNode(no int, rev int64, known []core.Backend) {
 	n := f.nodes[no]
 	n.mu.Lock()
 	n.epoch++
@@ -150,8 +150,8 @@
 	c := standin.NodeConfig{
 		Name: fmt.Sprint("n", no), Listen: n.held.Addr, Discovery: n.registry.Addr, Seed: strconv.FormatUint(uint64(no+1)*0x9e3779b97f4a7c15+uint64(epoch), 16),
 		Limits:   map[string]any{"cores": 1.0, "memory_mb": f.opt.MemoryMB, "sockets": f.opt.Sockets},
-		Known:    f.list(no, emulator.ListChanges{Rev: rev, All: true, Entries: known}),
-		Settings: wire.EncodeSettings(f.day.Settings(no), f.day.Connect()),
+		Known:    f.list(no, emulator.ListUpdate{Revision: rev, Full: true, Backends: known}),
+		Settings: wire.EncodeSettings(f.day.Settings(no), f.day.ConnectTimeout()),
 	}
 	if f.relays != nil {
 		c.PeerListen, c.Peers = n.peerListen(), f.relays.Peers(no)
@@ -174,14 +174,14 @@
 			f.day.Fail(fmt.Errorf("node %d: %w", no, err))
 			return
 		}
-		f.day.Up(no)
+		f.day.NodeReady(no)
 		f.jobs.Go(func() {
 			<-run.Ended()
 			n.mu.Lock()
 			own := n.epoch == epoch
 			n.mu.Unlock()
 			if own { // nobody killed it
-				f.day.Crashed(no, errors.Join(run.Err(), errors.New("see its log")))
+				f.day.NodeCrashed(no, errors.Join(run.Err(), errors.New("see its log")))
 			}
 		})
 	})
@@ -197,7 +197,7 @@
 		own = fmt.Appendf(own, "state: {dir: %q}\n", f.dir)
 	}
 	if f.relays != nil {
-		own = fmt.Appendf(own, "peers: {bytes_per_s: %g}\nlog: {format: json}\n", f.day.Talk())
+		own = fmt.Appendf(own, "peers: {bytes_per_s: %g}\nlog: {format: json}\n", f.day.PeerBytesPerSecond())
 	}
 	var args []string
 	if own != nil {
@@ -241,13 +241,13 @@
 func (f *fleet) takes(by, about int, state string) {
 	for _, s := range []member.State{member.There, member.Suspected, member.Gone} {
 		if peers.StateName(s) == state {
-			f.day.Takes(by, about, s)
+			f.day.RecordPeerState(by, about, s)
 		}
 	}
 }
 
 // Kill is emulator.Outside.
-func (f *fleet) Kill(no int) {
+func (f *fleet) KillNode(no int) {
 	if run := f.nodes[no].drop(); run != nil {
 		run.Signal(os.Kill)
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -50,9 +50,9 @@
 			require.NoError(t, err)
 			defer m.Close()
 			n.held = &standin.Held{Addr: m.Addr}
-			f := &fleet{day: emulator.NewLive(sc, 1), front: front, nodes: []*node{n}, quit: make(chan struct{})}
-			try := emulator.Try{ID: "1", Class: logic.Class{Effect: logic.Unsafe}, Patience: 10 * time.Second}
-			assert.Equal(t, emulator.Verdict{Answer: audit.Served}, f.client(try))
+			f := &fleet{day: emulator.NewLiveRun(sc, 1), front: front, nodes: []*node{n}, quit: make(chan struct{})}
+			try := emulator.ClientRequest{ID: "1", Class: logic.Class{Effect: logic.Unsafe}, Timeout: 10 * time.Second}
+			assert.Equal(t, emulator.RequestOutcome{Answer: audit.Served}, f.client(try))
 			try.ID = "2"
 			v := f.client(try)
 			var ids []string
@@ -60,10 +60,10 @@
 				ids = append(ids, <-came)
 			}
 			if killed {
-				assert.Equal(t, emulator.Verdict{Answer: audit.None, Taken: true}, v)
+				assert.Equal(t, emulator.RequestOutcome{Answer: audit.None, FullySent: true}, v)
 				assert.Equal(t, []string{"1", "2"}, ids)
 			} else {
-				assert.Equal(t, emulator.Verdict{Answer: audit.Served}, v)
+				assert.Equal(t, emulator.RequestOutcome{Answer: audit.Served}, v)
 				assert.Equal(t, []string{"1", "2", "2"}, ids)
 			}
 		})
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -10,10 +10,10 @@
 )
 
 // list puts a list into the registry's form, with the endpoints of one node.
-func (f *fleet) list(node int, l emulator.ListChanges) standin.List {
+func (f *fleet) list(node int, l emulator.ListUpdate) standin.List {
 	var entries []core.Backend
-	for _, e := range l.Entries {
-		no, err := f.day.BackendNo(e.Endpoint)
+	for _, e := range l.Backends {
+		no, err := f.day.BackendNumber(e.Endpoint)
 		if err != nil {
 			continue
 		}
@@ -25,7 +25,7 @@
 		f.mu.Unlock()
 		entries = append(entries, e)
 	}
-	return discovery.NewList(l.Rev, l.All, entries)
+	return discovery.NewList(l.Revision, l.Full, entries)
 }
 
 // lists is one node's side of the registry.
@@ -36,7 +36,7 @@
 
 // Call is standin.Lists.
 func (l *lists) Call() (standin.List, bool) {
-	got, ok := l.f.day.List(l.node)
+	got, ok := l.f.day.FetchList(l.node)
 	if !ok {
 		return standin.List{}, false
 	}
@@ -45,7 +45,7 @@
 
 // Next is standin.Lists.
 func (l *lists) Next(rev int64, stop <-chan struct{}) (standin.List, bool) {
-	got, ok := l.f.day.Next(l.node, rev, stop)
+	got, ok := l.f.day.WaitForChanges(l.node, rev, stop)
 	if !ok {
 		return standin.List{}, false
 	}
@@ -62,5 +62,5 @@
 	for i, e := range entries { // the day's endpoint is the id without its generation
 		entries[i].Endpoint, _, _ = strings.Cut(string(e.ID), ".")
 	}
-	l.f.day.Told(l.node, emulator.ListChanges{Rev: list.Revision, All: list.Full, Entries: entries})
+	l.f.day.ListDelivered(l.node, emulator.ListUpdate{Revision: list.Revision, Full: list.Full, Backends: entries})
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -99,7 +99,7 @@
 }
 
 func (p *Plan) schedule() arrivals.Schedule {
-	return arrivals.Schedule{PerSecond: p.PerSecond, Shape: p.Shape, Swing: p.Swing, Period: p.Period, Phase: -1, Even: p.Even}
+	return arrivals.Schedule{PerSecond: p.PerSecond, Shape: p.Shape, Amplitude: p.Swing, Period: p.Period, Phase: -1, EvenlySpaced: p.Even}
 }
 
 // ClassReport is what became of a class.
@@ -201,7 +201,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		i := arrivals.Pick(cum, rng)
+		i := arrivals.WeightedIndex(cum, rng)
 		id := fmt.Sprintf("load-%x-%d", p.Seed, n)
 		open.Go(func() { t.send(ctx, client, &p, i, id, began.Add(due)) })
 	}
--- a/internal/rivals/rivals.go
+++ b/internal/rivals/rivals.go
@@ -37,8 +37,8 @@
 
 // Picks and Retries name what New takes, in the order in which lists show them.
 var (
-	Picks   = []string{"random", "round_robin", "least_outstanding", "p2c", "peak_ewma", "weighted"}
-	Retries = []string{"none", "budget"}
+	Selections = []string{"random", "round_robin", "least_outstanding", "p2c", "peak_ewma", "weighted"}
+	RetryModes = []string{"none", "budget"}
 )
 
 const (
@@ -112,9 +112,9 @@
 func New(name string, s logic.Settings, seed uint64) (*Policy, error) {
 	pick, retry, _ := strings.Cut(name, "+")
 	choose, ok := picks[pick]
-	if !ok || retry != "" && !slices.Contains(Retries, retry) {
+	if !ok || retry != "" && !slices.Contains(RetryModes, retry) {
 		return nil, fmt.Errorf("policy %q: not one of %s, each alone or with +%s", name,
-			strings.Join(Picks, ", "), strings.Join(Retries, " or +"))
+			strings.Join(Selections, ", "), strings.Join(RetryModes, " or +"))
 	}
 	if len(s.Classes) == 0 {
 		return nil, errors.New("settings: no classes")
