--- a/internal/arrivals/arrivals.go
+++ b/internal/arrivals/arrivals.go
@@ -1,6 +1,6 @@
-// Package arrivals draws the instants at which clients come: an open schedule,
-// which nothing that happens to earlier ones can hold up. It is pure: the same
-// source of randomness gives the same instants.
+// Package arrivals generates the arrival times of clients. The schedule is open: earlier clients
+// cannot delay later ones, whatever happens to them. It is deterministic: the same random source
+// gives the same times.
 package arrivals
 
 import (
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// Shapes are how a rate may go over time.
+// Shapes lists the ways in which a rate may change over time.
 var Shapes = []string{"steady", "wave", "bursty", "step"}
 
-// Schedule is a rate over time.
+// Schedule describes a rate over time.
 type Schedule struct {
-	PerSecond    float64       // on the mean
-	Shape        string        // of Shapes
-	Amplitude    float64       // up and down by this part of the mean, 0 to 1
-	Period       time.Duration // of a wave or a step; gusts last a tenth of it on the mean
-	Phase        float64       // of the period, at the beginning; below 0 it is drawn
-	EvenlySpaced bool          // at even distances, in place of by chance (a Poisson process)
+	PerSecond    float64       // mean
+	Shape        string        // one of Shapes
+	Amplitude    float64       // deviation from the mean, as a fraction of it, 0 to 1
+	Period       time.Duration // of a wave or step; bursts last a tenth of it on average
+	Phase        float64       // fraction of the period at the start; drawn if below 0
+	EvenlySpaced bool          // at even intervals instead of a Poisson process
 }
 
-// Check says what a schedule can't be drawn with.
+// Check returns an error if no arrivals can be drawn from the schedule.
 func (s *Schedule) Check() error {
 	switch {
 	case !(s.PerSecond > 0) || s.PerSecond > 1e7:
@@ -42,63 +42,63 @@
 	return nil
 }
 
-// Source draws the instants of a Schedule.
+// Generator draws the arrival times of a Schedule.
 type Generator struct {
-	s     Schedule
-	rng   *rand.Rand
-	at    time.Duration
-	gust  float64       // present strength of a bursty schedule,
-	until time.Duration // which holds till then
+	schedule  Schedule
+	rng       *rand.Rand
+	now       time.Duration
+	burstRate float64       // current relative rate of a bursty schedule
+	burstEnd  time.Duration // end of the current burst rate
 }
 
-// New returns a Source at the beginning of a schedule that Check has passed.
+// New returns a Generator at the start of a schedule that Check accepts.
 func New(s Schedule, rng *rand.Rand) *Generator {
-	if drawn := rng.Float64(); s.Phase < 0 { // drawn in any case: a stated phase shifts no other draw
+	if drawn := rng.Float64(); s.Phase < 0 { // drawn in any case, so that a fixed phase does not shift other draws
 		s.Phase = drawn
 	}
-	return &Generator{s: s, rng: rng}
+	return &Generator{schedule: s, rng: rng}
 }
 
-// Next returns the next instant, from the beginning.
+// Next returns the next arrival time, counted from the start.
 func (s *Generator) Next() time.Duration {
-	if s.s.EvenlySpaced {
-		s.at += time.Duration(1e9 / (s.s.PerSecond * max(s.RelativeRate(s.at), 1e-3)))
-		return s.at
+	if s.schedule.EvenlySpaced {
+		s.now += time.Duration(1e9 / (s.schedule.PerSecond * max(s.RelativeRate(s.now), 1e-3)))
+		return s.now
 	}
-	// A Poisson process of the highest rate, of which the rest is left out (Lewis and
-	// Shedler, "Simulation of nonhomogeneous Poisson processes by thinning", 1979).
-	for most := 1 + s.s.Amplitude; ; {
-		s.at += time.Duration(s.rng.ExpFloat64() / (s.s.PerSecond * most) * 1e9)
-		if s.rng.Float64()*most < s.RelativeRate(s.at) {
-			return s.at
+	// A Poisson process at the highest rate, thinned to the rate at each instant (Lewis and Shedler,
+	// "Simulation of nonhomogeneous Poisson processes by thinning", 1979).
+	for maxRate := 1 + s.schedule.Amplitude; ; {
+		s.now += time.Duration(s.rng.ExpFloat64() / (s.schedule.PerSecond * maxRate) * 1e9)
+		if s.rng.Float64()*maxRate < s.RelativeRate(s.now) {
+			return s.now
 		}
 	}
 }
 
-// Strength is the rate at an instant as a multiple of the mean one. Instants may
-// not go back.
+// RelativeRate returns the rate at an instant as a multiple of the mean rate. Instants must not
+// decrease from call to call.
 func (s *Generator) RelativeRate(at time.Duration) float64 {
-	turn := float64(at)/float64(s.s.Period) + s.s.Phase
-	switch s.s.Shape {
+	periods := float64(at)/float64(s.schedule.Period) + s.schedule.Phase
+	switch s.schedule.Shape {
 	case "wave":
-		return 1 + s.s.Amplitude*math.Sin(2*math.Pi*turn)
+		return 1 + s.schedule.Amplitude*math.Sin(2*math.Pi*periods)
 	case "step":
-		if turn-math.Floor(turn) < .5 {
-			return 1 + s.s.Amplitude
+		if periods-math.Floor(periods) < .5 {
+			return 1 + s.schedule.Amplitude
 		}
-		return 1 - s.s.Amplitude
+		return 1 - s.schedule.Amplitude
 	case "bursty":
-		for at >= s.until {
-			s.gust = 1 + s.s.Amplitude*(2*s.rng.Float64()-1)
-			s.until += max(time.Duration(s.rng.ExpFloat64()*float64(s.s.Period)/10), time.Millisecond)
+		for at >= s.burstEnd {
+			s.burstRate = 1 + s.schedule.Amplitude*(2*s.rng.Float64()-1)
+			s.burstEnd += max(time.Duration(s.rng.ExpFloat64()*float64(s.schedule.Period)/10), time.Millisecond)
 		}
-		return s.gust
+		return s.burstRate
 	}
 	return 1
 }
 
-// Pick draws a place by its share; cum holds the shares added up, the last above 0.
-func WeightedIndex(cum []float64, rng *rand.Rand) int {
-	x := rng.Float64() * cum[len(cum)-1]
-	return max(slices.IndexFunc(cum, func(c float64) bool { return x < c }), 0)
+// WeightedIndex draws an index by weight. cum holds the cumulative weights, the last above 0.
+func WeightedIndex(cumulative []float64, rng *rand.Rand) int {
+	x := rng.Float64() * cumulative[len(cumulative)-1]
+	return max(slices.IndexFunc(cumulative, func(c float64) bool { return x < c }), 0)
 }
--- a/internal/arrivals/arrivals_test.go
+++ b/internal/arrivals/arrivals_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each shape has its mean rate over whole periods, goes up and down as it says,
-// never goes back, and is the same for the same seed.
-func TestShapes(t *testing.T) {
+// Each shape must keep its mean rate over whole periods, vary as described, never go back in time, and
+// give the same times for the same seed.
+func TestShapesKeepMeanRateAndVary(t *testing.T) {
 	for _, shape := range Shapes {
 		for _, even := range []bool{false, true} {
 			s := Schedule{PerSecond: 500, Shape: shape, Amplitude: .6, Period: 10 * time.Second, EvenlySpaced: even}
--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -9,22 +9,22 @@
 	"pipitmux/logic"
 )
 
-// Machine is how a backend's machine is.
+// MachineState is the state of a backend's machine.
 type MachineState uint8
 
-// What a machine may be.
+// States of a machine.
 const (
-	Up     MachineState = iota // its process serves
-	Silent                     // nothing comes up, nothing comes back
-	Down                       // no process listens
+	Up     MachineState = iota // the process serves
+	Silent                     // the machine does not respond at all
+	Down                       // the machine responds, but no process listens
 )
 
-// backend is the model of one backend. All requests in work progress at the same
-// rate, so one account of progress serves for all: a request that starts when the
-// account stands at p and needs work w is done when it stands at p+w.
+// backend models one backend. All running requests progress at the same rate, so a single
+// progress counter serves all of them: a request that starts at counter value p and needs work w
+// is done at p+w.
 type backend struct {
-	w      *world
-	no     int
+	sim    *simulation
+	number int
 	id     logic.ServerID
 	kind   *BackendKind
 	zone   int
@@ -33,218 +33,230 @@
 	weight float64
 	rng    *rand.Rand
 
-	state    MachineState
-	draining bool
-	retired  bool          // replaced by another for good
-	born     time.Duration // 0: long ago
-	epoch    int           // of its process: jobs and connections of an earlier one are gone
-
-	slow    float64 // product of what slows it
-	failing float64 // share of requests that it fails at once
-	hanging int
-	paused  bool
-	crowded bool
-	ever    bool // it was so at some time
-
-	running  []*job
-	waiting  []*job // from first on
-	first    int
-	conns    int // open
-	progress float64
-	at       time.Duration // when progress was brought up to date
-	rate     float64       // work a second, of each request in work
-	plan     int           // the latest completion planned; earlier ones are void
-
-	overSince, restSince, crowdedAt time.Duration // 0: not so
-
-	// load reports: what was seen at the last instants of looking
-	looks    [lookMost]look
-	looked   int
-	nextLook time.Duration
+	state        MachineState
+	draining     bool
+	retired      bool          // replaced by another backend for good
+	startedAt    time.Duration // 0: long ago
+	processEpoch int           // number of the process; jobs and connections of earlier ones are void
+
+	slowdown      float64 // product of the active slowdowns
+	errorShare    float64 // share of requests that fail at once
+	hangs         int
+	paused        bool
+	congested     bool
+	everCongested bool // was congested at some time in the run
+
+	running        []*job
+	waiting        []*job // from queueHead on
+	queueHead      int
+	openConns      int
+	progress       float64
+	progressAt     time.Duration // when progress was last brought up to date
+	rate           float64       // work per second of each running request
+	completionPlan int           // number of the latest scheduled completion; earlier ones are void
+
+	// Start of each phase of congestion, 0: not in it.
+	overloadedSince time.Duration
+	recoveringSince time.Duration
+	congestedSince  time.Duration
+
+	// Queue samples for load reports, as a ring.
+	samples     [maxSamples]loadSample
+	sampleCount int
+	nextSample  time.Duration
 }
 
-const lookMost = 8
+// maxSamples is the number of samples kept. Reports use only the latest ones.
+const maxSamples = 8
 
-type look struct {
-	at          time.Duration
-	held, queue int
+// loadSample is the load at one sampling instant.
+type loadSample struct {
+	at       time.Duration
+	inFlight int
+	queued   int
 }
 
 // job is a request at a backend.
 type job struct {
-	att  *attempt
-	work float64
-	done float64 // the account's mark at which it is
+	attempt *attempt
+	work    float64
+	doneAt  float64 // progress counter at which it is done
 }
 
+// slots returns the number of requests that can run at the same time.
 func (b *backend) slots() int {
 	return max(int(b.kind.SlotsPerCore.From*float64(b.kind.Cores)), 1)
 }
-func (b *backend) queued() int { return len(b.waiting) - b.first }
-func (b *backend) held() int   { return len(b.running) + b.queued() }
 
-// warmth is the share of its capacity that it has.
-func (b *backend) warmth() float64 {
-	if b.born == 0 || b.kind.ColdS.From == 0 {
+// queued returns the number of waiting requests.
+func (b *backend) queued() int { return len(b.waiting) - b.queueHead }
+
+// inFlight returns the number of running and waiting requests.
+func (b *backend) inFlight() int { return len(b.running) + b.queued() }
+
+// warmFraction returns the share of its capacity that is available, below 1 after a cold start.
+func (b *backend) warmFraction() float64 {
+	if b.startedAt == 0 || b.kind.ColdS.From == 0 {
 		return 1
 	}
-	age := float64(b.w.now-b.born) / float64(b.kind.ColdS.sec())
+	age := float64(b.sim.now-b.startedAt) / float64(b.kind.ColdS.sec())
 	if age >= 1 {
 		return 1
 	}
 	return b.kind.ColdFrom.From + (1-b.kind.ColdFrom.From)*age
 }
 
-// capacity is the work a second that it can do now, on standard cores.
+// capacity returns the work per second that it can do now, in seconds on a standard core.
 func (b *backend) capacity() float64 {
-	c := b.speed * float64(b.kind.Cores) * b.warmth() / b.slow
-	if b.crowded {
-		c /= b.w.sc.Crowded.Slowdown.From
+	c := b.speed * float64(b.kind.Cores) * b.warmFraction() / b.slowdown
+	if b.congested {
+		c /= b.sim.scenario.Crowded.Slowdown.From
 	}
 	return c
 }
 
-// bearable is the work a second that it could do at its warmth, were nothing
-// else wrong: what a cold start makes it unable to bear is measured by that.
-func (b *backend) bearable() float64 { return b.speed * float64(b.kind.Cores) * b.warmth() }
+// warmCapacity returns the work per second that it could do if nothing but a cold start slowed
+// it. It is the measure of what overloads a cold backend.
+func (b *backend) warmCapacity() float64 { return b.speed * float64(b.kind.Cores) * b.warmFraction() }
 
-// advance brings the account of progress up to now.
-func (b *backend) advance() {
-	b.progress += b.rate * (b.w.now - b.at).Seconds()
-	b.at = b.w.now
+// advanceProgress brings the progress counter up to the current time.
+func (b *backend) advanceProgress() {
+	b.progress += b.rate * (b.sim.now - b.progressAt).Seconds()
+	b.progressAt = b.sim.now
 }
 
-// changed works out the rate anew and plans the next completion. It belongs
-// after each change, with advance before it.
-func (b *backend) changed() {
-	b.judgeCrowd()
+// reschedule recomputes the rate and schedules the next completion. Call it after each change
+// that affects the rate, with advanceProgress before the change.
+func (b *backend) reschedule() {
+	b.updateCongestion()
 	n := len(b.running)
 	b.rate = 0
-	if n > 0 && !b.paused && b.hanging == 0 && b.state == Up {
+	if n > 0 && !b.paused && b.hangs == 0 && b.state == Up {
 		r := b.capacity() / float64(max(n, b.kind.Cores))
-		if over := float64(b.held()) - b.kind.ThrashAt.From*float64(b.kind.Cores); over > 0 && b.kind.ThrashAt.From > 0 {
+		if over := float64(b.inFlight()) - b.kind.ThrashAt.From*float64(b.kind.Cores); over > 0 && b.kind.ThrashAt.From > 0 {
 			r /= 1 + b.kind.Thrash.From*over/(b.kind.ThrashAt.From*float64(b.kind.Cores))
 		}
-		if most := b.connCap(); most > 0 {
-			r *= 1 - b.w.sc.Conns.FullTableCost.From*min(float64(b.conns)/float64(most), 1)
+		if limit := b.maxConns(); limit > 0 {
+			r *= 1 - b.sim.scenario.Conns.FullTableCost.From*min(float64(b.openConns)/float64(limit), 1)
 		}
 		b.rate = r
 	}
-	b.plan++
+	b.completionPlan++
 	if b.rate == 0 {
 		return
 	}
-	next := b.running[0].done
+	next := b.running[0].doneAt
 	for _, j := range b.running[1:] {
-		next = min(next, j.done)
+		next = min(next, j.doneAt)
 	}
 	wait := time.Duration(math.Ceil(max(next-b.progress, 0) / b.rate * 1e9))
-	if cold := time.Second / 4; b.warmth() < 1 && wait > cold {
-		wait = cold // its rate rises meanwhile
+	if cold := time.Second / 4; b.warmFraction() < 1 && wait > cold {
+		wait = cold // look again soon: the rate rises meanwhile
 	}
-	plan := b.plan
-	b.w.after(wait, func() {
-		if plan == b.plan {
-			b.advance()
-			b.complete()
+	plan := b.completionPlan
+	b.sim.scheduleAfter(wait, func() {
+		if plan == b.completionPlan {
+			b.advanceProgress()
+			b.completeJobs()
 		}
 	})
 }
 
-// complete ends the requests whose work is done.
-func (b *backend) complete() {
+// completeJobs ends the requests whose work is done.
+func (b *backend) completeJobs() {
 	left := b.running[:0]
 	var done []*job
 	for _, j := range b.running {
-		if j.done <= b.progress+1e-9 {
+		if j.doneAt <= b.progress+1e-9 {
 			done = append(done, j)
 		} else {
 			left = append(left, j)
 		}
 	}
 	if len(done) > 0 {
-		b.see()
+		b.sampleLoad()
 	}
 	b.running = left
-	b.begin()
-	b.changed()
+	b.startQueued()
+	b.reschedule()
 	for _, j := range done {
-		b.w.finished(b, j)
+		b.sim.requestFinished(b, j)
 	}
 }
 
-// begin takes waiting requests into work.
-func (b *backend) begin() {
+// startQueued moves waiting requests to free slots.
+func (b *backend) startQueued() {
 	for b.queued() > 0 && len(b.running) < b.slots() {
-		j := b.waiting[b.first]
-		b.waiting[b.first] = nil
-		if b.first++; b.first > 64 && b.first*2 > len(b.waiting) {
-			b.waiting = append(b.waiting[:0], b.waiting[b.first:]...)
-			b.first = 0
+		j := b.waiting[b.queueHead]
+		b.waiting[b.queueHead] = nil
+		if b.queueHead++; b.queueHead > 64 && b.queueHead*2 > len(b.waiting) {
+			b.waiting = append(b.waiting[:0], b.waiting[b.queueHead:]...)
+			b.queueHead = 0
 		}
 		b.start(j)
 	}
 }
 
 func (b *backend) start(j *job) {
-	j.done = b.progress + j.work
+	j.doneAt = b.progress + j.work
 	b.running = append(b.running, j)
 }
 
-// arrive takes a request whose last byte has come, and the work of opening its connection.
-func (b *backend) arrive(a *attempt, opening float64) {
-	c := a.try.op.class
-	work := a.try.op.work
+// receive handles a request whose last byte has arrived. connectWork is the work of accepting its
+// connection, 0 for a reused one.
+func (b *backend) receive(a *attempt, connectWork float64) {
+	c := a.request.operation.class
+	work := a.request.operation.work
 	if cv := c.AttemptNoise.From; cv > 0 {
 		work *= lognormal(b.rng, 1, cv)
 	}
-	b.w.workAsked += work
-	if b.warmth() < 1 && b.w.audit.Work(b.w.now, string(b.id), work+opening, b.bearable()) {
-		b.w.happened("felled", string(b.id))
+	b.sim.workRequested += work
+	if b.warmFraction() < 1 && b.sim.auditor.Work(b.sim.now, string(b.id), work+connectWork, b.warmCapacity()) {
+		b.sim.recordFault("felled", string(b.id))
 		b.stop(Down)
-		b.w.news(b, b.w.sc.Discovery.SilentNoticeDelayS.sec())
+		b.sim.reportChange(b, b.sim.scenario.Discovery.SilentNoticeDelayS.sec())
 		a.end(logic.Reset, nil, 0)
 		return
 	}
 	switch {
-	case b.hanging > 0:
-		b.w.ran(b, a) // taken, and never answered
+	case b.hangs > 0:
+		b.sim.recordAccepted(b, a) // accepted and never answered
 		return
-	case b.failing > 0 && b.rng.Float64() < b.failing:
-		a.end(logic.Failed, b.report(), time.Millisecond)
+	case b.errorShare > 0 && b.rng.Float64() < b.errorShare:
+		a.end(logic.Failed, b.loadReport(), time.Millisecond)
 		return
 	}
-	b.see()
-	b.advance()
-	j := &job{att: a, work: work + opening}
+	b.sampleLoad()
+	b.advanceProgress()
+	j := &job{attempt: a, work: work + connectWork}
 	switch {
 	case len(b.running) < b.slots():
 		b.start(j)
 	case float64(b.queued()) < b.kind.QueuePerCore.From*float64(b.kind.Cores):
 		b.waiting = append(b.waiting, j)
 	default:
-		a.end(logic.QueueFull, b.report(), 0)
+		a.end(logic.QueueFull, b.loadReport(), 0)
 		return
 	}
 	a.job = j
-	// A repeat is dropped by what the group has taken, so that is the moment that counts:
-	// work that was given up may wait in a jam for longer than repeats are dropped.
-	b.w.ran(b, a)
-	b.changed()
+	// The group drops a repeat of a request that it has accepted, so the time of acceptance counts
+	// here: work that was given up may stay queued for longer than repeats are dropped.
+	b.sim.recordAccepted(b, a)
+	b.reschedule()
 }
 
-// dropped is told that a node gave an attempt up: whether that stops any work
-// depends on the kind.
-func (b *backend) dropped(a *attempt) {
+// cancel is called when a node gives up an attempt. The kind of the backend decides whether that
+// stops the work.
+func (b *backend) cancel(a *attempt) {
 	if b.kind.Cancel == "none" || a.job == nil {
 		return
 	}
-	b.see()
-	b.advance()
-	for i := b.first; i < len(b.waiting); i++ {
+	b.sampleLoad()
+	b.advanceProgress()
+	for i := b.queueHead; i < len(b.waiting); i++ {
 		if b.waiting[i] == a.job {
 			b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
-			b.changed()
+			b.reschedule()
 			return
 		}
 	}
@@ -254,159 +266,161 @@
 	for i, j := range b.running {
 		if j == a.job {
 			b.running = append(b.running[:i], b.running[i+1:]...)
-			b.begin()
-			b.changed()
+			b.startQueued()
+			b.reschedule()
 			return
 		}
 	}
 }
 
-// set changes something that its rate depends on.
-func (b *backend) set(change func()) {
-	b.advance()
+// update makes a change that affects the rate.
+func (b *backend) update(change func()) {
+	b.advanceProgress()
 	change()
-	b.changed()
+	b.reschedule()
 }
 
-// stop ends its process: what it held is lost. A silent machine says nothing; a
-// process that dies resets its connections.
+// stop ends the process. Its requests are lost. A silent machine sends nothing; a process that
+// dies resets its connections.
 func (b *backend) stop(to MachineState) {
-	b.advance()
-	b.see()
+	b.advanceProgress()
+	b.sampleLoad()
 	lost := append([]*job{}, b.running...)
-	lost = append(lost, b.waiting[b.first:]...)
-	b.running, b.waiting, b.first, b.conns = nil, nil, 0, 0
-	b.epoch++
-	b.state, b.crowded, b.overSince, b.restSince = to, false, 0, 0
-	b.changed()
-	b.w.live.backend(b)
+	lost = append(lost, b.waiting[b.queueHead:]...)
+	b.running, b.waiting, b.queueHead, b.openConns = nil, nil, 0, 0
+	b.processEpoch++
+	b.state, b.congested, b.overloadedSince, b.recoveringSince = to, false, 0, 0
+	b.reschedule()
+	b.sim.live.updateBackend(b)
 	if to == Down {
 		for _, j := range lost {
-			j.att.end(logic.Reset, nil, 0)
+			j.attempt.end(logic.Reset, nil, 0)
 		}
 	}
 }
 
-// rise starts a new process, cold.
-func (b *backend) rise() {
-	b.epoch++
-	b.state, b.born, b.draining = Up, max(b.w.now, 1), false
-	b.at = b.w.now
-	b.w.audit.Started(string(b.id))
-	b.changed()
-	b.w.live.backend(b)
-	b.w.news(b, b.w.sc.Discovery.AddDelayS.sec())
+// restart starts a new process, which is cold.
+func (b *backend) restart() {
+	b.processEpoch++
+	b.state, b.startedAt, b.draining = Up, max(b.sim.now, 1), false
+	b.progressAt = b.sim.now
+	b.sim.auditor.Started(string(b.id))
+	b.reschedule()
+	b.sim.live.updateBackend(b)
+	b.sim.reportChange(b, b.sim.scenario.Discovery.AddDelayS.sec())
 }
 
-// judgeCrowd follows the state of being crowded, which outlasts its cause.
-func (b *backend) judgeCrowd() {
-	c := &b.w.sc.Crowded
+// updateCongestion enters or leaves the congested state, which outlasts its cause.
+func (b *backend) updateCongestion() {
+	c := &b.sim.scenario.Crowded
 	if c.AboveHeld.From == 0 {
 		return
 	}
-	now := b.w.now
-	if !b.crowded {
-		if float64(b.held()) <= c.AboveHeld.From {
-			b.overSince = 0
-		} else if b.overSince == 0 {
-			b.overSince = now
-			b.w.after(c.TriggerS.sec(), func() { b.set(func() {}) })
-		} else if now-b.overSince >= c.TriggerS.sec() {
-			b.crowded, b.ever, b.crowdedAt, b.restSince, b.overSince = true, true, now, 0, 0
-			b.w.crowdings++
-			b.w.after(c.MaxS.sec(), func() { b.set(func() {}) })
+	now := b.sim.now
+	if !b.congested {
+		if float64(b.inFlight()) <= c.AboveHeld.From {
+			b.overloadedSince = 0
+		} else if b.overloadedSince == 0 {
+			b.overloadedSince = now
+			b.sim.scheduleAfter(c.TriggerS.sec(), func() { b.update(func() {}) })
+		} else if now-b.overloadedSince >= c.TriggerS.sec() {
+			b.congested, b.everCongested, b.congestedSince, b.recoveringSince, b.overloadedSince = true, true, now, 0, 0
+			b.sim.congestions++
+			b.sim.scheduleAfter(c.MaxS.sec(), func() { b.update(func() {}) })
 		}
 		return
 	}
 	switch {
-	case now-b.crowdedAt >= c.MaxS.sec():
-		b.crowded = false
-	case float64(b.held()) >= c.RecoverBelow.From*float64(b.kind.Cores):
-		b.restSince = 0
-	case b.restSince == 0:
-		b.restSince = now
-		b.w.after(c.RecoverS.sec(), func() { b.set(func() {}) })
-	case now-b.restSince >= c.RecoverS.sec():
-		b.crowded = false
+	case now-b.congestedSince >= c.MaxS.sec():
+		b.congested = false
+	case float64(b.inFlight()) >= c.RecoverBelow.From*float64(b.kind.Cores):
+		b.recoveringSince = 0
+	case b.recoveringSince == 0:
+		b.recoveringSince = now
+		b.sim.scheduleAfter(c.RecoverS.sec(), func() { b.update(func() {}) })
+	case now-b.recoveringSince >= c.RecoverS.sec():
+		b.congested = false
 	}
 }
 
-func (b *backend) connCap() int {
-	return int(b.w.sc.Conns.MaxPerCore.From * float64(b.kind.Cores))
+// maxConns returns the limit of open connections, 0: none.
+func (b *backend) maxConns() int {
+	return int(b.sim.scenario.Conns.MaxPerCore.From * float64(b.kind.Cores))
 }
 
-// see notes what a look at its queue showed at each instant of looking that has
-// passed since the last change. It belongs before each change.
-func (b *backend) see() {
-	every := b.w.sc.Reports.IntervalMS.ms()
-	if len(b.w.sc.Reports.Fields) == 0 || b.w.now < b.nextLook {
+// sampleLoad records the load at every sampling instant since the last change. Call it before
+// each change of the load.
+func (b *backend) sampleLoad() {
+	every := b.sim.scenario.Reports.IntervalMS.ms()
+	if len(b.sim.scenario.Reports.Fields) == 0 || b.sim.now < b.nextSample {
 		return
 	}
-	// Only the latest looks are of use.
-	if missed := (b.w.now - b.nextLook) / every; missed > lookMost {
-		b.nextLook += (missed - lookMost) * every
+	// Only the latest samples are used.
+	if missed := (b.sim.now - b.nextSample) / every; missed > maxSamples {
+		b.nextSample += (missed - maxSamples) * every
 	}
-	for b.nextLook <= b.w.now {
-		b.looks[b.looked%lookMost] = look{b.nextLook, b.held(), b.queued()}
-		b.looked++
-		b.nextLook += every
+	for b.nextSample <= b.sim.now {
+		b.samples[b.sampleCount%maxSamples] = loadSample{b.nextSample, b.inFlight(), b.queued()}
+		b.sampleCount++
+		b.nextSample += every
 	}
 }
 
-// report is what an answer tells of its load, nil where nothing is known yet.
-func (b *backend) report() []float64 {
-	fields := b.w.sc.Reports.Fields
+// loadReport returns the load report of a response, nil if no sample is old enough.
+func (b *backend) loadReport() []float64 {
+	fields := b.sim.scenario.Reports.Fields
 	if len(fields) == 0 {
 		return nil
 	}
-	b.see()
-	until := b.w.now - b.w.sc.Reports.DelayMS.ms()
-	for i := b.looked - 1; i >= max(b.looked-lookMost, 0); i-- {
-		l := b.looks[i%lookMost]
+	b.sampleLoad()
+	until := b.sim.now - b.sim.scenario.Reports.DelayMS.ms()
+	for i := b.sampleCount - 1; i >= max(b.sampleCount-maxSamples, 0); i-- {
+		l := b.samples[i%maxSamples]
 		if l.at > until {
 			continue
 		}
 		out := make([]float64, len(fields))
 		for f, name := range fields {
-			out[f] = float64(l.queue)
+			out[f] = float64(l.queued)
 			if name == "held" {
-				out[f] = float64(l.held)
+				out[f] = float64(l.inFlight)
 			}
-			out[f] = math.Round(max(out[f]*(1+b.w.sc.Reports.Noise.From*b.rng.NormFloat64()), 0))
+			out[f] = math.Round(max(out[f]*(1+b.sim.scenario.Reports.Noise.From*b.rng.NormFloat64()), 0))
 		}
 		return out
 	}
 	return nil
 }
 
-// pause has it stand still now and then.
-func (b *backend) pause() {
+// schedulePause schedules the next random pause of the backend.
+func (b *backend) schedulePause() {
 	every := b.kind.PauseEveryS.sec()
 	if every == 0 || b.kind.PauseMS.From == 0 {
 		return
 	}
-	b.w.after(time.Duration(b.rng.ExpFloat64()*float64(every)), func() {
-		b.set(func() { b.paused = true })
-		b.w.after(time.Duration((0.5+b.rng.Float64())*float64(b.kind.PauseMS.ms())), func() {
-			b.set(func() { b.paused = false })
+	b.sim.scheduleAfter(time.Duration(b.rng.ExpFloat64()*float64(every)), func() {
+		b.update(func() { b.paused = true })
+		b.sim.scheduleAfter(time.Duration((0.5+b.rng.Float64())*float64(b.kind.PauseMS.ms())), func() {
+			b.update(func() { b.paused = false })
 			if !b.retired {
-				b.pause()
+				b.schedulePause()
 			}
 		})
 	})
 }
 
-// lognormal draws with a mean and a coefficient of variation.
-func lognormal(r *rand.Rand, mean, cv float64) float64 {
+// lognormal draws from a lognormal distribution with a mean and a coefficient of variation.
+func lognormal(rng *rand.Rand, mean, cv float64) float64 {
 	if cv == 0 {
 		return mean
 	}
 	v := math.Log(1 + cv*cv)
-	return mean * math.Exp(math.Sqrt(v)*r.NormFloat64()-v/2)
+	return mean * math.Exp(math.Sqrt(v)*rng.NormFloat64()-v/2)
 }
 
-func backendID(no, generation int) logic.ServerID {
-	id := "b" + strconv.Itoa(no)
+// backendID returns the server ID of a backend; generation counts replacements.
+func backendID(number, generation int) logic.ServerID {
+	id := "b" + strconv.Itoa(number)
 	if generation > 0 {
 		id += "." + strconv.Itoa(generation)
 	}
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -13,292 +13,304 @@
 	"pipitmux/logic"
 )
 
-// op is what a client wants done, over all its tries.
-type op struct {
-	w     *world
-	id    uint64
-	class *Class
-	zone  int
-	work  float64 // seconds on a standard core
-	began time.Duration
-	tries int
-	heeds bool // it heeds Retry-After
+// operation is what a client wants done, over all its requests.
+type operation struct {
+	sim               *simulation
+	id                uint64
+	class             *Class
+	zone              int
+	work              float64 // seconds on a standard core
+	startedAt         time.Duration
+	requests          int
+	honoursRetryAfter bool
 }
 
-// try is one request of an op. It is the Session that its node answers, and the
-// Call that its attempts carry.
-type try struct {
-	op       *op
-	id       string
-	n        *node
-	epoch    int
-	until    time.Duration // the client waits no longer
-	sends    int           // attempts of it
-	answered bool          // by the node
-	settled  bool          // as the client sees it
-	sent     bool          // on a live day: it has been written
+// clientRequest is one request of an operation. It is the core.Session that the node answers and
+// the Call that its attempts carry.
+type clientRequest struct {
+	operation    *operation
+	id           string
+	node         *node
+	nodeEpoch    int
+	deadline     time.Duration // until which the client waits
+	attempts     int           // sent for it
+	answered     bool          // by the node
+	finished     bool          // from the client's point of view
+	writeStarted bool          // in a live run: writing it has begun
 }
 
-// traffic makes the clients' first tries.
+// traffic creates the clients' operations.
 type traffic struct {
-	w      *world
-	rate   float64 // a second, on the mean
-	source *arrivals.Generator
-	cum    []float64 // shares of the classes, added up
-	zones  []float64 // and of the zones
-	began  time.Duration
-	due    time.Duration // of the next first try: what is planned counts from when it was due
-	until  time.Duration
-	ops    uint64
-	tries  uint64
+	sim          *simulation
+	rate         float64 // mean, per second
+	arrivals     *arrivals.Generator
+	classWeights []float64 // cumulative shares of the classes
+	zoneWeights  []float64 // cumulative weights of the zones
+	startedAt    time.Duration
+	nextArrival  time.Duration // due time of the next operation; arrivals count from it, not from when it was handled
+	end          time.Duration
+	operations   uint64
+	requests     uint64
 }
 
-func newTraffic(w *world) *traffic {
-	t := &traffic{w: w}
+// newTraffic computes the rate of operations and the cumulative weights.
+func newTraffic(sim *simulation) *traffic {
+	t := &traffic{sim: sim}
 	mean, sum := 0.0, 0.0
-	for i := range w.sc.Classes {
-		c := &w.sc.Classes[i]
+	for i := range sim.scenario.Classes {
+		c := &sim.scenario.Classes[i]
 		sum += c.Share.From
 		mean += c.Share.From * c.WorkMS.From / 1000
-		t.cum = append(t.cum, sum)
+		t.classWeights = append(t.classWeights, sum)
 	}
 	mean /= sum
 	all := 0.0
-	for i := range w.sc.Zones {
-		all += w.sc.Zones[i].Traffic.From
-		t.zones = append(t.zones, all)
+	for i := range sim.scenario.Zones {
+		all += sim.scenario.Zones[i].Traffic.From
+		t.zoneWeights = append(t.zoneWeights, all)
 	}
-	t.rate = w.sc.Arrivals.PerSecond.From
+	t.rate = sim.scenario.Arrivals.PerSecond.From
 	if t.rate == 0 {
 		capacity := 0.0
-		for _, b := range w.backends {
+		for _, b := range sim.backends {
 			capacity += b.speed * float64(b.kind.Cores)
 		}
-		t.rate = w.sc.Arrivals.Load.From * capacity / mean
+		t.rate = sim.scenario.Arrivals.Load.From * capacity / mean
 	}
 	return t
 }
 
-func (t *traffic) begin() {
-	a := &t.w.sc.Arrivals
-	t.source = arrivals.New(arrivals.Schedule{PerSecond: t.rate, Shape: a.Shape, Amplitude: a.Swing.From, Period: a.PeriodS.sec(), Phase: a.Phase.From}, t.w.clientsR)
-	t.began, t.until = t.w.now, t.w.now+t.w.sc.Seconds.sec()
-	t.next()
+// start begins the arrivals.
+func (t *traffic) start() {
+	a := &t.sim.scenario.Arrivals
+	t.arrivals = arrivals.New(arrivals.Schedule{PerSecond: t.rate, Shape: a.Shape, Amplitude: a.Swing.From, Period: a.PeriodS.sec(), Phase: a.Phase.From}, t.sim.clientRNG)
+	t.startedAt, t.end = t.sim.now, t.sim.now+t.sim.scenario.Seconds.sec()
+	t.scheduleNext()
 }
 
-// next plans the next first try.
-func (t *traffic) next() {
-	t.due = t.began + t.source.Next()
-	t.w.at(t.due, 0, func() {
-		if t.due >= t.until || t.w.sc.MaxRequests > 0 && t.ops >= uint64(t.w.sc.MaxRequests) {
+// scheduleNext schedules the next operation.
+func (t *traffic) scheduleNext() {
+	t.nextArrival = t.startedAt + t.arrivals.Next()
+	t.sim.scheduleAt(t.nextArrival, 0, func() {
+		if t.nextArrival >= t.end || t.sim.scenario.MaxRequests > 0 && t.operations >= uint64(t.sim.scenario.MaxRequests) {
 			return
 		}
-		t.op(t.w.clientsR)
-		t.next()
+		t.startOperation(t.sim.clientRNG)
+		t.scheduleNext()
 	})
 }
 
-// op begins an operation. All it needs is drawn at once, so that each policy
-// meets the same clients.
-func (t *traffic) op(r *rand.Rand) {
-	t.ops++
-	o := &op{w: t.w, id: t.ops, class: &t.w.sc.Classes[arrivals.WeightedIndex(t.cum, r)], began: t.due}
-	if t.zones[len(t.zones)-1] > 0 {
-		o.zone = arrivals.WeightedIndex(t.zones, r)
+// startOperation begins an operation. All its properties are drawn here, so that all policies
+// meet the same clients.
+func (t *traffic) startOperation(rng *rand.Rand) {
+	t.operations++
+	op := &operation{sim: t.sim, id: t.operations, class: &t.sim.scenario.Classes[arrivals.WeightedIndex(t.classWeights, rng)], startedAt: t.nextArrival}
+	if t.zoneWeights[len(t.zoneWeights)-1] > 0 {
+		op.zone = arrivals.WeightedIndex(t.zoneWeights, rng)
 	} else {
-		o.zone = r.IntN(len(t.zones))
+		op.zone = rng.IntN(len(t.zoneWeights))
 	}
-	o.work = lognormal(r, o.class.WorkMS.From/1000, o.class.CV.From)
-	o.heeds = r.Float64() < t.w.sc.Clients.HonourRetryAfter.From
-	t.w.tally.asked(o)
-	o.try()
+	op.work = lognormal(rng, op.class.WorkMS.From/1000, op.class.CV.From)
+	op.honoursRetryAfter = rng.Float64() < t.sim.scenario.Clients.HonourRetryAfter.From
+	t.sim.stats.recordOperation(op)
+	op.sendRequest()
 }
 
-// try sends the op once, through the front of its zone.
-func (o *op) try() {
-	w := o.w
-	o.tries++
-	left := o.began + o.class.DeadlineMS.ms() - w.now
-	patience := min(time.Duration(w.sc.Clients.RequestTimeoutShare.From*float64(o.class.DeadlineMS.ms())), left)
-	n := w.front.pick(o.zone)
+// sendRequest sends one request of the operation through the frontend of its zone.
+func (op *operation) sendRequest() {
+	sim := op.sim
+	op.requests++
+	left := op.startedAt + op.class.DeadlineMS.ms() - sim.now
+	timeout := min(time.Duration(sim.scenario.Clients.RequestTimeoutShare.From*float64(op.class.DeadlineMS.ms())), left)
+	n := sim.frontend.pick(op.zone)
 	if n == nil {
-		w.after(w.jittered(w.sc.Net.ClientMS), func() { o.again(unreachable, 0) })
+		sim.scheduleAfter(sim.jitteredDelay(sim.scenario.Net.ClientMS), func() { op.retry(unreachable, 0) })
 		return
 	}
-	w.traffic.tries++
-	t := &try{op: o, id: strconv.FormatUint(w.traffic.tries, 36), n: n, until: w.now + patience}
-	way := w.jittered(w.sc.Net.ClientMS)
-	if n.zone != o.zone {
-		way += w.delay(n.zone, o.zone)
+	sim.traffic.requests++
+	request := &clientRequest{operation: op, id: strconv.FormatUint(sim.traffic.requests, 36), node: n, deadline: sim.now + timeout}
+	delay := sim.jitteredDelay(sim.scenario.Net.ClientMS)
+	if n.zone != op.zone {
+		delay += sim.networkDelay(n.zone, op.zone)
 	}
-	w.after(way, func() {
+	sim.scheduleAfter(delay, func() {
 		switch {
-		case n.cutOff: // nobody says that nothing is there
-			w.at(t.until, 0, func() { t.settle(unreachable, 0) })
+		case n.unreachable: // silent: the client learns nothing and times out
+			sim.scheduleAt(request.deadline, 0, func() { request.finish(unreachable, 0) })
 		case !n.alive:
-			w.after(way, func() { t.settle(unreachable, 0) })
+			sim.scheduleAfter(delay, func() { request.finish(unreachable, 0) })
 		default:
-			t.taken(patience)
+			request.deliver(timeout)
 		}
 	})
 }
 
-// taken has the node take the request.
-func (t *try) taken(patience time.Duration) {
-	w, n := t.op.w, t.n
-	t.epoch = n.epoch
-	if w.live != nil {
-		w.live.send(t, patience)
+// deliver hands the request to its node.
+func (request *clientRequest) deliver(timeout time.Duration) {
+	sim, n := request.operation.sim, request.node
+	request.nodeEpoch = n.epoch
+	if sim.live != nil {
+		sim.live.sendRequest(request, timeout)
 		return
 	}
-	n.tries[t] = struct{}{}
-	arrived := w.now
-	w.audit.Taken(arrived, n.no, t.id, t.op.id, t.op.class.Name, patience)
-	n.tell(arrived, func() {
-		n.owner.Request(core.Request{ID: t.id, Class: t.op.class.Name, Retry: w.sc.Clients.MarksRetry && t.op.tries > 1,
-			Arrived: w.timeAt(arrived), Timeout: patience, Call: t, Session: t})
+	n.requests[request] = struct{}{}
+	arrived := sim.now
+	sim.auditor.Taken(arrived, n.number, request.id, request.operation.id, request.operation.class.Name, timeout)
+	n.schedule(arrived, func() {
+		n.engine.Request(core.Request{ID: request.id, Class: request.operation.class.Name, Retry: sim.scenario.Clients.MarksRetry && request.operation.requests > 1,
+			Arrived: sim.wallTimeAt(arrived), Timeout: timeout, Call: request, Session: request})
 	})
-	w.at(t.until, late, func() { t.settle(timedOut, 0) })
-	// The client hangs up only after what it was owed could have come.
-	w.at(arrived+patience+w.sc.Rules.AnswerSlackMS.ms()+w.tick+time.Millisecond, late, func() {
-		if !t.answered && n.epoch == t.epoch {
-			delete(n.tries, t)
-			n.tell(w.now, func() { n.owner.ClientGone(logic.RequestID(t.id), t) })
+	sim.scheduleAt(request.deadline, afterOthers, func() { request.finish(timedOut, 0) })
+	// The client hangs up only after the latest time at which an answer was due.
+	sim.scheduleAt(arrived+timeout+sim.scenario.Rules.AnswerSlackMS.ms()+sim.tick+time.Millisecond, afterOthers, func() {
+		if !request.answered && n.epoch == request.nodeEpoch {
+			delete(n.requests, request)
+			n.schedule(sim.now, func() { n.engine.ClientGone(logic.RequestID(request.id), request) })
 		}
 	})
 }
 
-// verdict is how a try went, as its client sees it.
-type verdict uint8
+// requestResult is the result of a request as its client sees it.
+type requestResult uint8
 
 const (
-	served verdict = iota
-	refused
+	served requestResult = iota
+	rejected
 	failed
-	unreachable // nothing of it was taken
-	broken      // the connection broke with the request on it
+	unreachable      // no part of the request was received
+	connectionBroken // the connection broke after the request was sent
 	timedOut
 )
 
-// Answer is core.Session.
-func (t *try) Answer(a core.Answer) { t.n.effect(func() { t.answer(a) }) }
+// Answer implements core.Session.
+func (request *clientRequest) Answer(a core.Answer) {
+	request.node.effect(func() { request.handleAnswer(a) })
+}
 
-func (t *try) answer(a core.Answer) {
-	w := t.op.w
-	t.answered = true
-	delete(t.n.tries, t)
+// handleAnswer records the node's answer and sends it to the client.
+func (request *clientRequest) handleAnswer(a core.Answer) {
+	sim := request.operation.sim
+	request.answered = true
+	delete(request.node.requests, request)
 	kinds := [...]audit.Answer{core.Served: audit.Served, core.Rejected: audit.Refused, core.Failed: audit.Failed, core.Duplicate: audit.Failed}
-	w.audit.Answered(w.now, t.id, kinds[a.Kind])
-	w.tally.answered(a.Kind)
-	v := [...]verdict{core.Served: served, core.Rejected: refused, core.Failed: failed, core.Duplicate: failed}[a.Kind]
-	way := w.jittered(w.sc.Net.ClientMS)
-	if t.n.zone != t.op.zone {
-		way += w.delay(t.n.zone, t.op.zone)
+	sim.auditor.Answered(sim.now, request.id, kinds[a.Kind])
+	sim.stats.recordAnswer(a.Kind)
+	result := [...]requestResult{core.Served: served, core.Rejected: rejected, core.Failed: failed, core.Duplicate: failed}[a.Kind]
+	delay := sim.jitteredDelay(sim.scenario.Net.ClientMS)
+	if request.node.zone != request.operation.zone {
+		delay += sim.networkDelay(request.node.zone, request.operation.zone)
 	}
-	w.after(way, func() { t.settle(v, a.RetryAfter) })
+	sim.scheduleAfter(delay, func() { request.finish(result, a.RetryAfter) })
 }
 
-// broke tells that the node died with the request.
-func (t *try) broke() {
-	t.answered = true
-	if !t.n.cutOff { // a machine that vanishes says nothing: the client waits its time out
-		t.op.w.after(t.op.w.jittered(t.op.w.sc.Net.ClientMS), func() { t.settle(broken, 0) })
+// nodeDied handles the death of the node while it held the request.
+func (request *clientRequest) nodeDied() {
+	request.answered = true
+	if !request.node.unreachable { // a silent machine sends nothing: the client times out
+		request.operation.sim.scheduleAfter(request.operation.sim.jitteredDelay(request.operation.sim.scenario.Net.ClientMS), func() { request.finish(connectionBroken, 0) })
 	}
 }
 
-func (t *try) settle(v verdict, pause time.Duration) {
-	if t.settled {
+// finish ends the request at the client, which may retry.
+func (request *clientRequest) finish(result requestResult, pause time.Duration) {
+	if request.finished {
 		return
 	}
-	t.settled = true
-	o := t.op
-	if v == served {
-		o.w.tally.served(o)
+	request.finished = true
+	op := request.operation
+	if result == served {
+		op.sim.stats.recordServed(op)
 		return
 	}
-	o.again(v, pause)
+	op.retry(result, pause)
 }
 
-// again has the client try once more where that is harmless and pays.
-func (o *op) again(v verdict, pause time.Duration) {
-	w := o.w
-	harmless := v == refused || v == unreachable
-	switch effects[o.class.Effect] {
+// retry sends the operation again where that is harmless and can still succeed.
+func (op *operation) retry(result requestResult, pause time.Duration) {
+	sim := op.sim
+	harmless := result == rejected || result == unreachable
+	switch effects[op.class.Effect] {
 	case logic.Safe:
 		harmless = true
 	case logic.Keyed:
-		harmless = harmless || groups[o.class.Group] == logic.DedupAll && w.now-o.began < o.class.WindowS.sec()
+		harmless = harmless || dedupScopes[op.class.Group] == logic.DedupAll && sim.now-op.startedAt < op.class.WindowS.sec()
 	}
-	back := w.sc.Clients.BackoffMS.ms() << min(o.tries-1, 10)
-	wait := time.Duration((0.5 + w.rngOf(o).Float64()) * float64(back))
-	if o.heeds && pause > 0 {
-		wait = max(wait, min(pause, w.sc.Clients.MaxRetryAfterMS.ms()))
+	back := sim.scenario.Clients.BackoffMS.ms() << min(op.requests-1, 10)
+	wait := time.Duration((0.5 + sim.retryRNG(op).Float64()) * float64(back))
+	if op.honoursRetryAfter && pause > 0 {
+		wait = max(wait, min(pause, sim.scenario.Clients.MaxRetryAfterMS.ms()))
 	}
-	if !harmless || o.tries > int(w.sc.Clients.Retries.From) || w.now+wait >= o.began+o.class.DeadlineMS.ms() {
-		w.tally.lost(o, v)
+	if !harmless || op.requests > int(sim.scenario.Clients.Retries.From) || sim.now+wait >= op.startedAt+op.class.DeadlineMS.ms() {
+		sim.stats.recordUnserved(op, result)
 		return
 	}
-	w.after(wait, o.try)
+	sim.scheduleAfter(wait, op.sendRequest)
 }
 
-// rngOf returns a source of an op's own, so that what one policy has a client
-// draw more often shifts no other client's luck.
-func (w *world) rngOf(o *op) *rand.Rand { return rand.New(rand.NewPCG(o.id, uint64(o.tries))) }
+// retryRNG returns a random source for one backoff of an operation. It is separate, so that a
+// policy whose clients retry more often does not change the draws of other clients.
+func (sim *simulation) retryRNG(op *operation) *rand.Rand {
+	return rand.New(rand.NewPCG(op.id, uint64(op.requests)))
+}
 
-func (w *world) sortedTries(m map[*try]struct{}) []*try {
-	out := make([]*try, 0, len(m))
-	for t := range m {
-		out = append(out, t)
+// sortedRequests returns the requests in the order of their ids.
+func (sim *simulation) sortedRequests(m map[*clientRequest]struct{}) []*clientRequest {
+	out := make([]*clientRequest, 0, len(m))
+	for request := range m {
+		out = append(out, request)
 	}
-	slices.SortFunc(out, func(a, b *try) int { return cmp.Or(cmp.Compare(len(a.id), len(b.id)), cmp.Compare(a.id, b.id)) })
+	slices.SortFunc(out, func(a, b *clientRequest) int {
+		return cmp.Or(cmp.Compare(len(a.id), len(b.id)), cmp.Compare(a.id, b.id))
+	})
 	return out
 }
 
-// front deals clients out over the nodes of their zone that it holds for alive, in turn and
-// by their shares.
-type front struct {
-	w    *world
-	turn int
-	owed []float64 // of each node, in clients, where the nodes' shares are stated
+// frontend distributes clients to the nodes of their zone that it considers alive, by the nodes'
+// traffic shares, else round-robin.
+type frontend struct {
+	sim      *simulation
+	position int
+	credit   []float64 // of each node, in clients, if traffic shares are set
 }
 
-func (f *front) all() {
-	for _, n := range f.w.nodes {
-		n.inFront = n.alive
+// admitLiveNodes puts all live nodes into rotation.
+func (f *frontend) admitLiveNodes() {
+	for _, n := range f.sim.nodes {
+		n.inRotation = n.alive
 	}
 }
 
-// pick returns a node of the zone, one elsewhere where the zone has none, nil
-// where there is none at all.
-func (f *front) pick(zone int) *node {
-	shares := f.w.sc.Nodes.Shares
+// pick returns a node of the zone, a node of another zone if the zone has none, or nil if there is
+// none at all.
+func (f *frontend) pick(zone int) *node {
+	shares := f.sim.scenario.Nodes.Shares
 	for _, here := range []bool{true, false} {
-		f.turn++
+		f.position++
 		var next *node
 		all := 0.0
-		for i := range f.w.nodes {
-			n := f.w.nodes[(f.turn+i)%len(f.w.nodes)]
-			if !n.inFront || (n.zone == zone) != here {
+		for i := range f.sim.nodes {
+			n := f.sim.nodes[(f.position+i)%len(f.sim.nodes)]
+			if !n.inRotation || (n.zone == zone) != here {
 				continue
 			}
 			if len(shares) == 0 {
 				return n
 			}
-			share := shares[n.no%len(shares)]
-			f.owed[n.no] += share
-			if all += share; next == nil || f.owed[n.no] > f.owed[next.no] {
+			share := shares[n.number%len(shares)]
+			f.credit[n.number] += share
+			if all += share; next == nil || f.credit[n.number] > f.credit[next.number] {
 				next = n
 			}
 		}
 		if next != nil {
-			f.owed[next.no] -= all
+			f.credit[next.number] -= all
 			return next
 		}
 	}
 	return nil
 }
 
-// notice has the front see, late, whether a node is there.
-func (f *front) notice(n *node) {
-	f.w.after(f.w.sc.Nodes.NoticeDelayS.sec(), func() { n.inFront = n.alive && !n.cutOff })
+// noticeNode updates, after the notice delay, whether the node is in rotation.
+func (f *frontend) noticeNode(n *node) {
+	f.sim.scheduleAfter(f.sim.scenario.Nodes.NoticeDelayS.sec(), func() { n.inRotation = n.alive && !n.unreachable })
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -7,186 +7,189 @@
 	"pipitmux/logic"
 )
 
-// discovery is the model of the registry: it hears of changes late, tells them
-// in rounds to the nodes that watch, and serves lists one after the other.
+// discovery models the registry. It learns of changes with a delay, sends them in rounds to the
+// nodes that watch, and serves calls for lists one after the other.
 type discovery struct {
-	w      *world
-	log    []core.Backend // all news, in their order
-	states map[int]logic.ServerState
-	free   time.Duration // when the calls taken so far are served
-	down   int
-	slower float64
+	sim       *simulation
+	changes   []core.Backend // all changes in order
+	states    map[int]logic.ServerState
+	busyUntil time.Duration // when the calls accepted so far will have been served
+	outages   int
+	slowdown  float64
 }
 
-func newDiscovery(w *world) *discovery {
-	d := &discovery{w: w, states: map[int]logic.ServerState{}, slower: 1}
-	for _, b := range w.backends {
-		d.states[b.no] = logic.Serving
-		for _, n := range w.nodes {
-			n.view[b.no] = logic.Serving
+// newDiscovery returns a registry, and nodes, that list all backends as serving.
+func newDiscovery(sim *simulation) *discovery {
+	d := &discovery{sim: sim, states: map[int]logic.ServerState{}, slowdown: 1}
+	for _, b := range sim.backends {
+		d.states[b.number] = logic.Serving
+		for _, n := range sim.nodes {
+			n.knownStates[b.number] = logic.Serving
 		}
 	}
 	return d
 }
 
-// news has the registry hear, after a delay, how a backend then is.
-func (w *world) news(b *backend, delay time.Duration) {
-	w.after(delay, func() {
-		st := logic.Serving
+// reportChange tells the registry, after a delay, the state that a backend then has.
+func (sim *simulation) reportChange(b *backend, delay time.Duration) {
+	sim.scheduleAfter(delay, func() {
+		state := logic.Serving
 		switch {
 		case b.state != Up || b.retired:
-			st = logic.Gone
+			state = logic.Gone
 		case b.draining:
-			st = logic.Draining
+			state = logic.Draining
 		}
-		w.disc.learn(b, st)
+		sim.discovery.recordState(b, state)
 	})
 }
 
-func (d *discovery) learn(b *backend, st logic.ServerState) {
-	if st == logic.Gone {
-		delete(d.states, b.no)
+// recordState records the state of a backend and schedules its delivery to the nodes.
+func (d *discovery) recordState(b *backend, state logic.ServerState) {
+	if state == logic.Gone {
+		delete(d.states, b.number)
 	} else {
-		d.states[b.no] = st
+		d.states[b.number] = state
 	}
-	d.log = append(d.log, b.entry(st))
-	if d.w.live != nil {
-		d.w.live.news()
+	d.changes = append(d.changes, b.listEntry(state))
+	if d.sim.live != nil {
+		d.sim.live.scheduleChanges()
 		return
 	}
-	for _, n := range d.w.nodes {
-		if n.watch && !n.flush {
-			n.flush = true
+	for _, n := range d.sim.nodes {
+		if n.watching && !n.updateScheduled {
+			n.updateScheduled = true
 			epoch := n.epoch
-			d.w.at(d.round(), 0, func() {
+			d.sim.scheduleAt(d.nextRound(), 0, func() {
 				if n.epoch == epoch {
-					n.flush = false
-					d.tell(n)
+					n.updateScheduled = false
+					d.sendChanges(n)
 				}
 			})
 		}
 	}
 }
 
-// tell tells a node what is new to it.
-func (d *discovery) tell(n *node) {
-	if !n.watch || d.down > 0 || n.told == len(d.log) {
+// sendChanges sends a node the changes that it has not seen.
+func (d *discovery) sendChanges(n *node) {
+	if !n.watching || d.outages > 0 || n.logPosition == len(d.changes) {
 		return
 	}
-	entries := d.since(n.told, len(d.log))
-	n.heard(entries, false)
-	n.told = len(d.log)
-	n.tell(d.w.now, func() { n.owner.UpdateBackends(logic.ListChanges, entries) })
+	entries := d.changesBetween(n.logPosition, len(d.changes))
+	n.recordList(entries, false)
+	n.logPosition = len(d.changes)
+	n.schedule(d.sim.now, func() { n.engine.UpdateBackends(logic.ListChanges, entries) })
 }
 
-// round draws when a node is told at the next round of news.
-func (d *discovery) round() time.Duration {
-	every := d.w.sc.Discovery.IntervalMS.ms()
-	spread := time.Duration(d.w.netR.Float64() * float64(d.w.sc.Discovery.SpreadMS.ms()))
-	return (d.w.now/every+1)*every + spread
+// nextRound draws the time at which a node gets the changes of the next round.
+func (d *discovery) nextRound() time.Duration {
+	every := d.sim.scenario.Discovery.IntervalMS.ms()
+	spread := time.Duration(d.sim.networkRNG.Float64() * float64(d.sim.scenario.Discovery.SpreadMS.ms()))
+	return (d.sim.now/every+1)*every + spread
 }
 
-// since returns the latest news of each backend in a stretch of the log.
-func (d *discovery) since(from, to int) (entries []core.Backend) {
+// changesBetween returns the latest change of each backend in a part of the change log.
+func (d *discovery) changesBetween(from, to int) (entries []core.Backend) {
 	latest := map[string]int{}
 	for i := from; i < to; i++ {
-		latest[d.log[i].Endpoint] = i
+		latest[d.changes[i].Endpoint] = i
 	}
 	for i := from; i < to; i++ {
-		if latest[d.log[i].Endpoint] == i {
-			entries = append(entries, d.log[i])
+		if latest[d.changes[i].Endpoint] == i {
+			entries = append(entries, d.changes[i])
 		}
 	}
 	return entries
 }
 
-// whole returns the list as it is.
-func (d *discovery) whole() []core.Backend { return d.w.entries(d.states) }
+// fullList returns the current list.
+func (d *discovery) fullList() []core.Backend { return d.sim.backendList(d.states) }
 
-// entries returns a list of the backends that have a state, in their order.
-func (w *world) entries(states map[int]logic.ServerState) (out []core.Backend) {
-	for _, b := range w.backends {
-		if st, ok := states[b.no]; ok {
-			out = append(out, b.entry(st))
+// backendList returns the list of the backends that have a state, in the order of their numbers.
+func (sim *simulation) backendList(states map[int]logic.ServerState) (out []core.Backend) {
+	for _, b := range sim.backends {
+		if state, ok := states[b.number]; ok {
+			out = append(out, b.listEntry(state))
 		}
 	}
 	return out
 }
 
-// heard notes what a node has been told; who is missing in a whole list has gone.
-func (n *node) heard(entries []core.Backend, whole bool) {
+// recordList records a list sent to a node. A backend that a full list lacks is gone.
+func (n *node) recordList(entries []core.Backend, whole bool) {
 	named := make(map[int]bool, len(entries))
 	for _, e := range entries {
-		if b := n.w.byEndpoint[e.Endpoint]; b != nil {
-			n.heardOf(b.no, e)
-			named[b.no] = true
+		if b := n.sim.byEndpoint[e.Endpoint]; b != nil {
+			n.recordBackend(b.number, e)
+			named[b.number] = true
 		}
 	}
 	if !whole {
 		return
 	}
-	for _, b := range n.w.backends {
-		if _, had := n.view[b.no]; had && !named[b.no] {
-			n.heardOf(b.no, b.entry(logic.Gone))
+	for _, b := range n.sim.backends {
+		if _, had := n.knownStates[b.number]; had && !named[b.number] {
+			n.recordBackend(b.number, b.listEntry(logic.Gone))
 		}
 	}
 }
 
-func (n *node) heardOf(no int, e core.Backend) {
+// recordBackend records the state of one backend as sent to the node.
+func (n *node) recordBackend(number int, e core.Backend) {
 	if e.State == logic.Gone {
-		delete(n.view, no)
-		n.gone[e.ID] = true
+		delete(n.knownStates, number)
+		n.toldGone[e.ID] = true
 	} else {
-		n.view[no] = e.State
-		delete(n.gone, e.ID)
+		n.knownStates[number] = e.State
+		delete(n.toldGone, e.ID)
 	}
-	n.w.audit.Told(n.w.now, n.no, string(e.ID), e.State == logic.Serving)
+	n.sim.auditor.Told(n.sim.now, n.number, string(e.ID), e.State == logic.Serving)
 }
 
-// turn takes a call that reaches the registry at an instant into its line, and
-// returns when it has been served; false where it would wait too long.
-func (d *discovery) turn(reaches time.Duration) (time.Duration, bool) {
-	sc := &d.w.sc.Discovery
-	begin := max(d.free, reaches)
-	if begin-d.w.now > sc.TimeoutMS.ms() {
+// reserve queues a call that reaches the registry at an instant. It returns when the call will
+// have been served, or false if it would time out first.
+func (d *discovery) reserve(reaches time.Duration) (time.Duration, bool) {
+	settings := &d.sim.scenario.Discovery
+	begin := max(d.busyUntil, reaches)
+	if begin-d.sim.now > settings.TimeoutMS.ms() {
 		return 0, false
 	}
-	d.free = begin
-	if rate := sc.LinesPerSecond.From; rate > 0 {
-		lines := sc.CallLines.From + float64(len(d.states))
-		d.free += time.Duration(lines / rate * d.slower * 1e9)
+	d.busyUntil = begin
+	if rate := settings.LinesPerSecond.From; rate > 0 {
+		lines := settings.CallLines.From + float64(len(d.states))
+		d.busyUntil += time.Duration(lines / rate * d.slowdown * 1e9)
 	}
-	return d.free, true
+	return d.busyUntil, true
 }
 
-// call serves a node's Subscribe or Fetch with one list.
-func (d *discovery) call(n *node, watch bool) {
-	w, epoch := d.w, n.epoch
+// serveCall serves a node's Subscribe or Fetch with a full list.
+func (d *discovery) serveCall(n *node, watch bool) {
+	sim, epoch := d.sim, n.epoch
 	answer := func(kind logic.ListKind) {
 		if n.epoch != epoch {
 			return
 		}
 		if kind == logic.ListFailed {
-			n.tell(w.now, func() { n.owner.UpdateBackends(kind, nil) })
+			n.schedule(sim.now, func() { n.engine.UpdateBackends(kind, nil) })
 			return
 		}
-		entries := d.whole()
-		n.heard(entries, true)
-		n.watch, n.told = watch || n.watch, len(d.log)
-		n.tell(w.now, func() { n.owner.UpdateBackends(kind, entries) })
-	}
-	out := w.delay(n.zone, n.zone)
-	if d.down > 0 {
-		w.after(out*2, func() { answer(logic.ListFailed) })
+		entries := d.fullList()
+		n.recordList(entries, true)
+		n.watching, n.logPosition = watch || n.watching, len(d.changes)
+		n.schedule(sim.now, func() { n.engine.UpdateBackends(kind, entries) })
+	}
+	out := sim.networkDelay(n.zone, n.zone)
+	if d.outages > 0 {
+		sim.scheduleAfter(out*2, func() { answer(logic.ListFailed) })
 		return
 	}
-	served, ok := d.turn(w.now + out)
+	served, ok := d.reserve(sim.now + out)
 	if !ok {
-		w.after(w.sc.Discovery.TimeoutMS.ms(), func() { answer(logic.ListFailed) })
+		sim.scheduleAfter(sim.scenario.Discovery.TimeoutMS.ms(), func() { answer(logic.ListFailed) })
 		return
 	}
-	w.at(served+out, 0, func() {
-		if d.down > 0 {
+	sim.scheduleAt(served+out, 0, func() {
+		if d.outages > 0 {
 			answer(logic.ListFailed)
 		} else {
 			answer(logic.ListFull)
@@ -194,16 +197,16 @@
 	})
 }
 
-// breakWatches ends every watch, as a registry does that goes down.
+// breakWatches ends all watches, as a registry outage does.
 func (d *discovery) breakWatches() {
-	if d.w.live != nil {
-		d.w.live.breakWatches()
+	if d.sim.live != nil {
+		d.sim.live.breakWatches()
 		return
 	}
-	for _, n := range d.w.nodes {
-		if n.alive && n.watch {
-			n.watch = false
-			n.tell(d.w.now, func() { n.owner.UpdateBackends(logic.ListFailed, nil) })
+	for _, n := range d.sim.nodes {
+		if n.alive && n.watching {
+			n.watching = false
+			n.schedule(d.sim.now, func() { n.engine.UpdateBackends(logic.ListFailed, nil) })
 		}
 	}
 }
--- a/internal/emulator/draw.go
+++ b/internal/emulator/draw.go
@@ -5,31 +5,33 @@
 	"reflect"
 )
 
-// drawn returns a day of the scenario: each Span a single figure.
-func (s *Scenario) drawn(rng *rand.Rand) *Scenario {
+// draw returns a copy of the scenario with a single value drawn for every Range.
+func (s *Scenario) draw(rng *rand.Rand) *Scenario {
 	out := reflect.New(reflect.TypeOf(*s)).Elem()
 	out.Set(reflect.ValueOf(*s))
-	drawAll(out, rng)
+	drawRanges(out, rng)
 	return out.Addr().Interface().(*Scenario)
 }
 
-var spanType = reflect.TypeOf(Range{})
+var rangeType = reflect.TypeOf(Range{})
 
-func drawAll(v reflect.Value, rng *rand.Rand) {
+// drawRanges replaces every Range within v by a drawn value. The order of the draws is the order
+// of the fields.
+func drawRanges(v reflect.Value, rng *rand.Rand) {
 	switch {
-	case v.Type() == spanType:
+	case v.Type() == rangeType:
 		x := v.Interface().(Range).draw(rng)
-		v.Set(reflect.ValueOf(fixed(x)))
+		v.Set(reflect.ValueOf(fixedRange(x)))
 	case v.Kind() == reflect.Struct:
 		for i := range v.NumField() {
-			drawAll(v.Field(i), rng)
+			drawRanges(v.Field(i), rng)
 		}
 	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct && !v.IsNil():
 		c := reflect.MakeSlice(v.Type(), v.Len(), v.Len())
 		reflect.Copy(c, v)
 		v.Set(c)
 		for i := range v.Len() {
-			drawAll(v.Index(i), rng)
+			drawRanges(v.Index(i), rng)
 		}
 	}
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -17,7 +17,7 @@
 	"pipitmux/logic"
 )
 
-const small = `
+const smallScenario = `
 name: small
 seconds: 12
 tick_ms: 5
@@ -40,58 +40,58 @@
 prices: {waste: 0.05, handshake: 0.02, late_fail: 0.04, cross_zone: 0.01}
 `
 
-func scenario(t *testing.T, more string) *Scenario {
+func parseSmall(t *testing.T, more string) *Scenario {
 	t.Helper()
-	sc, err := Parse("small.yaml", []byte(small+more))
+	scenario, err := Parse("small.yaml", []byte(smallScenario+more))
 	require.NoError(t, err)
-	return sc
+	return scenario
 }
 
-func run(t *testing.T, sc *Scenario, seed uint64, opt Options) *Result {
+func run(t *testing.T, scenario *Scenario, seed uint64, options Options) *Result {
 	t.Helper()
-	r, err := Run(sc, seed, opt)
+	r, err := Run(scenario, seed, options)
 	require.NoError(t, err)
 	return r
 }
 
-// Whatever goes wrong, the module keeps the rules and all that is asked comes to
-// an end; each kind of trouble costs something against the same day without it.
-func TestModuleKeepsTheRulesInEachTrouble(t *testing.T) {
-	calm := run(t, scenario(t, ""), 1, Options{})
-	assert.Greater(t, calm.Score, 0.85)
-	assert.Zero(t, calm.Answers["duplicate"])
-	for _, trouble := range []string{
+// Under every kind of fault the module keeps the rules and answers every request. Most kinds must
+// lower the score, compared with the same run without a fault.
+func TestModuleKeepsRulesUnderEveryFault(t *testing.T) {
+	faultless := run(t, parseSmall(t, ""), 1, Options{})
+	assert.Greater(t, faultless.Score, 0.85)
+	assert.Zero(t, faultless.Answers["duplicate"])
+	for _, fault := range []string{
 		"{kind: vanish, at_s: 2, for_s: 4, part: 0.3}", "{kind: slow, at_s: 2, for_s: 6, part: 0.3, size: 8}",
 		"{kind: hang, at_s: 2, for_s: 6, part: 0.3}", "{kind: fast_errors, at_s: 2, for_s: 6, part: 0.3, size: 0.9}",
 		"{kind: zone_loss, at_s: 2, for_s: 4, zone: a, size: 0.2}", "{kind: zone_loss, at_s: 2, for_s: 4, zone: a, size: 0.9}",
 		"{kind: shared_slow, at_s: 2, for_s: 6, size: 2.5}", "{kind: restart_nodes, at_s: 3, for_s: 4}",
 	} {
-		t.Run(trouble, func(t *testing.T) {
+		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			r := run(t, scenario(t, "troubles: ["+trouble+"]"), 1, Options{})
+			r := run(t, parseSmall(t, "troubles: ["+fault+"]"), 1, Options{})
 			assert.True(t, r.Rules.Clean(), "%+v", r.Violations)
-			assert.Less(t, r.Score, calm.Score)
-			assert.Equal(t, calm.Operations, r.Operations, "clients are the same in every world")
+			assert.Less(t, r.Score, faultless.Score)
+			assert.Equal(t, faultless.Operations, r.Operations, "a fault must not change the clients")
 			for name, c := range r.Classes {
 				assert.Greater(t, c.Score, 0.1, name)
 			}
 		})
 	}
-	for _, trouble := range []string{"{kind: replace, at_s: 1, for_s: 6, part: 0.5}",
+	for _, fault := range []string{"{kind: replace, at_s: 1, for_s: 6, part: 0.5}",
 		"{kind: discovery_down, at_s: 1, for_s: 8}", "{kind: discovery_slow, at_s: 0, for_s: 8, size: 20}"} {
-		r := run(t, scenario(t, "troubles: ["+trouble+"]"), 1, Options{})
-		assert.True(t, r.Rules.Clean(), "%s: %+v", trouble, r.Violations)
+		r := run(t, parseSmall(t, "troubles: ["+fault+"]"), 1, Options{})
+		assert.True(t, r.Rules.Clean(), "%s: %+v", fault, r.Violations)
 		assert.NotEmpty(t, r.FaultEvents)
 	}
 }
 
-// The same seed gives the same bytes on one core or many, alone or beside
-// others; another seed gives another day.
-func TestSameSeedSameDay(t *testing.T) {
-	const rough = "incidental: {count: 3, of: [{kind: vanish, for_s: 3, part: 0.2}, {kind: slow, for_s: [2, 6], part: 0.3, size: [3, 9]}, {kind: zone_loss, for_s: 3, size: [0, 1]}]}"
-	sc := scenario(t, rough)
+// The same seed must give the same bytes on one core or several, alone or next to other runs. Another
+// seed must give another result.
+func TestSameSeedGivesSameBytes(t *testing.T) {
+	const randomFaults = "incidental: {count: 3, of: [{kind: vanish, for_s: 3, part: 0.2}, {kind: slow, for_s: [2, 6], part: 0.3, size: [3, 9]}, {kind: zone_loss, for_s: 3, size: [0, 1]}]}"
+	scenario := parseSmall(t, randomFaults)
 	text := func(policy string, seed uint64, workers int) string {
-		r, err := Run(sc, seed, Options{Policy: policy, Workers: workers})
+		r, err := Run(scenario, seed, Options{Policy: policy, Workers: workers})
 		if err != nil {
 			return err.Error()
 		}
@@ -116,16 +116,16 @@
 	}
 }
 
-// A rival may do badly and fell cold backends, but the rules on answers, repeats
-// and drains it keeps, through all that goes wrong.
-func TestRivalsKeepTheirRules(t *testing.T) {
-	sc := scenario(t, `troubles:
+// Reference policies may score badly and overload cold backends, but under faults they must keep the
+// rules on answers, retries and draining.
+func TestReferencePoliciesKeepRules(t *testing.T) {
+	scenario := parseSmall(t, `troubles:
   - {kind: replace, at_s: 1, for_s: 6, part: 0.4}
   - {kind: hang, at_s: 2, for_s: 4, part: 0.3}
   - {kind: zone_loss, at_s: 5, for_s: 3, zone: b, size: 0.2}
   - {kind: fast_errors, at_s: 7, for_s: 3, part: 0.3, size: 0.8}`)
 	for _, policy := range Policies() {
-		r := run(t, sc, 2, Options{Policy: policy})
+		r := run(t, scenario, 2, Options{Policy: policy})
 		assert.Zero(t, r.Rules.Unanswered+r.Rules.DoubleEffects+r.Rules.LateDrainSends, "%s: %+v", policy, r.Violations)
 		if strings.HasSuffix(policy, "+budget") {
 			assert.Positive(t, r.Retries, policy)
@@ -134,19 +134,19 @@
 	}
 }
 
-// bad is a policy that breaks one rule on purpose: a rival with its actions bent.
-type bad struct {
+// modifiedPolicy is a reference policy whose actions are changed, to break a rule on purpose.
+type modifiedPolicy struct {
 	*rivals.Policy
-	bend func(now time.Duration, ev logic.Event, out []logic.Action) []logic.Action
+	modify func(now time.Duration, ev logic.Event, out []logic.Action) []logic.Action
 }
 
-func (b *bad) Handle(now time.Duration, ev logic.Event) []logic.Action {
-	return b.bend(now, ev, b.Policy.Handle(now, ev))
+func (b *modifiedPolicy) Handle(now time.Duration, ev logic.Event) []logic.Action {
+	return b.modify(now, ev, b.Policy.Handle(now, ev))
 }
 
-// Each broken policy is caught by its rule, with the request and what led to it, and
-// by no other rule.
-func TestBrokenPoliciesAreCaught(t *testing.T) {
+// The auditor must report a policy that breaks a rule: this rule and no other, with the request and
+// the events that led to it.
+func TestAuditorReportsRuleViolations(t *testing.T) {
 	pass := func(_ time.Duration, _ logic.Event, out []logic.Action) []logic.Action { return out }
 	without := func(out []logic.Action, drop func(logic.Action) bool) []logic.Action {
 		var kept []logic.Action
@@ -159,16 +159,16 @@
 	}
 	for _, tt := range []struct {
 		name, more string
-		bend       func(now time.Duration, ev logic.Event, out []logic.Action) []logic.Action
+		modify     func(now time.Duration, ev logic.Event, out []logic.Action) []logic.Action
 		rule       audit.Rule
 		event      string
 	}{
-		{"sound", "", pass, "", ""},
-		{"swallows failures", "troubles: [{kind: hang, at_s: 2, for_s: 6, part: 0.4}]",
+		{"unmodified", "", pass, "", ""},
+		{"omits failure answers", "troubles: [{kind: hang, at_s: 2, for_s: 6, part: 0.4}]",
 			func(_ time.Duration, _ logic.Event, out []logic.Action) []logic.Action {
 				return without(out, func(a logic.Action) bool { _, fail := a.(logic.Fail); return fail })
 			}, audit.Unanswered, "taken"},
-		{"refuses what may have run", "troubles: [{kind: hang, at_s: 2, for_s: 6, part: 0.4}]",
+		{"rejects requests that may have run", "troubles: [{kind: hang, at_s: 2, for_s: 6, part: 0.4}]",
 			func(_ time.Duration, _ logic.Event, out []logic.Action) []logic.Action {
 				for i, a := range out {
 					if f, ok := a.(logic.Fail); ok {
@@ -177,7 +177,7 @@
 				}
 				return out
 			}, audit.DoubleEffect, "refused"},
-		{"sends all twice", "", func(_ time.Duration, _ logic.Event, out []logic.Action) []logic.Action {
+		{"sends every request twice", "", func(_ time.Duration, _ logic.Event, out []logic.Action) []logic.Action {
 			for _, a := range out {
 				if s, ok := a.(logic.Send); ok {
 					return append(append([]logic.Action{}, out...), s)
@@ -185,21 +185,21 @@
 			}
 			return out
 		}, audit.DoubleEffect, "sent"},
-		{"never heeds a drain", "troubles: [{kind: replace, at_s: 1, for_s: 4, part: 0.5}]", nil, audit.LateDrain, "told"},
-		{"pours all on the cold", "troubles: [{kind: vanish, at_s: 1, for_s: 2, part: 0.25}]", nil, audit.Felled, "felled"},
+		{"ignores draining", "troubles: [{kind: replace, at_s: 1, for_s: 4, part: 0.5}]", nil, audit.LateDrain, "told"},
+		{"overloads cold backends", "troubles: [{kind: vanish, at_s: 1, for_s: 2, part: 0.25}]", nil, audit.Felled, "felled"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			more := "limits: {attempts: 5}\n" + tt.more
-			r := run(t, scenario(t, more), 3, Options{NewModule: func(s logic.Settings, seed uint64) (core.Module, error) {
+			r := run(t, parseSmall(t, more), 3, Options{NewModule: func(s logic.Settings, seed uint64) (core.Module, error) {
 				p, err := rivals.New("least_outstanding", s, seed)
 				switch tt.name {
-				case "never heeds a drain":
-					return &deaf{p, nil}, err
-				case "pours all on the cold":
-					return &eager{p, nil}, err
+				case "ignores draining":
+					return &drainUnawarePolicy{p, nil}, err
+				case "overloads cold backends":
+					return &coldestFirstPolicy{p, nil}, err
 				}
-				return &bad{p, tt.bend}, err
+				return &modifiedPolicy{p, tt.modify}, err
 			}})
 			counts := map[audit.Rule]int{audit.Unanswered: r.Rules.Unanswered, audit.DoubleEffect: r.Rules.DoubleEffects,
 				audit.LateDrain: r.Rules.LateDrainSends, audit.Felled: r.Rules.FelledBackends}
@@ -218,13 +218,13 @@
 	}
 }
 
-// deaf is never told that a backend drains.
-type deaf struct {
+// drainUnawarePolicy is never told that a backend drains.
+type drainUnawarePolicy struct {
 	*rivals.Policy
 	seen map[logic.ServerID]logic.Server
 }
 
-func (d *deaf) Handle(now time.Duration, ev logic.Event) []logic.Action {
+func (d *drainUnawarePolicy) Handle(now time.Duration, ev logic.Event) []logic.Action {
 	if l, ok := ev.(logic.ServerList); ok {
 		for i := range l.Servers {
 			if l.Servers[i].State == logic.Draining {
@@ -236,27 +236,27 @@
 	return d.Policy.Handle(now, ev)
 }
 
-// eager sends each request to the backend that was born last.
-type eager struct {
+// coldestFirstPolicy sends every request to a backend that started within the run.
+type coldestFirstPolicy struct {
 	*rivals.Policy
-	born map[logic.ServerID]time.Duration
+	startTimes map[logic.ServerID]time.Duration
 }
 
-func (e *eager) Handle(now time.Duration, ev logic.Event) []logic.Action {
+func (e *coldestFirstPolicy) Handle(now time.Duration, ev logic.Event) []logic.Action {
 	if l, ok := ev.(logic.ServerList); ok {
-		if e.born == nil {
-			e.born = map[logic.ServerID]time.Duration{}
+		if e.startTimes == nil {
+			e.startTimes = map[logic.ServerID]time.Duration{}
 		}
 		for _, s := range l.Servers {
-			if delete(e.born, s.ID); s.State == logic.Serving && s.StartedAt > 0 {
-				e.born[s.ID] = s.StartedAt
+			if delete(e.startTimes, s.ID); s.State == logic.Serving && s.StartedAt > 0 {
+				e.startTimes[s.ID] = s.StartedAt
 			}
 		}
 	}
 	out := e.Policy.Handle(now, ev)
 	for i, a := range out {
 		if s, ok := a.(logic.Send); ok {
-			for id := range e.born {
+			for id := range e.startTimes {
 				s.Server = id
 			}
 			out[i] = s
@@ -265,36 +265,36 @@
 	return out
 }
 
-func TestImpossibleScenariosAreRefusedByKey(t *testing.T) {
+func TestInvalidScenarioErrorNamesKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"seconds: -1":        "bad.yaml:1: seconds: must lie from",
 		"seconds: [3, 2]":    "bad.yaml:1: seconds: ",
 		"seconds: soon":      "bad.yaml:1: seconds: a number or a pair",
 		"secnds: 1":          "bad.yaml:1: secnds: unknown key; allowed here: name, policy, seconds",
 		"name: x\nzones: []": "bad.yaml:2: zones: at least one",
-		strings.Replace(small, "size: 8", "size: 0", 1):                                                      "fleet.size: must lie from 1",
-		strings.Replace(small, "cores: 2", "cores: 0", 1):                                                    "kinds.0.cores: must lie from 1",
-		strings.Replace(small, "speed: 1,", "speed: 0,", 1):                                                  "kinds.0.speed: must lie from 0.001",
-		strings.Replace(small, "{size: 8}", "{backends: [{kind: k, zone: a, speed: 0}]}", 1):                 "fleet.backends.0.speed: must be above 0",
-		strings.Replace(small, "work_ms: 100", "work_ms: 0", 1):                                              "classes.0.work_ms",
-		strings.Replace(small, "deadline_ms: 2000", "deadline_ms: 1", 1):                                     "classes.0.deadline_ms",
-		strings.Replace(small, "load: 0.5", "load: 0", 1):                                                    "arrivals.load",
-		strings.Replace(small, "effect: safe", "effect: sage", 1):                                            `classes.2.effect: "sage" is not one of safe, keyed, unsafe`,
-		strings.Replace(small, "shape: wave", "shape: square", 1):                                            "arrivals.shape",
-		small + "troubles: [{kind: flood, at_s: 1, for_s: 1}]":                                               "troubles.0.kind",
-		small + "troubles: [{kind: slow, at_s: -1, for_s: 1, size: 2}]":                                      "troubles.0.at_s",
-		small + "troubles: [{kind: hang, at_s: 1, for_s: 1, on: [8]}]":                                       "troubles.0.on: 8 is no backend",
-		small + "goal: {whole: 0.5, worst_class: 0.4}":                                                       "goal: the parts add up to",
-		strings.Replace(small, "count: 3", "count: 3, shares: [1, 0]", 1):                                    "nodes.shares.1: must be over 0",
-		small + "troubles: [{kind: peer_loss, at_s: 1, for_s: 1, size: 0.2}]":                                "troubles.0.kind: the nodes don't talk",
-		small + "troubles: [{kind: peer_cut, at_s: 1, for_s: 1, zone: a}]\npeers: {bytes_per_s: 512}":        "troubles.0.to",
-		small + "troubles: [{kind: peer_cut, at_s: 1, for_s: 1, zone: a, to: a}]\npeers: {bytes_per_s: 512}": "troubles.0.to: must be another",
-		small + "peers: {loss: 0.2}":                                                                         "peers.bytes_per_s: must lie from 256",
-		small + "peers: {bytes_per_s: 512, loss: 1}":                                                         "peers.loss",
-		small + "peers: {bytes_per_s: 512, delay_ms: -1}":                                                    "peers.delay_ms",
-		small + "name: again": "name",
-		"a: &x [*x]":          "bad.yaml:1",
-		"- 1":                 "bad.yaml:1",
+		strings.Replace(smallScenario, "size: 8", "size: 0", 1):                                                      "fleet.size: must lie from 1",
+		strings.Replace(smallScenario, "cores: 2", "cores: 0", 1):                                                    "kinds.0.cores: must lie from 1",
+		strings.Replace(smallScenario, "speed: 1,", "speed: 0,", 1):                                                  "kinds.0.speed: must lie from 0.001",
+		strings.Replace(smallScenario, "{size: 8}", "{backends: [{kind: k, zone: a, speed: 0}]}", 1):                 "fleet.backends.0.speed: must be above 0",
+		strings.Replace(smallScenario, "work_ms: 100", "work_ms: 0", 1):                                              "classes.0.work_ms",
+		strings.Replace(smallScenario, "deadline_ms: 2000", "deadline_ms: 1", 1):                                     "classes.0.deadline_ms",
+		strings.Replace(smallScenario, "load: 0.5", "load: 0", 1):                                                    "arrivals.load",
+		strings.Replace(smallScenario, "effect: safe", "effect: sage", 1):                                            `classes.2.effect: "sage" is not one of safe, keyed, unsafe`,
+		strings.Replace(smallScenario, "shape: wave", "shape: square", 1):                                            "arrivals.shape",
+		smallScenario + "troubles: [{kind: flood, at_s: 1, for_s: 1}]":                                               "troubles.0.kind",
+		smallScenario + "troubles: [{kind: slow, at_s: -1, for_s: 1, size: 2}]":                                      "troubles.0.at_s",
+		smallScenario + "troubles: [{kind: hang, at_s: 1, for_s: 1, on: [8]}]":                                       "troubles.0.on: 8 is no backend",
+		smallScenario + "goal: {whole: 0.5, worst_class: 0.4}":                                                       "goal: the parts add up to",
+		strings.Replace(smallScenario, "count: 3", "count: 3, shares: [1, 0]", 1):                                    "nodes.shares.1: must be over 0",
+		smallScenario + "troubles: [{kind: peer_loss, at_s: 1, for_s: 1, size: 0.2}]":                                "troubles.0.kind: the nodes don't talk",
+		smallScenario + "troubles: [{kind: peer_cut, at_s: 1, for_s: 1, zone: a}]\npeers: {bytes_per_s: 512}":        "troubles.0.to",
+		smallScenario + "troubles: [{kind: peer_cut, at_s: 1, for_s: 1, zone: a, to: a}]\npeers: {bytes_per_s: 512}": "troubles.0.to: must be another",
+		smallScenario + "peers: {loss: 0.2}":                                                                         "peers.bytes_per_s: must lie from 256",
+		smallScenario + "peers: {bytes_per_s: 512, loss: 1}":                                                         "peers.loss",
+		smallScenario + "peers: {bytes_per_s: 512, delay_ms: -1}":                                                    "peers.delay_ms",
+		smallScenario + "name: again":                                                                                "name",
+		"a: &x [*x]":                                                                                                 "bad.yaml:1",
+		"- 1":                                                                                                        "bad.yaml:1",
 	} {
 		_, err := Parse("bad.yaml", []byte(text))
 		if assert.Error(t, err, text) {
@@ -302,48 +302,48 @@
 			assert.NotContains(t, err.Error(), "\n")
 		}
 	}
-	_, err := Run(scenario(t, ""), 1, Options{Policy: "best"})
+	_, err := Run(parseSmall(t, ""), 1, Options{Policy: "best"})
 	assert.ErrorContains(t, err, `policy "best": unknown`)
 }
 
-// A backend gets crowded by all that it holds, whatever its cores, and only where
-// that lasts; it stays so when the load is gone, and is paid for once.
-func TestCrowded(t *testing.T) {
+// A backend must become congested by all the requests that it holds, however many cores it has, and
+// only if the load lasts. It stays congested after the load is gone, and is charged for once.
+func TestCongestionOutlastsLoadAndIsChargedOnce(t *testing.T) {
 	for _, tt := range []struct {
 		requests int
-		for_     time.Duration
+		duration time.Duration
 		want     int
 	}{{6, 3 * time.Second, 0}, {7, time.Second, 0}, {7, 2 * time.Second, 1}} {
-		sc := scenario(t, "")
-		sc.Prices = Penalties{CongestedBackends: fixed(.8)}
-		w := newWorld(sc, 1)
-		w.tally.worth = 1 // of something asked, or nothing is priced
-		b := w.backends[0]
-		b.hanging = 1 // what it holds stays
-		w.now = time.Second
-		b.set(func() { b.running = make([]*job, 2); b.waiting = make([]*job, tt.requests-2) })
-		w.after(tt.for_, func() { b.set(func() { b.running, b.waiting = nil, nil }) })
-		for len(w.q.heap) > 0 && w.q.heap[0].at <= tt.for_+2*time.Second {
-			e := w.q.pop()
-			w.now = e.at
-			e.do()
+		scenario := parseSmall(t, "")
+		scenario.Prices = Penalties{CongestedBackends: fixedRange(.8)}
+		sim := newSimulation(scenario, 1)
+		sim.stats.offeredWorth = 1 // without offered worth there are no penalties
+		b := sim.backends[0]
+		b.hangs = 1 // its requests never finish
+		sim.now = time.Second
+		b.update(func() { b.running = make([]*job, 2); b.waiting = make([]*job, tt.requests-2) })
+		sim.scheduleAfter(tt.duration, func() { b.update(func() { b.running, b.waiting = nil, nil }) })
+		for len(sim.queue.heap) > 0 && sim.queue.heap[0].at <= tt.duration+2*time.Second {
+			e := sim.queue.pop()
+			sim.now = e.at
+			e.run()
 		}
-		assert.Equal(t, tt.want, w.crowdings, "%+v", tt)
-		assert.Equal(t, tt.want == 1, b.crowded)
-		assert.InDelta(t, .8/8*float64(tt.want), w.result("", 1).ScoreParts["prices"], 1e-9)
+		assert.Equal(t, tt.want, sim.congestions, "%+v", tt)
+		assert.Equal(t, tt.want == 1, b.congested)
+		assert.InDelta(t, .8/8*float64(tt.want), sim.buildResult("", 1).ScoreParts["prices"], 1e-9)
 	}
 }
 
-// A day can be broken off, and a panic of a module ends one request, not the day.
-func TestBrokenOffAndPanics(t *testing.T) {
-	_, err := Run(scenario(t, ""), 1, Options{Progress: func(_, _ time.Duration) bool { return false }})
-	if err != nil { // a day of fewer events than one look at progress takes just ends
+// A run can be aborted. A panic of a module must end one request and not the run.
+func TestAbortedRunAndModulePanic(t *testing.T) {
+	_, err := Run(parseSmall(t, ""), 1, Options{Progress: func(_, _ time.Duration) bool { return false }})
+	if err != nil { // a run with few events ends before progress is called
 		assert.ErrorIs(t, err, ErrAborted)
 	}
 	n := 0
-	r := run(t, scenario(t, ""), 1, Options{NewModule: func(s logic.Settings, seed uint64) (core.Module, error) {
+	r := run(t, parseSmall(t, ""), 1, Options{NewModule: func(s logic.Settings, seed uint64) (core.Module, error) {
 		p, err := rivals.New("p2c", s, seed)
-		return &bad{p, func(_ time.Duration, ev logic.Event, out []logic.Action) []logic.Action {
+		return &modifiedPolicy{p, func(_ time.Duration, ev logic.Event, out []logic.Action) []logic.Action {
 			if _, ok := ev.(logic.Request); ok {
 				if n++; n%50 == 0 {
 					panic("on purpose")
@@ -357,53 +357,53 @@
 }
 
 func FuzzScenario(f *testing.F) {
-	f.Add(small)
+	f.Add(smallScenario)
 	f.Add("seconds: [1, 2]\nzones: [{name: a}]")
 	f.Add("a: &b\n  - *b\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		if sc, err := Parse("f.yaml", []byte(text)); err == nil {
-			require.NotEmpty(t, sc.Zones)
+		if scenario, err := Parse("f.yaml", []byte(text)); err == nil {
+			require.NotEmpty(t, scenario.Zones)
 		}
 	})
 }
 
-// The front deals each node its share, in turn, and what a node is owed while
-// it is away does not come as a flood at its return.
-func TestFrontDealsByShares(t *testing.T) {
-	w := newWorld(scenario(t, ""), 1)
-	w.sc.Nodes.Shares = []float64{5, 1, 2}
-	dealt := func(clients int) []int {
-		got := make([]int, len(w.nodes))
+// The frontend distributes clients by the nodes' shares, in turn. A node that returns must not get
+// the share of its absence in a burst.
+func TestFrontendDistributesByShares(t *testing.T) {
+	sim := newSimulation(parseSmall(t, ""), 1)
+	sim.scenario.Nodes.Shares = []float64{5, 1, 2}
+	distribute := func(clients int) []int {
+		got := make([]int, len(sim.nodes))
 		for range clients {
-			got[w.front.pick(0).no]++
+			got[sim.frontend.pick(0).number]++
 		}
 		return got
 	}
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		n.alive, n.zone = true, 0
 	}
-	w.front.all()
+	sim.frontend.admitLiveNodes()
 	for range 10 {
-		assert.Equal(t, []int{5, 1, 2}, dealt(8))
+		assert.Equal(t, []int{5, 1, 2}, distribute(8))
 	}
-	w.nodes[0].inFront = false
-	assert.Equal(t, []int{0, 100, 200}, dealt(300))
-	w.nodes[0].inFront = true
-	assert.InDeltaSlice(t, []int{5, 1, 2}, dealt(8), 1)
+	sim.nodes[0].inRotation = false
+	assert.Equal(t, []int{0, 100, 200}, distribute(300))
+	sim.nodes[0].inRotation = true
+	assert.InDeltaSlice(t, []int{5, 1, 2}, distribute(8), 1)
 }
 
-func TestQueueOrder(t *testing.T) {
-	var q queue
+func TestEventQueueOrder(t *testing.T) {
+	var q eventQueue
 	var got []int
-	plan := func(at time.Duration, rank uint64, n int) { q.push(at, rank, nil, func() { got = append(got, n) }) }
-	plan(5, late, 4)
-	plan(5, 0, 2)
-	plan(9, 0, 5)
-	plan(5, 0, 3)
-	plan(1, late, 1)
+	push := func(at time.Duration, rank uint64, n int) { q.push(at, rank, nil, func() { got = append(got, n) }) }
+	push(5, afterOthers, 4)
+	push(5, 0, 2)
+	push(9, 0, 5)
+	push(5, 0, 3)
+	push(1, afterOthers, 1)
 	for len(q.heap) > 0 {
 		e := q.pop()
-		e.do()
+		e.run()
 	}
 	assert.Equal(t, []int{1, 2, 3, 4, 5}, got)
 }
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"strconv"
 	"sync"
@@ -14,45 +13,44 @@
 	"pipitmux/logic"
 )
 
-// Live plays a scenario's day in real time, with real nodes: the models of
-// clients, backends and registry are the same, but what passes between them and
-// the nodes goes over an Outside's sockets. One goroutine owns the day; all else
-// reaches it by a queue.
+// LiveRun plays a scenario in real time with real nodes. The models of clients, backends and
+// registry are the same, but all traffic between them and the nodes goes over the sockets of an
+// Environment. One goroutine owns the run; everything else reaches it through a queue.
 type LiveRun struct {
-	w     *world
-	sc    *Scenario
-	seed  uint64
-	out   Environment
-	do    chan func()
-	began time.Time
-	over  chan struct{}
-	tries map[string]*try
-	waitN int // nodes that are still to be ready
-
-	mu     sync.Mutex
-	shown  []int           // how much of the registry's log each node may see
-	change []chan struct{} // closed when that grows
-	broken []chan struct{} // closed when a node's watches break
+	sim           *simulation
+	scenario      *Scenario
+	seed          uint64
+	environment   Environment
+	events        chan func()
+	startedAt     time.Time
+	done          chan struct{}
+	requests      map[string]*clientRequest
+	startingNodes int // nodes that are not ready yet
+
+	mu             sync.Mutex
+	visibleChanges []int           // how much of the registry's change log each node may see
+	changed        []chan struct{} // closed when that grows
+	watchBroken    []chan struct{} // closed when a node's watches break
 }
 
-// Outside is the real side of a live day: sockets and processes. Its methods are
-// called by the goroutine that owns the day, one after the other, and must not
-// block.
+// Environment is the real part of a live run: sockets and processes. Its methods are called one
+// after the other by the goroutine that owns the run, and must not block.
 type Environment interface {
-	// Start starts a node with the list as it last held it, and calls Live.Up when it is ready.
+	// StartNode starts a node with its cached list and calls LiveRun.NodeReady when it is ready.
 	StartNode(node int, rev int64, known []core.Backend)
-	// Kill ends a node's process at once.
+	// KillNode ends a node's process at once.
 	KillNode(node int)
-	// Backend tells how a backend's machine is from now on. The first call makes it.
-	SetBackend(no int, how MachineState)
-	// Cut tells whether new connections of a node to a backend come up from now on. What
-	// is open stays open; where the cut heals, it is reset.
+	// SetBackend sets the state of a backend's machine. The first call creates the machine.
+	SetBackend(number int, how MachineState)
+	// SetPartition sets whether new connections of a node to a backend fail. Open connections stay
+	// open, and are reset when the partition heals.
 	SetPartition(node, backend int, cut bool)
-	// Send sends a client's request to a node and calls Live.Sending, then Live.Done once.
+	// SendRequest sends a client's request to a node. It calls LiveRun.RequestStarted and then
+	// LiveRun.RequestDone once.
 	SendRequest(ClientRequest)
 }
 
-// Try is one request of a client.
+// ClientRequest is one request of a client.
 type ClientRequest struct {
 	ID      string
 	Class   logic.Class
@@ -62,87 +60,87 @@
 	Timeout time.Duration
 }
 
-// NewLive sets a day up. Nothing happens before Run.
-func NewLiveRun(sc *Scenario, seed uint64) *LiveRun {
-	l := &LiveRun{sc: sc, seed: seed, do: make(chan func(), 4096), over: make(chan struct{}), tries: map[string]*try{}}
-	l.w = newWorld(sc, seed)
-	l.w.live = l
-	for range l.w.nodes {
-		l.shown = append(l.shown, 0)
-		l.change = append(l.change, make(chan struct{}))
-		l.broken = append(l.broken, make(chan struct{}))
+// NewLiveRun sets up a run. Nothing happens before Run.
+func NewLiveRun(scenario *Scenario, seed uint64) *LiveRun {
+	l := &LiveRun{scenario: scenario, seed: seed, events: make(chan func(), 4096), done: make(chan struct{}), requests: map[string]*clientRequest{}}
+	l.sim = newSimulation(scenario, seed)
+	l.sim.live = l
+	for range l.sim.nodes {
+		l.visibleChanges = append(l.visibleChanges, 0)
+		l.changed = append(l.changed, make(chan struct{}))
+		l.watchBroken = append(l.watchBroken, make(chan struct{}))
 	}
 	return l
 }
 
-// Nodes returns the zone of each node.
+// NodeZones returns the zone of each node.
 func (l *LiveRun) NodeZones() (zones []string) {
-	for _, n := range l.w.nodes {
-		zones = append(zones, l.w.sc.Zones[n.zone].Name)
+	for _, n := range l.sim.nodes {
+		zones = append(zones, l.sim.scenario.Zones[n.zone].Name)
 	}
 	return zones
 }
 
-// Settings returns what the module of a node is told.
+// Settings returns the settings of a node's module.
 func (l *LiveRun) Settings(node int) logic.Settings {
-	return l.w.sc.settings(l.w.sc.Zones[l.w.nodes[node].zone].Name, node, len(l.w.nodes))
+	return l.sim.scenario.moduleSettings(l.sim.scenario.Zones[l.sim.nodes[node].zone].Name, node, len(l.sim.nodes))
 }
 
-// Connect is how long a connection to a backend may take to come up.
-func (l *LiveRun) ConnectTimeout() time.Duration { return l.w.sc.Conns.ConnectTimeoutMS.ms() }
+// ConnectTimeout returns how long opening a connection to a backend may take.
+func (l *LiveRun) ConnectTimeout() time.Duration { return l.sim.scenario.Conns.ConnectTimeoutMS.ms() }
 
-// post has something happen in the day.
+// post runs a function on the goroutine that owns the run.
 func (l *LiveRun) post(do func()) {
 	select {
-	case l.do <- do:
-	case <-l.over:
+	case l.events <- do:
+	case <-l.done:
 	}
 }
 
-// Run plays the day. It returns when it is over, with ErrLate where ctx ended it.
+// Run plays the scenario. It returns ErrAborted if ctx ended the run.
 func (l *LiveRun) Run(ctx context.Context, out Environment, progress func(at, of time.Duration)) (*Result, error) {
-	w := l.w
-	l.out, l.began = out, time.Now()
-	w.base = l.began
-	defer close(l.over)
-	for _, b := range w.backends {
-		l.backend(b)
+	sim := l.sim
+	l.environment, l.startedAt = out, time.Now()
+	sim.startTime = l.startedAt
+	defer close(l.done)
+	for _, b := range sim.backends {
+		l.updateBackend(b)
 	}
-	l.waitN = len(w.nodes)
-	for _, n := range w.nodes {
+	l.startingNodes = len(sim.nodes)
+	for _, n := range sim.nodes {
 		n.start()
 	}
 	end, last := time.Duration(0), time.Duration(0)
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
 	for {
-		w.now = max(time.Since(l.began), w.now)
-		for len(w.q.heap) > 0 && w.q.heap[0].at <= w.now {
-			e := w.q.pop()
-			w.events++
-			e.do()
-			w.now = max(time.Since(l.began), w.now)
+		sim.now = max(time.Since(l.startedAt), sim.now)
+		for len(sim.queue.heap) > 0 && sim.queue.heap[0].at <= sim.now {
+			e := sim.queue.pop()
+			sim.events++
+			e.run()
+			sim.now = max(time.Since(l.startedAt), sim.now)
 		}
-		if l.waitN == 0 && end == 0 {
-			w.begin(l.sc, l.seed)
-			end = w.now + w.sc.Seconds.sec()
-			last = end + w.longest()
+		if l.startingNodes == 0 && end == 0 {
+			sim.startTraffic(l.scenario, l.seed)
+			end = sim.now + sim.scenario.Seconds.sec()
+			last = end + sim.settleTime()
 		}
-		if w.err != nil {
-			return nil, w.err
+		if sim.err != nil {
+			return nil, sim.err
 		}
-		if last > 0 && w.now >= last {
-			return w.result("node", l.seed), nil
+		if last > 0 && sim.now >= last {
+			return sim.buildResult("node", l.seed), nil
 		}
-		progress(min(w.now, max(end, 1)), max(end, 1))
-		next := w.now + 100*time.Millisecond
-		if len(w.q.heap) > 0 {
-			next = min(next, w.q.heap[0].at)
+		progress(min(sim.now, max(end, 1)), max(end, 1))
+		next := sim.now + 100*time.Millisecond
+		if len(sim.queue.heap) > 0 {
+			next = min(next, sim.queue.heap[0].at)
 		}
-		alarm.Reset(max(next-time.Since(l.began), 0))
+		alarm.Reset(max(next-time.Since(l.startedAt), 0))
 		select {
-		case do := <-l.do:
-			w.now = max(time.Since(l.began), w.now)
+		case do := <-l.events:
+			sim.now = max(time.Since(l.startedAt), sim.now)
 			do()
 		case <-alarm.C:
 		case <-ctx.Done():
@@ -151,229 +149,234 @@
 	}
 }
 
-// Fail ends the day with an error of the outside.
-func (l *LiveRun) Fail(err error) { l.post(func() { l.w.fail(err) }) }
+// Fail ends the run with an error of the environment.
+func (l *LiveRun) Fail(err error) { l.post(func() { l.sim.fail(err) }) }
 
-func (l *LiveRun) start(n *node) {
-	seen := len(l.w.disc.log)
+// startNode starts a node with the list that it held last.
+func (l *LiveRun) startNode(n *node) {
+	seen := len(l.sim.discovery.changes)
 	l.mu.Lock()
-	l.shown[n.no] = seen
+	l.visibleChanges[n.number] = seen
 	l.mu.Unlock()
-	l.out.StartNode(n.no, firstRev+int64(seen), l.w.entries(n.view))
+	l.environment.StartNode(n.number, firstRevision+int64(seen), l.sim.backendList(n.knownStates))
 }
 
-// firstRev is the version of the list as the day begins.
-const firstRev = 1
+// firstRevision is the revision of the list at the start of the run.
+const firstRevision = 1
 
-// Up tells that a node is ready.
+// NodeReady tells that a node is ready.
 func (l *LiveRun) NodeReady(node int) {
 	l.post(func() {
-		n := l.w.nodes[node]
+		n := l.sim.nodes[node]
 		n.alive = true
-		l.w.tier.began(n)
-		if l.waitN > 0 {
-			l.waitN--
+		l.sim.peerNetwork.nodeStarted(n)
+		if l.startingNodes > 0 {
+			l.startingNodes--
 		} else {
-			l.w.front.notice(n)
+			l.sim.frontend.noticeNode(n)
 		}
 	})
 }
 
-// Talk is how many bytes a second a node may send to others, 0 where they don't talk.
-func (l *LiveRun) PeerBytesPerSecond() float64 { return l.w.sc.Peers.BytesPerSecond.From }
+// PeerBytesPerSecond returns how much a node may send to its peers, 0 if nodes do not talk.
+func (l *LiveRun) PeerBytesPerSecond() float64 { return l.sim.scenario.Peers.BytesPerSecond.From }
 
-// Passes tells that a datagram of a length goes from one node to another, and returns how long
-// each of its copies takes; none: it is lost.
+// DatagramDelays counts a datagram from one node to another and returns the delay of each copy that
+// arrives; none if it is lost.
 func (l *LiveRun) DatagramDelays(from, to, length int) []time.Duration {
-	l.post(func() { l.w.tier.sent(length) })
-	return l.w.tier.ways.fate(from, to)
+	l.post(func() { l.sim.peerNetwork.countBytes(length) })
+	return l.sim.peerNetwork.datagrams.copyDelays(from, to)
 }
 
-// Takes tells what a node now takes another for.
+// RecordPeerState tells that a node considers another to be in a state.
 func (l *LiveRun) RecordPeerState(by, about int, s member.State) {
-	l.post(func() { l.w.tier.takes(by, about, s) })
+	l.post(func() { l.sim.peerNetwork.recordState(by, about, s) })
 }
 
-// Crashed tells that a node's process has ended by itself.
+// NodeCrashed tells that a node's process ended by itself.
 func (l *LiveRun) NodeCrashed(node int, err error) {
-	l.post(func() { l.w.fail(fmt.Errorf("node %d has crashed: %w", node, err)) })
+	l.post(func() { l.sim.fail(fmt.Errorf("node %d has crashed: %w", node, err)) })
 }
 
-// backend tells the outside how a machine is. A nil Live is a day in virtual time.
-func (l *LiveRun) backend(b *backend) {
-	if l == nil || l.out == nil {
+// updateBackend passes the state of a backend to the environment. A nil LiveRun is a run in virtual
+// time.
+func (l *LiveRun) updateBackend(b *backend) {
+	if l == nil || l.environment == nil {
 		return
 	}
-	l.out.SetBackend(b.no, b.state)
+	l.environment.SetBackend(b.number, b.state)
 }
 
-// send has the outside send a client's request.
-func (l *LiveRun) send(t *try, patience time.Duration) {
-	l.tries[t.id] = t
+// sendRequest passes a client's request to the environment.
+func (l *LiveRun) sendRequest(request *clientRequest, timeout time.Duration) {
+	l.requests[request.id] = request
 	key := ""
-	c := t.op.class.class()
+	c := request.operation.class.moduleClass()
 	if c.Effect == logic.Keyed {
-		key = "k" + strconv.FormatUint(t.op.id, 36)
+		key = "k" + strconv.FormatUint(request.operation.id, 36)
 	}
-	l.w.at(t.until, late, func() { t.settle(timedOut, 0) })
-	l.out.SendRequest(ClientRequest{ID: t.id, Class: c, Key: key, Node: t.n.no, Timeout: patience, Retry: l.w.sc.Clients.MarksRetry && t.op.tries > 1})
+	l.sim.scheduleAt(request.deadline, afterOthers, func() { request.finish(timedOut, 0) })
+	l.environment.SendRequest(ClientRequest{ID: request.id, Class: c, Key: key, Node: request.node.number, Timeout: timeout, Retry: l.sim.scenario.Clients.MarksRetry && request.operation.requests > 1})
 }
 
-// Sending tells that a request begins to be written to its node. A second call says
-// nothing new: the client writes it once more where a close crossed it.
-func (l *LiveRun) RequestStarted(id string, patience time.Duration) {
+// RequestStarted tells that a client begins to write a request. A second call for the same request
+// has no effect: the client writes again if the node closed the connection meanwhile.
+func (l *LiveRun) RequestStarted(id string, timeout time.Duration) {
 	l.post(func() {
-		if t := l.tries[id]; t != nil && !t.sent {
-			t.sent = true
-			l.w.audit.Taken(l.w.now, t.n.no, id, t.op.id, t.op.class.Name, patience)
-			if t.orphan() {
-				l.w.audit.Left(l.w.now, id)
+		if request := l.requests[id]; request != nil && !request.writeStarted {
+			request.writeStarted = true
+			l.sim.auditor.Taken(l.sim.now, request.node.number, id, request.operation.id, request.operation.class.Name, timeout)
+			if request.nodeRestarted() {
+				l.sim.auditor.Left(l.sim.now, id)
 			}
 		}
 	})
 }
 
-// orphan tells that the node that a try was sent to has been killed, whether or not it
-// runs anew: nothing is owed any more.
-func (t *try) orphan() bool { return !t.n.alive || t.n.epoch != t.epoch }
+// nodeRestarted reports whether the node has been killed since the request was sent to it, whether
+// or not it runs again. Then no answer is due any more.
+func (request *clientRequest) nodeRestarted() bool {
+	return !request.node.alive || request.node.epoch != request.nodeEpoch
+}
 
-// Verdict is how a try ended, as its client saw it.
+// RequestOutcome is the end of a request as its client saw it.
 type RequestOutcome struct {
-	Answer     audit.Answer // None: no whole answer came
-	FullySent  bool         // its last byte had been written; else nothing of it counts as taken
-	TimedOut   bool         // the client waited until its patience was over
+	Answer     audit.Answer // None: no complete response arrived
+	FullySent  bool         // the last byte was written; else no part of the request counts as received
+	TimedOut   bool         // the client waited until its timeout
 	RetryAfter time.Duration
 }
 
-// Done tells how a try ended.
+// RequestDone tells how a request ended.
 func (l *LiveRun) RequestDone(id string, v RequestOutcome) {
 	l.post(func() {
-		t := l.tries[id]
-		if t == nil {
+		request := l.requests[id]
+		if request == nil {
 			return
 		}
-		w := l.w
-		died := t.orphan()
+		sim := l.sim
+		died := request.nodeRestarted()
 		switch {
 		case v.Answer != audit.None:
-			if !died { // else it was on its way when its node was killed: nothing was owed any more
-				w.audit.Answered(w.now, id, v.Answer)
+			if !died { // else the response was on its way when the node was killed, and no answer was due any more
+				sim.auditor.Answered(sim.now, id, v.Answer)
 			}
-			w.tally.answered([...]core.AnswerKind{audit.Served: core.Served, audit.Refused: core.Rejected, audit.Failed: core.Failed}[v.Answer])
-			t.answered = true
-			t.settle([...]verdict{audit.Served: served, audit.Refused: refused, audit.Failed: failed}[v.Answer], v.RetryAfter)
+			sim.stats.recordAnswer([...]core.AnswerKind{audit.Served: core.Served, audit.Refused: core.Rejected, audit.Failed: core.Failed}[v.Answer])
+			request.answered = true
+			request.finish([...]requestResult{audit.Served: served, audit.Refused: rejected, audit.Failed: failed}[v.Answer], v.RetryAfter)
 		case !v.FullySent:
-			w.audit.Left(w.now, id)
-			t.settle(unreachable, 0)
+			sim.auditor.Left(sim.now, id)
+			request.finish(unreachable, 0)
 		case v.TimedOut:
-			t.settle(timedOut, 0) // owed an answer: the auditor sees that none came
+			request.finish(timedOut, 0) // an answer was due: the auditor sees that none came
 		case died:
-			t.settle(broken, 0)
+			request.finish(connectionBroken, 0)
 		default:
-			w.audit.Answered(w.now, id, audit.None)
-			t.settle(broken, 0)
+			sim.auditor.Answered(sim.now, id, audit.None)
+			request.finish(connectionBroken, 0)
 		}
 	})
 }
 
-// Arrived tells that a request has come whole to a backend, over a connection of a
-// node that is new or not. The reply is called once, unless the machine is
-// silent, or Gone comes first; it must not block. The returned function tells
-// that the node gave it up.
+// BackendReceived tells that a complete request arrived at a backend, over a new connection (fresh)
+// or a reused one. reply is called once, unless the machine is silent or the returned function is
+// called first; it must not block. The returned function tells that the node gave the request up.
 func (l *LiveRun) BackendReceived(backend, node int, id string, fresh bool, reply func(logic.Result, []float64)) (gone func()) {
 	var a *attempt
 	l.post(func() {
-		w := l.w
-		t, b, n := l.tries[id], w.backends[backend], w.nodes[node]
-		if t == nil {
-			w.fail(fmt.Errorf("backend %s was sent a req %q that no client sent", b.id, id))
+		sim := l.sim
+		request, b, n := l.requests[id], sim.backends[backend], sim.nodes[node]
+		if request == nil {
+			sim.fail(fmt.Errorf("backend %s was sent a req %q that no client sent", b.id, id))
 			return
 		}
-		a = &attempt{n: n, b: b, epoch: n.epoch, process: b.epoch, try: t, begun: true, reply: reply}
-		if n.alive && t.epoch == n.epoch { // else its node was killed while it was on its way
-			a.sent()
+		a = &attempt{node: n, backend: b, nodeEpoch: n.epoch, processEpoch: b.processEpoch, request: request, written: true, reply: reply}
+		if n.alive && request.nodeEpoch == n.epoch { // else its node was killed while the request was on its way
+			a.recordSend()
 		}
-		opening := 0.0
+		connectWork := 0.0
 		if fresh {
-			opening = w.sc.Conns.HandshakeWorkUS.From / 1e6
-			w.handshakes++
+			connectWork = sim.scenario.Conns.HandshakeWorkUS.From / 1e6
+			sim.handshakes++
 		}
-		if w.loses(n.zone, b.zone) {
+		if sim.dropIfPartitioned(n.zone, b.zone) {
 			return
 		}
-		w.after(w.delay(n.zone, b.zone), func() { a.reach(opening) })
+		sim.scheduleAfter(sim.networkDelay(n.zone, b.zone), func() { a.arrive(connectWork) })
 	})
 	return func() {
 		l.post(func() {
-			if a != nil && !a.over {
-				a.over = true
-				l.w.audit.Ended(l.w.now, id, string(a.b.id), false, "given up")
-				a.b.dropped(a)
+			if a != nil && !a.ended {
+				a.ended = true
+				l.sim.auditor.Ended(l.sim.now, id, string(a.backend.id), false, "given up")
+				a.backend.cancel(a)
 			}
 		})
 	}
 }
 
-// live has the reply to an attempt go out over its socket.
-func (a *attempt) live(r logic.Result, report []float64, more time.Duration) {
-	w := a.b.w
-	if w.loses(a.b.zone, a.n.zone) {
-		return // its node waits in vain
+// replyOverSocket sends the response to an attempt over its socket.
+func (a *attempt) replyOverSocket(r logic.Result, report []float64, more time.Duration) {
+	sim := a.backend.sim
+	if sim.dropIfPartitioned(a.backend.zone, a.node.zone) {
+		return // the node waits until its timeout
 	}
-	w.after(more+w.delay(a.b.zone, a.n.zone), func() {
-		if a.over {
+	sim.scheduleAfter(more+sim.networkDelay(a.backend.zone, a.node.zone), func() {
+		if a.ended {
 			return
 		}
-		a.over = true
-		w.audit.Ended(w.now, a.try.id, string(a.b.id), r == logic.QueueFull, resultNames[r])
+		a.ended = true
+		sim.auditor.Ended(sim.now, a.request.id, string(a.backend.id), r == logic.QueueFull, resultNames[r])
 		a.reply(r, report)
 	})
 }
 
-// Serves tells whether a backend's process is up. It belongs to the calls of an Outside.
-func (l *LiveRun) BackendUp(backend int) bool { return l.w.backends[backend].state == Up }
+// BackendUp reports whether a backend's process is up. Call it from methods of an Environment only.
+func (l *LiveRun) BackendUp(backend int) bool { return l.sim.backends[backend].state == Up }
 
-// Conns tells that a node opened (1) or closed (-1) a connection to a backend.
+// AdjustConnections tells that a node opened (1) or closed (-1) a connection to a backend.
 func (l *LiveRun) AdjustConnections(backend, by int) {
 	l.post(func() {
-		b := l.w.backends[backend]
-		b.set(func() { b.conns = max(b.conns+by, 0) })
+		b := l.sim.backends[backend]
+		b.update(func() { b.openConns = max(b.openConns+by, 0) })
 	})
 }
 
-// news lets each node see what the registry has learnt, at its next round.
-func (l *LiveRun) news() {
-	w, n := l.w, len(l.w.disc.log)
-	for i := range w.nodes {
-		w.at(w.disc.round(), 0, func() {
+// scheduleChanges lets each node see the registry's changes, at its next round.
+func (l *LiveRun) scheduleChanges() {
+	sim, n := l.sim, len(l.sim.discovery.changes)
+	for i := range sim.nodes {
+		sim.scheduleAt(sim.discovery.nextRound(), 0, func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			if n > l.shown[i] {
-				l.shown[i] = n
-				close(l.change[i])
-				l.change[i] = make(chan struct{})
+			if n > l.visibleChanges[i] {
+				l.visibleChanges[i] = n
+				close(l.changed[i])
+				l.changed[i] = make(chan struct{})
 			}
 		})
 	}
 }
 
+// breakWatches breaks the watches of all nodes.
 func (l *LiveRun) breakWatches() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for i := range l.broken {
-		close(l.broken[i])
-		l.broken[i] = make(chan struct{})
+	for i := range l.watchBroken {
+		close(l.watchBroken[i])
+		l.watchBroken[i] = make(chan struct{})
 	}
 }
 
-// ListChanges is what a node is told: a version and entries, all or those changed.
+// ListUpdate is a list as sent to a node: all backends, or only those that changed.
 type ListUpdate struct {
 	Revision int64
 	Full     bool
 	Backends []core.Backend
 }
 
-// List serves a node's call for the whole list in its turn; false where it fails.
+// FetchList serves a node's call for the full list when its turn comes. It returns false if the
+// call fails.
 func (l *LiveRun) FetchList(node int) (ListUpdate, bool) {
 	type reply struct {
 		list ListUpdate
@@ -381,50 +384,50 @@
 	}
 	c := make(chan reply, 1)
 	l.post(func() {
-		w, d := l.w, l.w.disc
+		sim, d := l.sim, l.sim.discovery
 		answer := func(ok bool) {
-			r := reply{ok: ok && d.down == 0}
+			r := reply{ok: ok && d.outages == 0}
 			if r.ok {
-				r.list = ListUpdate{Revision: firstRev + int64(len(d.log)), Full: true, Backends: d.whole()}
+				r.list = ListUpdate{Revision: firstRevision + int64(len(d.changes)), Full: true, Backends: d.fullList()}
 				l.mu.Lock()
-				l.shown[node] = max(l.shown[node], len(d.log))
+				l.visibleChanges[node] = max(l.visibleChanges[node], len(d.changes))
 				l.mu.Unlock()
 			}
 			c <- r
 		}
-		if d.down > 0 {
+		if d.outages > 0 {
 			answer(false)
-		} else if served, ok := d.turn(w.now); ok {
-			w.at(served, 0, func() { answer(true) })
+		} else if served, ok := d.reserve(sim.now); ok {
+			sim.scheduleAt(served, 0, func() { answer(true) })
 		} else {
-			w.after(w.sc.Discovery.TimeoutMS.ms(), func() { answer(false) })
+			sim.scheduleAfter(sim.scenario.Discovery.TimeoutMS.ms(), func() { answer(false) })
 		}
 	})
 	select {
 	case r := <-c:
 		return r.list, r.ok
-	case <-l.over:
+	case <-l.done:
 		return ListUpdate{}, false
 	}
 }
 
-// Next waits for what a node may see beyond a version, and returns what changed
-// since; false where the watch breaks or stop is closed.
+// WaitForChanges waits until a node may see more than a revision and returns what changed since. It
+// returns false if the watch breaks or stop is closed.
 func (l *LiveRun) WaitForChanges(node int, rev int64, stop <-chan struct{}) (ListUpdate, bool) {
 	for {
 		l.mu.Lock()
-		shown, change, broken := l.shown[node], l.change[node], l.broken[node]
+		shown, change, broken := l.visibleChanges[node], l.changed[node], l.watchBroken[node]
 		l.mu.Unlock()
-		if firstRev+int64(shown) > rev {
+		if firstRevision+int64(shown) > rev {
 			c := make(chan ListUpdate, 1)
 			l.post(func() {
-				from := max(int(rev-firstRev), 0)
-				c <- ListUpdate{Revision: firstRev + int64(shown), Backends: l.w.disc.since(from, shown)}
+				from := max(int(rev-firstRevision), 0)
+				c <- ListUpdate{Revision: firstRevision + int64(shown), Backends: l.sim.discovery.changesBetween(from, shown)}
 			})
 			select {
 			case out := <-c:
 				return out, true
-			case <-l.over:
+			case <-l.done:
 				return ListUpdate{}, false
 			}
 		}
@@ -434,21 +437,21 @@
 			return ListUpdate{}, false
 		case <-stop:
 			return ListUpdate{}, false
-		case <-l.over:
+		case <-l.done:
 			return ListUpdate{}, false
 		}
 	}
 }
 
-// Told tells that a list has been written to a node.
+// ListDelivered tells that a list was written to a node.
 func (l *LiveRun) ListDelivered(node int, list ListUpdate) {
-	l.post(func() { l.w.nodes[node].heard(list.Backends, list.Full) })
+	l.post(func() { l.sim.nodes[node].recordList(list.Backends, list.Full) })
 }
 
-// BackendNo returns the number of the backend that an entry's endpoint names.
+// BackendNumber returns the number of the backend at an endpoint.
 func (l *LiveRun) BackendNumber(endpoint string) (int, error) {
 	if len(endpoint) < 2 || endpoint[0] != 'b' {
-		return 0, errors.New("no endpoint of this day")
+		return 0, fmt.Errorf("%q is not a backend endpoint of this run", endpoint)
 	}
 	return strconv.Atoi(endpoint[1:])
 }
--- a/internal/emulator/live_test.go
+++ b/internal/emulator/live_test.go
@@ -12,19 +12,19 @@
 	"pipitmux/internal/core"
 )
 
-// crossed is an Outside whose clients begin to write only once their node is killed, and
-// whose nodes take nothing before.
-type crossed struct {
+// slowClientEnvironment is an Environment whose clients begin to write only when their node is
+// killed, and whose nodes receive nothing before that.
+type slowClientEnvironment struct {
 	*LiveRun
 	killed chan struct{}
 }
 
-func (c *crossed) StartNode(node int, _ int64, _ []core.Backend) { go c.NodeReady(node) }
-func (c *crossed) KillNode(int)                                  { close(c.killed) }
-func (c *crossed) SetBackend(int, MachineState)                  {}
-func (c *crossed) SetPartition(int, int, bool)                   {}
+func (c *slowClientEnvironment) StartNode(node int, _ int64, _ []core.Backend) { go c.NodeReady(node) }
+func (c *slowClientEnvironment) KillNode(int)                                  { close(c.killed) }
+func (c *slowClientEnvironment) SetBackend(int, MachineState)                  {}
+func (c *slowClientEnvironment) SetPartition(int, int, bool)                   {}
 
-func (c *crossed) SendRequest(t ClientRequest) {
+func (c *slowClientEnvironment) SendRequest(t ClientRequest) {
 	go func() {
 		<-c.killed
 		c.RequestStarted(t.ID, t.Timeout)
@@ -32,25 +32,25 @@
 	}()
 }
 
-// A client's write that crosses the kill of its node is owed no answer; one to a node that
-// lives on is.
-func TestWriteCrossesTheKill(t *testing.T) {
-	day, _, _ := strings.Cut(small, "classes:")
-	day = strings.NewReplacer("seconds: 12", "seconds: 0.5", "count: 3", "count: 1").Replace(day) +
+// A client that begins to write while its node is killed is due no answer. A client of a node that
+// stays alive is due one.
+func TestWriteDuringNodeKillIsDueNoAnswer(t *testing.T) {
+	text, _, _ := strings.Cut(smallScenario, "classes:")
+	text = strings.NewReplacer("seconds: 12", "seconds: 0.5", "count: 3", "count: 1").Replace(text) +
 		"classes: [{name: lookup, share: 1, work_ms: 50, aim_ms: 100, deadline_ms: 200, worth: 1, effect: safe}]\n"
-	for name, killed := range map[string]bool{"killed": true, "lives on": false} {
+	for name, killed := range map[string]bool{"killed": true, "stays alive": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			day := day
-			c := &crossed{killed: make(chan struct{})}
+			text := text
+			c := &slowClientEnvironment{killed: make(chan struct{})}
 			if killed {
-				day += "troubles: [{kind: power_loss, at_s: 0.25, for_s: 9}]\n"
+				text += "troubles: [{kind: power_loss, at_s: 0.25, for_s: 9}]\n"
 			} else {
 				close(c.killed)
 			}
-			sc, err := Parse("crossed.yaml", []byte(day))
+			scenario, err := Parse("crossed.yaml", []byte(text))
 			require.NoError(t, err)
-			c.LiveRun = NewLiveRun(sc, 1)
+			c.LiveRun = NewLiveRun(scenario, 1)
 			r, err := c.Run(t.Context(), c, func(_, _ time.Duration) {})
 			require.NoError(t, err)
 			assert.Positive(t, r.Rules.Taken)
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -10,35 +10,36 @@
 	"pipitmux/logic"
 )
 
-// node is one balancer: a core.Owner round a module, and a model of what
-// internal/upstream and the platform's network do for it.
+// node is a load-balancer node: a core.Engine around a module, and a model of what
+// internal/upstream and the network do for it.
 type node struct {
-	w       *world
-	no      int
-	zone    int
-	alive   bool
-	epoch   int
-	owner   *core.Engine
-	wake    time.Duration // the earliest wake-up planned, 0: none
-	pool    map[int]*idleConns
-	open    int                       // connections, in use or idle
-	opening []*attempt                // that had to open one, the latest ones
-	tries   map[*try]struct{}         // taken and not answered
-	view    map[int]logic.ServerState // as told, for what it knows at a restart
-	told    int                       // how far in the registry's news it is
-	watch   bool                      // it has a watch
-	flush   bool                      // news are on their way
-
-	inbox []func() // events of the present instant
-	out   []func() // what it does to the world, while nodes decide at once
-
-	gone map[logic.ServerID]bool // whom it was told to be gone, in any of its lives
-
-	inFront, cutOff bool // the front deals it clients; nothing reaches it
+	sim             *simulation
+	number          int
+	zone            int
+	alive           bool
+	epoch           int
+	engine          *core.Engine
+	nextWake        time.Duration // earliest scheduled wake-up, 0: none
+	idle            map[int]*idleConns
+	openConns       int                         // in use and idle
+	connecting      []*attempt                  // recent attempts that had to open a connection
+	requests        map[*clientRequest]struct{} // received and not answered
+	knownStates     map[int]logic.ServerState   // last list received, kept across a restart
+	logPosition     int                         // position in the registry's change log
+	watching        bool                        // watches the registry
+	updateScheduled bool                        // a delivery of changes is scheduled
+
+	inbox   []func() // events of the current instant
+	effects []func() // effects on the simulation, deferred while nodes run in parallel
+
+	toldGone map[logic.ServerID]bool // backends that any process of the node was told are gone
+
+	inRotation  bool // the frontend sends it clients
+	unreachable bool // nothing reaches it
 }
 
-// decide takes the events of the present instant.
-func (n *node) decide() {
+// runInbox runs the node's events of the current instant.
+func (n *node) runInbox() {
 	for i, do := range n.inbox {
 		n.inbox[i] = nil
 		do()
@@ -46,350 +47,355 @@
 	n.inbox = n.inbox[:0]
 }
 
-// effect does something to the world: at once, or when all nodes that decide at
-// this instant have done so.
+// effect changes the simulation outside the node: at once, or after all nodes of this instant
+// have run if they run in parallel.
 func (n *node) effect(do func()) {
-	if n.w.apart {
-		n.out = append(n.out, do)
+	if n.sim.deferEffects {
+		n.effects = append(n.effects, do)
 		return
 	}
 	do()
 }
 
-// idleConns are the idle connections to one process of a backend, the latest used last.
+// idleConns holds the idle connections to one process of a backend, the most recently used last.
 type idleConns struct {
-	epoch int
-	since []time.Duration
+	processEpoch int
+	idleSince    []time.Duration
 }
 
-// attempt is one send on its way.
+// attempt is one attempt in progress.
 type attempt struct {
-	n       *node
-	b       *backend
-	epoch   int // of the node
-	process int // of the backend
-	try     *try
-	until   time.Duration
-	done    func(core.AttemptResult)
-	over    bool
-	begun   bool // its last byte has gone out
-	conn    bool // holds a connection
-	job     *job
-	reply   func(logic.Result, []float64) // of a live day, where it has come over a socket
+	node         *node
+	backend      *backend
+	nodeEpoch    int
+	processEpoch int // of the backend
+	request      *clientRequest
+	deadline     time.Duration
+	done         func(core.AttemptResult)
+	ended        bool
+	written      bool // the last byte was sent
+	holdsConn    bool
+	job          *job
+	reply        func(logic.Result, []float64) // set if the request arrived over a socket in a live run
 }
 
-var nothing = noCount{}
+// discardCounters is the node's counter sink.
+var discardCounters = discardedCounters{}
 
-type noCount struct{}
+type discardedCounters struct{}
 
-func (noCount) Add(string) {}
+func (discardedCounters) Add(string) {}
 
-// start gives the node a new module, which knows nothing but the list as last held.
+// start gives the node a new module, which knows nothing but the cached list.
 func (n *node) start() {
 	n.epoch++
-	if n.w.live != nil {
-		n.w.live.start(n)
+	if n.sim.live != nil {
+		n.sim.live.startNode(n)
 		return
 	}
-	s := n.w.sc.settings(n.w.sc.Zones[n.zone].Name, n.no, len(n.w.nodes))
-	m, err := n.w.policy(s, n.w.rng.Uint64())
+	s := n.sim.scenario.moduleSettings(n.sim.scenario.Zones[n.zone].Name, n.number, len(n.sim.nodes))
+	m, err := n.sim.newModule(s, n.sim.rng.Uint64())
 	if err != nil {
-		n.w.fail(err)
+		n.sim.fail(err)
 		return
 	}
-	n.alive, n.wake, n.open, n.watch, n.flush = true, 0, 0, false, false
-	n.pool, n.tries = map[int]*idleConns{}, map[*try]struct{}{}
-	n.owner = core.NewEngine(m, s, core.Environment{
-		Now: n.w.time, Post: func(ev func()) { ev() }, Transport: n, Registry: n, Counters: nothing,
+	n.alive, n.nextWake, n.openConns, n.watching, n.updateScheduled = true, 0, 0, false, false
+	n.idle, n.requests = map[int]*idleConns{}, map[*clientRequest]struct{}{}
+	n.engine = core.NewEngine(m, s, core.Environment{
+		Now: n.sim.wallTime, Post: func(ev func()) { ev() }, Transport: n, Registry: n, Counters: discardCounters,
 		Log: slog.New(slog.DiscardHandler),
 	})
-	n.owner.UpdateBackends(logic.ListCached, n.w.entries(n.view))
-	n.after()
-	n.w.tier.began(n)
+	n.engine.UpdateBackends(logic.ListCached, n.sim.backendList(n.knownStates))
+	n.finishEvent()
+	n.sim.peerNetwork.nodeStarted(n)
 }
 
-// kill ends the node as it stands.
+// kill ends the node's process at once.
 func (n *node) kill() {
-	n.alive, n.watch = false, false
+	n.alive, n.watching = false, false
 	n.epoch++
-	n.w.audit.Died(n.w.now, n.no)
-	n.w.tier.died(n)
-	if n.w.live != nil {
-		n.w.live.out.KillNode(n.no)
+	n.sim.auditor.Died(n.sim.now, n.number)
+	n.sim.peerNetwork.nodeDied(n)
+	if n.sim.live != nil {
+		n.sim.live.environment.KillNode(n.number)
 		return
 	}
-	for _, b := range n.w.backends {
-		if p := n.pool[b.no]; p != nil && p.epoch == b.epoch {
-			b.conns -= len(p.since)
+	for _, b := range n.sim.backends {
+		if p := n.idle[b.number]; p != nil && p.processEpoch == b.processEpoch {
+			b.openConns -= len(p.idleSince)
 		}
 	}
-	for _, t := range n.w.sortedTries(n.tries) {
-		t.broke()
+	for _, request := range n.sim.sortedRequests(n.requests) {
+		request.nodeDied()
 	}
-	n.tries = nil
+	n.requests = nil
 }
 
-// tell has something happen at the node, at its next tick.
-func (n *node) tell(at time.Duration, do func()) {
+// schedule runs an event at the node, at its next tick.
+func (n *node) schedule(at time.Duration, do func()) {
 	epoch := n.epoch
-	n.w.q.push(max(n.w.ticked(at), n.w.now), 0, n, func() {
+	n.sim.queue.push(max(n.sim.nextTick(at), n.sim.now), 0, n, func() {
 		if n.epoch == epoch && n.alive {
 			do()
-			n.after()
+			n.finishEvent()
 		}
 	})
 }
 
-// after settles what an event has left and plans the next wake-up.
-func (n *node) after() {
-	n.owner.RunPending()
-	next, any := n.owner.NextTimer()
+// finishEvent runs what an event has left pending and schedules the next wake-up.
+func (n *node) finishEvent() {
+	n.engine.RunPending()
+	next, any := n.engine.NextTimer()
 	if !any {
 		return
 	}
-	at := n.w.ticked(max(n.w.since(next), n.w.now))
-	if n.wake != 0 && n.wake <= at {
+	at := n.sim.nextTick(max(n.sim.virtualTime(next), n.sim.now))
+	if n.nextWake != 0 && n.nextWake <= at {
 		return
 	}
-	n.wake = at
+	n.nextWake = at
 	epoch := n.epoch
 	n.effect(func() {
-		n.w.q.push(at, late, n, func() {
-			if n.epoch != epoch || n.wake != at {
+		n.sim.queue.push(at, afterOthers, n, func() {
+			if n.epoch != epoch || n.nextWake != at {
 				return
 			}
-			n.wake = 0
-			n.owner.FireTimers(nil)
-			n.after()
+			n.nextWake = 0
+			n.engine.FireTimers(nil)
+			n.finishEvent()
 		})
 	})
 }
 
-// Start is core.Backends: it begins an attempt.
+// Start begins an attempt. It implements core.Backends.
 func (n *node) Start(a core.Attempt, done func(core.AttemptResult)) func() {
-	w := n.w
-	b := w.byEndpoint[a.Instance.Endpoint]
-	t := a.Call.(*try)
-	att := &attempt{n: n, b: b, epoch: n.epoch, process: b.epoch, try: t, until: w.since(a.Deadline), done: done}
+	sim := n.sim
+	b := sim.byEndpoint[a.Instance.Endpoint]
+	request := a.Call.(*clientRequest)
+	att := &attempt{node: n, backend: b, nodeEpoch: n.epoch, processEpoch: b.processEpoch, request: request, deadline: sim.virtualTime(a.Deadline), done: done}
 	n.effect(func() { n.send(att) })
 	return func() { n.effect(att.cancel) }
 }
 
-// send has an attempt set out.
+// send sends an attempt over an idle connection or a new one.
 func (n *node) send(att *attempt) {
-	w, b := n.w, att.b
-	att.sent()
-	way := w.delay(n.zone, b.zone)
-	w.at(max(att.until, w.now), late, func() { att.timeOut() })
-	p := n.pool[b.no]
-	if p != nil && p.epoch == b.epoch {
-		fresh := w.sc.Conns.IdleTimeoutS.sec() * 9 / 10
-		for len(p.since) > 0 {
-			last := p.since[len(p.since)-1]
-			p.since = p.since[:len(p.since)-1]
-			if w.now-last < fresh {
-				att.conn = true
+	sim, b := n.sim, att.backend
+	att.recordSend()
+	delay := sim.networkDelay(n.zone, b.zone)
+	sim.scheduleAt(max(att.deadline, sim.now), afterOthers, func() { att.timeOut() })
+	p := n.idle[b.number]
+	if p != nil && p.processEpoch == b.processEpoch {
+		fresh := sim.scenario.Conns.IdleTimeoutS.sec() * 9 / 10
+		for len(p.idleSince) > 0 {
+			last := p.idleSince[len(p.idleSince)-1]
+			p.idleSince = p.idleSince[:len(p.idleSince)-1]
+			if sim.now-last < fresh {
+				att.holdsConn = true
 				break
 			}
-			n.open--
-			b.closeConn(p.epoch)
+			n.openConns--
+			b.closeConn(p.processEpoch)
 		}
 	}
-	if att.conn {
-		att.begun = true // its bytes leave at once
-		if !w.loses(n.zone, b.zone) {
-			w.after(way, func() { att.reach(0) })
+	if att.holdsConn {
+		att.written = true // its bytes leave at once
+		if !sim.dropIfPartitioned(n.zone, b.zone) {
+			sim.scheduleAfter(delay, func() { att.arrive(0) })
 		}
 		return
 	}
-	if most := w.sc.Nodes.MaxConnections; most > 0 && n.open >= most {
+	if limit := sim.scenario.Nodes.MaxConnections; limit > 0 && n.openConns >= limit {
 		att.end(logic.ConnectFailed, nil, 0)
 		return
 	}
-	n.open++
-	att.conn = true
-	n.opening = append(slices.DeleteFunc(n.opening, func(a *attempt) bool { return a.begun || a.over }), att)
-	w.handshakes++
-	if b.state == Silent || w.lost(n.zone, b.zone) || w.lost(b.zone, n.zone) {
-		w.after(w.sc.Conns.ConnectTimeoutMS.ms(), func() { att.endNow(logic.ConnectFailed, nil) })
+	n.openConns++
+	att.holdsConn = true
+	n.connecting = append(slices.DeleteFunc(n.connecting, func(a *attempt) bool { return a.written || a.ended }), att)
+	sim.handshakes++
+	if b.state == Silent || sim.partitioned(n.zone, b.zone) || sim.partitioned(b.zone, n.zone) {
+		sim.scheduleAfter(sim.scenario.Conns.ConnectTimeoutMS.ms(), func() { att.endNow(logic.ConnectFailed, nil) })
 		return
 	}
-	trips := time.Duration(2 * w.sc.Conns.HandshakeRTTs.From * float64(way))
-	w.after(trips, func() {
-		switch most := b.connCap(); {
-		case att.over:
+	trips := time.Duration(2 * sim.scenario.Conns.HandshakeRTTs.From * float64(delay))
+	sim.scheduleAfter(trips, func() {
+		switch limit := b.maxConns(); {
+		case att.ended:
 		case b.state == Silent:
-			w.after(w.sc.Conns.ConnectTimeoutMS.ms(), func() { att.endNow(logic.ConnectFailed, nil) })
-		case b.state == Down || most > 0 && b.conns >= most:
+			sim.scheduleAfter(sim.scenario.Conns.ConnectTimeoutMS.ms(), func() { att.endNow(logic.ConnectFailed, nil) })
+		case b.state == Down || limit > 0 && b.openConns >= limit:
 			att.endNow(logic.ConnectFailed, nil)
 		default:
-			b.set(func() { b.conns++ })
-			att.process, att.begun = b.epoch, true
-			w.after(way, func() { att.reach(w.sc.Conns.HandshakeWorkUS.From / 1e6) })
+			b.update(func() { b.openConns++ })
+			att.processEpoch, att.written = b.processEpoch, true
+			sim.scheduleAfter(delay, func() { att.arrive(sim.scenario.Conns.HandshakeWorkUS.From / 1e6) })
 		}
 	})
 }
 
-// sent counts the attempt, and tells the auditor of it.
-func (a *attempt) sent() {
-	w, n, b, t := a.n.w, a.n, a.b, a.try
-	w.sends++
-	if t.sends++; t.sends > 1 {
-		w.resent++
+// recordSend counts the attempt and reports it to the auditor.
+func (a *attempt) recordSend() {
+	sim, n, b, request := a.node.sim, a.node, a.backend, a.request
+	sim.attempts++
+	if request.attempts++; request.attempts > 1 {
+		sim.retries++
 	}
-	if b.warmth() < 1 {
-		w.toCold++
+	if b.warmFraction() < 1 {
+		sim.sendsToCold++
 	}
-	if n.gone[b.id] {
-		w.stale++
+	if n.toldGone[b.id] {
+		sim.staleSends++
 	}
 	if b.zone != n.zone {
-		w.crossings++
+		sim.crossZoneSends++
 	}
-	w.audit.Sent(w.now, n.no, t.id, string(b.id), w.sc.Zones[b.zone].Name, b.cell)
+	sim.auditor.Sent(sim.now, n.number, request.id, string(b.id), sim.scenario.Zones[b.zone].Name, b.cell)
 }
 
-// reach has the attempt's last byte come to the backend.
-func (a *attempt) reach(opening float64) {
-	switch b := a.b; {
+// arrive delivers the attempt's last byte to the backend.
+func (a *attempt) arrive(connectWork float64) {
+	switch b := a.backend; {
 	case b.state == Silent:
-	case b.state == Down || b.epoch != a.process:
+	case b.state == Down || b.processEpoch != a.processEpoch:
 		a.end(logic.Reset, nil, 0)
 	default:
-		b.arrive(a, opening)
+		b.receive(a, connectWork)
 	}
 }
 
-// end has the node hear how the attempt ended, once the way back and a further
-// time have passed.
+// end delivers the result of the attempt to the node, after the network delay and an additional
+// delay.
 func (a *attempt) end(r logic.Result, report []float64, more time.Duration) {
-	if a.over {
+	if a.ended {
 		return
 	}
 	if a.reply != nil {
-		a.live(r, report, more)
+		a.replyOverSocket(r, report, more)
 		return
 	}
-	if a.begun && a.n.w.loses(a.b.zone, a.n.zone) {
-		return // the answer is lost on its way: the attempt times out
+	if a.written && a.node.sim.dropIfPartitioned(a.backend.zone, a.node.zone) {
+		return // the response is lost: the attempt times out
 	}
-	a.n.w.after(more+a.n.w.delay(a.b.zone, a.n.zone), func() { a.endNow(r, report) })
+	a.node.sim.scheduleAfter(more+a.node.sim.networkDelay(a.backend.zone, a.node.zone), func() { a.endNow(r, report) })
 }
 
-// endNow ends the attempt at the node's side.
+// endNow ends the attempt at the node.
 func (a *attempt) endNow(r logic.Result, report []float64) {
-	if a.over {
+	if a.ended {
 		return
 	}
-	a.over = true
-	w, n := a.n.w, a.n
-	if n.epoch != a.epoch { // its node has died and taken the connection along
-		if a.begun {
-			a.b.closeConn(a.process)
+	a.ended = true
+	sim, n := a.node.sim, a.node
+	if n.epoch != a.nodeEpoch { // the node died, and its connection with it
+		if a.written {
+			a.backend.closeConn(a.processEpoch)
 		}
 		return
 	}
 	keep := r == logic.OK || r == logic.Failed || r == logic.QueueFull
-	if a.conn {
+	if a.holdsConn {
 		a.release(keep)
 	}
-	at := w.now
-	n.tell(at, func() {
+	at := sim.now
+	n.schedule(at, func() {
 		never := r == logic.QueueFull || r == logic.ConnectFailed || r == logic.NotSent
-		n.effect(func() { w.audit.Ended(w.now, a.try.id, string(a.b.id), never, resultNames[r]) })
-		a.done(core.AttemptResult{Result: r, Reply: a.try, LoadReport: report, At: w.timeAt(at)})
+		n.effect(func() { sim.auditor.Ended(sim.now, a.request.id, string(a.backend.id), never, resultNames[r]) })
+		a.done(core.AttemptResult{Result: r, Reply: a.request, LoadReport: report, At: sim.wallTimeAt(at)})
 	})
 }
 
+// resultNames are the texts of results in the auditor's event lists.
 var resultNames = [...]string{logic.OK: "ended ok", logic.Failed: "ended with an error", logic.QueueFull: "turned away",
 	logic.TimedOut: "timed out", logic.ConnectFailed: "could not connect", logic.Reset: "reset",
 	logic.Canceled: "canceled", logic.NotSent: "moot"}
 
-// release gives its connection back, or closes it.
+// release returns the attempt's connection to the idle pool, or closes it.
 func (a *attempt) release(keep bool) {
-	n, b := a.n, a.b
-	if keep && b.epoch == a.process && b.state == Up {
-		p := n.pool[b.no]
-		if p == nil || p.epoch != b.epoch {
+	n, b := a.node, a.backend
+	if keep && b.processEpoch == a.processEpoch && b.state == Up {
+		p := n.idle[b.number]
+		if p == nil || p.processEpoch != b.processEpoch {
 			if p != nil {
-				n.open -= len(p.since)
+				n.openConns -= len(p.idleSince)
 			}
-			p = &idleConns{epoch: b.epoch}
-			n.pool[b.no] = p
+			p = &idleConns{processEpoch: b.processEpoch}
+			n.idle[b.number] = p
 		}
-		p.since = append(p.since, n.w.now)
+		p.idleSince = append(p.idleSince, n.sim.now)
 		return
 	}
-	n.open--
-	if a.begun {
-		b.closeConn(a.process)
+	n.openConns--
+	if a.written {
+		b.closeConn(a.processEpoch)
 	}
 }
 
+// closeConn closes a connection to a process of the backend.
 func (b *backend) closeConn(process int) {
-	if b.epoch == process && b.conns > 0 {
-		b.set(func() { b.conns-- })
+	if b.processEpoch == process && b.openConns > 0 {
+		b.update(func() { b.openConns-- })
 	}
 }
 
+// timeOut ends the attempt at its deadline.
 func (a *attempt) timeOut() {
-	if a.over {
+	if a.ended {
 		return
 	}
 	r := logic.TimedOut
-	if !a.begun {
+	if !a.written {
 		r = logic.ConnectFailed
 	}
 	a.endNow(r, nil)
-	a.b.dropped(a)
+	a.backend.cancel(a)
 }
 
+// cancel ends the attempt at the node's request.
 func (a *attempt) cancel() {
-	if a.over {
+	if a.ended {
 		return
 	}
 	a.endNow(logic.Canceled, nil)
-	a.b.dropped(a)
+	a.backend.cancel(a)
 }
 
-// Withdraw is core.Backends.
+// Withdraw ends attempts that have not written anything. It implements core.Backends.
 func (n *node) Withdraw(at core.Instance) {
 	n.effect(func() {
-		b := n.w.byEndpoint[at.Endpoint]
-		for _, a := range n.opening {
-			if a.b == b && !a.begun {
+		b := n.sim.byEndpoint[at.Endpoint]
+		for _, a := range n.connecting {
+			if a.backend == b && !a.written {
 				a.endNow(logic.NotSent, nil)
 			}
 		}
 	})
 }
 
-// CloseIdle is core.Backends.
+// CloseIdle closes the idle connections to an instance. It implements core.Backends.
 func (n *node) CloseIdle(at core.Instance) { n.effect(func() { n.closeIdle(at) }) }
 
 func (n *node) closeIdle(at core.Instance) {
-	b := n.w.byEndpoint[at.Endpoint]
+	b := n.sim.byEndpoint[at.Endpoint]
 	if b == nil {
 		return
 	}
-	if p := n.pool[b.no]; p != nil {
-		n.open -= len(p.since)
-		if p.epoch == b.epoch && len(p.since) > 0 {
-			b.set(func() { b.conns -= len(p.since) })
+	if p := n.idle[b.number]; p != nil {
+		n.openConns -= len(p.idleSince)
+		if p.processEpoch == b.processEpoch && len(p.idleSince) > 0 {
+			b.update(func() { b.openConns -= len(p.idleSince) })
 		}
-		delete(n.pool, b.no)
+		delete(n.idle, b.number)
 	}
 }
 
-// Subscribe is core.Registry.
-func (n *node) Subscribe() { n.effect(func() { n.w.disc.call(n, true) }) }
+// Subscribe implements core.Registry.
+func (n *node) Subscribe() { n.effect(func() { n.sim.discovery.serveCall(n, true) }) }
 
-// Fetch is core.Registry.
-func (n *node) Fetch() { n.effect(func() { n.w.disc.call(n, false) }) }
+// Fetch implements core.Registry.
+func (n *node) Fetch() { n.effect(func() { n.sim.discovery.serveCall(n, false) }) }
 
-// entry is a backend as the registry tells it.
-func (b *backend) entry(st logic.ServerState) core.Backend {
-	return core.Backend{Endpoint: "b" + strconv.Itoa(b.no), Server: logic.Server{
-		ID: b.id, Capacity: b.weight, State: st, StartedAt: b.w.unix(b.born), Kind: b.kind.Name, Zone: b.w.sc.Zones[b.zone].Name, Cell: b.cell,
+// listEntry returns the backend as the registry lists it.
+func (b *backend) listEntry(state logic.ServerState) core.Backend {
+	return core.Backend{Endpoint: "b" + strconv.Itoa(b.number), Server: logic.Server{
+		ID: b.id, Capacity: b.weight, State: state, StartedAt: b.sim.sinceUnixEpoch(b.startedAt), Kind: b.kind.Name, Zone: b.sim.scenario.Zones[b.zone].Name, Cell: b.cell,
 	}}
 }
--- a/internal/emulator/peers.go
+++ b/internal/emulator/peers.go
@@ -12,98 +12,99 @@
 	"pipitmux/internal/peers"
 )
 
-// Peers is how the nodes talk to each other.
+// PeerNetwork describes the traffic between the nodes.
 type PeerNetwork struct {
-	BytesPerSecond Range `yaml:"bytes_per_s"` // that a node may send; 0: they don't talk
-	Loss           Range `yaml:"loss"`        // part of the datagrams
-	Duplicates     Range `yaml:"twice"`       // part that comes twice
-	DelayMS        Range `yaml:"delay_ms"`    // one way, beside the network's own
-	SpreadMS       Range `yaml:"spread_ms"`   // and up to so much more, evenly: later ones overtake
+	BytesPerSecond Range `yaml:"bytes_per_s"` // limit per node; 0: the nodes do not talk
+	Loss           Range `yaml:"loss"`        // fraction of the datagrams that are lost
+	Duplicates     Range `yaml:"twice"`       // fraction that is delivered twice
+	DelayMS        Range `yaml:"delay_ms"`    // one way, in addition to the network's delay
+	SpreadMS       Range `yaml:"spread_ms"`   // additional uniform delay, up to this; datagrams may overtake each other
 }
 
-// MembersResult is how well the nodes knew who was there.
+// MembershipResult tells how well the nodes knew which of them were alive.
 type MembershipResult struct {
-	// From a node's death, or the other's start if that is later, until the other took it for
-	// gone, over those pairs.
+	// Time from a node's death, or from the observer's start if that is later, until the observer
+	// considered it gone, over all such pairs.
 	DetectMSP50 float64 `json:"detect_ms_p50"`
 	DetectMSP99 float64 `json:"detect_ms_p99"`
 	Detected    int     `json:"detected"`
-	Undetected  int     `json:"undetected"` // pairs in which the dead one is not gone at the end
-	// Nodes that lived and could be heard, on whatever way, taken for suspect or gone.
+	Undetected  int     `json:"undetected"` // pairs at the end in which the dead node is not considered gone
+	// Nodes that were alive and could be heard, directly or through others, but were considered
+	// suspect or gone.
 	FalseSuspicions int     `json:"false_suspicions"`
 	FalseGone       int     `json:"false_gone"`
-	Disagreements   int     `json:"disagree"` // pairs at the end in which a living one is not there
+	Disagreements   int     `json:"disagree"` // pairs at the end in which a live node is not considered alive
 	BytesPerSecond  float64 `json:"bytes_per_s"`
 }
 
-// ways is what becomes of the datagrams between nodes. Relays ask it as well: it is safe for
-// concurrent use.
-type ways struct {
-	zones []int // of the nodes
-	least time.Duration
-	same  time.Duration // the network's own
-	cross time.Duration
-	more  time.Duration
-	twice float64
+// datagramNetwork decides the fate of the datagrams between nodes. It is safe for concurrent use,
+// because relays of a live run call it, too.
+type datagramNetwork struct {
+	zones          []int // zone of each node
+	extraDelay     time.Duration
+	sameZoneDelay  time.Duration // the network's own delays
+	crossZoneDelay time.Duration
+	delaySpread    time.Duration
+	duplicateShare float64
 
-	mu   sync.Mutex
-	rng  *rand.Rand
-	loss float64
-	cuts map[[2]int]int // from zone to zone
+	mu         sync.Mutex
+	rng        *rand.Rand
+	loss       float64
+	partitions map[[2]int]int // active partitions from zone to zone
 }
 
-func newWays(sc *Scenario, nodes []*node, seed uint64) *ways {
-	w := &ways{least: sc.Peers.DelayMS.ms(), same: sc.Net.SameMS.ms(), cross: sc.Net.CrossMS.ms(), more: sc.Peers.SpreadMS.ms(),
-		twice: sc.Peers.Duplicates.From, loss: sc.Peers.Loss.From, cuts: map[[2]int]int{}, rng: rand.New(rand.NewPCG(seed, 6))}
+func newDatagramNetwork(scenario *Scenario, nodes []*node, seed uint64) *datagramNetwork {
+	network := &datagramNetwork{extraDelay: scenario.Peers.DelayMS.ms(), sameZoneDelay: scenario.Net.SameMS.ms(), crossZoneDelay: scenario.Net.CrossMS.ms(), delaySpread: scenario.Peers.SpreadMS.ms(),
+		duplicateShare: scenario.Peers.Duplicates.From, loss: scenario.Peers.Loss.From, partitions: map[[2]int]int{}, rng: rand.New(rand.NewPCG(seed, 6))}
 	for _, n := range nodes {
-		w.zones = append(w.zones, n.zone)
+		network.zones = append(network.zones, n.zone)
 	}
-	return w
+	return network
 }
 
-// fate tells what becomes of a datagram: how long each copy takes, none: it is lost.
-func (w *ways) fate(from, to int) []time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	at := [2]int{w.zones[from], w.zones[to]}
-	if w.rng.Float64() < w.loss || w.cuts[at] > 0 {
+// copyDelays returns the delay of each copy of a datagram that arrives; none if it is lost.
+func (network *datagramNetwork) copyDelays(from, to int) []time.Duration {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	at := [2]int{network.zones[from], network.zones[to]}
+	if network.rng.Float64() < network.loss || network.partitions[at] > 0 {
 		return nil
 	}
 	takes := func() time.Duration {
-		d := w.least + w.same
+		d := network.extraDelay + network.sameZoneDelay
 		if at[0] != at[1] {
-			d = w.least + w.cross
+			d = network.extraDelay + network.crossZoneDelay
 		}
-		return d + time.Duration(w.rng.Float64()*float64(w.more))
+		return d + time.Duration(network.rng.Float64()*float64(network.delaySpread))
 	}
-	if w.rng.Float64() < w.twice {
+	if network.rng.Float64() < network.duplicateShare {
 		return []time.Duration{takes(), takes()}
 	}
 	return []time.Duration{takes()}
 }
 
-// cut begins (1) or heals (-1) a cut of what one zone sends to another.
-func (w *ways) cut(from, to, by int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cuts[[2]int{from, to}] += by
+// adjustPartition starts (1) or heals (-1) a partition that drops what one zone sends to another.
+func (network *datagramNetwork) adjustPartition(from, to, by int) {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	network.partitions[[2]int{from, to}] += by
 }
 
-// lossy adds to the part that is lost.
-func (w *ways) lossy(by float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.loss += by
+// addLoss adds to the fraction of datagrams that are lost.
+func (network *datagramNetwork) addLoss(by float64) {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	network.loss += by
 }
 
-// hears tells whether what a zone says can come to another, by way of the zones of some.
-func (w *ways) hears(from, to int, by []bool) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// reachable reports whether messages of a zone reach another, directly or through relayZones.
+func (network *datagramNetwork) reachable(from, to int, relayZones []bool) bool {
+	network.mu.Lock()
+	defer network.mu.Unlock()
 	reached := []int{from}
 	for i := 0; i < len(reached); i++ {
-		for z, there := range by {
-			if there && w.cuts[[2]int{reached[i], z}] == 0 && !slices.Contains(reached, z) {
+		for z, there := range relayZones {
+			if there && network.partitions[[2]int{reached[i], z}] == 0 && !slices.Contains(reached, z) {
 				reached = append(reached, z)
 			}
 		}
@@ -111,58 +112,61 @@
 	return slices.Contains(reached, to)
 }
 
-// tier is the nodes' talk and what came of it. In a live day the nodes themselves talk.
-type tier struct {
-	w     *world
-	ways  *ways
-	net   *gossip.Network
-	rng   *rand.Rand // a source of its own: without talk a day stays what it is
-	nodes []talker
-	bytes int
-	alive time.Duration // of all nodes that have died since
-	took  []time.Duration
-	sum   MembershipResult
+// peerNetwork runs the membership protocol of the nodes and records its results. In a live run the
+// nodes run it themselves.
+type peerNetwork struct {
+	sim            *simulation
+	datagrams      *datagramNetwork
+	transport      *gossip.Network
+	rng            *rand.Rand // a source of its own, so that runs without peers draw the same figures
+	nodes          []peerState
+	bytesSent      int
+	pastUptime     time.Duration // of all processes that have ended
+	detectionTimes []time.Duration
+	totals         MembershipResult
 }
 
-// talker is one node's part in it.
-type talker struct {
-	port  *gossip.Memory
-	takes map[int]member.State // by number, of the others
-	since time.Duration        // when it began or died
-	alive bool
+// peerState is one node's part in the peer network.
+type peerState struct {
+	port      *gossip.Memory
+	states    map[int]member.State // its view of the others, by number
+	changedAt time.Duration        // its last start or death
+	alive     bool
 }
 
-// tellEvery is how often a node looks at what is due, as peers.Run does.
-const tellEvery = 50 * time.Millisecond
+// peerTickInterval is the interval between two ticks of a node, the same as in peers.Run.
+const peerTickInterval = 50 * time.Millisecond
 
-func newTier(w *world, seed uint64) *tier {
-	if w.sc.Peers.BytesPerSecond.From == 0 {
+// newPeerNetwork returns the peer network of a run, nil if the nodes do not talk.
+func newPeerNetwork(sim *simulation, seed uint64) *peerNetwork {
+	if sim.scenario.Peers.BytesPerSecond.From == 0 {
 		return nil
 	}
-	t := &tier{w: w, ways: newWays(w.sc, w.nodes, seed), rng: rand.New(rand.NewPCG(seed, 7)), nodes: make([]talker, len(w.nodes))}
-	t.net = gossip.NewNetwork(nil)
-	t.net.Pace(func(from, to string) []time.Duration { return t.ways.fate(nodeNo(from), nodeNo(to)) }, w.after)
-	return t
+	p := &peerNetwork{sim: sim, datagrams: newDatagramNetwork(sim.scenario, sim.nodes, seed), rng: rand.New(rand.NewPCG(seed, 7)), nodes: make([]peerState, len(sim.nodes))}
+	p.transport = gossip.NewNetwork(nil)
+	p.transport.Pace(func(from, to string) []time.Duration { return p.datagrams.copyDelays(nodeNumber(from), nodeNumber(to)) }, sim.scheduleAfter)
+	return p
 }
 
-func nodeNo(addr string) int {
-	n, _ := strconv.Atoi(addr) // the tier's own addresses
+// nodeNumber returns the number of the node at an address.
+func nodeNumber(addr string) int {
+	n, _ := strconv.Atoi(addr) // addresses are assigned here, so they are always numbers
 	return n
 }
 
-// began has a node talk that has started, from nothing. A nil tier is a day without talk.
-func (t *tier) began(n *node) {
-	if t == nil {
+// nodeStarted starts the protocol of a node without any state. A nil peerNetwork does nothing.
+func (p *peerNetwork) nodeStarted(n *node) {
+	if p == nil {
 		return
 	}
-	k := &t.nodes[n.no]
-	*k = talker{takes: map[int]member.State{}, since: t.w.now, alive: true}
-	if t.w.live != nil {
+	peer := &p.nodes[n.number]
+	*peer = peerState{states: map[int]member.State{}, changedAt: p.sim.now, alive: true}
+	if p.sim.live != nil {
 		return
 	}
-	circle, were := peers.NewCircle(n.no, len(t.nodes), t.w.sc.Peers.BytesPerSecond.From, rand.New(rand.NewPCG(t.rng.Uint64(), 1))), map[member.ID]member.State{}
-	k.port = t.net.ListenFunc(strconv.Itoa(n.no), func(from string, text []byte) {
-		t.say(n.no, circle.Heard(t.w.now, nodeNo(from), text))
+	circle, lastStates := peers.NewCircle(n.number, len(p.nodes), p.sim.scenario.Peers.BytesPerSecond.From, rand.New(rand.NewPCG(p.rng.Uint64(), 1))), map[member.ID]member.State{}
+	peer.port = p.transport.ListenFunc(strconv.Itoa(n.number), func(from string, text []byte) {
+		p.send(n.number, circle.Heard(p.sim.now, nodeNumber(from), text))
 	})
 	epoch := n.epoch
 	var tick func()
@@ -170,102 +174,102 @@
 		if n.epoch != epoch {
 			return
 		}
-		t.say(n.no, circle.Tick(t.w.now))
-		for _, c := range circle.Changes(were) {
-			t.takes(n.no, c.Number, c.State)
+		p.send(n.number, circle.Tick(p.sim.now))
+		for _, c := range circle.Changes(lastStates) {
+			p.recordState(n.number, c.Number, c.State)
 		}
-		t.w.after(tellEvery, tick)
+		p.sim.scheduleAfter(peerTickInterval, tick)
 	}
-	t.w.after(time.Duration(t.rng.Float64()*float64(tellEvery)), tick)
+	p.sim.scheduleAfter(time.Duration(p.rng.Float64()*float64(peerTickInterval)), tick)
 }
 
-// say sends what a node has to say.
-func (t *tier) say(from int, all []peers.Datagram) {
+// send sends a node's datagrams.
+func (p *peerNetwork) send(from int, all []peers.Datagram) {
 	for _, d := range all {
-		t.sent(len(d.Text))
-		t.nodes[from].port.Send(strconv.Itoa(d.To), d.Text)
+		p.countBytes(len(d.Text))
+		p.nodes[from].port.Send(strconv.Itoa(d.To), d.Text)
 	}
 }
 
-// sent counts bytes that a node sent.
-func (t *tier) sent(bytes int) { t.bytes += bytes }
+// countBytes counts bytes that a node sent.
+func (p *peerNetwork) countBytes(bytes int) { p.bytesSent += bytes }
 
-// died ends a node's talk.
-func (t *tier) died(n *node) {
-	if t == nil {
+// nodeDied ends the protocol of a node.
+func (p *peerNetwork) nodeDied(n *node) {
+	if p == nil {
 		return
 	}
-	k := &t.nodes[n.no]
-	if k.alive {
-		t.alive += t.w.now - k.since
+	peer := &p.nodes[n.number]
+	if peer.alive {
+		p.pastUptime += p.sim.now - peer.changedAt
 	}
-	if k.port != nil {
-		k.port.Close()
+	if peer.port != nil {
+		peer.port.Close()
 	}
-	*k = talker{since: t.w.now}
+	*peer = peerState{changedAt: p.sim.now}
 }
 
-// takes tells what a node now takes another for.
-func (t *tier) takes(by, about int, s member.State) {
-	if by == about || by >= len(t.nodes) || about >= len(t.nodes) || about < 0 || !t.nodes[by].alive {
+// recordState records that a node considers another to be in a state.
+func (p *peerNetwork) recordState(by, about int, s member.State) {
+	if by == about || by >= len(p.nodes) || about >= len(p.nodes) || about < 0 || !p.nodes[by].alive {
 		return
 	}
-	t.nodes[by].takes[about] = s
+	p.nodes[by].states[about] = s
 	if s == member.There {
 		return
 	}
-	if k := &t.nodes[about]; !k.alive {
-		if s == member.Gone && k.since > 0 {
-			t.took = append(t.took, t.w.now-max(k.since, t.nodes[by].since))
+	if peer := &p.nodes[about]; !peer.alive {
+		if s == member.Gone && peer.changedAt > 0 {
+			p.detectionTimes = append(p.detectionTimes, p.sim.now-max(peer.changedAt, p.nodes[by].changedAt))
 		}
 		return
 	}
-	there := make([]bool, len(t.w.sc.Zones)) // zones with a node that could pass it on
-	for no := range t.nodes {
-		there[t.ways.zones[no]] = there[t.ways.zones[no]] || t.nodes[no].alive
+	zoneAlive := make([]bool, len(p.sim.scenario.Zones)) // zones with a live node, which can relay
+	for number := range p.nodes {
+		zoneAlive[p.datagrams.zones[number]] = zoneAlive[p.datagrams.zones[number]] || p.nodes[number].alive
 	}
-	if a, b := t.ways.zones[about], t.ways.zones[by]; !t.ways.hears(a, b, there) || !t.ways.hears(b, a, there) {
+	if a, b := p.datagrams.zones[about], p.datagrams.zones[by]; !p.datagrams.reachable(a, b, zoneAlive) || !p.datagrams.reachable(b, a, zoneAlive) {
 		return
 	}
 	if s == member.Gone {
-		t.sum.FalseGone++
+		p.totals.FalseGone++
 	} else {
-		t.sum.FalseSuspicions++
+		p.totals.FalseSuspicions++
 	}
 }
 
-// result sums up.
-func (t *tier) result() *MembershipResult {
-	if t == nil {
+// result returns the totals, nil if the nodes do not talk.
+func (p *peerNetwork) result() *MembershipResult {
+	if p == nil {
 		return nil
 	}
-	r := t.sum
-	alive := t.alive
-	for by := range t.nodes {
-		if !t.nodes[by].alive {
+	r := p.totals
+	alive := p.pastUptime
+	for by := range p.nodes {
+		if !p.nodes[by].alive {
 			continue
 		}
-		alive += t.w.now - t.nodes[by].since
-		for about := range t.nodes {
-			s := t.nodes[by].takes[about]
-			switch k := &t.nodes[about]; {
+		alive += p.sim.now - p.nodes[by].changedAt
+		for about := range p.nodes {
+			s := p.nodes[by].states[about]
+			switch peer := &p.nodes[about]; {
 			case about == by:
-			case !k.alive && s != member.Gone:
+			case !peer.alive && s != member.Gone:
 				r.Undetected++
-			case k.alive && s != member.There:
+			case peer.alive && s != member.There:
 				r.Disagreements++
 			}
 		}
 	}
-	if r.Detected = len(t.took); r.Detected > 0 {
-		slices.Sort(t.took)
+	if r.Detected = len(p.detectionTimes); r.Detected > 0 {
+		slices.Sort(p.detectionTimes)
 		at := func(q float64) float64 {
-			return float64(t.took[int(q*float64(len(t.took)-1))].Milliseconds())
+			return float64(p.detectionTimes[int(q*float64(len(p.detectionTimes)-1))].Milliseconds())
 		}
 		r.DetectMSP50, r.DetectMSP99 = at(0.5), at(0.99)
 	}
 	if alive > 0 {
-		r.BytesPerSecond = round6(float64(t.bytes) / alive.Seconds())
+		r.BytesPerSecond = round6(float64(p.bytesSent) / alive.Seconds())
 	}
 	return &r
 }
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// event is something that happens at an instant. Events of one instant happen
-// in the order of their ranks, then in the order in which they were planned.
+// event is something that happens at an instant. Events of the same instant run by rank, then in
+// the order in which they were scheduled.
 type event struct {
-	at   time.Duration
-	rank uint64 // 1 bit rank, 63 bits order
-	do   func()
-	n    *node // whose event it is: it touches nothing else but by effects
+	at    time.Duration
+	order uint64 // 1 bit rank, 63 bits sequence number
+	run   func()
+	node  *node // of a node's event: it changes nothing outside the node except by effects
 }
 
-// late marks an event that comes after all others of its instant: a timer goes
-// behind what has come in, as in a node.
-const late = 1 << 63
+// afterOthers is the rank of an event that runs after all others of its instant. Timers fire
+// after the input of the same instant has been handled, as in a real node.
+const afterOthers = 1 << 63
 
-// queue is a heap of events with four children a node: flatter than two, and so
-// quicker where most events are planned near the front.
-type queue struct {
-	heap []event
-	seq  uint64
+// eventQueue is a 4-ary heap of events. It is flatter than a binary heap and thus faster when
+// most events are scheduled near the front.
+type eventQueue struct {
+	heap     []event
+	sequence uint64
 }
 
 func (e *event) before(o *event) bool {
-	return e.at < o.at || e.at == o.at && e.rank < o.rank
+	return e.at < o.at || e.at == o.at && e.order < o.order
 }
 
-func (q *queue) push(at time.Duration, rank uint64, n *node, do func()) {
-	q.seq++
-	e := event{at, rank | q.seq, do, n}
+func (q *eventQueue) push(at time.Duration, rank uint64, n *node, do func()) {
+	q.sequence++
+	e := event{at, rank | q.sequence, do, n}
 	h := append(q.heap, e)
 	i := len(h) - 1
 	for i > 0 {
@@ -43,7 +43,7 @@
 	q.heap = h
 }
 
-func (q *queue) pop() event {
+func (q *eventQueue) pop() event {
 	h := q.heap
 	top, last := h[0], h[len(h)-1]
 	h[len(h)-1] = event{}
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -13,260 +13,272 @@
 	"pipitmux/internal/latency"
 )
 
-// ClassResult is what became of one class.
+// ClassResult is the result of one class of requests.
 type ClassResult struct {
 	Operations int `json:"asked"`
 	Served     int `json:"served"`
 	WithinAim  int `json:"in_aim"`
-	// Refused counts operations whose last try was refused, by which the client gave up.
+	// Rejected counts operations whose last request was rejected, so that the client gave up.
 	Rejected int     `json:"refused"`
 	Score    float64 `json:"g"`
 }
 
-// Second is one second of the day, by the operations that began in it.
+// SecondStats describes one second of the run, by the operations that began in it.
 type SecondStats struct {
-	OfferedWorth float64 `json:"asked"` // worth
+	OfferedWorth float64 `json:"asked"`
 	EarnedWorth  float64 `json:"won"`
 	IdealWorth   float64 `json:"ideal"` // worth that the capacity of the backends that were up allows
 }
 
-// Result is what a day came to. It holds no figure of the machine it ran on:
-// two runs of one scenario and seed are equal to the byte.
+// Result is the result of a run. It contains nothing about the machine that it ran on: two runs of
+// the same scenario and seed give the same bytes.
 type Result struct {
 	Scenario          string                       `json:"scenario"`
 	Policy            string                       `json:"policy"`
 	Seed              uint64                       `json:"seed"`
 	Nodes             int                          `json:"nodes"`
 	Backends          int                          `json:"backends"`
-	Operations        int                          `json:"reqs"`  // operations of clients
-	ClientRequests    int                          `json:"tries"` // requests that they made of them
+	Operations        int                          `json:"reqs"`  // of clients
+	ClientRequests    int                          `json:"tries"` // sent for the operations
 	Score             float64                      `json:"g"`
-	ScoreParts        map[string]float64           `json:"parts"`      // of g: what it is mixed of, and the prices
-	LatencyMS         map[string]latency.Quantiles `json:"latency_ms"` // of what was served, from the first try on
+	ScoreParts        map[string]float64           `json:"parts"`      // weighted parts and penalties
+	LatencyMS         map[string]latency.Quantiles `json:"latency_ms"` // of served operations, from the first request on
 	Classes           map[string]ClassResult       `json:"classes"`
 	Answers           map[string]int               `json:"answers"` // of nodes, by kind
 	Attempts          int                          `json:"attempts"`
 	Retries           int                          `json:"retries"` // attempts beyond the first of a request
 	SendsToCold       int                          `json:"sends_to_cold"`
 	ConnectionsOpened int                          `json:"connections_opened"`
-	CongestionCount   int                          `json:"crowded"`      // times that a backend became so
-	LostInPartitions  int                          `json:"lost_in_cuts"` // requests and answers
-	StaleSends        int                          `json:"stale_sends"`  // to a backend that its node had once been told was gone
+	CongestionCount   int                          `json:"crowded"`      // times that a backend became congested
+	LostInPartitions  int                          `json:"lost_in_cuts"` // requests and responses
+	StaleSends        int                          `json:"stale_sends"`  // to a backend that the node had been told was gone
 	Rules             *audit.Report                `json:"rules"`
 	Violations        []audit.Broken               `json:"broken,omitempty"`
-	Events            int                          `json:"events"` // emulated
+	Events            int                          `json:"events"` // events of the emulator
 	FaultEvents       []FaultEvent                 `json:"happened"`
 	Seconds           []SecondStats                `json:"seconds"`
 	Membership        *MembershipResult            `json:"members,omitempty"`
 }
 
-// tally counts what clients got.
-type tally struct {
-	w       *world
-	seconds []SecondStats
-	asks    map[*Class]*classTally
-	answers [4]int
-	lateEnd float64 // worth of what ended unserved after its aim
-	worth   float64
-	start   time.Duration
-	able    []float64       // by second: seconds of work that the backends could do
-	came    [][]classDemand // by second and class
+// statistics counts the results that clients got.
+type statistics struct {
+	sim               *simulation
+	seconds           []SecondStats
+	classes           map[*Class]*classStatistics
+	answers           [4]int
+	lateUnservedWorth float64 // worth of operations that ended unserved after their aim
+	offeredWorth      float64
+	start             time.Duration
+	capacity          []float64       // by second: work that the backends could do, in seconds on a standard core
+	demand            [][]classDemand // by second and class
 }
 
-// classDemand is what came of one class within a second.
+// classDemand is the demand of one class within a second.
 type classDemand struct{ worth, work float64 }
 
-// lookEvery is how often the backends' capacity is looked at.
-const lookEvery = 100 * time.Millisecond
+// capacitySampleInterval is the interval between samples of the backends' capacity.
+const capacitySampleInterval = 100 * time.Millisecond
 
-// look adds up what the backends that are up can do, until the clients have gone. What a
-// policy has crowded counts as if it had not.
-func (t *tally) look() {
-	if t.w.now >= t.w.traffic.until {
+// sampleCapacity adds up the capacity of the backends that are up, until arrivals end. Congestion
+// that a policy caused does not reduce it.
+func (stats *statistics) sampleCapacity() {
+	if stats.sim.now >= stats.sim.traffic.end {
 		return
 	}
 	sum := 0.0
-	for _, b := range t.w.backends {
-		if b.state == Up && !b.draining && b.hanging == 0 && !b.paused {
-			sum += b.bearable() / b.slow * (1 - b.failing)
+	for _, b := range stats.sim.backends {
+		if b.state == Up && !b.draining && b.hangs == 0 && !b.paused {
+			sum += b.warmCapacity() / b.slowdown * (1 - b.errorShare)
 		}
 	}
-	if i := int((t.w.now - t.start) / time.Second); t.w.now >= t.start {
-		for len(t.able) <= i {
-			t.able = append(t.able, 0)
+	if i := int((stats.sim.now - stats.start) / time.Second); stats.sim.now >= stats.start {
+		for len(stats.capacity) <= i {
+			stats.capacity = append(stats.capacity, 0)
 		}
-		t.able[i] += sum * lookEvery.Seconds()
+		stats.capacity[i] += sum * capacitySampleInterval.Seconds()
 	}
-	t.w.after(lookEvery, t.look)
+	stats.sim.scheduleAfter(capacitySampleInterval, stats.sampleCapacity)
 }
 
-// ideal is the worth of a second's requests that its capacity allows, the most worth for
-// its work first.
-func ideal(came []classDemand, able float64) (worth float64) {
-	came = slices.Clone(came)
-	slices.SortFunc(came, func(a, b classDemand) int { return cmp.Compare(b.worth*a.work, a.worth*b.work) })
-	for _, c := range came {
+// idealWorth returns the worth of a second's demand that a capacity allows if the requests with the
+// most worth per work are served first.
+func idealWorth(demand []classDemand, capacity float64) (worth float64) {
+	demand = slices.Clone(demand)
+	slices.SortFunc(demand, func(a, b classDemand) int { return cmp.Compare(b.worth*a.work, a.worth*b.work) })
+	for _, c := range demand {
 		if c.work > 0 {
-			part := min(able/c.work, 1)
-			worth, able = worth+part*c.worth, able-part*c.work
+			part := min(capacity/c.work, 1)
+			worth, capacity = worth+part*c.worth, capacity-part*c.work
 		}
 	}
 	return worth
 }
 
-type classTally struct {
+// classStatistics counts the results of one class.
+type classStatistics struct {
 	ClassResult
-	worth, won float64
-	hist       *hdrhistogram.Histogram
+	offeredWorth float64
+	earnedWorth  float64
+	latencies    *hdrhistogram.Histogram
 }
 
-// warmUp is left out of all figures, as the first second of a day is of no day's.
-const warmUp = time.Second
+// warmUpPeriod is the time at the start of a run that is left out of all figures, because the fleet
+// is not in a steady state then.
+const warmUpPeriod = time.Second
 
-func newTally(w *world) *tally {
-	t := &tally{w: w, asks: map[*Class]*classTally{}}
-	for i := range w.sc.Classes {
-		c := &w.sc.Classes[i]
+func newStatistics(sim *simulation) *statistics {
+	stats := &statistics{sim: sim, classes: map[*Class]*classStatistics{}}
+	for i := range sim.scenario.Classes {
+		c := &sim.scenario.Classes[i]
 		most := max(c.DeadlineMS.ms().Microseconds()*4, 1000)
-		t.asks[c] = &classTally{hist: hdrhistogram.New(1, most, 3)}
+		stats.classes[c] = &classStatistics{latencies: hdrhistogram.New(1, most, 3)}
 	}
-	return t
+	return stats
 }
 
-func (t *tally) counts(o *op) bool { return o.began >= t.start }
+// afterWarmUp reports whether an operation counts.
+func (stats *statistics) afterWarmUp(op *operation) bool { return op.startedAt >= stats.start }
 
-func (t *tally) second(o *op) *SecondStats {
-	i := int((o.began - t.start) / time.Second)
-	for len(t.seconds) <= i {
-		t.seconds = append(t.seconds, SecondStats{})
+// second returns the statistics of the second in which an operation began.
+func (stats *statistics) second(op *operation) *SecondStats {
+	i := int((op.startedAt - stats.start) / time.Second)
+	for len(stats.seconds) <= i {
+		stats.seconds = append(stats.seconds, SecondStats{})
 	}
-	return &t.seconds[i]
+	return &stats.seconds[i]
 }
 
-func (t *tally) asked(o *op) {
-	if !t.counts(o) {
+// recordOperation counts an operation that begins.
+func (stats *statistics) recordOperation(op *operation) {
+	if !stats.afterWarmUp(op) {
 		return
 	}
-	c := t.asks[o.class]
+	c := stats.classes[op.class]
 	c.Operations++
-	c.worth += o.class.Worth.From
-	t.worth += o.class.Worth.From
-	t.second(o).OfferedWorth += o.class.Worth.From
-	i := len(t.seconds) - 1
-	for len(t.came) <= i {
-		t.came = append(t.came, make([]classDemand, len(t.w.sc.Classes)))
+	c.offeredWorth += op.class.Worth.From
+	stats.offeredWorth += op.class.Worth.From
+	stats.second(op).OfferedWorth += op.class.Worth.From
+	i := len(stats.seconds) - 1
+	for len(stats.demand) <= i {
+		stats.demand = append(stats.demand, make([]classDemand, len(stats.sim.scenario.Classes)))
 	}
-	for k := range t.w.sc.Classes {
-		if &t.w.sc.Classes[k] == o.class {
-			t.came[i][k].worth += o.class.Worth.From
-			t.came[i][k].work += o.work
+	for k := range stats.sim.scenario.Classes {
+		if &stats.sim.scenario.Classes[k] == op.class {
+			stats.demand[i][k].worth += op.class.Worth.From
+			stats.demand[i][k].work += op.work
 		}
 	}
 }
 
-func (t *tally) answered(k core.AnswerKind) { t.answers[k]++ }
+// recordAnswer counts a node's answer.
+func (stats *statistics) recordAnswer(k core.AnswerKind) { stats.answers[k]++ }
 
-func (t *tally) served(o *op) {
-	if !t.counts(o) {
+// recordServed counts an operation that was served.
+func (stats *statistics) recordServed(op *operation) {
+	if !stats.afterWarmUp(op) {
 		return
 	}
-	c, took := t.asks[o.class], t.w.now-o.began
+	c, took := stats.classes[op.class], stats.sim.now-op.startedAt
 	c.Served++
-	c.hist.RecordValue(took.Microseconds())
-	won := 0.0
+	c.latencies.RecordValue(took.Microseconds())
+	earned := 0.0
 	switch {
-	case took <= o.class.AimMS.ms():
+	case took <= op.class.AimMS.ms():
 		c.WithinAim++
-		won = o.class.Worth.From
-	case took <= o.class.DeadlineMS.ms():
-		won = o.class.Worth.From * o.class.LateWorth.From
+		earned = op.class.Worth.From
+	case took <= op.class.DeadlineMS.ms():
+		earned = op.class.Worth.From * op.class.LateWorth.From
 	}
-	c.won += won
-	t.second(o).EarnedWorth += won
+	c.earnedWorth += earned
+	stats.second(op).EarnedWorth += earned
 }
 
-func (t *tally) lost(o *op, v verdict) {
-	if t.counts(o) && v == refused {
-		t.asks[o.class].Rejected++
+// recordUnserved counts an operation that the client gave up.
+func (stats *statistics) recordUnserved(op *operation, result requestResult) {
+	if stats.afterWarmUp(op) && result == rejected {
+		stats.classes[op.class].Rejected++
 	}
-	if t.counts(o) && t.w.now-o.began > o.class.AimMS.ms() {
-		t.lateEnd += o.class.Worth.From
+	if stats.afterWarmUp(op) && stats.sim.now-op.startedAt > op.class.AimMS.ms() {
+		stats.lateUnservedWorth += op.class.Worth.From
 	}
 }
 
-const worstWindow = 10 // seconds
+// worstWindowSeconds is the length of the window whose worst share of worth is part of the score.
+const worstWindowSeconds = 10
 
-func (w *world) result(policy string, seed uint64) *Result {
-	t, sc := w.tally, w.sc
-	r := &Result{Scenario: sc.Name, Policy: policy, Seed: seed, Nodes: len(w.nodes), Operations: int(w.traffic.ops), ClientRequests: int(w.traffic.tries),
+// buildResult computes the result of the run.
+func (sim *simulation) buildResult(policy string, seed uint64) *Result {
+	stats, scenario := sim.stats, sim.scenario
+	r := &Result{Scenario: scenario.Name, Policy: policy, Seed: seed, Nodes: len(sim.nodes), Operations: int(sim.traffic.operations), ClientRequests: int(sim.traffic.requests),
 		LatencyMS: map[string]latency.Quantiles{}, Classes: map[string]ClassResult{}, Answers: map[string]int{}, ScoreParts: map[string]float64{},
-		Attempts: w.sends, Retries: w.resent, SendsToCold: w.toCold, ConnectionsOpened: w.handshakes, CongestionCount: w.crowdings, LostInPartitions: w.lostInCuts, StaleSends: w.stale, Events: w.events, FaultEvents: w.happenings}
-	for _, b := range w.backends {
+		Attempts: sim.attempts, Retries: sim.retries, SendsToCold: sim.sendsToCold, ConnectionsOpened: sim.handshakes, CongestionCount: sim.congestions, LostInPartitions: sim.lostInPartitions, StaleSends: sim.staleSends, Events: sim.events, FaultEvents: sim.faultEvents}
+	for _, b := range sim.backends {
 		if !b.retired {
 			r.Backends++
 		}
 	}
 	for i, name := range []string{"served", "refused", "failed", "duplicate"} {
-		r.Answers[name] = t.answers[i]
+		r.Answers[name] = stats.answers[i]
 	}
-	worstClass, won := 1.0, 0.0
-	for i := range sc.Classes {
-		c := &sc.Classes[i]
-		ct := t.asks[c]
-		if ct.worth > 0 {
-			ct.Score = ct.won / ct.worth
+	worstClass, earned := 1.0, 0.0
+	for i := range scenario.Classes {
+		c := &scenario.Classes[i]
+		ct := stats.classes[c]
+		if ct.offeredWorth > 0 {
+			ct.Score = ct.earnedWorth / ct.offeredWorth
 			worstClass = min(worstClass, ct.Score)
 		}
-		won += ct.won
-		r.Classes[c.Name] = round(ct.ClassResult)
-		r.LatencyMS[c.Name] = latency.Of(ct.hist)
+		earned += ct.earnedWorth
+		r.Classes[c.Name] = roundScore(ct.ClassResult)
+		r.LatencyMS[c.Name] = latency.Of(ct.latencies)
 	}
-	if t.worth > 0 {
-		whole := won / t.worth
-		first := float64(max(int(w.traffic.ops), 1))
-		ever := 0
-		for _, b := range w.backends {
-			if b.ever {
-				ever++
+	if stats.offeredWorth > 0 {
+		overall := earned / stats.offeredWorth
+		operations := float64(max(int(sim.traffic.operations), 1))
+		congested := 0
+		for _, b := range sim.backends {
+			if b.everCongested {
+				congested++
 			}
 		}
-		prices := sc.Prices.WastedWork.From*min(w.workWasted/max(w.workAsked, 1e-9), 1) + sc.Prices.LateFailure.From*t.lateEnd/t.worth +
-			sc.Prices.Handshake.From*float64(w.handshakes)/first + sc.Prices.CrossZone.From*float64(w.crossings)/first +
-			sc.Prices.CongestedBackends.From*float64(ever)/float64(len(w.backends))
-		window := t.worstWindow()
-		r.Score = round6(sc.Goal.Overall.From*whole + sc.Goal.WorstWindow.From*window + sc.Goal.WorstClass.From*worstClass - prices)
-		r.ScoreParts = map[string]float64{"whole": round6(whole), "worst_window": round6(window), "worst_class": round6(worstClass), "prices": round6(prices)}
+		penalties := scenario.Prices.WastedWork.From*min(sim.workWasted/max(sim.workRequested, 1e-9), 1) + scenario.Prices.LateFailure.From*stats.lateUnservedWorth/stats.offeredWorth +
+			scenario.Prices.Handshake.From*float64(sim.handshakes)/operations + scenario.Prices.CrossZone.From*float64(sim.crossZoneSends)/operations +
+			scenario.Prices.CongestedBackends.From*float64(congested)/float64(len(sim.backends))
+		window := stats.worstWindowShare()
+		r.Score = round6(scenario.Goal.Overall.From*overall + scenario.Goal.WorstWindow.From*window + scenario.Goal.WorstClass.From*worstClass - penalties)
+		r.ScoreParts = map[string]float64{"whole": round6(overall), "worst_window": round6(window), "worst_class": round6(worstClass), "prices": round6(penalties)}
 	}
-	for i, s := range t.seconds {
-		if i < len(t.able) && i < len(t.came) {
-			s.IdealWorth = ideal(t.came[i], t.able[i])
+	for i, s := range stats.seconds {
+		if i < len(stats.capacity) && i < len(stats.demand) {
+			s.IdealWorth = idealWorth(stats.demand[i], stats.capacity[i])
 		}
 		r.Seconds = append(r.Seconds, SecondStats{round6(s.OfferedWorth), round6(s.EarnedWorth), round6(s.IdealWorth)})
 	}
-	r.Membership = w.tier.result()
-	r.Rules = w.audit.Finish(w.now)
+	r.Membership = sim.peerNetwork.result()
+	r.Rules = sim.auditor.Finish(sim.now)
 	r.Violations = r.Rules.Broken
 	return r
 }
 
-// worstWindow is the least part won within ten seconds in a row.
-func (t *tally) worstWindow() float64 {
+// worstWindowShare returns the least share of worth earned within worstWindowSeconds in a row.
+func (stats *statistics) worstWindowShare() float64 {
 	worst := 1.0
-	for i := 0; i == 0 || i+worstWindow <= len(t.seconds); i++ {
-		asked, won := 0.0, 0.0
-		for _, s := range t.seconds[i:min(i+worstWindow, len(t.seconds))] {
-			asked, won = asked+s.OfferedWorth, won+s.EarnedWorth
+	for i := 0; i == 0 || i+worstWindowSeconds <= len(stats.seconds); i++ {
+		offered, earned := 0.0, 0.0
+		for _, s := range stats.seconds[i:min(i+worstWindowSeconds, len(stats.seconds))] {
+			offered, earned = offered+s.OfferedWorth, earned+s.EarnedWorth
 		}
-		if asked > 0 {
-			worst = min(worst, won/asked)
+		if offered > 0 {
+			worst = min(worst, earned/offered)
 		}
 	}
 	return worst
 }
 
+// round6 rounds to six decimals, so that results are short and comparable.
 func round6(x float64) float64 { return math.Round(x*1e6) / 1e6 }
 
-func round(c ClassResult) ClassResult {
+func roundScore(c ClassResult) ClassResult {
 	c.Score = round6(c.Score)
 	return c
 }
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -1,14 +1,12 @@
-// Package emulator plays a day of a fleet in virtual time: clients, nodes,
-// backends, the registry and the network between them, as models. The nodes are
-// real ones from the core inwards: each is a core.Owner round a module, told
-// the same events in the same steps as on sockets. The same scenario and seed
-// give the same day to the last event, on any number of cores. Live plays the
-// models in real time, with whatever nodes its Outside brings; the package does
-// no I/O, and reads the machine's clock for that alone.
+// Package emulator is a discrete-event emulator of a fleet in virtual time. Clients, backends,
+// the registry and the network are models. The nodes run the real code from internal/core
+// inwards: each is a core.Engine around a module and gets the same events in the same steps as
+// with real sockets. The same scenario and seed give the same run, event by event, on any number
+// of cores. LiveRun plays the same models in real time with the nodes that its Environment
+// provides. The package does no I/O and reads the machine's clock only for a LiveRun.
 //
-// It must not know what a module decides or why. What a day was worth and
-// whether rules were kept is judged from what passed, by Result and by package
-// audit.
+// The package must not depend on what a module decides or why. The score of a run and violations
+// of the rules are computed from the observed events, by Result and by package audit.
 package emulator
 
 import (
@@ -22,8 +20,8 @@
 	"pipitmux/logic"
 )
 
-// Span is a figure that each day draws anew: in a file a number, or a pair
-// [from, to] of which it is drawn evenly.
+// Range is a scenario figure that every run draws anew. In a file it is a number, or a pair
+// [from, to] from which the value is drawn uniformly.
 type Range struct{ From, To float64 }
 
 // UnmarshalYAML reads a number or a pair.
@@ -41,22 +39,22 @@
 	return nil
 }
 
-func fixed(v float64) Range               { return Range{v, v} }
-func (s Range) ms() time.Duration         { return time.Duration(s.From * float64(time.Millisecond)) }
-func (s Range) sec() time.Duration        { return time.Duration(s.From * float64(time.Second)) }
-func (s Range) draw(r *rand.Rand) float64 { return s.From + (s.To-s.From)*r.Float64() }
-func (s Range) within(least, most float64) bool {
-	return s.From >= least && s.To >= s.From && s.To <= most // false for NaN too
+func fixedRange(v float64) Range            { return Range{v, v} }
+func (s Range) ms() time.Duration           { return time.Duration(s.From * float64(time.Millisecond)) }
+func (s Range) sec() time.Duration          { return time.Duration(s.From * float64(time.Second)) }
+func (s Range) draw(rng *rand.Rand) float64 { return s.From + (s.To-s.From)*rng.Float64() }
+func (s Range) within(minimum, maximum float64) bool {
+	return s.From >= minimum && s.To >= s.From && s.To <= maximum // false for NaN too
 }
 
-// Scenario is what a day is drawn from. Times are in the unit that a key's name
-// ends in; shares and parts lie from 0 to 1.
+// Scenario describes the runs that can be drawn from it. Times are in the unit that the YAML key
+// ends in; shares and fractions lie between 0 and 1.
 type Scenario struct {
 	Name        string        `yaml:"name"`
-	Policy      string        `yaml:"policy"`   // module, or a rival's name
-	Seconds     Range         `yaml:"seconds"`  // in which clients arrive
-	TickMS      Range         `yaml:"tick_ms"`  // a node handles what has come once a tick; 0: at once
-	MaxRequests int           `yaml:"max_reqs"` // first tries after which no more come, 0: no limit
+	Policy      string        `yaml:"policy"`   // module, or the name of a reference policy
+	Seconds     Range         `yaml:"seconds"`  // time during which clients arrive
+	TickMS      Range         `yaml:"tick_ms"`  // a node handles its input once per tick; 0: at once
+	MaxRequests int           `yaml:"max_reqs"` // operations after which no more start, 0: no limit
 	Zones       []Zone        `yaml:"zones"`
 	Net         Network       `yaml:"net"`
 	Nodes       Nodes         `yaml:"nodes"`
@@ -73,92 +71,93 @@
 	Rules       Rules         `yaml:"rules"`
 	Goal        ScoreWeights  `yaml:"goal"`
 	Prices      Penalties     `yaml:"prices"`
-	Troubles    []Fault       `yaml:"troubles"`   // at stated times
-	Incidental  RandomFaults  `yaml:"incidental"` // drawn each day
-	Peers       PeerNetwork   `yaml:"peers"`      // drawn last: a day without them stays what it is
+	Troubles    []Fault       `yaml:"troubles"`   // faults at stated times
+	Incidental  RandomFaults  `yaml:"incidental"` // faults drawn for every run
+	Peers       PeerNetwork   `yaml:"peers"`      // drawn last, so that scenarios without it draw the same figures as before
 }
 
 // Zone is a data centre.
 type Zone struct {
 	Name     string `yaml:"name"`
-	Traffic  Range  `yaml:"traffic"`  // weight of its clients against other zones'
-	Backends Range  `yaml:"backends"` // weight of its part of the fleet
+	Traffic  Range  `yaml:"traffic"`  // weight of its clients among all zones
+	Backends Range  `yaml:"backends"` // weight of its share of the fleet
 }
 
-// Net is the network. Delays are one way.
+// Network describes the network. Delays are one way.
 type Network struct {
 	SameMS       Range `yaml:"same_ms"`
 	CrossMS      Range `yaml:"cross_ms"`
 	ClientMS     Range `yaml:"client_ms"`
-	Jitter       Range `yaml:"jitter"` // standard deviation, as a part of the delay
-	Loss         Range `yaml:"loss"`   // part of messages that come only after a retransmission
+	Jitter       Range `yaml:"jitter"` // standard deviation as a fraction of the delay
+	Loss         Range `yaml:"loss"`   // fraction of messages that arrive only after a retransmission
 	RetransmitMS Range `yaml:"retransmit_ms"`
 }
 
-// Nodes are the balancers, spread evenly over the zones unless zones says otherwise.
+// Nodes describes the load-balancer nodes. They are spread evenly over the zones unless Zones
+// is set.
 type Nodes struct {
 	Count          Range     `yaml:"count"`
-	Zones          []string  `yaml:"zones"`       // of each node in turn
-	Shares         []float64 `yaml:"shares"`      // what the front deals to each in turn, in proportion; none: alike
-	StartMS        Range     `yaml:"start_ms"`    // their starts are spread over this
-	MaxConnections int       `yaml:"connections"` // to backends, each node; 0: no limit
-	NoticeDelayS   Range     `yaml:"notice_s"`    // until the front notices that a node has died or is back
+	Zones          []string  `yaml:"zones"`       // zone of each node, in order
+	Shares         []float64 `yaml:"shares"`      // traffic weights of the nodes, in order; empty: equal
+	StartMS        Range     `yaml:"start_ms"`    // node starts are spread over this time
+	MaxConnections int       `yaml:"connections"` // limit of connections to backends per node; 0: no limit
+	NoticeDelayS   Range     `yaml:"notice_s"`    // until the frontend notices that a node died or came back
 }
 
-// Fleet is how many backends there are.
+// Fleet describes the backends.
 type Fleet struct {
 	Size     Range         `yaml:"size"`
-	Backends []BackendSpec `yaml:"backends"` // each one stated, in place of size and the kinds' shares
+	Backends []BackendSpec `yaml:"backends"` // explicit list instead of size and the kinds' shares
 }
 
-// Backend is one stated backend.
+// BackendSpec is one explicitly listed backend.
 type BackendSpec struct {
 	Kind  string `yaml:"kind"`
 	Zone  string `yaml:"zone"`
 	Speed Range  `yaml:"speed"`
 }
 
-// Kind is a kind of backend.
+// BackendKind is a kind of backend.
 type BackendKind struct {
 	Name         string `yaml:"name"`
 	FleetShare   Range  `yaml:"share"`
 	Cores        int    `yaml:"cores"`
-	Speed        Range  `yaml:"speed"`          // of a core, against a standard one
-	SpeedCV      Range  `yaml:"speed_cv"`       // spread among backends of the kind
-	Weight       Range  `yaml:"weight"`         // capacity as the registry tells it; 0: cores by mean speed
-	SlotsPerCore Range  `yaml:"slots_per_core"` // requests in work at once
-	QueuePerCore Range  `yaml:"queue_per_core"` // requests waiting; more are turned away
-	Thrash       Range  `yaml:"thrash"`         // part of its speed lost for each thrash_at more than that it holds
-	ThrashAt     Range  `yaml:"thrash_at"`      // requests held, per core
-	ColdFrom     Range  `yaml:"cold_from"`      // share of its capacity at a start
-	ColdS        Range  `yaml:"cold_s"`         // until it is warm
-	PauseEveryS  Range  `yaml:"pause_every_s"`  // mean; 0: never
+	Speed        Range  `yaml:"speed"`          // of a core, relative to a standard core
+	SpeedCV      Range  `yaml:"speed_cv"`       // coefficient of variation among backends of the kind
+	Weight       Range  `yaml:"weight"`         // capacity that the registry reports; 0: cores times mean speed
+	SlotsPerCore Range  `yaml:"slots_per_core"` // requests processed at the same time
+	QueuePerCore Range  `yaml:"queue_per_core"` // requests waiting; more are rejected
+	Thrash       Range  `yaml:"thrash"`         // fraction of its speed lost for each thrash_at requests in excess
+	ThrashAt     Range  `yaml:"thrash_at"`      // requests in flight per core
+	ColdFrom     Range  `yaml:"cold_from"`      // share of its capacity just after a start
+	ColdS        Range  `yaml:"cold_s"`         // warm-up time
+	PauseEveryS  Range  `yaml:"pause_every_s"`  // mean time between pauses; 0: never
 	PauseMS      Range  `yaml:"pause_ms"`
 	ErrorRate    Range  `yaml:"error_rate"`
-	Cancel       string `yaml:"cancel"` // what a cancel or time-out stops: none, waiting, all
+	Cancel       string `yaml:"cancel"` // what a cancellation or timeout stops: none, waiting, all
 }
 
-// Crowded is the slow state that outlasts its cause. At 0 there is none.
+// Congestion is a slow state that outlasts its cause. It is disabled if AboveHeld is 0.
 type Congestion struct {
-	AboveHeld    Range `yaml:"at"`     // it holds more requests than this
-	TriggerS     Range `yaml:"over_s"` // for so long
+	AboveHeld    Range `yaml:"at"`     // enters when more requests than this are in flight
+	TriggerS     Range `yaml:"over_s"` // for this time
 	Slowdown     Range `yaml:"slower"`
-	RecoverBelow Range `yaml:"below"`  // left when it holds fewer per core
-	RecoverS     Range `yaml:"rest_s"` // for so long,
-	MaxS         Range `yaml:"most_s"` // or after this
+	RecoverBelow Range `yaml:"below"`  // leaves when fewer requests per core are in flight
+	RecoverS     Range `yaml:"rest_s"` // for this time
+	MaxS         Range `yaml:"most_s"` // or after this time in any case
 }
 
-// Conns is what connections cost.
+// Connections describes the cost of connections.
 type Connections struct {
-	HandshakeRTTs    Range `yaml:"rtts"`    // of a handshake
-	HandshakeWorkUS  Range `yaml:"work_us"` // of a new one, on a standard core
-	IdleTimeoutS     Range `yaml:"idle_s"`  // after which backends close one
+	HandshakeRTTs    Range `yaml:"rtts"`    // round trips of a handshake
+	HandshakeWorkUS  Range `yaml:"work_us"` // work to accept a connection, on a standard core
+	IdleTimeoutS     Range `yaml:"idle_s"`  // after which backends close an idle connection
 	ConnectTimeoutMS Range `yaml:"timeout_ms"`
-	MaxPerCore       Range `yaml:"cap_per_core"` // 0: no cap
-	FullTableCost    Range `yaml:"full_tax"`     // part of the capacity that a full table takes
+	MaxPerCore       Range `yaml:"cap_per_core"` // 0: no limit
+	FullTableCost    Range `yaml:"full_tax"`     // fraction of the capacity that a full connection table costs
 }
 
-// Reports are the load reports in answers. Fields are of held, queue.
+// LoadReports describes the load reports in responses. Fields may name held and queue.
 type LoadReports struct {
 	Fields     []string `yaml:"fields"`
 	IntervalMS Range    `yaml:"every_ms"`
@@ -166,35 +165,35 @@
 	Noise      Range    `yaml:"noise"`
 }
 
-// Discovery is the registry.
+// Discovery describes the registry.
 type Discovery struct {
 	MustSubscribe      bool  `yaml:"ask"`             // nodes must subscribe
-	NoticeDelayS       Range `yaml:"notice_s"`        // until it knows of a drain or an end
-	SilentNoticeDelayS Range `yaml:"silent_notice_s"` // of a machine gone without a word
-	AddDelayS          Range `yaml:"add_s"`           // of a start
-	IntervalMS         Range `yaml:"every_ms"`        // between its rounds of news
+	NoticeDelayS       Range `yaml:"notice_s"`        // until it knows that a backend drains or ended
+	SilentNoticeDelayS Range `yaml:"silent_notice_s"` // until it knows that a machine disappeared silently
+	AddDelayS          Range `yaml:"add_s"`           // until it knows that a backend started
+	IntervalMS         Range `yaml:"every_ms"`        // between two rounds of change notifications
 	SpreadMS           Range `yaml:"spread_ms"`
-	LinesPerSecond     Range `yaml:"lines_per_s"` // of lists, for all nodes; 0: no limit
-	CallLines          Range `yaml:"call_lines"`  // that a call costs besides
+	LinesPerSecond     Range `yaml:"lines_per_s"` // list lines served to all nodes together; 0: no limit
+	CallLines          Range `yaml:"call_lines"`  // additional cost of a call, in lines
 	TimeoutMS          Range `yaml:"timeout_ms"`
 }
 
-// Arrivals is the clients' traffic.
+// Arrivals describes the client traffic.
 type Arrivals struct {
 	PerSecond Range  `yaml:"per_second"`
-	Load      Range  `yaml:"load"`  // in place of it: as a part of the warm fleet's capacity
+	Load      Range  `yaml:"load"`  // instead of per_second: as a fraction of the warm fleet's capacity
 	Shape     string `yaml:"shape"` // steady, wave, bursty, step
-	Swing     Range  `yaml:"swing"` // up and down by this part
+	Swing     Range  `yaml:"swing"` // deviation from the mean, as a fraction of it
 	PeriodS   Range  `yaml:"period_s"`
-	Phase     Range  `yaml:"phase"` // of the period, as the day begins; below 0: drawn
+	Phase     Range  `yaml:"phase"` // fraction of the period at the start; below 0: drawn
 }
 
-// Clients is what clients do.
+// Clients describes the behaviour of the clients.
 type Clients struct {
 	Retries             Range `yaml:"retries"`
-	RequestTimeoutShare Range `yaml:"try_share"` // of the deadline, that one try may take
+	RequestTimeoutShare Range `yaml:"try_share"` // timeout of one request as a fraction of the deadline
 	BackoffMS           Range `yaml:"backoff_ms"`
-	HonourRetryAfter    Range `yaml:"honour"` // part that heeds Retry-After
+	HonourRetryAfter    Range `yaml:"honour"` // fraction of clients that obey Retry-After
 	MaxRetryAfterMS     Range `yaml:"max_retry_after_ms"`
 	MarksRetry          bool  `yaml:"marks_retry"`
 }
@@ -215,7 +214,7 @@
 	WindowS      Range  `yaml:"window_s"`
 }
 
-// Limits is what nodes may do.
+// Limits describes what nodes are allowed to do.
 type Limits struct {
 	MaxAttempts  int  `yaml:"attempts"`
 	SecondCopies bool `yaml:"second_copies"`
@@ -223,109 +222,112 @@
 	RetryAfter   bool `yaml:"retry_after"`
 }
 
-// Rules are the figures of the rules.
+// Rules holds the parameters of the rules that the auditor checks.
 type Rules struct {
 	AnswerSlackMS Range `yaml:"answer_slack_ms"`
 	DrainGraceMS  Range `yaml:"drain_grace_ms"`
-	ColdFrom      Range `yaml:"cold_from"` // as nodes are told
+	ColdFrom      Range `yaml:"cold_from"` // as told to the nodes
 	WarmWithinS   Range `yaml:"warm_within_s"`
 	FallMultiple  Range `yaml:"fall_multiple"`
 	FallAfterMS   Range `yaml:"fall_after_ms"`
-	FallSlack     Range `yaml:"fall_slack"` // in mean works of a request
+	FallSlack     Range `yaml:"fall_slack"` // in units of a request's mean work
 }
 
-// Goal mixes the parts of what a day is worth; they add up to 1.
+// ScoreWeights weighs the parts of the score; the weights add up to 1.
 type ScoreWeights struct {
 	Overall     Range `yaml:"whole"`
 	WorstWindow Range `yaml:"worst_window"` // of 10 s
 	WorstClass  Range `yaml:"worst_class"`
 }
 
-// Prices come off what a day is worth.
+// Penalties are subtracted from the score.
 type Penalties struct {
-	WastedWork        Range `yaml:"waste"`     // by work without use over work asked for
-	LateFailure       Range `yaml:"late_fail"` // by worth unserved that ended after its aim, as a part
-	Handshake         Range `yaml:"handshake"` // by new connections for each first try
+	WastedWork        Range `yaml:"waste"`     // per work of no use, relative to the work requested
+	LateFailure       Range `yaml:"late_fail"` // per worth that ended unserved after its aim, relative to the worth offered
+	Handshake         Range `yaml:"handshake"` // per new connection, relative to the number of operations
 	CrossZone         Range `yaml:"cross_zone"`
-	CongestedBackends Range `yaml:"crowded"` // by the part of the backends that were so at some time
+	CongestedBackends Range `yaml:"crowded"` // per fraction of the backends that were congested at some time
 }
 
-// Trouble is something that goes wrong.
+// Fault is a fault to inject.
 type Fault struct {
-	Kind         string `yaml:"kind"`
-	AtS          Range  `yaml:"at_s"`
-	DurationS    Range  `yaml:"for_s"`
-	Fraction     Range  `yaml:"part"`  // of the fleet
-	Severity     Range  `yaml:"size"`  // how much slower, or what share fails, or over 0.5: with its nodes
-	Zone         string `yaml:"zone"`  // of a zone_loss; drawn where empty. From it nothing comes through a cut
-	ToZone       string `yaml:"to"`    // a cut's other end
-	RecoveryLagS Range  `yaml:"lag_s"` // how much later than its nodes a lost zone's backends come back, or the registry after a power loss
-	// SpreadS is the time over which nodes and backends start in a random order after a
-	// power loss; 0: all in the same instant.
+	Kind      string `yaml:"kind"`
+	AtS       Range  `yaml:"at_s"`
+	DurationS Range  `yaml:"for_s"`
+	Fraction  Range  `yaml:"part"` // fraction of the fleet
+	Severity  Range  `yaml:"size"` // slowdown factor or share of failures; for zone_loss, over 0.5 takes the zone's nodes down, too
+	Zone      string `yaml:"zone"` // zone of a zone_loss, drawn if empty; of a cut, the zone whose messages are lost
+	ToZone    string `yaml:"to"`   // zone at the other end of a cut
+	// RecoveryLagS is how much later than its nodes the backends of a lost zone come back, or how
+	// much later the registry comes back after a power loss.
+	RecoveryLagS Range `yaml:"lag_s"`
+	// RestartSpreadS is the time over which nodes and backends start in random order after a
+	// power loss; 0: all at the same instant.
 	RestartSpreadS Range `yaml:"spread_s"`
-	Backends       []int `yaml:"on"` // stated backends, in place of part
+	Backends       []int `yaml:"on"` // explicit backends instead of a fraction
 }
 
-// Incidental are troubles that each day draws.
+// RandomFaults are faults that are drawn for every run.
 type RandomFaults struct {
 	Count      Range   `yaml:"count"`
 	Candidates []Fault `yaml:"of"`
 }
 
-// TroubleKinds lists what can go wrong.
+// FaultKinds lists the kinds of faults.
 var FaultKinds = []string{"vanish", "slow", "hang", "fast_errors", "zone_loss", "shared_slow",
 	"replace", "restart_nodes", "discovery_down", "discovery_slow", "cut", "power_loss",
 	"peer_cut", "peer_loss"}
 
 var (
-	cancelModes = []string{"none", "waiting", "all"}
-	reportNames = []string{"held", "queue"}
-	effects     = map[string]logic.Effect{"safe": logic.Safe, "keyed": logic.Keyed, "unsafe": logic.Unsafe}
-	groups      = map[string]logic.DedupScope{"all": logic.DedupAll, "zone": logic.DedupZone, "cell": logic.DedupCell}
+	cancelModes      = []string{"none", "waiting", "all"}
+	reportFieldNames = []string{"held", "queue"}
+	effects          = map[string]logic.Effect{"safe": logic.Safe, "keyed": logic.Keyed, "unsafe": logic.Unsafe}
+	dedupScopes      = map[string]logic.DedupScope{"all": logic.DedupAll, "zone": logic.DedupZone, "cell": logic.DedupCell}
 )
 
-// Default returns a scenario with the figures that a file may leave out.
+// Default returns a scenario with the values that a file may leave out.
 func Default() *Scenario {
 	return &Scenario{
-		Policy: "module", Seconds: fixed(60), TickMS: fixed(0),
-		Net:     Network{SameMS: fixed(.2), CrossMS: fixed(2), ClientMS: fixed(.5), Jitter: fixed(.1), RetransmitMS: fixed(200)},
-		Nodes:   Nodes{Count: fixed(2), StartMS: fixed(500), NoticeDelayS: fixed(2)},
-		Conns:   Connections{HandshakeRTTs: fixed(1), IdleTimeoutS: fixed(5), ConnectTimeoutMS: fixed(120)},
-		Reports: LoadReports{IntervalMS: fixed(500), DelayMS: fixed(100)},
-		Discovery: Discovery{MustSubscribe: true, NoticeDelayS: fixed(1), SilentNoticeDelayS: fixed(8), AddDelayS: fixed(1), IntervalMS: fixed(500),
-			SpreadMS: fixed(50), TimeoutMS: fixed(2000)},
-		Arrivals: Arrivals{Shape: "steady", PeriodS: fixed(20), Phase: fixed(-1)},
-		Clients:  Clients{RequestTimeoutShare: fixed(.6), BackoffMS: fixed(80), MaxRetryAfterMS: fixed(3000)},
+		Policy: "module", Seconds: fixedRange(60), TickMS: fixedRange(0),
+		Net:     Network{SameMS: fixedRange(.2), CrossMS: fixedRange(2), ClientMS: fixedRange(.5), Jitter: fixedRange(.1), RetransmitMS: fixedRange(200)},
+		Nodes:   Nodes{Count: fixedRange(2), StartMS: fixedRange(500), NoticeDelayS: fixedRange(2)},
+		Conns:   Connections{HandshakeRTTs: fixedRange(1), IdleTimeoutS: fixedRange(5), ConnectTimeoutMS: fixedRange(120)},
+		Reports: LoadReports{IntervalMS: fixedRange(500), DelayMS: fixedRange(100)},
+		Discovery: Discovery{MustSubscribe: true, NoticeDelayS: fixedRange(1), SilentNoticeDelayS: fixedRange(8), AddDelayS: fixedRange(1), IntervalMS: fixedRange(500),
+			SpreadMS: fixedRange(50), TimeoutMS: fixedRange(2000)},
+		Arrivals: Arrivals{Shape: "steady", PeriodS: fixedRange(20), Phase: fixedRange(-1)},
+		Clients:  Clients{RequestTimeoutShare: fixedRange(.6), BackoffMS: fixedRange(80), MaxRetryAfterMS: fixedRange(3000)},
 		Limits:   Limits{MaxAttempts: 5, SecondCopies: true, CanCancel: true, RetryAfter: true},
-		Rules: Rules{AnswerSlackMS: fixed(20), DrainGraceMS: fixed(1500), ColdFrom: fixed(.12), WarmWithinS: fixed(23),
-			FallMultiple: fixed(2.5), FallAfterMS: fixed(1500), FallSlack: fixed(3)},
-		Goal: ScoreWeights{Overall: fixed(1)},
+		Rules: Rules{AnswerSlackMS: fixedRange(20), DrainGraceMS: fixedRange(1500), ColdFrom: fixedRange(.12), WarmWithinS: fixedRange(23),
+			FallMultiple: fixedRange(2.5), FallAfterMS: fixedRange(1500), FallSlack: fixedRange(3)},
+		Goal: ScoreWeights{Overall: fixedRange(1)},
 	}
 }
 
 // Read reads a scenario file.
 func Read(name string) (*Scenario, error) {
-	return finish(func(s *Scenario) (*yamlfile.File, error) { return yamlfile.Read(name, s) })
+	return load(func(s *Scenario) (*yamlfile.File, error) { return yamlfile.Read(name, s) })
 }
 
-// Parse reads a scenario from text; the name is for errors.
+// Parse reads a scenario from text. The name appears in errors only.
 func Parse(name string, text []byte) (*Scenario, error) {
-	return finish(func(s *Scenario) (*yamlfile.File, error) { return yamlfile.Decode(name, text, s) })
+	return load(func(s *Scenario) (*yamlfile.File, error) { return yamlfile.Decode(name, text, s) })
 }
 
-func finish(read func(*Scenario) (*yamlfile.File, error)) (*Scenario, error) {
+// load reads a scenario over the defaults, fills in per-kind defaults and validates it.
+func load(read func(*Scenario) (*yamlfile.File, error)) (*Scenario, error) {
 	s := Default()
 	f, err := read(s)
 	if err != nil {
 		return nil, err
 	}
-	// What the file leaves out stands at 0 as well, and so does what it sets to 0.
+	// A value left out of the file is 0, and so is one set to 0; the line number tells them apart.
 	absent := func(v Range, key string) bool { return v == (Range{}) && f.Line(key) == 0 }
 	for i := range s.Kinds {
 		k, at := &s.Kinds[i], fmt.Sprintf("kinds.%d.", i)
 		for name, v := range map[string]*Range{"slots_per_core": &k.SlotsPerCore, "speed": &k.Speed, "cold_from": &k.ColdFrom} {
 			if absent(*v, at+name) {
-				*v = fixed(1)
+				*v = fixedRange(1)
 			}
 		}
 		if k.Cancel == "" {
@@ -337,20 +339,20 @@
 			return nil, f.Errorf(key, "must be above 0; left out, it is the kind's")
 		}
 	}
-	if key, fault := s.check(); fault != "" {
+	if key, fault := s.validate(); fault != "" {
 		return nil, f.Errorf(key, "%s", fault)
 	}
 	return s, nil
 }
 
-// class returns the class as a module is told it.
-func (c *Class) class() logic.Class {
+// moduleClass returns the class as passed to a module.
+func (c *Class) moduleClass() logic.Class {
 	return logic.Class{Name: c.Name, Aim: c.AimMS.ms(), Deadline: c.DeadlineMS.ms(), Worth: c.Worth.From, LateWorth: c.LateWorth.From,
-		Effect: effects[c.Effect], Group: groups[c.Group], Window: c.WindowS.sec()}
+		Effect: effects[c.Effect], Group: dedupScopes[c.Group], Window: c.WindowS.sec()}
 }
 
-// settings returns what the module of a node in a zone is told.
-func (s *Scenario) settings(zone string, number, nodes int) logic.Settings {
+// moduleSettings returns the settings of the module of a node in a zone.
+func (s *Scenario) moduleSettings(zone string, number, nodes int) logic.Settings {
 	out := logic.Settings{
 		Zone: zone, Number: number, Nodes: nodes, Tick: s.TickMS.ms(), MustSubscribe: s.Discovery.MustSubscribe, AskWithin: 10 * time.Second,
 		DrainGrace: s.Rules.DrainGraceMS.ms(), ColdFrom: s.Rules.ColdFrom.From, WarmWithin: s.Rules.WarmWithinS.sec(),
@@ -369,7 +371,7 @@
 		out.ReportFields = append(out.ReportFields, f)
 	}
 	for i := range s.Classes {
-		out.Classes = append(out.Classes, s.Classes[i].class())
+		out.Classes = append(out.Classes, s.Classes[i].moduleClass())
 	}
 	return out
 }
