--- a/internal/rivals/rivals.go
+++ b/internal/rivals/rivals.go
@@ -1,26 +1,25 @@
-// Package rivals holds textbook balancing policies behind the interface of the
-// decision module, so that its figures can be compared with something. They are
-// written from their public descriptions and keep the platform's rules on
-// repeats, refusals and drains; none guards cold backends or refuses for lack
-// of a chance. Like the module they do no I/O and read no clock, and the same
-// events with the same seed give the same actions.
+// Package rivals implements textbook load-balancing policies with the interface of the decision
+// module, as a baseline for its results. They follow their public descriptions and keep the
+// platform's rules on retries, rejections and draining. None of them protects cold backends or
+// rejects a request that has no chance of success. Like the module they do no I/O and read no
+// clock, and the same events with the same seed give the same actions.
 //
-// The picks, with their sources:
+// The selection methods and their sources:
 //
 //   - random: uniform choice.
 //   - round_robin: each backend in turn, from a random start.
-//   - least_outstanding: the backend with the fewest reqs of this node out, ties
-//     by chance (NGINX least_conn, HAProxy leastconn).
-//   - p2c: two drawn at random, the one with fewer out (Mitzenmacher, "The Power
+//   - least_outstanding: the backend with the fewest requests of this node in flight, ties broken
+//     at random (NGINX least_conn, HAProxy leastconn).
+//   - p2c: of two random backends the one with fewer requests in flight (Mitzenmacher, "The Power
 //     of Two Choices in Randomized Load Balancing", IEEE TPDS 12(10), 2001).
-//   - peak_ewma: two drawn at random, the lower latency cost, a peak-sensitive
-//     moving average times one more than what is out (Finagle's PeakEwma).
-//   - weighted: drawn in proportion to the capacity that the director tells.
+//   - peak_ewma: of two random backends the one with the lower cost, which is a peak-sensitive
+//     moving average of its latency times one more than its requests in flight (Finagle's
+//     PeakEwma).
+//   - weighted: random, in proportion to the capacity that the registry reports.
 //
-// The retries: none, or budget, which sends a failed req once more where its
-// class allows it while a token bucket lets it: a tenth of a token is earned by
-// each req and one a second besides, and ten are saved at most (Finagle's
-// RetryBudget).
+// The retry modes: none, or budget, which retries a failed request once if its class allows that
+// and a token bucket has a token. Each request earns a tenth of a token, each second one more, and
+// at most ten are saved (Finagle's RetryBudget).
 package rivals
 
 import (
@@ -35,179 +34,184 @@
 	"pipitmux/logic"
 )
 
-// Picks and Retries name what New takes, in the order in which lists show them.
+// Selections and RetryModes list the names that New accepts, in the order of printed lists.
 var (
 	Selections = []string{"random", "round_robin", "least_outstanding", "p2c", "peak_ewma", "weighted"}
 	RetryModes = []string{"none", "budget"}
 )
 
 const (
-	ewmaTime   = 10 * time.Second // Finagle's default decay time
-	ewmaUnseen = time.Millisecond // cost assumed of a backend that never answered, per req out
+	ewmaDecayTime = 10 * time.Second // Finagle's default decay time
+	unseenLatency = time.Millisecond // assumed for a backend that has not answered yet
 
-	earned    = 0.1  // tokens earned by a req
-	savedMost = 10.0 // tokens saved at most
-	perSecond = 1.0  // tokens earned a second besides, so that a quiet node may retry
+	tokensPerRequest = 0.1
+	maxTokens        = 10.0 // limit of saved tokens
+	tokensPerSecond  = 1.0  // in addition, so that a node with little traffic may retry, too
 
-	askPause = time.Second // between failed calls to the director, at first
-	askMost  = 6 * time.Second
+	minSubscribeBackoff = time.Second // after the first failed call to the registry
+	maxSubscribeBackoff = 6 * time.Second
 )
 
+// Tokens of timers. Every request has one of its own, beyond firstRequestTimer.
 const (
-	tokenAsk uint64 = iota + 1
-	firstReq
+	subscribeTimer uint64 = iota + 1
+	firstRequestTimer
 )
 
-// Policy is one node's rival.
+// Policy is the policy of one node.
 type Policy struct {
-	cfg     logic.Settings
-	rng     *rand.Rand
-	choose  func(p *Policy, pool []*server) *server
-	budget  bool
-	classes map[string]*logic.Class
-	out     []logic.Action
-	now     time.Duration
-	begun   bool
+	settings     logic.Settings
+	rng          *rand.Rand
+	selectServer func(p *Policy, pool []*server) *server
+	retryBudget  bool
+	classes      map[string]*logic.Class
+	actions      []logic.Action
+	now          time.Duration
+	started      bool
 
-	servers map[logic.ServerID]*server
-	ready   []*server
-	sum     float64 // capacity of the ready ones
-	turn    int
-	reqs    map[logic.RequestID]*req
-	bySeq   map[uint64]*req
-	seq     uint64
-	tokens  float64
-	filled  time.Duration
-	failed  int // calls to the director in a row
+	servers       map[logic.ServerID]*server
+	ready         []*server
+	readyCapacity float64
+	nextIndex     int
+	requests      map[logic.RequestID]*request
+	byTimer       map[uint64]*request
+	lastTimer     uint64
+	tokens        float64
+	refilledAt    time.Duration
+	failedCalls   int // calls to the registry that failed in a row
 }
 
+// server is a backend of the list.
 type server struct {
 	logic.Server
-	out  int
-	cost float64 // moving average of its latency in seconds
-	seen time.Duration
+	inFlight   int
+	latency    float64 // moving average in seconds
+	observedAt time.Duration
 }
 
-type req struct {
-	id      logic.RequestID
-	seq     uint64
-	class   *logic.Class
-	end     time.Duration
-	tries   []attempt
-	open    int
-	retried bool
-	closed  bool
+// request is a request that is not answered, or that still has open attempts.
+type request struct {
+	id           logic.RequestID
+	timer        uint64
+	class        *logic.Class
+	deadline     time.Duration
+	attempts     []attempt
+	openAttempts int
+	retried      bool
+	closed       bool
 }
 
+// attempt is one attempt of a request.
 type attempt struct {
-	s      *server
+	server *server
 	zone   string
 	cell   int
-	sent   time.Duration
+	sentAt time.Duration
 	open   bool
-	mayRun bool
+	mayRun bool // the backend may have processed it, or may still
 }
 
-// New returns the policy of a name: a pick, or pick+retry.
+// New returns the policy of a name: a selection method, or selection+retry mode.
 func New(name string, s logic.Settings, seed uint64) (*Policy, error) {
-	pick, retry, _ := strings.Cut(name, "+")
-	choose, ok := picks[pick]
-	if !ok || retry != "" && !slices.Contains(RetryModes, retry) {
+	selection, retryMode, _ := strings.Cut(name, "+")
+	selectServer, ok := selections[selection]
+	if !ok || retryMode != "" && !slices.Contains(RetryModes, retryMode) {
 		return nil, fmt.Errorf("policy %q: not one of %s, each alone or with +%s", name,
 			strings.Join(Selections, ", "), strings.Join(RetryModes, " or +"))
 	}
 	if len(s.Classes) == 0 {
 		return nil, errors.New("settings: no classes")
 	}
-	p := &Policy{cfg: s, rng: rand.New(rand.NewPCG(seed, 0x5851f42d4c957f2d)), choose: choose, budget: retry == "budget",
-		classes: map[string]*logic.Class{}, servers: map[logic.ServerID]*server{}, reqs: map[logic.RequestID]*req{},
-		bySeq: map[uint64]*req{}, seq: firstReq, tokens: savedMost}
+	p := &Policy{settings: s, rng: rand.New(rand.NewPCG(seed, 0x5851f42d4c957f2d)), selectServer: selectServer, retryBudget: retryMode == "budget",
+		classes: map[string]*logic.Class{}, servers: map[logic.ServerID]*server{}, requests: map[logic.RequestID]*request{},
+		byTimer: map[uint64]*request{}, lastTimer: firstRequestTimer, tokens: maxTokens}
 	for i := range s.Classes {
 		p.classes[s.Classes[i].Name] = &s.Classes[i]
 	}
 	return p, nil
 }
 
-// Handle takes an event and returns the actions it calls for, valid until the next call.
+// Handle handles an event and returns the resulting actions, which are valid until the next call.
 func (p *Policy) Handle(now time.Duration, ev logic.Event) []logic.Action {
-	p.out = p.out[:0]
-	if !p.begun {
-		p.begun, p.now, p.filled = true, now, now
-		if p.cfg.MustSubscribe {
-			p.do(logic.SetTimer{Token: tokenAsk, After: time.Duration(p.rng.Int64N(int64(100 * time.Millisecond)))})
+	p.actions = p.actions[:0]
+	if !p.started {
+		p.started, p.now, p.refilledAt = true, now, now
+		if p.settings.MustSubscribe {
+			p.emit(logic.SetTimer{Token: subscribeTimer, After: time.Duration(p.rng.Int64N(int64(100 * time.Millisecond)))})
 		}
 	}
 	p.now = max(p.now, now)
 	switch e := ev.(type) {
 	case logic.Request:
-		p.request(e)
+		p.handleRequest(e)
 	case logic.Outcome:
-		p.outcome(e)
+		p.handleOutcome(e)
 	case logic.ClientGone:
-		if r := p.reqs[e.ID]; r != nil {
-			p.close(r)
+		if r := p.requests[e.ID]; r != nil {
+			p.closeRequest(r)
 		}
 	case logic.Wake:
-		p.wake(e.Token)
+		p.handleTimer(e.Token)
 	case logic.ServerList:
-		p.list(e)
+		p.handleServerList(e)
 	}
-	return p.out
+	return p.actions
 }
 
-func (p *Policy) do(a logic.Action) { p.out = append(p.out, a) }
+func (p *Policy) emit(a logic.Action) { p.actions = append(p.actions, a) }
 
-func (p *Policy) wake(token uint64) {
-	if token == tokenAsk {
-		p.do(logic.Subscribe{})
-	} else if r := p.bySeq[token]; r != nil && !r.closed {
-		p.finish(r)
+func (p *Policy) handleTimer(token uint64) {
+	if token == subscribeTimer {
+		p.emit(logic.Subscribe{})
+	} else if r := p.byTimer[token]; r != nil && !r.closed {
+		p.answerUnserved(r)
 	}
 }
 
-func (p *Policy) request(q logic.Request) {
+func (p *Policy) handleRequest(q logic.Request) {
 	c := p.classes[q.Class]
-	if c == nil || p.reqs[q.ID] != nil {
+	if c == nil || p.requests[q.ID] != nil {
 		if c == nil {
-			p.do(logic.Reject{ID: q.ID})
+			p.emit(logic.Reject{ID: q.ID})
 		}
 		return
 	}
-	p.seq++
-	r := &req{id: q.ID, seq: p.seq, class: c, end: p.now + min(q.ClientTimeout, c.Deadline)}
-	p.reqs[r.id], p.bySeq[r.seq] = r, r
-	p.tokens = min(p.tokens+earned, savedMost)
-	left := r.end - p.now
+	p.lastTimer++
+	r := &request{id: q.ID, timer: p.lastTimer, class: c, deadline: p.now + min(q.ClientTimeout, c.Deadline)}
+	p.requests[r.id], p.byTimer[r.timer] = r, r
+	p.tokens = min(p.tokens+tokensPerRequest, maxTokens)
+	left := r.deadline - p.now
 	if left <= 0 || !p.send(r) {
-		p.finish(r)
+		p.answerUnserved(r)
 		return
 	}
-	p.do(logic.SetTimer{Token: r.seq, After: left})
+	p.emit(logic.SetTimer{Token: r.timer, After: left})
 }
 
-// send sends a req to the backend that the policy picks among those allowed.
-func (p *Policy) send(r *req) bool {
+// send sends a request to a backend that the policy selects among the allowed ones. It returns
+// false if there is none or the request has no attempt left.
+func (p *Policy) send(r *request) bool {
 	pool := p.ready
-	if len(r.tries) > 0 {
+	if len(r.attempts) > 0 {
 		pool = slices.DeleteFunc(slices.Clone(pool), func(s *server) bool { return !p.allowed(r, s) })
 	}
-	if len(pool) == 0 || p.cfg.MaxAttempts > 0 && len(r.tries) >= p.cfg.MaxAttempts {
+	if len(pool) == 0 || p.settings.MaxAttempts > 0 && len(r.attempts) >= p.settings.MaxAttempts {
 		return false
 	}
-	s := p.choose(p, pool)
-	s.out++
-	r.open++
-	r.tries = append(r.tries, attempt{s: s, zone: s.Zone, cell: s.Cell, sent: p.now, open: true, mayRun: true})
-	p.do(logic.Send{ID: r.id, Server: s.ID, Timeout: r.end - p.now})
+	s := p.selectServer(p, pool)
+	s.inFlight++
+	r.openAttempts++
+	r.attempts = append(r.attempts, attempt{server: s, zone: s.Zone, cell: s.Cell, sentAt: p.now, open: true, mayRun: true})
+	p.emit(logic.Send{ID: r.id, Server: s.ID, Timeout: r.deadline - p.now})
 	return true
 }
 
-// allowed tells whether a further attempt to s can double no effect, and is not
-// a second go at a backend that has just failed.
-func (p *Policy) allowed(r *req, s *server) bool {
-	for i := range r.tries {
-		t := &r.tries[i]
-		if t.s == s && len(p.ready) > 1 {
+// allowed reports whether a further attempt at s cannot have an effect twice and is not a retry at
+// a backend that has just failed.
+func (p *Policy) allowed(r *request, s *server) bool {
+	for i := range r.attempts {
+		t := &r.attempts[i]
+		if t.server == s && len(p.ready) > 1 {
 			return false
 		}
 		if !t.mayRun {
@@ -217,7 +221,7 @@
 		case logic.Unsafe:
 			return false
 		case logic.Keyed:
-			if p.now-t.sent >= r.class.Window || r.class.Group == logic.DedupZone && t.zone != s.Zone ||
+			if p.now-t.sentAt >= r.class.Window || r.class.Group == logic.DedupZone && t.zone != s.Zone ||
 				r.class.Group == logic.DedupCell && t.cell != s.Cell {
 				return false
 			}
@@ -226,33 +230,34 @@
 	return true
 }
 
-func (p *Policy) outcome(o logic.Outcome) {
-	r := p.reqs[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.tries) || !r.tries[o.Attempt].open {
+// handleOutcome handles the end of an attempt.
+func (p *Policy) handleOutcome(o logic.Outcome) {
+	r := p.requests[o.ID]
+	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].open {
 		return
 	}
-	t := &r.tries[o.Attempt]
+	t := &r.attempts[o.Attempt]
 	t.open, t.mayRun = false, !(o.Result == logic.QueueFull || o.Result == logic.ConnectFailed || o.Result == logic.NotSent)
-	t.s.out--
-	r.open--
-	t.s.observe(p.now, o.Latency.Seconds())
+	t.server.inFlight--
+	r.openAttempts--
+	t.server.recordLatency(p.now, o.Latency.Seconds())
 	switch {
 	case r.closed:
 		p.forget(r)
 	case o.Final:
-		p.close(r)
-	case r.open == 0 && !p.again(r):
-		p.finish(r)
+		p.closeRequest(r)
+	case r.openAttempts == 0 && !p.retry(r):
+		p.answerUnserved(r)
 	}
 }
 
-// again sends a failed req once more where the budget has a token for it.
-func (p *Policy) again(r *req) bool {
-	if !p.budget || r.retried || r.end <= p.now {
+// retry sends a failed request again if the retry budget has a token.
+func (p *Policy) retry(r *request) bool {
+	if !p.retryBudget || r.retried || r.deadline <= p.now {
 		return false
 	}
-	p.tokens = min(p.tokens+perSecond*(p.now-p.filled).Seconds(), savedMost)
-	p.filled = p.now
+	p.tokens = min(p.tokens+tokensPerSecond*(p.now-p.refilledAt).Seconds(), maxTokens)
+	p.refilledAt = p.now
 	if p.tokens < 1 || !p.send(r) {
 		return false
 	}
@@ -261,48 +266,53 @@
 	return true
 }
 
-func (p *Policy) finish(r *req) {
+// answerUnserved rejects a request if that is harmless, that is, if nothing ran or a client may
+// repeat it, and fails it otherwise.
+func (p *Policy) answerUnserved(r *request) {
 	harmless := r.class.Effect == logic.Safe || r.class.Effect == logic.Keyed && r.class.Group == logic.DedupAll ||
-		!slices.ContainsFunc(r.tries, func(t attempt) bool { return t.mayRun })
+		!slices.ContainsFunc(r.attempts, func(t attempt) bool { return t.mayRun })
 	if harmless {
-		p.do(logic.Reject{ID: r.id, RetryAfter: p.cfg.MaxRetryAfter})
+		p.emit(logic.Reject{ID: r.id, RetryAfter: p.settings.MaxRetryAfter})
 	} else {
-		p.do(logic.Fail{ID: r.id})
+		p.emit(logic.Fail{ID: r.id})
 	}
-	p.close(r)
+	p.closeRequest(r)
 }
 
-func (p *Policy) close(r *req) {
+// closeRequest ends a request that has its answer and cancels its open attempts.
+func (p *Policy) closeRequest(r *request) {
 	if r.closed {
 		return
 	}
 	r.closed = true
-	if p.cfg.CanCancel {
-		for i := range r.tries {
-			if r.tries[i].open {
-				p.do(logic.Cancel{ID: r.id, Attempt: i})
+	if p.settings.CanCancel {
+		for i := range r.attempts {
+			if r.attempts[i].open {
+				p.emit(logic.Cancel{ID: r.id, Attempt: i})
 			}
 		}
 	}
 	p.forget(r)
 }
 
-func (p *Policy) forget(r *req) {
-	delete(p.bySeq, r.seq)
-	if r.open == 0 {
-		delete(p.reqs, r.id)
+// forget drops the timer of a request, and the request itself once no attempt is open.
+func (p *Policy) forget(r *request) {
+	delete(p.byTimer, r.timer)
+	if r.openAttempts == 0 {
+		delete(p.requests, r.id)
 	}
 }
 
-func (p *Policy) list(l logic.ServerList) {
+// handleServerList applies a list of backends, or schedules another call if the last one failed.
+func (p *Policy) handleServerList(l logic.ServerList) {
 	switch {
 	case l.Kind == logic.ListFailed:
-		p.failed++
-		pause := min(askPause<<min(p.failed-1, 5), askMost)
-		p.do(logic.SetTimer{Token: tokenAsk, After: pause/2 + time.Duration(p.rng.Int64N(int64(pause/2)))})
+		p.failedCalls++
+		pause := min(minSubscribeBackoff<<min(p.failedCalls-1, 5), maxSubscribeBackoff)
+		p.emit(logic.SetTimer{Token: subscribeTimer, After: pause/2 + time.Duration(p.rng.Int64N(int64(pause/2)))})
 		return
 	case l.Kind == logic.ListFull || l.Kind == logic.ListChanges:
-		p.failed = 0
+		p.failedCalls = 0
 	}
 	if l.Kind != logic.ListChanges {
 		named := make(map[logic.ServerID]bool, len(l.Servers))
@@ -330,7 +340,7 @@
 		}
 		s.Server = e
 	}
-	p.ready, p.sum = p.ready[:0], 0
+	p.ready, p.readyCapacity = p.ready[:0], 0
 	for _, s := range p.servers {
 		if s.State == logic.Serving {
 			p.ready = append(p.ready, s)
@@ -338,44 +348,45 @@
 	}
 	slices.SortFunc(p.ready, func(a, b *server) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	for _, s := range p.ready {
-		p.sum += s.Capacity
+		p.readyCapacity += s.Capacity
 	}
-	if p.turn == 0 && len(p.ready) > 0 {
-		p.turn = p.rng.IntN(len(p.ready))
+	if p.nextIndex == 0 && len(p.ready) > 0 {
+		p.nextIndex = p.rng.IntN(len(p.ready))
 	}
 }
 
-var picks = map[string]func(*Policy, []*server) *server{
+// selections holds the selection methods by name.
+var selections = map[string]func(*Policy, []*server) *server{
 	"random": func(p *Policy, pool []*server) *server { return pool[p.rng.IntN(len(pool))] },
 	"round_robin": func(p *Policy, pool []*server) *server {
-		p.turn++
-		return pool[p.turn%len(pool)]
+		p.nextIndex++
+		return pool[p.nextIndex%len(pool)]
 	},
 	"least_outstanding": func(p *Policy, pool []*server) *server {
 		from, best := p.rng.IntN(len(pool)), (*server)(nil)
 		for i := range pool {
-			if s := pool[(from+i)%len(pool)]; best == nil || s.out < best.out {
+			if s := pool[(from+i)%len(pool)]; best == nil || s.inFlight < best.inFlight {
 				best = s
 			}
 		}
 		return best
 	},
 	"p2c": func(p *Policy, pool []*server) *server {
-		a, b := p.two(pool)
-		if b.out < a.out {
+		a, b := p.twoRandom(pool)
+		if b.inFlight < a.inFlight {
 			return b
 		}
 		return a
 	},
 	"peak_ewma": func(p *Policy, pool []*server) *server {
-		a, b := p.two(pool)
-		if b.load(p.now) < a.load(p.now) {
+		a, b := p.twoRandom(pool)
+		if b.expectedCost(p.now) < a.expectedCost(p.now) {
 			return b
 		}
 		return a
 	},
 	"weighted": func(p *Policy, pool []*server) *server {
-		sum := p.sum
+		sum := p.readyCapacity
 		if len(pool) != len(p.ready) {
 			sum = 0
 			for _, s := range pool {
@@ -392,8 +403,8 @@
 	},
 }
 
-// two draws two different backends where there are two.
-func (p *Policy) two(pool []*server) (a, b *server) {
+// twoRandom draws two different backends, or the only one twice.
+func (p *Policy) twoRandom(pool []*server) (a, b *server) {
 	i := p.rng.IntN(len(pool))
 	if len(pool) == 1 {
 		return pool[i], pool[i]
@@ -405,18 +416,20 @@
 	return pool[i], pool[j]
 }
 
-// observe follows the latency: up at once, down over ewmaTime.
-func (s *server) observe(now time.Duration, latency float64) {
-	w := math.Exp(-float64(now-s.seen) / float64(ewmaTime))
-	s.seen = now
-	if latency > s.cost {
-		s.cost = latency
+// recordLatency updates the moving average, which rises at once and falls over ewmaDecayTime.
+func (s *server) recordLatency(now time.Duration, latency float64) {
+	w := math.Exp(-float64(now-s.observedAt) / float64(ewmaDecayTime))
+	s.observedAt = now
+	if latency > s.latency {
+		s.latency = latency
 	} else {
-		s.cost = s.cost*w + latency*(1-w)
+		s.latency = s.latency*w + latency*(1-w)
 	}
 }
 
-func (s *server) load(now time.Duration) float64 {
-	cost := s.cost * math.Exp(-float64(now-s.seen)/float64(ewmaTime))
-	return max(cost, ewmaUnseen.Seconds()) * float64(s.out+1)
+// expectedCost returns the latency average, decayed to now, times one more than the requests in
+// flight.
+func (s *server) expectedCost(now time.Duration) float64 {
+	cost := s.latency * math.Exp(-float64(now-s.observedAt)/float64(ewmaDecayTime))
+	return max(cost, unseenLatency.Seconds()) * float64(s.inFlight+1)
 }
