--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -149,12 +149,12 @@
 	for _, j := range b.running[1:] {
 		next = min(next, j.doneAt)
 	}
-	wait := time.Duration(math.Ceil(max(next-b.progress, 0) / b.rate * 1e9))
-	if cold := time.Second / 4; b.warmFraction() < 1 && wait > cold {
-		wait = cold // look again soon: the rate rises meanwhile
+	delay := time.Duration(math.Ceil(max(next-b.progress, 0) / b.rate * 1e9))
+	if cold := time.Second / 4; b.warmFraction() < 1 && delay > cold {
+		delay = cold // look again soon: the rate rises meanwhile
 	}
 	plan := b.completionPlan
-	b.sim.scheduleAfter(wait, func() {
+	b.sim.scheduleAfter(delay, func() {
 		if plan == b.completionPlan {
 			b.advanceProgress()
 			b.completeJobs()
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -25,9 +25,9 @@
 	honoursRetryAfter bool
 }
 
-// clientRequest is one request of an operation. It is the core.Session that the node answers and
+// requestState is one request of an operation and its state. It is the core.Session that the node answers and
 // the Call that its attempts carry.
-type clientRequest struct {
+type requestState struct {
 	operation    *operation
 	id           string
 	node         *node
@@ -128,7 +128,7 @@
 		return
 	}
 	sim.traffic.requests++
-	request := &clientRequest{operation: op, id: strconv.FormatUint(sim.traffic.requests, 36), node: n, deadline: sim.now + timeout}
+	request := &requestState{operation: op, id: strconv.FormatUint(sim.traffic.requests, 36), node: n, deadline: sim.now + timeout}
 	delay := sim.jitteredDelay(sim.scenario.Net.ClientMS)
 	if n.zone != op.zone {
 		delay += sim.networkDelay(n.zone, op.zone)
@@ -146,7 +146,7 @@
 }
 
 // deliver hands the request to its node.
-func (request *clientRequest) deliver(timeout time.Duration) {
+func (request *requestState) deliver(timeout time.Duration) {
 	sim, n := request.operation.sim, request.node
 	request.nodeEpoch = n.epoch
 	if sim.live != nil {
@@ -183,12 +183,12 @@
 )
 
 // Answer implements core.Session.
-func (request *clientRequest) Answer(a core.Answer) {
+func (request *requestState) Answer(a core.Answer) {
 	request.node.effect(func() { request.handleAnswer(a) })
 }
 
 // handleAnswer records the node's answer and sends it to the client.
-func (request *clientRequest) handleAnswer(a core.Answer) {
+func (request *requestState) handleAnswer(a core.Answer) {
 	sim := request.operation.sim
 	request.answered = true
 	delete(request.node.requests, request)
@@ -204,7 +204,7 @@
 }
 
 // nodeDied handles the death of the node while it held the request.
-func (request *clientRequest) nodeDied() {
+func (request *requestState) nodeDied() {
 	request.answered = true
 	if !request.node.unreachable { // a silent machine sends nothing: the client times out
 		request.operation.sim.scheduleAfter(request.operation.sim.jitteredDelay(request.operation.sim.scenario.Net.ClientMS), func() { request.finish(connectionBroken, 0) })
@@ -212,7 +212,7 @@
 }
 
 // finish ends the request at the client, which may retry.
-func (request *clientRequest) finish(result requestResult, pause time.Duration) {
+func (request *requestState) finish(result requestResult, retryAfter time.Duration) {
 	if request.finished {
 		return
 	}
@@ -222,29 +222,29 @@
 		op.sim.stats.recordServed(op)
 		return
 	}
-	op.retry(result, pause)
+	op.retry(result, retryAfter)
 }
 
 // retry sends the operation again where that is harmless and can still succeed.
-func (op *operation) retry(result requestResult, pause time.Duration) {
+func (op *operation) retry(result requestResult, retryAfter time.Duration) {
 	sim := op.sim
-	harmless := result == rejected || result == unreachable
+	retrySafe := result == rejected || result == unreachable
 	switch effects[op.class.Effect] {
 	case logic.Safe:
-		harmless = true
+		retrySafe = true
 	case logic.Keyed:
-		harmless = harmless || dedupScopes[op.class.Group] == logic.DedupAll && sim.now-op.startedAt < op.class.WindowS.sec()
+		retrySafe = retrySafe || dedupScopes[op.class.Group] == logic.DedupAll && sim.now-op.startedAt < op.class.WindowS.sec()
 	}
-	back := sim.scenario.Clients.BackoffMS.ms() << min(op.requests-1, 10)
-	wait := time.Duration((0.5 + sim.retryRNG(op).Float64()) * float64(back))
-	if op.honoursRetryAfter && pause > 0 {
-		wait = max(wait, min(pause, sim.scenario.Clients.MaxRetryAfterMS.ms()))
+	backoff := sim.scenario.Clients.BackoffMS.ms() << min(op.requests-1, 10)
+	delay := time.Duration((0.5 + sim.retryRNG(op).Float64()) * float64(backoff))
+	if op.honoursRetryAfter && retryAfter > 0 {
+		delay = max(delay, min(retryAfter, sim.scenario.Clients.MaxRetryAfterMS.ms()))
 	}
-	if !harmless || op.requests > int(sim.scenario.Clients.Retries.From) || sim.now+wait >= op.startedAt+op.class.DeadlineMS.ms() {
+	if !retrySafe || op.requests > int(sim.scenario.Clients.Retries.From) || sim.now+delay >= op.startedAt+op.class.DeadlineMS.ms() {
 		sim.stats.recordUnserved(op, result)
 		return
 	}
-	sim.scheduleAfter(wait, op.sendRequest)
+	sim.scheduleAfter(delay, op.sendRequest)
 }
 
 // retryRNG returns a random source for one backoff of an operation. It is separate, so that a
@@ -254,12 +254,12 @@
 }
 
 // sortedRequests returns the requests in the order of their ids.
-func (sim *simulation) sortedRequests(m map[*clientRequest]struct{}) []*clientRequest {
-	out := make([]*clientRequest, 0, len(m))
+func (sim *simulation) sortedRequests(m map[*requestState]struct{}) []*requestState {
+	out := make([]*requestState, 0, len(m))
 	for request := range m {
 		out = append(out, request)
 	}
-	slices.SortFunc(out, func(a, b *clientRequest) int {
+	slices.SortFunc(out, func(a, b *requestState) int {
 		return cmp.Or(cmp.Compare(len(a.id), len(b.id)), cmp.Compare(a.id, b.id))
 	})
 	return out
@@ -284,13 +284,13 @@
 // none at all.
 func (f *frontend) pick(zone int) *node {
 	shares := f.sim.scenario.Nodes.Shares
-	for _, here := range []bool{true, false} {
+	for _, sameZone := range []bool{true, false} {
 		f.position++
 		var next *node
 		all := 0.0
 		for i := range f.sim.nodes {
 			n := f.sim.nodes[(f.position+i)%len(f.sim.nodes)]
-			if !n.inRotation || (n.zone == zone) != here {
+			if !n.inRotation || (n.zone == zone) != sameZone {
 				continue
 			}
 			if len(shares) == 0 {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -103,11 +103,11 @@
 		want := text(policy, 7, 1)
 		runtime.GOMAXPROCS(4)
 		got := make([]string, 4)
-		var all sync.WaitGroup
+		var group sync.WaitGroup
 		for i := range got {
-			all.Go(func() { got[i] = text(policy, 7, i*i) })
+			group.Go(func() { got[i] = text(policy, 7, i*i) })
 		}
-		all.Wait()
+		group.Wait()
 		runtime.GOMAXPROCS(before)
 		for _, g := range got {
 			require.Equal(t, want, g, policy)
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -64,7 +64,7 @@
 			}
 		}
 	}
-	size := fault.Severity.From
+	severity := fault.Severity.From
 	switch fault.Kind {
 	case "vanish":
 		run(func() { sim.silenceBackends(targets) }, func() { sim.restartBackends(targets) })
@@ -72,13 +72,13 @@
 		if fault.Kind == "shared_slow" && len(fault.Backends) == 0 {
 			targets = sim.backends
 		}
-		run(each(func(b *backend) { b.slowdown *= size }), each(func(b *backend) { b.slowdown /= size }))
+		run(each(func(b *backend) { b.slowdown *= severity }), each(func(b *backend) { b.slowdown /= severity }))
 	case "hang":
 		run(each(func(b *backend) { b.hangs++ }), each(func(b *backend) { b.hangs-- }))
 	case "fast_errors":
-		run(each(func(b *backend) { b.errorShare = size }), each(func(b *backend) { b.errorShare = 0 }))
+		run(each(func(b *backend) { b.errorShare = severity }), each(func(b *backend) { b.errorShare = 0 }))
 	case "zone_loss":
-		sim.zoneLoss(run, zone, size > .5, fault.RecoveryLagS.sec())
+		sim.zoneLoss(run, zone, severity > .5, fault.RecoveryLagS.sec())
 	case "replace":
 		sim.replaceBackends(targets, at, last)
 	case "restart_nodes":
@@ -95,11 +95,11 @@
 		to := sim.scenario.zoneIndex(fault.ToZone)
 		run(func() { sim.peerNetwork.datagrams.adjustPartition(zone, to, 1) }, func() { sim.peerNetwork.datagrams.adjustPartition(zone, to, -1) })
 	case "peer_loss":
-		run(func() { sim.peerNetwork.datagrams.addLoss(size) }, func() { sim.peerNetwork.datagrams.addLoss(-size) })
+		run(func() { sim.peerNetwork.datagrams.addLoss(severity) }, func() { sim.peerNetwork.datagrams.addLoss(-severity) })
 	case "discovery_down":
-		run(func() { sim.discovery.outages++; sim.discovery.breakWatches() }, func() { sim.discovery.outages-- })
+		run(func() { sim.registry.outages++; sim.registry.breakWatches() }, func() { sim.registry.outages-- })
 	case "discovery_slow":
-		run(func() { sim.discovery.slowdown *= size }, func() { sim.discovery.slowdown /= size })
+		run(func() { sim.registry.slowdown *= severity }, func() { sim.registry.slowdown /= severity })
 	}
 }
 
@@ -142,15 +142,15 @@
 	}
 }
 
-// zoneLoss takes a zone down: either its backends' processes die, or all its machines including the
-// nodes go silent. The nodes come back first, the backends later by a lag and cold.
-func (sim *simulation) zoneLoss(run func(begin, end func()), zone int, whole bool, lag time.Duration) {
+// zoneLoss takes a zone down. Either only its backends' processes die or, withNodes, all its machines
+// go silent, including the nodes. The backends come back cold, later than the nodes by a lag.
+func (sim *simulation) zoneLoss(run func(begin, end func()), zone int, withNodes bool, lag time.Duration) {
 	run(func() {
 		for _, b := range sim.backends {
 			if b.zone != zone || b.state != Up || b.retired {
 				continue
 			}
-			if whole {
+			if withNodes {
 				b.stop(Silent)
 				sim.reportChange(b, sim.scenario.Discovery.SilentNoticeDelayS.sec())
 			} else {
@@ -158,7 +158,7 @@
 				sim.reportChange(b, sim.scenario.Discovery.NoticeDelayS.sec())
 			}
 		}
-		if whole {
+		if withNodes {
 			for _, n := range sim.nodes {
 				if n.zone == zone && n.alive {
 					n.unreachable = true
@@ -193,14 +193,14 @@
 	for i := range starts {
 		starts[i] = time.Duration(rng.Float64() * float64(spread))
 	}
-	var lost []*backend
+	var stopped []*backend
 	run(func() {
-		sim.discovery.outages++
-		sim.discovery.breakWatches()
+		sim.registry.outages++
+		sim.registry.breakWatches()
 		for _, b := range sim.backends {
 			if b.state == Up && !b.retired {
 				b.stop(Silent)
-				lost = append(lost, b)
+				stopped = append(stopped, b)
 			}
 		}
 		for _, n := range sim.nodes {
@@ -211,8 +211,8 @@
 			}
 		}
 	}, func() {
-		sim.scheduleAfter(fault.RecoveryLagS.sec(), func() { sim.discovery.outages-- })
-		for _, b := range lost {
+		sim.scheduleAfter(fault.RecoveryLagS.sec(), func() { sim.registry.outages-- })
+		for _, b := range stopped {
 			sim.scheduleAfter(starts[(len(sim.nodes)+b.number)%len(starts)], b.restart)
 		}
 		for _, n := range sim.nodes {
@@ -259,7 +259,7 @@
 	return true
 }
 
-// restartNode kills a node after a delay and starts it without state soon after.
+// restartNode kills a node after a delay and starts it without state 500 ms later.
 func (sim *simulation) restartNode(n *node, after time.Duration) {
 	sim.scheduleAfter(after, func() {
 		if !n.alive {
@@ -280,10 +280,10 @@
 const drainDuration = 8 * time.Second
 
 // replaceBackends replaces backends, one after the other over a time, by cold ones with new IDs.
-func (sim *simulation) replaceBackends(targets []*backend, at, over time.Duration) {
+func (sim *simulation) replaceBackends(targets []*backend, at, duration time.Duration) {
 	sim.scheduleAt(at, 0, func() { sim.recordFault("replace", sim.faultTarget("replace", targets, 0)) })
 	for i, old := range targets {
-		sim.scheduleAt(at+over*time.Duration(i)/time.Duration(len(targets)), 0, func() {
+		sim.scheduleAt(at+duration*time.Duration(i)/time.Duration(len(targets)), 0, func() {
 			if old.state != Up || old.retired || old.draining {
 				return
 			}
@@ -295,7 +295,7 @@
 				}
 				old.retired = true
 				old.stop(Down)
-				sim.discovery.recordState(old, logic.Gone)
+				sim.registry.recordState(old, logic.Gone)
 			})
 			b := sim.addBackend(old.kind, old.zone, 1)
 			b.speed = old.speed
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -24,7 +24,7 @@
 	events        chan func()
 	startedAt     time.Time
 	done          chan struct{}
-	requests      map[string]*clientRequest
+	requests      map[string]*requestState
 	startingNodes int // nodes that are not ready yet
 
 	mu             sync.Mutex
@@ -37,11 +37,11 @@
 // after the other by the goroutine that owns the run, and must not block.
 type Environment interface {
 	// StartNode starts a node with its cached list and calls LiveRun.NodeReady when it is ready.
-	StartNode(node int, rev int64, known []core.Backend)
+	StartNode(node int, revision int64, known []core.Backend)
 	// KillNode ends a node's process at once.
 	KillNode(node int)
 	// SetBackend sets the state of a backend's machine. The first call creates the machine.
-	SetBackend(number int, how MachineState)
+	SetBackend(number int, state MachineState)
 	// SetPartition sets whether new connections of a node to a backend fail. Open connections stay
 	// open, and are reset when the partition heals.
 	SetPartition(node, backend int, cut bool)
@@ -62,7 +62,7 @@
 
 // NewLiveRun sets up a run. Nothing happens before Run.
 func NewLiveRun(scenario *Scenario, seed uint64) *LiveRun {
-	l := &LiveRun{scenario: scenario, seed: seed, events: make(chan func(), 4096), done: make(chan struct{}), requests: map[string]*clientRequest{}}
+	l := &LiveRun{scenario: scenario, seed: seed, events: make(chan func(), 4096), done: make(chan struct{}), requests: map[string]*requestState{}}
 	l.sim = newSimulation(scenario, seed)
 	l.sim.live = l
 	for range l.sim.nodes {
@@ -90,17 +90,17 @@
 func (l *LiveRun) ConnectTimeout() time.Duration { return l.sim.scenario.Conns.ConnectTimeoutMS.ms() }
 
 // post runs a function on the goroutine that owns the run.
-func (l *LiveRun) post(do func()) {
+func (l *LiveRun) post(run func()) {
 	select {
-	case l.events <- do:
+	case l.events <- run:
 	case <-l.done:
 	}
 }
 
 // Run plays the scenario. It returns ErrAborted if ctx ended the run.
-func (l *LiveRun) Run(ctx context.Context, out Environment, progress func(at, of time.Duration)) (*Result, error) {
+func (l *LiveRun) Run(ctx context.Context, environment Environment, progress func(at, of time.Duration)) (*Result, error) {
 	sim := l.sim
-	l.environment, l.startedAt = out, time.Now()
+	l.environment, l.startedAt = environment, time.Now()
 	sim.startTime = l.startedAt
 	defer close(l.done)
 	for _, b := range sim.backends {
@@ -111,8 +111,8 @@
 		n.start()
 	}
 	end, last := time.Duration(0), time.Duration(0)
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		sim.now = max(time.Since(l.startedAt), sim.now)
 		for len(sim.queue.heap) > 0 && sim.queue.heap[0].at <= sim.now {
@@ -137,12 +137,12 @@
 		if len(sim.queue.heap) > 0 {
 			next = min(next, sim.queue.heap[0].at)
 		}
-		alarm.Reset(max(next-time.Since(l.startedAt), 0))
+		timer.Reset(max(next-time.Since(l.startedAt), 0))
 		select {
-		case do := <-l.events:
+		case run := <-l.events:
 			sim.now = max(time.Since(l.startedAt), sim.now)
-			do()
-		case <-alarm.C:
+			run()
+		case <-timer.C:
 		case <-ctx.Done():
 			return nil, fmt.Errorf("%w: %w", ErrAborted, context.Cause(ctx))
 		}
@@ -154,7 +154,7 @@
 
 // startNode starts a node with the list that it held last.
 func (l *LiveRun) startNode(n *node) {
-	seen := len(l.sim.discovery.changes)
+	seen := len(l.sim.registry.changes)
 	l.mu.Lock()
 	l.visibleChanges[n.number] = seen
 	l.mu.Unlock()
@@ -195,7 +195,7 @@
 
 // NodeCrashed tells that a node's process ended by itself.
 func (l *LiveRun) NodeCrashed(node int, err error) {
-	l.post(func() { l.sim.fail(fmt.Errorf("node %d has crashed: %w", node, err)) })
+	l.post(func() { l.sim.fail(fmt.Errorf("node %d crashed: %w", node, err)) })
 }
 
 // updateBackend passes the state of a backend to the environment. A nil LiveRun is a run in virtual
@@ -208,7 +208,7 @@
 }
 
 // sendRequest passes a client's request to the environment.
-func (l *LiveRun) sendRequest(request *clientRequest, timeout time.Duration) {
+func (l *LiveRun) sendRequest(request *requestState, timeout time.Duration) {
 	l.requests[request.id] = request
 	key := ""
 	c := request.operation.class.moduleClass()
@@ -235,7 +235,7 @@
 
 // nodeRestarted reports whether the node has been killed since the request was sent to it, whether
 // or not it runs again. Then no answer is due any more.
-func (request *clientRequest) nodeRestarted() bool {
+func (request *requestState) nodeRestarted() bool {
 	return !request.node.alive || request.node.epoch != request.nodeEpoch
 }
 
@@ -281,13 +281,13 @@
 // BackendReceived tells that a complete request arrived at a backend, over a new connection (fresh)
 // or a reused one. reply is called once, unless the machine is silent or the returned function is
 // called first; it must not block. The returned function tells that the node gave the request up.
-func (l *LiveRun) BackendReceived(backend, node int, id string, fresh bool, reply func(logic.Result, []float64)) (gone func()) {
+func (l *LiveRun) BackendReceived(backend, node int, id string, newConnection bool, reply func(logic.Result, []float64)) (gone func()) {
 	var a *attempt
 	l.post(func() {
 		sim := l.sim
 		request, b, n := l.requests[id], sim.backends[backend], sim.nodes[node]
 		if request == nil {
-			sim.fail(fmt.Errorf("backend %s was sent a req %q that no client sent", b.id, id))
+			sim.fail(fmt.Errorf("backend %s received request %q, which no client sent", b.id, id))
 			return
 		}
 		a = &attempt{node: n, backend: b, nodeEpoch: n.epoch, processEpoch: b.processEpoch, request: request, written: true, reply: reply}
@@ -295,7 +295,7 @@
 			a.recordSend()
 		}
 		connectWork := 0.0
-		if fresh {
+		if newConnection {
 			connectWork = sim.scenario.Conns.HandshakeWorkUS.From / 1e6
 			sim.handshakes++
 		}
@@ -316,12 +316,12 @@
 }
 
 // replyOverSocket sends the response to an attempt over its socket.
-func (a *attempt) replyOverSocket(r logic.Result, report []float64, more time.Duration) {
+func (a *attempt) replyOverSocket(r logic.Result, report []float64, extraDelay time.Duration) {
 	sim := a.backend.sim
 	if sim.dropIfPartitioned(a.backend.zone, a.node.zone) {
 		return // the node waits until its timeout
 	}
-	sim.scheduleAfter(more+sim.networkDelay(a.backend.zone, a.node.zone), func() {
+	sim.scheduleAfter(extraDelay+sim.networkDelay(a.backend.zone, a.node.zone), func() {
 		if a.ended {
 			return
 		}
@@ -344,9 +344,9 @@
 
 // scheduleChanges lets each node see the registry's changes, at its next round.
 func (l *LiveRun) scheduleChanges() {
-	sim, n := l.sim, len(l.sim.discovery.changes)
+	sim, n := l.sim, len(l.sim.registry.changes)
 	for i := range sim.nodes {
-		sim.scheduleAt(sim.discovery.nextRound(), 0, func() {
+		sim.scheduleAt(sim.registry.nextRound(), 0, func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			if n > l.visibleChanges[i] {
@@ -384,7 +384,7 @@
 	}
 	c := make(chan reply, 1)
 	l.post(func() {
-		sim, d := l.sim, l.sim.discovery
+		sim, d := l.sim, l.sim.registry
 		answer := func(ok bool) {
 			r := reply{ok: ok && d.outages == 0}
 			if r.ok {
@@ -413,16 +413,16 @@
 
 // WaitForChanges waits until a node may see more than a revision and returns what changed since. It
 // returns false if the watch breaks or stop is closed.
-func (l *LiveRun) WaitForChanges(node int, rev int64, stop <-chan struct{}) (ListUpdate, bool) {
+func (l *LiveRun) WaitForChanges(node int, revision int64, stop <-chan struct{}) (ListUpdate, bool) {
 	for {
 		l.mu.Lock()
-		shown, change, broken := l.visibleChanges[node], l.changed[node], l.watchBroken[node]
+		visible, change, broken := l.visibleChanges[node], l.changed[node], l.watchBroken[node]
 		l.mu.Unlock()
-		if firstRevision+int64(shown) > rev {
+		if firstRevision+int64(visible) > revision {
 			c := make(chan ListUpdate, 1)
 			l.post(func() {
-				from := max(int(rev-firstRevision), 0)
-				c <- ListUpdate{Revision: firstRevision + int64(shown), Backends: l.sim.discovery.changesBetween(from, shown)}
+				from := max(int(revision-firstRevision), 0)
+				c <- ListUpdate{Revision: firstRevision + int64(visible), Backends: l.sim.registry.changesBetween(from, visible)}
 			})
 			select {
 			case out := <-c:
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -21,13 +21,13 @@
 	engine          *core.Engine
 	nextWake        time.Duration // earliest scheduled wake-up, 0: none
 	idle            map[int]*idleConns
-	openConns       int                         // in use and idle
-	connecting      []*attempt                  // recent attempts that had to open a connection
-	requests        map[*clientRequest]struct{} // received and not answered
-	knownStates     map[int]logic.ServerState   // last list received, kept across a restart
-	logPosition     int                         // position in the registry's change log
-	watching        bool                        // watches the registry
-	updateScheduled bool                        // a delivery of changes is scheduled
+	openConns       int                        // in use and idle
+	connecting      []*attempt                 // recent attempts that had to open a connection
+	requests        map[*requestState]struct{} // received and not answered
+	knownStates     map[int]logic.ServerState  // last list received, kept across a restart
+	logPosition     int                        // position in the registry's change log
+	watching        bool                       // watches the registry
+	updateScheduled bool                       // a delivery of changes is scheduled
 
 	inbox   []func() // events of the current instant
 	effects []func() // effects on the simulation, deferred while nodes run in parallel
@@ -40,21 +40,21 @@
 
 // runInbox runs the node's events of the current instant.
 func (n *node) runInbox() {
-	for i, do := range n.inbox {
+	for i, run := range n.inbox {
 		n.inbox[i] = nil
-		do()
+		run()
 	}
 	n.inbox = n.inbox[:0]
 }
 
 // effect changes the simulation outside the node: at once, or after all nodes of this instant
 // have run if they run in parallel.
-func (n *node) effect(do func()) {
+func (n *node) effect(run func()) {
 	if n.sim.deferEffects {
-		n.effects = append(n.effects, do)
+		n.effects = append(n.effects, run)
 		return
 	}
-	do()
+	run()
 }
 
 // idleConns holds the idle connections to one process of a backend, the most recently used last.
@@ -69,7 +69,7 @@
 	backend      *backend
 	nodeEpoch    int
 	processEpoch int // of the backend
-	request      *clientRequest
+	request      *requestState
 	deadline     time.Duration
 	done         func(core.AttemptResult)
 	ended        bool
@@ -100,7 +100,7 @@
 		return
 	}
 	n.alive, n.nextWake, n.openConns, n.watching, n.updateScheduled = true, 0, 0, false, false
-	n.idle, n.requests = map[int]*idleConns{}, map[*clientRequest]struct{}{}
+	n.idle, n.requests = map[int]*idleConns{}, map[*requestState]struct{}{}
 	n.engine = core.NewEngine(m, s, core.Environment{
 		Now: n.sim.wallTime, Post: func(ev func()) { ev() }, Transport: n, Registry: n, Counters: discardCounters,
 		Log: slog.New(slog.DiscardHandler),
@@ -132,11 +132,11 @@
 }
 
 // schedule runs an event at the node, at its next tick.
-func (n *node) schedule(at time.Duration, do func()) {
+func (n *node) schedule(at time.Duration, run func()) {
 	epoch := n.epoch
 	n.sim.queue.push(max(n.sim.nextTick(at), n.sim.now), 0, n, func() {
 		if n.epoch == epoch && n.alive {
-			do()
+			run()
 			n.finishEvent()
 		}
 	})
@@ -171,7 +171,7 @@
 func (n *node) Start(a core.Attempt, done func(core.AttemptResult)) func() {
 	sim := n.sim
 	b := sim.byEndpoint[a.Instance.Endpoint]
-	request := a.Call.(*clientRequest)
+	request := a.Call.(*requestState)
 	att := &attempt{node: n, backend: b, nodeEpoch: n.epoch, processEpoch: b.processEpoch, request: request, deadline: sim.virtualTime(a.Deadline), done: done}
 	n.effect(func() { n.send(att) })
 	return func() { n.effect(att.cancel) }
@@ -185,11 +185,11 @@
 	sim.scheduleAt(max(att.deadline, sim.now), afterOthers, func() { att.timeOut() })
 	p := n.idle[b.number]
 	if p != nil && p.processEpoch == b.processEpoch {
-		fresh := sim.scenario.Conns.IdleTimeoutS.sec() * 9 / 10
+		reusableFor := sim.scenario.Conns.IdleTimeoutS.sec() * 9 / 10
 		for len(p.idleSince) > 0 {
 			last := p.idleSince[len(p.idleSince)-1]
 			p.idleSince = p.idleSince[:len(p.idleSince)-1]
-			if sim.now-last < fresh {
+			if sim.now-last < reusableFor {
 				att.holdsConn = true
 				break
 			}
@@ -216,8 +216,8 @@
 		sim.scheduleAfter(sim.scenario.Conns.ConnectTimeoutMS.ms(), func() { att.endNow(logic.ConnectFailed, nil) })
 		return
 	}
-	trips := time.Duration(2 * sim.scenario.Conns.HandshakeRTTs.From * float64(delay))
-	sim.scheduleAfter(trips, func() {
+	handshakeDelay := time.Duration(2 * sim.scenario.Conns.HandshakeRTTs.From * float64(delay))
+	sim.scheduleAfter(handshakeDelay, func() {
 		switch limit := b.maxConns(); {
 		case att.ended:
 		case b.state == Silent:
@@ -264,18 +264,18 @@
 
 // end delivers the result of the attempt to the node, after the network delay and an additional
 // delay.
-func (a *attempt) end(r logic.Result, report []float64, more time.Duration) {
+func (a *attempt) end(r logic.Result, report []float64, extraDelay time.Duration) {
 	if a.ended {
 		return
 	}
 	if a.reply != nil {
-		a.replyOverSocket(r, report, more)
+		a.replyOverSocket(r, report, extraDelay)
 		return
 	}
 	if a.written && a.node.sim.dropIfPartitioned(a.backend.zone, a.node.zone) {
 		return // the response is lost: the attempt times out
 	}
-	a.node.sim.scheduleAfter(more+a.node.sim.networkDelay(a.backend.zone, a.node.zone), func() { a.endNow(r, report) })
+	a.node.sim.scheduleAfter(extraDelay+a.node.sim.networkDelay(a.backend.zone, a.node.zone), func() { a.endNow(r, report) })
 }
 
 // endNow ends the attempt at the node.
@@ -291,14 +291,14 @@
 		}
 		return
 	}
-	keep := r == logic.OK || r == logic.Failed || r == logic.QueueFull
+	reusable := r == logic.OK || r == logic.Failed || r == logic.QueueFull
 	if a.holdsConn {
-		a.release(keep)
+		a.release(reusable)
 	}
 	at := sim.now
 	n.schedule(at, func() {
-		never := r == logic.QueueFull || r == logic.ConnectFailed || r == logic.NotSent
-		n.effect(func() { sim.auditor.Ended(sim.now, a.request.id, string(a.backend.id), never, resultNames[r]) })
+		neverRan := r == logic.QueueFull || r == logic.ConnectFailed || r == logic.NotSent
+		n.effect(func() { sim.auditor.Ended(sim.now, a.request.id, string(a.backend.id), neverRan, resultNames[r]) })
 		a.done(core.AttemptResult{Result: r, Reply: a.request, LoadReport: report, At: sim.wallTimeAt(at)})
 	})
 }
@@ -309,9 +309,9 @@
 	logic.Canceled: "canceled", logic.NotSent: "moot"}
 
 // release returns the attempt's connection to the idle pool, or closes it.
-func (a *attempt) release(keep bool) {
+func (a *attempt) release(reusable bool) {
 	n, b := a.node, a.backend
-	if keep && b.processEpoch == a.processEpoch && b.state == Up {
+	if reusable && b.processEpoch == a.processEpoch && b.state == Up {
 		p := n.idle[b.number]
 		if p == nil || p.processEpoch != b.processEpoch {
 			if p != nil {
@@ -388,10 +388,10 @@
 }
 
 // Subscribe implements core.Registry.
-func (n *node) Subscribe() { n.effect(func() { n.sim.discovery.serveCall(n, true) }) }
+func (n *node) Subscribe() { n.effect(func() { n.sim.registry.serveCall(n, true) }) }
 
 // Fetch implements core.Registry.
-func (n *node) Fetch() { n.effect(func() { n.sim.discovery.serveCall(n, false) }) }
+func (n *node) Fetch() { n.effect(func() { n.sim.registry.serveCall(n, false) }) }
 
 // listEntry returns the backend as the registry lists it.
 func (b *backend) listEntry(state logic.ServerState) core.Backend {
--- a/internal/emulator/peers.go
+++ b/internal/emulator/peers.go
@@ -12,8 +12,8 @@
 	"pipitmux/internal/peers"
 )
 
-// PeerNetwork describes the traffic between the nodes.
-type PeerNetwork struct {
+// PeerSettings describes the traffic between the nodes.
+type PeerSettings struct {
 	BytesPerSecond Range `yaml:"bytes_per_s"` // limit per node; 0: the nodes do not talk
 	Loss           Range `yaml:"loss"`        // fraction of the datagrams that are lost
 	Duplicates     Range `yaml:"twice"`       // fraction that is delivered twice
@@ -103,9 +103,9 @@
 	defer network.mu.Unlock()
 	reached := []int{from}
 	for i := 0; i < len(reached); i++ {
-		for z, there := range relayZones {
-			if there && network.partitions[[2]int{reached[i], z}] == 0 && !slices.Contains(reached, z) {
-				reached = append(reached, z)
+		for zone, there := range relayZones {
+			if there && network.partitions[[2]int{reached[i], zone}] == 0 && !slices.Contains(reached, zone) {
+				reached = append(reached, zone)
 			}
 		}
 	}
--- a/internal/emulator/peers_test.go
+++ b/internal/emulator/peers_test.go
@@ -51,7 +51,7 @@
 	scenario.Seconds = fixedRange(20)
 	with := run(t, scenario, 1, Options{})
 	require.NotNil(t, with.Membership)
-	scenario.Peers = PeerNetwork{}
+	scenario.Peers = PeerSettings{}
 	scenario.Troubles = scenario.Troubles[1:2]
 	without := run(t, scenario, 1, Options{})
 	assert.Nil(t, without.Membership)
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -26,50 +26,50 @@
 	return e.at < o.at || e.at == o.at && e.order < o.order
 }
 
-func (q *eventQueue) push(at time.Duration, rank uint64, n *node, do func()) {
+func (q *eventQueue) push(at time.Duration, rank uint64, n *node, run func()) {
 	q.sequence++
-	e := event{at, rank | q.sequence, do, n}
-	h := append(q.heap, e)
-	i := len(h) - 1
+	e := event{at, rank | q.sequence, run, n}
+	heap := append(q.heap, e)
+	i := len(heap) - 1
 	for i > 0 {
-		up := (i - 1) / 4
-		if !e.before(&h[up]) {
+		parent := (i - 1) / 4
+		if !e.before(&heap[parent]) {
 			break
 		}
-		h[i] = h[up]
-		i = up
+		heap[i] = heap[parent]
+		i = parent
 	}
-	h[i] = e
-	q.heap = h
+	heap[i] = e
+	q.heap = heap
 }
 
 func (q *eventQueue) pop() event {
-	h := q.heap
-	top, last := h[0], h[len(h)-1]
-	h[len(h)-1] = event{}
-	h = h[:len(h)-1]
-	q.heap = h
-	if len(h) == 0 {
+	heap := q.heap
+	top, last := heap[0], heap[len(heap)-1]
+	heap[len(heap)-1] = event{}
+	heap = heap[:len(heap)-1]
+	q.heap = heap
+	if len(heap) == 0 {
 		return top
 	}
 	i := 0
 	for {
 		first := 4*i + 1
-		if first >= len(h) {
+		if first >= len(heap) {
 			break
 		}
-		least := first
-		for c := first + 1; c < min(first+4, len(h)); c++ {
-			if h[c].before(&h[least]) {
-				least = c
+		smallest := first
+		for c := first + 1; c < min(first+4, len(heap)); c++ {
+			if heap[c].before(&heap[smallest]) {
+				smallest = c
 			}
 		}
-		if !h[least].before(&last) {
+		if !heap[smallest].before(&last) {
 			break
 		}
-		h[i] = h[least]
-		i = least
+		heap[i] = heap[smallest]
+		i = smallest
 	}
-	h[i] = last
+	heap[i] = last
 	return top
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/registry.go
@@ -7,9 +7,9 @@
 	"pipitmux/logic"
 )
 
-// discovery models the registry. It learns of changes with a delay, sends them in rounds to the
+// registry is the model of the registry. It learns of changes with a delay, sends them in rounds to the
 // nodes that watch, and serves calls for lists one after the other.
-type discovery struct {
+type registry struct {
 	sim       *simulation
 	changes   []core.Backend // all changes in order
 	states    map[int]logic.ServerState
@@ -19,8 +19,8 @@
 }
 
 // newDiscovery returns a registry, and nodes, that list all backends as serving.
-func newDiscovery(sim *simulation) *discovery {
-	d := &discovery{sim: sim, states: map[int]logic.ServerState{}, slowdown: 1}
+func newRegistry(sim *simulation) *registry {
+	d := &registry{sim: sim, states: map[int]logic.ServerState{}, slowdown: 1}
 	for _, b := range sim.backends {
 		d.states[b.number] = logic.Serving
 		for _, n := range sim.nodes {
@@ -40,12 +40,12 @@
 		case b.draining:
 			state = logic.Draining
 		}
-		sim.discovery.recordState(b, state)
+		sim.registry.recordState(b, state)
 	})
 }
 
 // recordState records the state of a backend and schedules its delivery to the nodes.
-func (d *discovery) recordState(b *backend, state logic.ServerState) {
+func (d *registry) recordState(b *backend, state logic.ServerState) {
 	if state == logic.Gone {
 		delete(d.states, b.number)
 	} else {
@@ -71,7 +71,7 @@
 }
 
 // sendChanges sends a node the changes that it has not seen.
-func (d *discovery) sendChanges(n *node) {
+func (d *registry) sendChanges(n *node) {
 	if !n.watching || d.outages > 0 || n.logPosition == len(d.changes) {
 		return
 	}
@@ -82,14 +82,14 @@
 }
 
 // nextRound draws the time at which a node gets the changes of the next round.
-func (d *discovery) nextRound() time.Duration {
+func (d *registry) nextRound() time.Duration {
 	every := d.sim.scenario.Discovery.IntervalMS.ms()
 	spread := time.Duration(d.sim.networkRNG.Float64() * float64(d.sim.scenario.Discovery.SpreadMS.ms()))
 	return (d.sim.now/every+1)*every + spread
 }
 
 // changesBetween returns the latest change of each backend in a part of the change log.
-func (d *discovery) changesBetween(from, to int) (entries []core.Backend) {
+func (d *registry) changesBetween(from, to int) (entries []core.Backend) {
 	latest := map[string]int{}
 	for i := from; i < to; i++ {
 		latest[d.changes[i].Endpoint] = i
@@ -103,7 +103,7 @@
 }
 
 // fullList returns the current list.
-func (d *discovery) fullList() []core.Backend { return d.sim.backendList(d.states) }
+func (d *registry) fullList() []core.Backend { return d.sim.backendList(d.states) }
 
 // backendList returns the list of the backends that have a state, in the order of their numbers.
 func (sim *simulation) backendList(states map[int]logic.ServerState) (out []core.Backend) {
@@ -116,19 +116,19 @@
 }
 
 // recordList records a list sent to a node. A backend that a full list lacks is gone.
-func (n *node) recordList(entries []core.Backend, whole bool) {
-	named := make(map[int]bool, len(entries))
+func (n *node) recordList(entries []core.Backend, full bool) {
+	listed := make(map[int]bool, len(entries))
 	for _, e := range entries {
 		if b := n.sim.byEndpoint[e.Endpoint]; b != nil {
 			n.recordBackend(b.number, e)
-			named[b.number] = true
+			listed[b.number] = true
 		}
 	}
-	if !whole {
+	if !full {
 		return
 	}
 	for _, b := range n.sim.backends {
-		if _, had := n.knownStates[b.number]; had && !named[b.number] {
+		if _, had := n.knownStates[b.number]; had && !listed[b.number] {
 			n.recordBackend(b.number, b.listEntry(logic.Gone))
 		}
 	}
@@ -148,9 +148,9 @@
 
 // reserve queues a call that reaches the registry at an instant. It returns when the call will
 // have been served, or false if it would time out first.
-func (d *discovery) reserve(reaches time.Duration) (time.Duration, bool) {
+func (d *registry) reserve(arrival time.Duration) (time.Duration, bool) {
 	settings := &d.sim.scenario.Discovery
-	begin := max(d.busyUntil, reaches)
+	begin := max(d.busyUntil, arrival)
 	if begin-d.sim.now > settings.TimeoutMS.ms() {
 		return 0, false
 	}
@@ -163,7 +163,7 @@
 }
 
 // serveCall serves a node's Subscribe or Fetch with a full list.
-func (d *discovery) serveCall(n *node, watch bool) {
+func (d *registry) serveCall(n *node, watch bool) {
 	sim, epoch := d.sim, n.epoch
 	answer := func(kind logic.ListKind) {
 		if n.epoch != epoch {
@@ -198,7 +198,7 @@
 }
 
 // breakWatches ends all watches, as a registry outage does.
-func (d *discovery) breakWatches() {
+func (d *registry) breakWatches() {
 	if d.sim.live != nil {
 		d.sim.live.breakWatches()
 		return
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -181,16 +181,16 @@
 	c, took := stats.classes[op.class], stats.sim.now-op.startedAt
 	c.Served++
 	c.latencies.RecordValue(took.Microseconds())
-	earned := 0.0
+	earnedWorth := 0.0
 	switch {
 	case took <= op.class.AimMS.ms():
 		c.WithinAim++
-		earned = op.class.Worth.From
+		earnedWorth = op.class.Worth.From
 	case took <= op.class.DeadlineMS.ms():
-		earned = op.class.Worth.From * op.class.LateWorth.From
+		earnedWorth = op.class.Worth.From * op.class.LateWorth.From
 	}
-	c.earnedWorth += earned
-	stats.second(op).EarnedWorth += earned
+	c.earnedWorth += earnedWorth
+	stats.second(op).EarnedWorth += earnedWorth
 }
 
 // recordUnserved counts an operation that the client gave up.
@@ -220,20 +220,20 @@
 	for i, name := range []string{"served", "refused", "failed", "duplicate"} {
 		r.Answers[name] = stats.answers[i]
 	}
-	worstClass, earned := 1.0, 0.0
+	worstClass, earnedWorth := 1.0, 0.0
 	for i := range scenario.Classes {
 		c := &scenario.Classes[i]
-		ct := stats.classes[c]
-		if ct.offeredWorth > 0 {
-			ct.Score = ct.earnedWorth / ct.offeredWorth
-			worstClass = min(worstClass, ct.Score)
+		class := stats.classes[c]
+		if class.offeredWorth > 0 {
+			class.Score = class.earnedWorth / class.offeredWorth
+			worstClass = min(worstClass, class.Score)
 		}
-		earned += ct.earnedWorth
-		r.Classes[c.Name] = roundScore(ct.ClassResult)
-		r.LatencyMS[c.Name] = latency.Of(ct.latencies)
+		earnedWorth += class.earnedWorth
+		r.Classes[c.Name] = roundScore(class.ClassResult)
+		r.LatencyMS[c.Name] = latency.Of(class.latencies)
 	}
 	if stats.offeredWorth > 0 {
-		overall := earned / stats.offeredWorth
+		overall := earnedWorth / stats.offeredWorth
 		operations := float64(max(int(sim.traffic.operations), 1))
 		congested := 0
 		for _, b := range sim.backends {
@@ -264,12 +264,12 @@
 func (stats *statistics) worstWindowShare() float64 {
 	worst := 1.0
 	for i := 0; i == 0 || i+worstWindowSeconds <= len(stats.seconds); i++ {
-		offered, earned := 0.0, 0.0
+		offeredWorth, earnedWorth := 0.0, 0.0
 		for _, s := range stats.seconds[i:min(i+worstWindowSeconds, len(stats.seconds))] {
-			offered, earned = offered+s.OfferedWorth, earned+s.EarnedWorth
+			offeredWorth, earnedWorth = offeredWorth+s.OfferedWorth, earnedWorth+s.EarnedWorth
 		}
-		if offered > 0 {
-			worst = min(worst, earned/offered)
+		if offeredWorth > 0 {
+			worst = min(worst, earnedWorth/offeredWorth)
 		}
 	}
 	return worst
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -73,7 +73,7 @@
 	Prices      Penalties     `yaml:"prices"`
 	Troubles    []Fault       `yaml:"troubles"`   // faults at stated times
 	Incidental  RandomFaults  `yaml:"incidental"` // faults drawn for every run
-	Peers       PeerNetwork   `yaml:"peers"`      // drawn last, so that scenarios without it draw the same figures as before
+	Peers       PeerSettings  `yaml:"peers"`      // drawn last, so that scenarios without it draw the same figures as before
 }
 
 // Zone is a data centre.
@@ -324,9 +324,9 @@
 	// A value left out of the file is 0, and so is one set to 0; the line number tells them apart.
 	absent := func(v Range, key string) bool { return v == (Range{}) && f.Line(key) == 0 }
 	for i := range s.Kinds {
-		k, at := &s.Kinds[i], fmt.Sprintf("kinds.%d.", i)
+		k, prefix := &s.Kinds[i], fmt.Sprintf("kinds.%d.", i)
 		for name, v := range map[string]*Range{"slots_per_core": &k.SlotsPerCore, "speed": &k.Speed, "cold_from": &k.ColdFrom} {
-			if absent(*v, at+name) {
+			if absent(*v, prefix+name) {
 				*v = fixedRange(1)
 			}
 		}
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -62,7 +62,7 @@
 	partitions  map[[2]int]int // number of active faults that drop messages from one zone to another
 	byEndpoint  map[string]*backend
 	nodes       []*node
-	discovery   *discovery
+	registry    *registry
 	frontend    *frontend
 	peerNetwork *peerNetwork // nil: the nodes do not talk to each other
 	traffic     *traffic
@@ -124,7 +124,7 @@
 	sim.scheduleAfter(sim.scenario.Nodes.StartMS.ms(), func() { sim.startTraffic(scenario, seed) })
 	end := sim.scenario.Nodes.StartMS.ms() + sim.scenario.Seconds.sec()
 	last := end + sim.settleTime()
-	for looked := 0; len(sim.queue.heap) > 0 && sim.err == nil; looked = sim.events >> 16 {
+	for lastCheck := 0; len(sim.queue.heap) > 0 && sim.err == nil; lastCheck = sim.events >> 16 {
 		e := sim.queue.pop()
 		if e.at > last {
 			break
@@ -136,7 +136,7 @@
 		} else {
 			sim.runNodeBatch(e)
 		}
-		if sim.events>>16 != looked && options.Progress != nil && !options.Progress(min(sim.now, end), end) {
+		if sim.events>>16 != lastCheck && options.Progress != nil && !options.Progress(min(sim.now, end), end) {
 			return nil, ErrAborted
 		}
 	}
@@ -172,12 +172,12 @@
 				batch[i].runInbox()
 			}
 		}
-		var all sync.WaitGroup
+		var group sync.WaitGroup
 		for range at - 1 {
-			all.Go(work)
+			group.Go(work)
 		}
 		work()
-		all.Wait()
+		group.Wait()
 	} else {
 		for _, n := range batch {
 			n.runInbox()
@@ -185,9 +185,9 @@
 	}
 	sim.deferEffects = false
 	for _, n := range batch {
-		for i, do := range n.effects {
+		for i, run := range n.effects {
 			n.effects[i] = nil
-			do()
+			run()
 		}
 		n.effects = n.effects[:0]
 	}
@@ -206,7 +206,7 @@
 	sim.createFleet()
 	sim.traffic = newTraffic(sim)
 	sim.stats = newStatistics(sim)
-	sim.discovery = newDiscovery(sim)
+	sim.registry = newRegistry(sim)
 	sim.peerNetwork = newPeerNetwork(sim, seed)
 	sim.frontend = &frontend{sim: sim, credit: make([]float64, len(sim.nodes))}
 	return sim
@@ -238,13 +238,13 @@
 }
 
 // scheduleAt runs an event of the simulation at an instant, now if that has passed.
-func (sim *simulation) scheduleAt(at time.Duration, rank uint64, do func()) {
-	sim.queue.push(max(at, sim.now), rank, nil, do)
+func (sim *simulation) scheduleAt(at time.Duration, rank uint64, run func()) {
+	sim.queue.push(max(at, sim.now), rank, nil, run)
 }
 
 // scheduleAfter runs an event of the simulation after a delay.
-func (sim *simulation) scheduleAfter(d time.Duration, do func()) {
-	sim.queue.push(sim.now+max(d, 0), 0, nil, do)
+func (sim *simulation) scheduleAfter(d time.Duration, run func()) {
+	sim.queue.push(sim.now+max(d, 0), 0, nil, run)
 }
 
 func (sim *simulation) wallTime() time.Time                   { return sim.startTime.Add(sim.now) }
@@ -336,32 +336,32 @@
 		sum += weight(&of[i])
 	}
 	type part struct {
-		i    int
-		has  int
-		rest float64
+		index     int
+		count     int
+		remainder float64
 	}
 	parts := make([]part, len(of))
 	left := n
 	for i := range of {
-		want := float64(n) / float64(len(of))
+		quota := float64(n) / float64(len(of))
 		if sum > 0 {
-			want = float64(n) * weight(&of[i]) / sum
+			quota = float64(n) * weight(&of[i]) / sum
 		}
-		parts[i] = part{i, int(want), want - math.Floor(want)}
-		left -= parts[i].has
+		parts[i] = part{i, int(quota), quota - math.Floor(quota)}
+		left -= parts[i].count
 	}
-	slices.SortStableFunc(parts, func(a, b part) int { return cmp.Compare(b.rest, a.rest) })
+	slices.SortStableFunc(parts, func(a, b part) int { return cmp.Compare(b.remainder, a.remainder) })
 	for i := range left {
-		parts[i%len(parts)].has++
+		parts[i%len(parts)].count++
 	}
-	slices.SortFunc(parts, func(a, b part) int { return cmp.Compare(a.i, b.i) })
+	slices.SortFunc(parts, func(a, b part) int { return cmp.Compare(a.index, b.index) })
 	// Deal them out in turn, so that neighbouring places have different owners.
 	var out []int
 	for len(out) < n {
 		for i := range parts {
-			if parts[i].has > 0 {
-				parts[i].has--
-				out = append(out, parts[i].i)
+			if parts[i].count > 0 {
+				parts[i].count--
+				out = append(out, parts[i].index)
 			}
 		}
 	}
--- a/internal/emulator/validate.go
+++ b/internal/emulator/validate.go
@@ -16,30 +16,30 @@
 type validator struct{ key, fault string }
 
 // fail records an error at a key unless there is one already.
-func (c *validator) fail(k, format string, args ...any) {
+func (c *validator) fail(key, format string, args ...any) {
 	if c.fault == "" {
-		c.key, c.fault = k, fmt.Sprintf(format, args...)
+		c.key, c.fault = key, fmt.Sprintf(format, args...)
 	}
 }
 
 // rangeWithin requires a range to be within bounds, with the lower value first.
-func (c *validator) rangeWithin(k string, v Range, minimum, maximum float64) {
+func (c *validator) rangeWithin(key string, v Range, minimum, maximum float64) {
 	if !v.within(minimum, maximum) {
-		c.fail(k, "must lie from %g to %g, the lower figure first", minimum, maximum)
+		c.fail(key, "must lie from %g to %g, the lower figure first", minimum, maximum)
 	}
 }
 
 // oneOf requires a value to be one of a list.
-func (c *validator) oneOf(k, v string, of []string) {
-	if !slices.Contains(of, v) {
-		c.fail(k, "%q is not one of %s", v, strings.Join(of, ", "))
+func (c *validator) oneOf(key, v string, allowed []string) {
+	if !slices.Contains(allowed, v) {
+		c.fail(key, "%q is not one of %s", v, strings.Join(allowed, ", "))
 	}
 }
 
 // uniqueName requires a name that is not empty and not among those before it. It returns all names.
-func (c *validator) uniqueName(k, name string, before []string) []string {
+func (c *validator) uniqueName(key, name string, before []string) []string {
 	if name == "" || slices.Contains(before, name) {
-		c.fail(k+".name", "must be there and unlike the others")
+		c.fail(key+".name", "must be there and unlike the others")
 	}
 	return append(before, name)
 }
@@ -57,10 +57,10 @@
 	}
 	var names []string
 	for i, z := range s.Zones {
-		k := fmt.Sprintf("zones.%d", i)
-		names = c.uniqueName(k, z.Name, names)
-		c.rangeWithin(k+".traffic", z.Traffic, 0, maxFigure)
-		c.rangeWithin(k+".backends", z.Backends, 0, maxFigure)
+		key := fmt.Sprintf("zones.%d", i)
+		names = c.uniqueName(key, z.Name, names)
+		c.rangeWithin(key+".traffic", z.Traffic, 0, maxFigure)
+		c.rangeWithin(key+".backends", z.Backends, 0, maxFigure)
 	}
 	c.rangeWithin("net.same_ms", s.Net.SameMS, 0, 1e5)
 	c.rangeWithin("net.cross_ms", s.Net.CrossMS, 0, 1e5)
@@ -82,7 +82,7 @@
 	}
 	c.rangeWithin("nodes.start_ms", s.Nodes.StartMS, 0, 1e6)
 	c.rangeWithin("nodes.notice_s", s.Nodes.NoticeDelayS, 0, 1e6)
-	if s.Peers != (PeerNetwork{}) {
+	if s.Peers != (PeerSettings{}) {
 		c.rangeWithin("peers.bytes_per_s", s.Peers.BytesPerSecond, 256, 100000)
 	}
 	c.rangeWithin("peers.loss", s.Peers.Loss, 0, .99)
@@ -154,25 +154,25 @@
 	}
 	var kinds []string
 	for i, kind := range s.Kinds {
-		k := fmt.Sprintf("kinds.%d", i)
-		kinds = c.uniqueName(k, kind.Name, kinds)
+		key := fmt.Sprintf("kinds.%d", i)
+		kinds = c.uniqueName(key, kind.Name, kinds)
 		if kind.Cores < 1 || kind.Cores > 4096 {
-			c.fail(k+".cores", "must lie from 1 to 4096")
+			c.fail(key+".cores", "must lie from 1 to 4096")
 		}
-		c.rangeWithin(k+".share", kind.FleetShare, 0, maxFigure)
-		c.rangeWithin(k+".speed", kind.Speed, 1e-3, 1e3)
-		c.rangeWithin(k+".speed_cv", kind.SpeedCV, 0, 1)
-		c.rangeWithin(k+".weight", kind.Weight, 0, maxFigure)
-		c.rangeWithin(k+".slots_per_core", kind.SlotsPerCore, .01, 1e4)
-		c.rangeWithin(k+".queue_per_core", kind.QueuePerCore, 0, 1e6)
-		c.rangeWithin(k+".thrash", kind.Thrash, 0, 100)
-		c.rangeWithin(k+".thrash_at", kind.ThrashAt, 0, 1e6)
-		c.rangeWithin(k+".cold_from", kind.ColdFrom, .001, 1)
-		c.rangeWithin(k+".cold_s", kind.ColdS, 0, 1e6)
-		c.rangeWithin(k+".pause_every_s", kind.PauseEveryS, 0, 1e6)
-		c.rangeWithin(k+".pause_ms", kind.PauseMS, 0, 1e6)
-		c.rangeWithin(k+".error_rate", kind.ErrorRate, 0, 1)
-		c.oneOf(k+".cancel", kind.Cancel, cancelModes)
+		c.rangeWithin(key+".share", kind.FleetShare, 0, maxFigure)
+		c.rangeWithin(key+".speed", kind.Speed, 1e-3, 1e3)
+		c.rangeWithin(key+".speed_cv", kind.SpeedCV, 0, 1)
+		c.rangeWithin(key+".weight", kind.Weight, 0, maxFigure)
+		c.rangeWithin(key+".slots_per_core", kind.SlotsPerCore, .01, 1e4)
+		c.rangeWithin(key+".queue_per_core", kind.QueuePerCore, 0, 1e6)
+		c.rangeWithin(key+".thrash", kind.Thrash, 0, 100)
+		c.rangeWithin(key+".thrash_at", kind.ThrashAt, 0, 1e6)
+		c.rangeWithin(key+".cold_from", kind.ColdFrom, .001, 1)
+		c.rangeWithin(key+".cold_s", kind.ColdS, 0, 1e6)
+		c.rangeWithin(key+".pause_every_s", kind.PauseEveryS, 0, 1e6)
+		c.rangeWithin(key+".pause_ms", kind.PauseMS, 0, 1e6)
+		c.rangeWithin(key+".error_rate", kind.ErrorRate, 0, 1)
+		c.oneOf(key+".cancel", kind.Cancel, cancelModes)
 	}
 	if len(s.Fleet.Backends) == 0 {
 		c.rangeWithin("fleet.size", s.Fleet.Size, 1, 1e6)
@@ -180,11 +180,11 @@
 		c.fail("fleet.size", "stands beside fleet.backends; one of them is wanted")
 	}
 	for i, b := range s.Fleet.Backends {
-		k := fmt.Sprintf("fleet.backends.%d", i)
-		c.oneOf(k+".kind", b.Kind, kinds)
-		c.oneOf(k+".zone", b.Zone, zones)
+		key := fmt.Sprintf("fleet.backends.%d", i)
+		c.oneOf(key+".kind", b.Kind, kinds)
+		c.oneOf(key+".zone", b.Zone, zones)
 		if b.Speed != (Range{}) {
-			c.rangeWithin(k+".speed", b.Speed, 1e-3, 1e3)
+			c.rangeWithin(key+".speed", b.Speed, 1e-3, 1e3)
 		}
 	}
 	congestion := &s.Crowded
@@ -226,55 +226,55 @@
 	}
 	var names []string
 	for i, class := range s.Classes {
-		k := fmt.Sprintf("classes.%d", i)
-		names = c.uniqueName(k, class.Name, names)
-		c.rangeWithin(k+".share", class.Share, 1e-9, maxFigure)
-		c.rangeWithin(k+".work_ms", class.WorkMS, 1e-3, 1e7)
-		c.rangeWithin(k+".cv", class.CV, 0, 10)
-		c.rangeWithin(k+".attempt_noise", class.AttemptNoise, 0, 10)
-		c.rangeWithin(k+".aim_ms", class.AimMS, 1e-3, 1e8)
-		c.rangeWithin(k+".deadline_ms", class.DeadlineMS, class.AimMS.From, 1e8)
-		c.rangeWithin(k+".worth", class.Worth, 1e-9, maxFigure)
-		c.rangeWithin(k+".late_worth", class.LateWorth, 0, 1)
-		c.oneOf(k+".effect", class.Effect, []string{"safe", "keyed", "unsafe"})
+		key := fmt.Sprintf("classes.%d", i)
+		names = c.uniqueName(key, class.Name, names)
+		c.rangeWithin(key+".share", class.Share, 1e-9, maxFigure)
+		c.rangeWithin(key+".work_ms", class.WorkMS, 1e-3, 1e7)
+		c.rangeWithin(key+".cv", class.CV, 0, 10)
+		c.rangeWithin(key+".attempt_noise", class.AttemptNoise, 0, 10)
+		c.rangeWithin(key+".aim_ms", class.AimMS, 1e-3, 1e8)
+		c.rangeWithin(key+".deadline_ms", class.DeadlineMS, class.AimMS.From, 1e8)
+		c.rangeWithin(key+".worth", class.Worth, 1e-9, maxFigure)
+		c.rangeWithin(key+".late_worth", class.LateWorth, 0, 1)
+		c.oneOf(key+".effect", class.Effect, []string{"safe", "keyed", "unsafe"})
 		if class.Effect == "keyed" {
-			c.oneOf(k+".group", class.Group, []string{"all", "zone", "cell"})
-			c.rangeWithin(k+".window_s", class.WindowS, .001, 1e6)
+			c.oneOf(key+".group", class.Group, []string{"all", "zone", "cell"})
+			c.rangeWithin(key+".window_s", class.WindowS, .001, 1e6)
 		}
 	}
 }
 
-func (s *Scenario) validateFault(c *validator, k string, fault *Fault, zones []string) {
-	c.oneOf(k+".kind", fault.Kind, FaultKinds)
-	if strings.HasPrefix(fault.Kind, "peer_") && s.Peers == (PeerNetwork{}) {
-		c.fail(k+".kind", "the nodes don't talk: peers is missing")
-	}
-	c.rangeWithin(k+".at_s", fault.AtS, 0, 1e6)
-	c.rangeWithin(k+".for_s", fault.DurationS, 0, 1e6)
-	c.rangeWithin(k+".part", fault.Fraction, 0, 1)
-	c.rangeWithin(k+".lag_s", fault.RecoveryLagS, 0, 1e6)
-	c.rangeWithin(k+".spread_s", fault.RestartSpreadS, 0, 1e6)
+func (s *Scenario) validateFault(c *validator, key string, fault *Fault, zones []string) {
+	c.oneOf(key+".kind", fault.Kind, FaultKinds)
+	if strings.HasPrefix(fault.Kind, "peer_") && s.Peers == (PeerSettings{}) {
+		c.fail(key+".kind", "the nodes don't talk: peers is missing")
+	}
+	c.rangeWithin(key+".at_s", fault.AtS, 0, 1e6)
+	c.rangeWithin(key+".for_s", fault.DurationS, 0, 1e6)
+	c.rangeWithin(key+".part", fault.Fraction, 0, 1)
+	c.rangeWithin(key+".lag_s", fault.RecoveryLagS, 0, 1e6)
+	c.rangeWithin(key+".spread_s", fault.RestartSpreadS, 0, 1e6)
 	switch fault.Kind {
 	case "slow", "shared_slow", "discovery_slow":
-		c.rangeWithin(k+".size", fault.Severity, 1, 1e4)
+		c.rangeWithin(key+".size", fault.Severity, 1, 1e4)
 	default:
-		c.rangeWithin(k+".size", fault.Severity, 0, 1)
+		c.rangeWithin(key+".size", fault.Severity, 0, 1)
 	}
 	if fault.Zone != "" {
-		c.oneOf(k+".zone", fault.Zone, zones)
+		c.oneOf(key+".zone", fault.Zone, zones)
 	}
 	if fault.Kind == "cut" || fault.Kind == "peer_cut" {
-		c.oneOf(k+".zone", fault.Zone, zones)
-		c.oneOf(k+".to", fault.ToZone, zones)
+		c.oneOf(key+".zone", fault.Zone, zones)
+		c.oneOf(key+".to", fault.ToZone, zones)
 		if fault.Zone == fault.ToZone {
-			c.fail(k+".to", "must be another zone than the one it cuts off")
+			c.fail(key+".to", "must be another zone than the one it cuts off")
 		}
 	} else if fault.ToZone != "" {
-		c.fail(k+".to", "belongs to a cut alone")
+		c.fail(key+".to", "belongs to a cut alone")
 	}
 	for _, n := range fault.Backends {
 		if size := max(len(s.Fleet.Backends), int(s.Fleet.Size.From)); n < 0 || n >= size {
-			c.fail(k+".on", "%d is no backend of the fleet", n)
+			c.fail(key+".on", "%d is no backend of the fleet", n)
 		}
 	}
 }
--- a/internal/rivals/rivals.go
+++ b/internal/rivals/rivals.go
@@ -168,16 +168,16 @@
 	}
 }
 
-func (p *Policy) handleRequest(q logic.Request) {
-	c := p.classes[q.Class]
-	if c == nil || p.requests[q.ID] != nil {
-		if c == nil {
-			p.emit(logic.Reject{ID: q.ID})
+func (p *Policy) handleRequest(event logic.Request) {
+	class := p.classes[event.Class]
+	if class == nil || p.requests[event.ID] != nil {
+		if class == nil {
+			p.emit(logic.Reject{ID: event.ID})
 		}
 		return
 	}
 	p.lastTimer++
-	r := &request{id: q.ID, timer: p.lastTimer, class: c, deadline: p.now + min(q.ClientTimeout, c.Deadline)}
+	r := &request{id: event.ID, timer: p.lastTimer, class: class, deadline: p.now + min(event.ClientTimeout, class.Deadline)}
 	p.requests[r.id], p.byTimer[r.timer] = r, r
 	p.tokens = min(p.tokens+tokensPerRequest, maxTokens)
 	left := r.deadline - p.now
@@ -210,19 +210,19 @@
 // a backend that has just failed.
 func (p *Policy) allowed(r *request, s *server) bool {
 	for i := range r.attempts {
-		t := &r.attempts[i]
-		if t.server == s && len(p.ready) > 1 {
+		a := &r.attempts[i]
+		if a.server == s && len(p.ready) > 1 {
 			return false
 		}
-		if !t.mayRun {
+		if !a.mayRun {
 			continue
 		}
 		switch r.class.Effect {
 		case logic.Unsafe:
 			return false
 		case logic.Keyed:
-			if p.now-t.sentAt >= r.class.Window || r.class.Group == logic.DedupZone && t.zone != s.Zone ||
-				r.class.Group == logic.DedupCell && t.cell != s.Cell {
+			if p.now-a.sentAt >= r.class.Window || r.class.Group == logic.DedupZone && a.zone != s.Zone ||
+				r.class.Group == logic.DedupCell && a.cell != s.Cell {
 				return false
 			}
 		}
@@ -236,11 +236,11 @@
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].open {
 		return
 	}
-	t := &r.attempts[o.Attempt]
-	t.open, t.mayRun = false, !(o.Result == logic.QueueFull || o.Result == logic.ConnectFailed || o.Result == logic.NotSent)
-	t.server.inFlight--
+	a := &r.attempts[o.Attempt]
+	a.open, a.mayRun = false, !(o.Result == logic.QueueFull || o.Result == logic.ConnectFailed || o.Result == logic.NotSent)
+	a.server.inFlight--
 	r.openAttempts--
-	t.server.recordLatency(p.now, o.Latency.Seconds())
+	a.server.recordLatency(p.now, o.Latency.Seconds())
 	switch {
 	case r.closed:
 		p.forget(r)
@@ -269,9 +269,9 @@
 // answerUnserved rejects a request if that is harmless, that is, if nothing ran or a client may
 // repeat it, and fails it otherwise.
 func (p *Policy) answerUnserved(r *request) {
-	harmless := r.class.Effect == logic.Safe || r.class.Effect == logic.Keyed && r.class.Group == logic.DedupAll ||
+	retrySafe := r.class.Effect == logic.Safe || r.class.Effect == logic.Keyed && r.class.Group == logic.DedupAll ||
 		!slices.ContainsFunc(r.attempts, func(t attempt) bool { return t.mayRun })
-	if harmless {
+	if retrySafe {
 		p.emit(logic.Reject{ID: r.id, RetryAfter: p.settings.MaxRetryAfter})
 	} else {
 		p.emit(logic.Fail{ID: r.id})
@@ -304,41 +304,41 @@
 }
 
 // handleServerList applies a list of backends, or schedules another call if the last one failed.
-func (p *Policy) handleServerList(l logic.ServerList) {
+func (p *Policy) handleServerList(list logic.ServerList) {
 	switch {
-	case l.Kind == logic.ListFailed:
+	case list.Kind == logic.ListFailed:
 		p.failedCalls++
-		pause := min(minSubscribeBackoff<<min(p.failedCalls-1, 5), maxSubscribeBackoff)
-		p.emit(logic.SetTimer{Token: subscribeTimer, After: pause/2 + time.Duration(p.rng.Int64N(int64(pause/2)))})
+		backoff := min(minSubscribeBackoff<<min(p.failedCalls-1, 5), maxSubscribeBackoff)
+		p.emit(logic.SetTimer{Token: subscribeTimer, After: backoff/2 + time.Duration(p.rng.Int64N(int64(backoff/2)))})
 		return
-	case l.Kind == logic.ListFull || l.Kind == logic.ListChanges:
+	case list.Kind == logic.ListFull || list.Kind == logic.ListChanges:
 		p.failedCalls = 0
 	}
-	if l.Kind != logic.ListChanges {
-		named := make(map[logic.ServerID]bool, len(l.Servers))
-		for _, e := range l.Servers {
-			named[e.ID] = true
+	if list.Kind != logic.ListChanges {
+		listed := make(map[logic.ServerID]bool, len(list.Servers))
+		for _, entry := range list.Servers {
+			listed[entry.ID] = true
 		}
 		for id := range p.servers {
-			if !named[id] {
+			if !listed[id] {
 				delete(p.servers, id)
 			}
 		}
 	}
-	for _, e := range l.Servers {
-		s := p.servers[e.ID]
+	for _, entry := range list.Servers {
+		s := p.servers[entry.ID]
 		switch {
-		case e.State == logic.Gone:
-			delete(p.servers, e.ID)
+		case entry.State == logic.Gone:
+			delete(p.servers, entry.ID)
 			continue
-		case s == nil || s.StartedAt != e.StartedAt:
+		case s == nil || s.StartedAt != entry.StartedAt:
 			s = &server{}
-			p.servers[e.ID] = s
+			p.servers[entry.ID] = s
 		}
-		if !(e.Capacity > 0) {
-			e.Capacity = 1
+		if !(entry.Capacity > 0) {
+			entry.Capacity = 1
 		}
-		s.Server = e
+		s.Server = entry
 	}
 	p.ready, p.readyCapacity = p.ready[:0], 0
 	for _, s := range p.servers {
@@ -393,9 +393,9 @@
 				sum += s.Capacity
 			}
 		}
-		x := p.rng.Float64() * sum
+		point := p.rng.Float64() * sum
 		for _, s := range pool {
-			if x -= s.Capacity; x < 0 {
+			if point -= s.Capacity; point < 0 {
 				return s
 			}
 		}
@@ -418,12 +418,12 @@
 
 // recordLatency updates the moving average, which rises at once and falls over ewmaDecayTime.
 func (s *server) recordLatency(now time.Duration, latency float64) {
-	w := math.Exp(-float64(now-s.observedAt) / float64(ewmaDecayTime))
+	weight := math.Exp(-float64(now-s.observedAt) / float64(ewmaDecayTime))
 	s.observedAt = now
 	if latency > s.latency {
 		s.latency = latency
 	} else {
-		s.latency = s.latency*w + latency*(1-w)
+		s.latency = s.latency*weight + latency*(1-weight)
 	}
 }
 
