--- a/cmd/oaklab/emulate.go
+++ b/cmd/oaklab/emulate.go
@@ -207,7 +207,7 @@
 	fmt.Fprintf(w, "answers: served %d, refused %d, failed %d; attempts %d, of these retries %d, to cold ones %d; connections opened %d; crowded %d times\n",
 		r.Answers["served"], r.Answers["refused"], r.Answers["failed"], r.Attempts, r.Retries, r.ToCold, r.Opened, r.Crowded)
 	fmt.Fprintf(w, "rules broken: unanswered %d, double effects %d, late drain sends %d, felled backends %d\n",
-		r.Rules.Unanswered, r.Rules.DoubleEffects, r.Rules.LateDrainSends, r.Rules.FelledBackends)
+		r.Rules.Unanswered, r.Rules.DuplicateEffects, r.Rules.LateDrainSends, r.Rules.OverloadedBackends)
 	for _, h := range r.Happened {
 		fmt.Fprintf(w, "%9.2f s  %s %s\n", h.AtS, h.What, h.On)
 	}
--- a/cmd/oaklab/experiment.go
+++ b/cmd/oaklab/experiment.go
@@ -39,7 +39,7 @@
 				dir = filepath.Join("found", name)
 			}
 			s, err := experiment.Open(dir, print)
-			if errors.Is(err, experiment.ErrOther) {
+			if errors.Is(err, experiment.ErrOtherPlan) {
 				return cli.Wrong(fmt.Errorf("%w; name another folder with --dir", err))
 			}
 			if err != nil {
@@ -52,7 +52,7 @@
 			}); err != nil {
 				return err
 			}
-			rows, err := experiment.Summarise(s)
+			rows, err := experiment.Summarize(s)
 			if err != nil {
 				return err
 			}
@@ -114,7 +114,7 @@
 	fmt.Fprintf(w, "%-18s %-24s %-25s %5s  %-24s %-26s %-9s %-9s %s\n", "variant", "grid", "policy", "days", "G [95%]", "p99 ms [95%]", "retries", "to cold", "days with a rule broken")
 	for _, r := range rows {
 		fmt.Fprintf(w, "%-18s %-24s %-25s %5d  %.3f [%.3f, %.3f]    %6.1f [%6.1f, %6.1f]    %-9.3f %-9.0f %v", r.Variant, strings.Join(r.Grid, ","), r.Policy, r.Days,
-			r.G.Median, r.G.Low, r.G.High, r.P99.Median, r.P99.Low, r.P99.High, r.Retries.Median, r.ToCold.Median, r.Broken)
+			r.G.Median, r.G.Low, r.G.High, r.P99.Median, r.P99.Low, r.P99.High, r.Retries.Median, r.SendsToCold.Median, r.DaysWithViolations)
 		if r.CostUS != nil {
 			fmt.Fprintf(w, "  %.1f us a req", r.CostUS.Median)
 		}
--- a/cmd/oaklab/fault.go
+++ b/cmd/oaklab/fault.go
@@ -33,8 +33,8 @@
 		"Plays a scenario that loses a site: real nodes in two sites on loopback, killed with -9 where theirs is\n"+
 			"lost, backends that fall silent, cuts in one direction, a return with cold backends and old lists. Prints\n"+
 			"what was won before, during and after, beside what the capacity left would have allowed.",
-		fault.SiteKinds, func(sc *emulator.Scenario, r *emulator.Result, played string) (report, error) {
-			s, err := fault.Sum(sc, r, played)
+		fault.SiteLossKinds, func(sc *emulator.Scenario, r *emulator.Result, played string) (report, error) {
+			s, err := fault.SummarizeSiteLoss(sc, r, played)
 			return siteLoss{s}, err
 		})
 }
@@ -44,8 +44,8 @@
 		"Plays a scenario in which every node is killed with -9 and every backend and the registry fall silent, and\n"+
 			"all start again, in the same instant or in a random order, the registry late. Prints how long it took until\n"+
 			"service was as before, and what was won in the first minute.",
-		fault.PowerKinds, func(sc *emulator.Scenario, r *emulator.Result, played string) (report, error) {
-			p, err := fault.Power(sc, r, played)
+		fault.PowerLossKinds, func(sc *emulator.Scenario, r *emulator.Result, played string) (report, error) {
+			p, err := fault.SummarizePowerLoss(sc, r, played)
 			return powerLoss{p}, err
 		})
 }
@@ -77,7 +77,7 @@
 			if err != nil {
 				return cli.Wrong(err)
 			}
-			if _, _, err := fault.Window(sc, kinds); err != nil {
+			if _, _, err := fault.LossWindow(sc, kinds); err != nil {
 				return cli.Wrong(fmt.Errorf("%s: %w", args[0], err))
 			}
 			played := "processes"
@@ -111,7 +111,7 @@
 	f.StringArrayVar(&sets, "set", nil, "KEY=VALUE in place of the scenario's, such as nodes.count=4")
 	f.BoolVar(&asJSON, "json", false, "print one JSON object")
 	f.BoolVar(&emulated, "emulated", false, "play in virtual time, without processes")
-	f.BoolVar(&opt.Keep, "keep-state", false, "have nodes keep their state on disk (processes only)")
+	f.BoolVar(&opt.KeepState, "keep-state", false, "have nodes keep their state on disk (processes only)")
 	fleetFlags(f, &opt)
 	return c
 }
@@ -169,7 +169,7 @@
 // printEnd prints the breaches, with more of them behind, and what happened.
 func printEnd(w io.Writer, d *fault.Day, more string) {
 	fmt.Fprintf(w, "rules broken: unanswered %d, double effects %d, late drain sends %d, felled backends %d%s\n",
-		d.Unanswered, d.DoubleEffects, d.LateDrainSends, d.FelledBackends, more)
+		d.Unanswered, d.DuplicateEffects, d.LateDrainSends, d.OverloadedBackends, more)
 	for _, h := range d.Happened {
 		fmt.Fprintf(w, "%9.2f s  %s %s\n", h.AtS, h.What, h.On)
 	}
--- a/cmd/oaklab/fault_test.go
+++ b/cmd/oaklab/fault_test.go
@@ -34,7 +34,7 @@
 func TestSiteLossOfRealNodes(t *testing.T) {
 	sc, r := fourNodes(t, siteTroubles)
 	assert.Positive(t, r.CutOff)
-	s, err := fault.Sum(sc, r, "processes")
+	s, err := fault.SummarizeSiteLoss(sc, r, "processes")
 	require.NoError(t, err)
 	assert.Less(t, s.ReturnOvershoot, s.OvershootLimit)
 	assert.Less(t, s.GDuring, s.GBefore, "half of the fleet was gone")
@@ -87,7 +87,7 @@
 	}
 	sc.Troubles[0].ForS, sc.Troubles[1].ForS = stated(0.5), stated(3)
 	r := playProcesses(t, sc)
-	p, err := fault.Power(sc, r, "processes")
+	p, err := fault.SummarizePowerLoss(sc, r, "processes")
 	require.NoError(t, err)
 	assert.True(t, p.Clean())
 	assert.Less(t, p.Overshoot, p.OvershootLimit, "with nothing put down to chance")
@@ -108,7 +108,7 @@
   - {kind: power_loss, at_s: 2, for_s: 0.5}
   - {kind: power_loss, at_s: 5, for_s: 0.5, spread_s: 0.6, lag_s: 0.5}
 `)
-	p, err := fault.Power(sc, r, "processes")
+	p, err := fault.SummarizePowerLoss(sc, r, "processes")
 	require.NoError(t, err)
 	assert.True(t, p.Clean())
 	assert.Greater(t, p.GFirst60S, p.GBefore/3, "service came back twice, the backends still cold")
--- a/cmd/oaklab/load.go
+++ b/cmd/oaklab/load.go
@@ -50,9 +50,9 @@
 			if key, err := p.Check(); err != nil {
 				return cli.Wrong(f.Errorf(key, "%v", err))
 			}
-			r := load.Run(c.Context(), p, func(l load.Live) {
+			r := load.Run(c.Context(), p, func(l load.Progress) {
 				fmt.Fprintf(c.ErrOrStderr(), "%3.0f of %.0f s: due %d, done %d, open %d, not served %d; last second p50 %.1f ms, p99 %.1f ms\n",
-					l.At.Seconds(), l.Of.Seconds(), l.Due, l.Done, l.Open, l.Failed, l.LastP50, l.LastP99)
+					l.Elapsed.Seconds(), l.Total.Seconds(), l.Due, l.Done, l.InFlight, l.Failed, l.LastP50, l.LastP99)
 			})
 			if asJSON {
 				if err := json.NewEncoder(c.OutOrStdout()).Encode(r); err != nil {
--- a/cmd/oaklab/load_test.go
+++ b/cmd/oaklab/load_test.go
@@ -27,10 +27,10 @@
 	require.NoError(t, err)
 	defer b.Close()
 	go func() {
-		for range b.Seen { // nobody asks what it saw
+		for range b.Requests { // nobody asks what it saw
 		}
 	}()
-	held, err := standin.Hold("127.0.0.1")
+	held, err := standin.ReserveAddress("127.0.0.1")
 	require.NoError(t, err)
 	defer held.Close()
 	addr := held.Addr
@@ -42,7 +42,7 @@
 		Settings: wire.EncodeSettings(settings, time.Second)}, addr, "127.0.0.1:1", nil)
 	require.NoError(t, err)
 	defer n.Kill()
-	require.NoError(t, n.Ready(20*time.Second))
+	require.NoError(t, n.WaitReady(20*time.Second))
 	plan := filepath.Join(dir, "plan.yaml")
 	require.NoError(t, os.WriteFile(plan, []byte("seconds: 2\nper_second: 100\neven: true\nclasses: [{name: topup, share: 1, method: POST, path: /api, deadline: 10s}]\n"), 0o600))
 
--- a/cmd/oaklab/members_test.go
+++ b/cmd/oaklab/members_test.go
@@ -62,7 +62,7 @@
 	dir := t.TempDir()
 	f := &tier{t: t, program: buildNode(t, dir)}
 	for range count {
-		held, err := standin.Hold("127.0.0.2") // for its number: the datagrams come to the same port,
+		held, err := standin.ReserveAddress("127.0.0.2") // for its number: the datagrams come to the same port,
 		require.NoError(t, err)
 		t.Cleanup(func() { held.Close() })
 		f.listen = append(f.listen, held.Addr)
@@ -103,7 +103,7 @@
 	f.views[n] = &view{of: map[int]string{}, seen: map[string]int{}}
 	node, err := standin.StartNode(f.program, dir, map[string]any{"name": fmt.Sprint("n", n), "listen": f.listen[n], "discovery": "127.0.0.1:1",
 		"seed": fmt.Sprint(n + 1), "limits": map[string]any{"sockets": 256}, "peer_listen": f.listen[n], "peers": f.relays.Peers(n),
-		"known": standin.List{Revision: 1, Full: true}, "settings": wire.EncodeSettings(settings, time.Second)}, f.listen[n], "127.0.0.1:1", &standin.PeerLog{Changed: f.views[n].changed}, "node", "--config", own)
+		"known": standin.List{Revision: 1, Full: true}, "settings": wire.EncodeSettings(settings, time.Second)}, f.listen[n], "127.0.0.1:1", &standin.PeerLogWriter{OnChange: f.views[n].changed}, "node", "--config", own)
 	require.NoError(f.t, err)
 	f.nodes[n] = node
 }
@@ -138,11 +138,11 @@
 func TestMembersProcesses(t *testing.T) {
 	f := newTier(t, 6)
 	everyone := []int{0, 1, 2, 3, 4, 5}
-	f.relays.Fault(0.2, nil)
+	f.relays.SetFaults(0.2, nil)
 	require.Eventually(t, func() bool {
 		for from := range 6 {
 			for to := range 6 {
-				if from != to && f.relays.Passed(from, to) < 2 {
+				if from != to && f.relays.Forwarded(from, to) < 2 {
 					return false
 				}
 			}
@@ -157,10 +157,10 @@
 
 	// One way is cut: the others go round it. As many datagrams as a suspicion would take
 	// pass meanwhile.
-	f.relays.Fault(0.2, func(from, to int) bool { return from == 1 && to == 4 })
-	before := f.relays.Passed(4, 1)
-	require.Eventually(t, func() bool { return f.relays.Passed(4, 1) > before+12 }, time.Minute, 20*time.Millisecond)
-	f.relays.Fault(0.2, nil)
+	f.relays.SetFaults(0.2, func(from, to int) bool { return from == 1 && to == 4 })
+	before := f.relays.Forwarded(4, 1)
+	require.Eventually(t, func() bool { return f.relays.Forwarded(4, 1) > before+12 }, time.Minute, 20*time.Millisecond)
+	f.relays.SetFaults(0.2, nil)
 	f.all(everyone, "there")
 	for by, v := range f.views {
 		for _, m := range []int{0, 1, 2, 4, 5} {
@@ -169,7 +169,7 @@
 	}
 
 	site := func(n int) bool { return n < 2 } // cut off: both sides go on
-	f.relays.Fault(0.2, func(from, to int) bool { return site(from) != site(to) })
+	f.relays.SetFaults(0.2, func(from, to int) bool { return site(from) != site(to) })
 	for by := range f.nodes {
 		for m := range f.nodes {
 			if site(by) != site(m) {
@@ -178,7 +178,7 @@
 		}
 	}
 	assert.Equal(t, "there", f.views[0].takes(1))
-	f.relays.Fault(0.2, nil)
+	f.relays.SetFaults(0.2, nil)
 	f.all(everyone, "there")
 
 	for n := range f.nodes { // power loss: all at once, from nothing
--- a/cmd/oakseam/console_test.go
+++ b/cmd/oakseam/console_test.go
@@ -137,7 +137,7 @@
 		"fulfilled.lookup": "1", "faulted.lookup": "1", "fulfilled.brief": "0", "out_of_rotation": "0"} {
 		assert.Equal(t, want, n.figure(name), name)
 	}
-	assert.EqualValues(t, len(b.Seen), 8, "one of them for the client that has left")
+	assert.EqualValues(t, len(b.Requests), 8, "one of them for the client that has left")
 	n.waitFigure("relayed", "8")
 
 	empty := startWithConsole(t)
@@ -162,7 +162,7 @@
 	defer idle.Close()
 	pending := make(chan *answer, 1)
 	go func() { pending <- n.send("POST", "/api?wait", "", headers("topup")) }()
-	receive(t, b.Seen, "the request before the drain")
+	receive(t, b.Requests, "the request before the drain")
 
 	assert.Equal(t, "OK draining\n", n.consoleCall("drain\n"))
 	assert.Equal(t, 503, n.send("GET", "/ready", "", nil).status, "/ready fails at once")
--- a/cmd/oakseam/harness_test.go
+++ b/cmd/oakseam/harness_test.go
@@ -120,7 +120,7 @@
 
 // freeAddr returns an address that nobody listens at, reserved until the test ends.
 func freeAddr(t *testing.T) string {
-	reserved, err := standin.Hold("127.0.0.1")
+	reserved, err := standin.ReserveAddress("127.0.0.1")
 	require.NoError(t, err)
 	t.Cleanup(reserved.Close)
 	return reserved.Addr
@@ -280,10 +280,10 @@
 type request = standin.Request
 
 var (
-	say    = standin.Say
+	say    = standin.WriteResponse
 	ok     = standin.OK
-	silent = standin.Silent
-	broken = standin.Broken
+	silent = standin.NoResponse
+	broken = standin.ResetConnection
 )
 
 // newBackend runs a fake backend until the test ends.
--- a/cmd/oakseam/oakseam_test.go
+++ b/cmd/oakseam/oakseam_test.go
@@ -32,14 +32,14 @@
 	assert.Equal(t, 200, a.status)
 	assert.Equal(t, "\x00an swer\r\n", a.body)
 	assert.Equal(t, "a/b", a.header.Get("Content-Type"))
-	r := receive(t, b.Seen, "the request")
+	r := receive(t, b.Requests, "the request")
 	assert.Equal(t, "POST /api/x%2Fy?key=4%20&z=%c3", r.Method+" "+r.RequestURI)
 	assert.Equal(t, "bo\x00dy\r\n", r.Body)
 	assert.Equal(t, h["X-Correlation-Id"], r.Header.Get("X-Correlation-Id"))
 	assert.Equal(t, "k1", r.Header.Get("Idempotency-Key"))
 	assert.Regexp(t, `^\d+[mu]$`, r.Header.Get("X-Time-Left"))
 	assert.Equal(t, 200, n.ask("lookup").status)
-	assert.Equal(t, "GET", receive(t, b.Seen, "the safe request").Method)
+	assert.Equal(t, "GET", receive(t, b.Requests, "the safe request").Method)
 }
 
 // A malformed request must get its 4xx status and reach no backend.
@@ -72,7 +72,7 @@
 			assert.Equal(t, tt.want, a.status, tt.name)
 		}
 	}
-	assert.Len(t, b.Seen, 1, "only the last one may reach a backend")
+	assert.Len(t, b.Requests, 1, "only the last one may reach a backend")
 	assert.Regexp(t, "^HTTP/1.1 413 ", n.raw(strings.Replace(postRequest, ": 0", ": 33554433", 1)), "a body over 32 MiB")
 }
 
@@ -108,11 +108,11 @@
 		{"response cut in its body", "topup", partial("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), 502, 1, "reset"},
 		{"not HTTP", "topup", partial("what?\r\n\r\n"), 502, 1, "reset"},
 		{"response over 32 MiB", "topup", partial("HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\nhalf"), 502, 1, "reset"},
-		{"endless head", "topup", standin.Endless("HTTP/1.1 200 OK\r\n", "X-Pad: more\r\n"), 502, 1, "reset"},
-		{"endless line", "topup", standin.Endless("HTTP/1.1 200 OK\r\nX-Pad: ", "more"), 502, 1, "reset"},
-		{"endless interim responses", "topup", standin.Endless("", "HTTP/1.1 103 x\r\n\r\n"), 502, 1, "reset"},
-		{"endless trailer", "topup", standin.Endless("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X-Pad: more\r\n"), 502, 1, "reset"},
-		{"3 GB body", "topup", standin.Endless("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "more"), 502, 1, "reset"},
+		{"endless head", "topup", standin.EndlessResponse("HTTP/1.1 200 OK\r\n", "X-Pad: more\r\n"), 502, 1, "reset"},
+		{"endless line", "topup", standin.EndlessResponse("HTTP/1.1 200 OK\r\nX-Pad: ", "more"), 502, 1, "reset"},
+		{"endless interim responses", "topup", standin.EndlessResponse("", "HTTP/1.1 103 x\r\n\r\n"), 502, 1, "reset"},
+		{"endless trailer", "topup", standin.EndlessResponse("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X-Pad: more\r\n"), 502, 1, "reset"},
+		{"3 GB body", "topup", standin.EndlessResponse("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "more"), 502, 1, "reset"},
 		{"body without a length, reset", "topup", func(c *net.TCPConn, _ request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhalf of it")
 			c.SetLinger(0)
@@ -120,7 +120,7 @@
 		}, 502, 1, "reset"},
 		{"negative length", "topup", partial("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nhalf"), 502, 1, "reset"},
 		{"two lengths", "topup", partial("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 3\r\n\r\nhalf"), 502, 1, "reset"},
-		{"broken response to a keyed request", "reading", standin.Endless("HTTP/1.1 200 OK\r\n", "X-Pad: more\r\n"), 200, 2, "reset"},
+		{"broken response to a keyed request", "reading", standin.EndlessResponse("HTTP/1.1 200 OK\r\n", "X-Pad: more\r\n"), 200, 2, "reset"},
 		{"interim response first", "topup", func(c *net.TCPConn, r request) bool { io.WriteString(c, "HTTP/1.1 103 x\r\n\r\n"); return ok(c, r) }, 200, 1, "ok"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -187,7 +187,7 @@
 	c, err := net.Dial("tcp", n.addr)
 	require.NoError(t, err)
 	fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: g\r\nX-Service-Class: topup\r\nX-Time-Left: 9000m\r\nContent-Length: 2\r\n\r\nab")
-	receive(t, b.Seen, "the request")
+	receive(t, b.Requests, "the request")
 	c.Close()
 	n.waitCounter("client.gone", "1")
 	n.waitCounter("outcome.canceled", "1")
@@ -202,7 +202,7 @@
 	h := headers("topup")
 	first := make(chan *answer, 1)
 	go func() { first <- n.send("POST", "/api", "", h) }()
-	receive(t, b.Seen, "the first request")
+	receive(t, b.Requests, "the first request")
 	second := n.send("POST", "/api", "", h)
 	require.NotNil(t, second)
 	assert.Equal(t, 409, second.status)
@@ -265,8 +265,8 @@
 func TestRegistryChangesTakeEffect(t *testing.T) {
 	one, two := newBackend(t, ok), newBackend(t, ok)
 	n, d := serve(t, one.Addr)
-	assert.Equal(t, "stream=1&index=7", receive(t, d.Calls, "the first watch"))
-	lines := receive(t, d.Watch, "the first watch")
+	assert.Equal(t, "stream=1&index=7", receive(t, d.Queries, "the first watch"))
+	lines := receive(t, d.Watches, "the first watch")
 	require.Equal(t, 200, n.ask("topup").status)
 
 	now := time.Now().UnixMilli() - 60000
@@ -276,7 +276,7 @@
 	lines <- line(t, list(9, false, target("s-0", two.Addr, "in_service", now)))
 	n.waitUntil("a new endpoint closes the old connections", func() bool { return one.Closed.Load() == 2 })
 	require.Equal(t, 200, n.ask("topup").status)
-	assert.Len(t, two.Seen, 1)
+	assert.Len(t, two.Requests, 1)
 
 	lines <- line(t, list(10, false, target("s-0", two.Addr, "terminating", now)))
 	n.waitCounter("list.changes", "4") // with the empty first reply
@@ -284,14 +284,14 @@
 	assert.Equal(t, 503, a.status, "a draining backend must get no new request")
 	assert.Equal(t, "2.5", a.header.Get("Retry-After"))
 	assert.Equal(t, 503, n.send("GET", "/ready", "", nil).status)
-	assert.Len(t, two.Seen, 1)
+	assert.Len(t, two.Requests, 1)
 
 	lines <- indented(t, list(11, true, target("s-1", one.Addr, "in_service", 0)))
 	n.waitCounter("list.full", "1")
 	assert.Equal(t, 200, n.send("GET", "/ready", "", nil).status)
 	assert.Equal(t, 200, n.ask("topup").status)
 	close(lines)
-	assert.Equal(t, "stream=1&index=11", receive(t, d.Calls, "a watch after the broken one"))
+	assert.Equal(t, "stream=1&index=11", receive(t, d.Queries, "a watch after the broken one"))
 	n.waitCounter("list.failed", "1")
 }
 
@@ -304,12 +304,12 @@
 			t.Parallel()
 			b := newBackend(t, ok)
 			n, d := serve(t, b.Addr)
-			receive(t, d.Calls, "the first watch")
-			receive(t, d.Watch, "the first watch") <- text
-			assert.Equal(t, "stream=1&index=7", receive(t, d.Calls, "another watch"))
+			receive(t, d.Queries, "the first watch")
+			receive(t, d.Watches, "the first watch") <- text
+			assert.Equal(t, "stream=1&index=7", receive(t, d.Queries, "another watch"))
 			if name == "silent" || name == "endless list" { // nothing counts as failed while a call is in flight
 				n.waitCounter("list.changes", "2")
-				n.waitUntil("the silent watch ended", func() bool { return d.Ended.Load() == 1 })
+				n.waitUntil("the silent watch ended", func() bool { return d.WatchesEnded.Load() == 1 })
 				n.waitCounter("list.failed", "0")
 			} else {
 				n.waitCounter("list.failed", "1")
@@ -333,10 +333,10 @@
 	b, d, s := newBackend(t, ok), newRegistry(t), settings()
 	s["registry-mode"] = "automatic"
 	n := start(t, configure(t, freeAddr(t), d.Addr, list(7, true), s))
-	receive(t, d.Calls, "the first watch")
-	close(receive(t, d.Watch, "the first watch"))
-	receive(t, d.Calls, "a watch after the broken one")
-	receive(t, d.Watch, "the second watch") <- line(t, list(8, true, target("s-0", b.Addr, "in_service", 0)))
+	receive(t, d.Queries, "the first watch")
+	close(receive(t, d.Watches, "the first watch"))
+	receive(t, d.Queries, "a watch after the broken one")
+	receive(t, d.Watches, "the second watch") <- line(t, list(8, true, target("s-0", b.Addr, "in_service", 0)))
 	n.waitUntil("ready", func() bool { return n.send("GET", "/ready", "", nil).status == 200 })
 	assert.Equal(t, 200, n.ask("topup").status)
 
@@ -345,8 +345,8 @@
 	back, err := standin.NewScriptedRegistryAt(d.Addr)
 	require.NoError(t, err)
 	t.Cleanup(back.Close)
-	assert.Equal(t, "stream=1&index=8", receive(t, back.Calls, "a watch after the outage"))
-	receive(t, back.Watch, "the watch after the outage") <- indented(t, list(9, true, target("s-0", b.Addr, "terminating", 0)))
+	assert.Equal(t, "stream=1&index=8", receive(t, back.Queries, "a watch after the outage"))
+	receive(t, back.Watches, "the watch after the outage") <- indented(t, list(9, true, target("s-0", b.Addr, "terminating", 0)))
 	n.waitUntil("the drain takes effect", func() bool { return n.ask("topup").status == 503 })
 	n.waitCounter("list.failed", "0")
 }
@@ -376,7 +376,7 @@
 	defer unused.Close()
 	first := make(chan *answer, 1)
 	go func() { first <- n.send("POST", "/api", "", headers("topup")) }()
-	receive(t, b.Seen, "the request before the signal")
+	receive(t, b.Requests, "the request before the signal")
 	require.NoError(t, n.cmd.Process.Signal(syscall.SIGTERM))
 	n.waitUntil("the node is ending", func() bool {
 		a := n.send("GET", "/ready", "", nil)
@@ -386,7 +386,7 @@
 	require.NoError(t, err)
 	defer late.Close()
 	io.WriteString(late, "POST /api HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: l\r\nX-Service-Class: topup\r\nContent-Length: 0\r\n\r\n")
-	receive(t, b.Seen, "the request after the signal")
+	receive(t, b.Requests, "the request after the signal")
 	_, err = idle.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF, "an idle client session must end cleanly")
 	unused.SetReadDeadline(time.Now().Add(patience))
@@ -503,7 +503,7 @@
 	}
 	got = n.raw(strings.Replace(postRequest, ": hidden", ": p1", 1) + strings.Replace(postRequest, ": 0", ": 0\r\nConnection: close", 1))
 	assert.Equal(t, 2, strings.Count(got, "HTTP/1.1 200 "), "pipelined requests are served")
-	assert.Len(t, b.Seen, 4)
+	assert.Len(t, b.Requests, 4)
 }
 
 // A client that sends an incomplete or far too large request must get an error or a close within
@@ -528,7 +528,7 @@
 			assert.Less(t, time.Since(before), 3*time.Second, "an error or close is due within 3 s")
 		})
 	}
-	t.Cleanup(func() { assert.Empty(t, b.Seen) })
+	t.Cleanup(func() { assert.Empty(t, b.Requests) })
 }
 
 // Silent sessions over the limit must be shed, the longest silent first, while one with an open
@@ -541,7 +541,7 @@
 	n := start(t, config)
 	first := make(chan *answer, 1)
 	go func() { first <- n.send("POST", "/api", "", headers("topup")) }()
-	receive(t, b.Seen, "the open request")
+	receive(t, b.Requests, "the open request")
 	for range 300 {
 		c, err := net.Dial("tcp", n.addr)
 		require.NoError(t, err)
@@ -564,8 +564,8 @@
 	before, after := newRegistry(t), newRegistry(t)
 	config := configure(t, freeAddr(t), before.Addr, list(7, true, target("s-0", one.Addr, "in_service", 0)), settings())
 	n := start(t, config)
-	receive(t, before.Calls, "the first watch")
-	receive(t, before.Watch, "the first watch") <- line(t, list(8, false))
+	receive(t, before.Queries, "the first watch")
+	receive(t, before.Watches, "the first watch") <- line(t, list(8, false))
 	n.waitCounter("list.changes", "2")
 
 	for key, text := range map[string]string{"PROXY_CONFIG": "{", "discovery": strings.ReplaceAll(line(t, config), before.Addr, "nowhere"), "seed": strings.Replace(line(t, config), "9392d72b", "zzzz", 1)} {
@@ -573,21 +573,21 @@
 		n.waitUntil("the log names "+key, func() bool { return regexp.MustCompile("reload: .*" + key + ":").MatchString(n.log.String()) })
 	}
 	assert.Equal(t, 200, n.ask("topup").status)
-	assert.Empty(t, before.Calls)
+	assert.Empty(t, before.Queries)
 
 	config["discovery"] = after.Addr
 	n.reload(line(t, config))
-	assert.Equal(t, "stream=1&index=8", receive(t, after.Calls, "a watch at the new registry"))
-	lines := receive(t, after.Watch, "the watch at the new registry")
-	n.waitUntil("the old watch ended", func() bool { return before.Ended.Load() == 1 })
+	assert.Equal(t, "stream=1&index=8", receive(t, after.Queries, "a watch at the new registry"))
+	lines := receive(t, after.Watches, "the watch at the new registry")
+	n.waitUntil("the old watch ended", func() bool { return before.WatchesEnded.Load() == 1 })
 	assert.Equal(t, 200, n.ask("topup").status)
 	lines <- line(t, list(9, true, target("s-1", two.Addr, "in_service", 0)))
 	n.waitCounter("list.full", "1")
 	assert.Equal(t, 200, n.ask("topup").status)
-	assert.Len(t, two.Seen, 1)
+	assert.Len(t, two.Requests, 1)
 	n.waitCounter("list.failed", "0")
-	assert.Empty(t, before.Calls)
-	assert.Empty(t, after.Calls)
+	assert.Empty(t, before.Queries)
+	assert.Empty(t, after.Queries)
 }
 
 // Clients that send one request and stay must not exhaust the sessions: above half of the limit
@@ -686,11 +686,11 @@
 		return a.status
 	}
 	require.Equal(t, 200, status(ask("first", "900000")))
-	receive(t, b.Seen, "the first request")
+	receive(t, b.Requests, "the first request")
 	var pending []<-chan *answer
 	for _, id := range []string{"second", "third"} {
 		pending = append(pending, ask(id, "9e5"))
-		receive(t, b.Seen, id)
+		receive(t, b.Requests, id)
 	}
 	for _, hint := range []string{"900000", "-1", "NaN", "1e300", "soon"} { // an invalid hint must not make the request malformed
 		assert.Equal(t, 503, status(ask("odd"+hint, hint)))
--- a/cmd/oakseam/statefile_test.go
+++ b/cmd/oakseam/statefile_test.go
@@ -29,7 +29,7 @@
 	for range 3 {
 		c := configure(t, freeAddr(t), d.Addr, list(0, true), settings())
 		n := startWith(t, c, "node", "--config", optionsFile)
-		receive(t, d.Watch, "a watch") <- line(t, list(9, true, target("s-0", b.Addr, "in_service", 0)))
+		receive(t, d.Watches, "a watch") <- line(t, list(9, true, target("s-0", b.Addr, "in_service", 0)))
 		configs, nodes = append(configs, c), append(nodes, n)
 	}
 	for i, n := range nodes {
@@ -46,7 +46,7 @@
 	}
 	restart := func(i int) *node {
 		n := startWith(t, configs[i], "node", "--config", optionsFile)
-		receive(t, d.Watch, "a watch") <- standin.FallSilent
+		receive(t, d.Watches, "a watch") <- standin.FallSilent
 		return n
 	}
 	n := restart(0)
--- a/cmd/oakseam/streaming_test.go
+++ b/cmd/oakseam/streaming_test.go
@@ -73,7 +73,7 @@
 			res.Body.Close()
 			want := sha256.Sum256(body[:size])
 			assert.Equal(t, want[:], got.Sum(nil), "the response, %s", description)
-			seen := receive(t, b.Seen, "the request")
+			seen := receive(t, b.Requests, "the request")
 			assert.Equal(t, want, sha256.Sum256([]byte(seen.Body)), "the request, %s", description)
 		}
 	}
@@ -105,7 +105,7 @@
 		_, err = io.Copy(io.Discard, res.Body)
 		assert.Error(t, err, "%s: the client must see that the response was cut short", framing)
 		n.waitCounter("answer.broken", "1")
-		assert.Len(t, b.Seen, 1, framing)
+		assert.Len(t, b.Requests, 1, framing)
 	}
 }
 
@@ -122,7 +122,7 @@
 	c.Close()
 	n.waitUntil("both attempts are over", func() bool { return n.counter("outcome.canceled") == "2" })
 	for range 2 {
-		assert.Less(t, len(receive(t, b.Seen, "the part of the request that arrived").Body), 200000)
+		assert.Less(t, len(receive(t, b.Requests, "the part of the request that arrived").Body), 200000)
 	}
 	assert.Equal(t, "0", n.counter("outcome.connect-failed"))
 	assert.Equal(t, 200, n.ask("topup").status)
--- a/cmd/oakseam/upgrade_test.go
+++ b/cmd/oakseam/upgrade_test.go
@@ -93,7 +93,7 @@
 		go client(requestsPerConn)
 	}
 	go func() {
-		for range b.Seen {
+		for range b.Requests {
 		}
 	}()
 	for range 3 {
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -22,12 +22,12 @@
 
 // Rules are the figures of the rules.
 type Rules struct {
-	Classes      []logic.Class
-	AnswerSlack  time.Duration // a final answer may follow the client's patience by this much
-	DrainGrace   time.Duration // sends must have stopped this long after a node was told
-	FallMultiple float64       // times its capacity fells a cold backend,
-	FallAfter    time.Duration // when sent within a window of this length
-	FallSlack    float64       // and this much work more, in seconds on one standard core: chance
+	Classes          []logic.Class
+	AnswerSlack      time.Duration // a final answer may follow the client's patience by this much
+	DrainGrace       time.Duration // sends must have stopped this long after a node was told
+	OverloadMultiple float64       // times its capacity fells a cold backend,
+	OverloadWindow   time.Duration // when sent within a window of this length
+	OverloadSlack    float64       // and this much work more, in seconds on one standard core: chance
 }
 
 // Rule names what was broken.
@@ -35,27 +35,27 @@
 
 // The rules.
 const (
-	Unanswered   Rule = "unanswered"
-	DoubleEffect Rule = "double_effect"
-	LateDrain    Rule = "late_drain_send"
-	Felled       Rule = "felled_backend"
+	Unanswered        Rule = "unanswered"
+	DuplicateEffect   Rule = "double_effect"
+	LateDrain         Rule = "late_drain_send"
+	BackendOverloaded Rule = "felled_backend"
 )
 
 // Answer is the kind of a final answer as the client sees it.
 type Answer uint8
 
-// The kinds of answer. A node that ends a connection without one gives None.
+// The kinds of answer. A node that ends a connection without one gives NoAnswer.
 const (
 	Served Answer = iota
-	Refused
+	Rejected
 	Failed
-	None
+	NoAnswer
 )
 
 var answerNames = [...]string{"served", "refused", "failed", "no answer"}
 
-// Broken is one breach, with what led to it.
-type Broken struct {
+// Violation is one breach, with what led to it.
+type Violation struct {
 	Rule    Rule          `json:"rule"`
 	At      time.Duration `json:"at_ns"`
 	Request string        `json:"req,omitempty"` // the id of the try, empty where a backend is meant
@@ -67,18 +67,18 @@
 
 // Report counts the breaches.
 type Report struct {
-	Unanswered     int      `json:"unanswered"`
-	DoubleEffects  int      `json:"double_effects"`
-	LateDrainSends int      `json:"late_drain_sends"`
-	FelledBackends int      `json:"felled_backends"`
-	Overshoot      float64  `json:"overshoot"` // the most that a cold backend was sent within a window, as a multiple of its capacity
-	Taken          int      `json:"-"`         // requests that were judged
-	Broken         []Broken `json:"-"`         // the first detailMost of each rule
+	Unanswered         int         `json:"unanswered"`
+	DuplicateEffects   int         `json:"double_effects"`
+	LateDrainSends     int         `json:"late_drain_sends"`
+	OverloadedBackends int         `json:"felled_backends"`
+	Overshoot          float64     `json:"overshoot"` // the most that a cold backend was sent within a window, as a multiple of its capacity
+	Requests           int         `json:"-"`         // requests that were judged
+	Violations         []Violation `json:"-"`         // the first detailMost of each rule
 }
 
 // Clean tells that no rule was broken.
 func (r *Report) Clean() bool {
-	return r.Unanswered+r.DoubleEffects+r.LateDrainSends+r.FelledBackends == 0
+	return r.Unanswered+r.DuplicateEffects+r.LateDrainSends+r.OverloadedBackends == 0
 }
 
 const (
@@ -96,7 +96,7 @@
 	ops     map[uint64]*op
 	order   []*op // by their first try: the old ones are let go
 	told    map[toldKey]time.Duration
-	cold    map[string]*Pressure
+	cold    map[string]*WorkWindow
 	report  Report
 	perRule map[Rule]int
 }
@@ -171,7 +171,7 @@
 // New returns an Auditor that has seen nothing.
 func New(r Rules) *Auditor {
 	a := &Auditor{rules: r, classes: map[string]*logic.Class{}, tries: map[string]*try{}, ops: map[uint64]*op{},
-		told: map[toldKey]time.Duration{}, cold: map[string]*Pressure{}, perRule: map[Rule]int{}}
+		told: map[toldKey]time.Duration{}, cold: map[string]*WorkWindow{}, perRule: map[Rule]int{}}
 	for i := range r.Classes {
 		c := &r.Classes[i]
 		a.classes[c.Name] = c
@@ -204,21 +204,21 @@
 	switch r {
 	case Unanswered:
 		a.report.Unanswered++
-	case DoubleEffect:
-		a.report.DoubleEffects++
+	case DuplicateEffect:
+		a.report.DuplicateEffects++
 	case LateDrain:
 		a.report.LateDrainSends++
-	case Felled:
-		a.report.FelledBackends++
+	case BackendOverloaded:
+		a.report.OverloadedBackends++
 	}
 	if a.perRule[r]++; a.perRule[r] > detailMost {
 		return
 	}
-	b := Broken{Rule: r, At: at, Request: request, Node: node, Server: server, Why: why, Events: make([]string, 0, len(notes))}
+	b := Violation{Rule: r, At: at, Request: request, Node: node, Server: server, Why: why, Events: make([]string, 0, len(notes))}
 	for _, n := range notes {
 		b.Events = append(b.Events, n.String())
 	}
-	a.report.Broken = append(a.report.Broken, b)
+	a.report.Violations = append(a.report.Violations, b)
 }
 
 func (o *op) note(at time.Duration, what, id string, node int, server string) {
@@ -227,9 +227,9 @@
 	}
 }
 
-// Taken tells that a node has a whole request. The op names what the client wants
+// RequestReceived tells that a node has a whole request. The op names what the client wants
 // done: its further tries carry the same. The client waits for patience.
-func (a *Auditor) Taken(at time.Duration, node int, id string, operation uint64, class string, patience time.Duration) {
+func (a *Auditor) RequestReceived(at time.Duration, node int, id string, operation uint64, class string, patience time.Duration) {
 	a.tick(at)
 	o := a.ops[operation]
 	if o == nil {
@@ -240,12 +240,12 @@
 	t := &try{id: id, node: node, op: o, until: at + patience}
 	o.tries = append(o.tries, t)
 	a.tries[id] = t
-	a.report.Taken++
+	a.report.Requests++
 	o.note(at, "taken", id, node, "")
 }
 
-// Sent tells that a node began to send a request to a backend.
-func (a *Auditor) Sent(at time.Duration, node int, id, server, zone string, cell int) {
+// AttemptSent tells that a node began to send a request to a backend.
+func (a *Auditor) AttemptSent(at time.Duration, node int, id, server, zone string, cell int) {
 	a.tick(at)
 	if told, ok := a.told[toldKey{node, server}]; ok && at > told+a.rules.DrainGrace {
 		var notes []note
@@ -264,11 +264,11 @@
 	t.op.note(at, "sent", id, node, server)
 	if t.answered && !t.judged {
 		t.judged = true
-		a.breach(DoubleEffect, at, node, id, server, "sent after its final answer", t.op.notes)
+		a.breach(DuplicateEffect, at, node, id, server, "sent after its final answer", t.op.notes)
 	}
 	if why := t.mayNot(zone, cell, at); why != "" && !t.judged {
 		t.judged = true
-		a.breach(DoubleEffect, at, node, id, server, why, t.op.notes)
+		a.breach(DuplicateEffect, at, node, id, server, why, t.op.notes)
 	}
 	t.sends = append(t.sends, sent{server: server, zone: zone, cell: cell, at: at})
 }
@@ -295,9 +295,9 @@
 	return ""
 }
 
-// Ended tells how an attempt ended, as far as the node can know: never says that
+// AttemptEnded tells how an attempt ended, as far as the node can know: never says that
 // it is proven not to have run. Attempts end in any order.
-func (a *Auditor) Ended(at time.Duration, id, server string, never bool, how string) {
+func (a *Auditor) AttemptEnded(at time.Duration, id, server string, never bool, how string) {
 	a.tick(at)
 	t := a.tries[id]
 	if t == nil {
@@ -312,9 +312,9 @@
 	}
 }
 
-// Ran tells that a backend took a request for a client's operation to work on, at
+// RequestRan tells that a backend took a request for a client's operation to work on, at
 // once or later. That is when it tells a repeat from a new one.
-func (a *Auditor) Ran(at time.Duration, operation uint64, id, server, zone string, cell int) {
+func (a *Auditor) RequestRan(at time.Duration, operation uint64, id, server, zone string, cell int) {
 	a.tick(at)
 	o := a.ops[operation]
 	if o == nil || o.class == nil || o.class.Effect == logic.Safe {
@@ -334,12 +334,12 @@
 		if t := a.tries[id]; t != nil && t.judged {
 			return // told by its send already
 		}
-		a.breach(DoubleEffect, at, -1, id, server, fmt.Sprintf("an operation of class %s had its effect twice", o.class.Name), o.notes)
+		a.breach(DuplicateEffect, at, -1, id, server, fmt.Sprintf("an operation of class %s had its effect twice", o.class.Name), o.notes)
 	}
 }
 
-// Answered tells the final answer that a client got whole.
-func (a *Auditor) Answered(at time.Duration, id string, kind Answer) {
+// RequestAnswered tells the final answer that a client got whole.
+func (a *Auditor) RequestAnswered(at time.Duration, id string, kind Answer) {
 	a.tick(at)
 	t := a.tries[id]
 	if t == nil {
@@ -350,19 +350,19 @@
 	case t.answered:
 		a.breach(Unanswered, at, t.node, id, "", "a second final answer", t.op.notes)
 		return
-	case kind == None || at > t.until+a.rules.AnswerSlack:
+	case kind == NoAnswer || at > t.until+a.rules.AnswerSlack:
 		t.answered = true
 		why := "the node ended the connection without an answer"
-		if kind != None {
+		if kind != NoAnswer {
 			why = fmt.Sprintf("the answer came %.3f s after the client's patience", (at - t.until).Seconds())
 		}
 		a.breach(Unanswered, at, t.node, id, "", why, t.op.notes)
 		return
-	case kind == Refused && c != nil && (c.Effect == logic.Unsafe || c.Effect == logic.Keyed && c.Group != logic.DedupAll) && !t.judged:
+	case kind == Rejected && c != nil && (c.Effect == logic.Unsafe || c.Effect == logic.Keyed && c.Group != logic.DedupAll) && !t.judged:
 		for _, s := range t.sends {
 			if !s.never {
 				t.judged = true
-				a.breach(DoubleEffect, at, t.node, id, s.server, "refused, which calls a repeat harmless, though an attempt may have run", t.op.notes)
+				a.breach(DuplicateEffect, at, t.node, id, s.server, "refused, which calls a repeat harmless, though an attempt may have run", t.op.notes)
 				break
 			}
 		}
@@ -370,9 +370,9 @@
 	t.answered = true
 }
 
-// Left tells that the client stopped waiting before its patience was over:
+// ClientLeft tells that the client stopped waiting before its patience was over:
 // nothing is owed any more. A client that waited it out is owed an answer.
-func (a *Auditor) Left(at time.Duration, id string) {
+func (a *Auditor) ClientLeft(at time.Duration, id string) {
 	a.tick(at)
 	if t := a.tries[id]; t != nil && !t.answered && at < t.until {
 		t.answered = true
@@ -380,8 +380,8 @@
 	}
 }
 
-// Died tells that a node was killed: what it held is nobody's fault.
-func (a *Auditor) Died(at time.Duration, node int) {
+// NodeDied tells that a node was killed: what it held is nobody's fault.
+func (a *Auditor) NodeDied(at time.Duration, node int) {
 	a.tick(at)
 	for _, t := range a.tries {
 		if t.node == node {
@@ -398,8 +398,8 @@
 	}
 }
 
-// Told tells what a node was told of a backend: that it serves, or not.
-func (a *Auditor) Told(at time.Duration, node int, server string, serves bool) {
+// BackendListed tells what a node was told of a backend: that it serves, or not.
+func (a *Auditor) BackendListed(at time.Duration, node int, server string, serves bool) {
 	a.tick(at)
 	k := toldKey{node, server}
 	if serves {
@@ -409,33 +409,33 @@
 	}
 }
 
-// Work tells that work reached a cold backend, turned away or not, in seconds on
+// WorkArrived tells that work reached a cold backend, turned away or not, in seconds on
 // one standard core, and the backend's capacity at that moment in such seconds a
 // second. It returns whether that fells it.
-func (a *Auditor) Work(at time.Duration, server string, work, capacity float64) bool {
+func (a *Auditor) WorkArrived(at time.Duration, server string, work, capacity float64) bool {
 	a.tick(at)
 	p := a.cold[server]
 	if p == nil {
-		p = &Pressure{}
+		p = &WorkWindow{}
 		a.cold[server] = p
 	}
 	if p.felled {
 		return true
 	}
 	felled := p.Add(at, work, capacity, a.rules)
-	if w := a.rules.FallAfter.Seconds(); w > 0 && capacity > 0 {
+	if w := a.rules.OverloadWindow.Seconds(); w > 0 && capacity > 0 {
 		a.report.Overshoot = max(a.report.Overshoot, p.sum/(capacity*w))
 	}
 	if felled {
 		p.felled = true
-		a.breach(Felled, at, -1, "", server, fmt.Sprintf("%.2f s of work within %.1f s at a capacity of %.2f a second",
-			p.sum, a.rules.FallAfter.Seconds(), capacity), []note{{at, "felled", "", server, -1}})
+		a.breach(BackendOverloaded, at, -1, "", server, fmt.Sprintf("%.2f s of work within %.1f s at a capacity of %.2f a second",
+			p.sum, a.rules.OverloadWindow.Seconds(), capacity), []note{{at, "felled", "", server, -1}})
 	}
 	return p.felled
 }
 
-// Started tells that a backend starts anew, cold; what it was sent before is forgotten.
-func (a *Auditor) Started(server string) { delete(a.cold, server) }
+// BackendStarted tells that a backend starts anew, cold; what it was sent before is forgotten.
+func (a *Auditor) BackendStarted(server string) { delete(a.cold, server) }
 
 // overdue judges a try whose time is over.
 func (a *Auditor) overdue(t *try) {
@@ -454,12 +454,12 @@
 			a.overdue(t)
 		}
 	}
-	slices.SortStableFunc(a.report.Broken, func(x, y Broken) int { return int(x.At - y.At) })
+	slices.SortStableFunc(a.report.Violations, func(x, y Violation) int { return int(x.At - y.At) })
 	return &a.report
 }
 
-// Pressure adds up the work that a cold backend was sent in a window.
-type Pressure struct {
+// WorkWindow adds up the work that a cold backend was sent in a window.
+type WorkWindow struct {
 	at     []time.Duration
 	work   []float64
 	sum    float64
@@ -469,13 +469,13 @@
 // Add counts work and tells whether the window now holds more than the rules
 // let a backend of that present capacity bear. A window is a budget: one that
 // has just begun may be spent at once.
-func (p *Pressure) Add(at time.Duration, work, capacity float64, r Rules) bool {
+func (p *WorkWindow) Add(at time.Duration, work, capacity float64, r Rules) bool {
 	n := 0
-	for n < len(p.at) && at-p.at[n] >= r.FallAfter {
+	for n < len(p.at) && at-p.at[n] >= r.OverloadWindow {
 		p.sum -= p.work[n]
 		n++
 	}
 	p.at, p.work = append(p.at[n:], at), append(p.work[n:], work)
 	p.sum += work
-	return r.FallMultiple > 0 && p.sum > r.FallMultiple*capacity*r.FallAfter.Seconds()+r.FallSlack
+	return r.OverloadMultiple > 0 && p.sum > r.OverloadMultiple*capacity*r.OverloadWindow.Seconds()+r.OverloadSlack
 }
--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -199,7 +199,7 @@
 		work *= lognormal(b.rng, 1, cv)
 	}
 	b.w.workAsked += work
-	if b.warmth() < 1 && b.w.audit.Work(b.w.now, string(b.id), work+opening, b.bearable()) {
+	if b.warmth() < 1 && b.w.audit.WorkArrived(b.w.now, string(b.id), work+opening, b.bearable()) {
 		b.w.happened("felled", string(b.id))
 		b.stop(Down)
 		b.w.news(b, b.w.sc.Discovery.SilentNoticeS.sec())
@@ -292,7 +292,7 @@
 	b.epoch++
 	b.state, b.born, b.draining = Up, max(b.w.now, 1), false
 	b.at = b.w.now
-	b.w.audit.Started(string(b.id))
+	b.w.audit.BackendStarted(string(b.id))
 	b.changed()
 	b.w.live.backend(b)
 	b.w.news(b, b.w.sc.Discovery.AddS.sec())
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -153,7 +153,7 @@
 	}
 	n.tries[t] = struct{}{}
 	arrived := w.now
-	w.audit.Taken(arrived, n.no, t.id, t.op.id, t.op.class.Name, patience)
+	w.audit.RequestReceived(arrived, n.no, t.id, t.op.id, t.op.class.Name, patience)
 	n.tell(arrived, func() {
 		n.owner.Request(core.Request{ID: t.id, Class: t.op.class.Name, Retry: w.sc.Clients.MarksRetry && t.op.tries > 1,
 			Arrived: w.timeAt(arrived), Timeout: patience, Call: t, Session: t})
@@ -187,8 +187,8 @@
 	w := t.op.w
 	t.answered = true
 	delete(t.n.tries, t)
-	kinds := [...]audit.Answer{core.Served: audit.Served, core.Rejected: audit.Refused, core.Failed: audit.Failed, core.Duplicate: audit.Failed}
-	w.audit.Answered(w.now, t.id, kinds[a.Kind])
+	kinds := [...]audit.Answer{core.Served: audit.Served, core.Rejected: audit.Rejected, core.Failed: audit.Failed, core.Duplicate: audit.Failed}
+	w.audit.RequestAnswered(w.now, t.id, kinds[a.Kind])
 	w.tally.answered(a.Kind)
 	v := [...]verdict{core.Served: served, core.Rejected: refused, core.Failed: failed, core.Duplicate: failed}[a.Kind]
 	way := w.jittered(w.sc.Net.ClientMS)
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -140,7 +140,7 @@
 		n.view[no] = e.State
 		delete(n.gone, e.ID)
 	}
-	n.w.audit.Told(n.w.now, n.no, string(e.ID), e.State == logic.Serving)
+	n.w.audit.BackendListed(n.w.now, n.no, string(e.ID), e.State == logic.Serving)
 }
 
 // turn takes a call that reaches the registry at an instant into its line, and
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -126,7 +126,7 @@
   - {kind: fast_errors, at_s: 7, for_s: 3, part: 0.3, size: 0.8}`)
 	for _, policy := range Policies() {
 		r := run(t, sc, 2, Options{Policy: policy})
-		assert.Zero(t, r.Rules.Unanswered+r.Rules.DoubleEffects+r.Rules.LateDrainSends, "%s: %+v", policy, r.Broken)
+		assert.Zero(t, r.Rules.Unanswered+r.Rules.DuplicateEffects+r.Rules.LateDrainSends, "%s: %+v", policy, r.Broken)
 		if strings.HasSuffix(policy, "+budget") {
 			assert.Positive(t, r.Retries, policy)
 		}
@@ -176,7 +176,7 @@
 					}
 				}
 				return out
-			}, audit.DoubleEffect, "refused"},
+			}, audit.DuplicateEffect, "refused"},
 		{"sends all twice", "", func(_ time.Duration, _ logic.Event, out []logic.Action) []logic.Action {
 			for _, a := range out {
 				if s, ok := a.(logic.Send); ok {
@@ -184,9 +184,9 @@
 				}
 			}
 			return out
-		}, audit.DoubleEffect, "sent"},
+		}, audit.DuplicateEffect, "sent"},
 		{"never heeds a drain", "troubles: [{kind: replace, at_s: 1, for_s: 4, part: 0.5}]", nil, audit.LateDrain, "told"},
-		{"pours all on the cold", "troubles: [{kind: vanish, at_s: 1, for_s: 2, part: 0.25}]", nil, audit.Felled, "felled"},
+		{"pours all on the cold", "troubles: [{kind: vanish, at_s: 1, for_s: 2, part: 0.25}]", nil, audit.BackendOverloaded, "felled"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
@@ -201,8 +201,8 @@
 				}
 				return &bad{p, tt.bend}, err
 			}})
-			counts := map[audit.Rule]int{audit.Unanswered: r.Rules.Unanswered, audit.DoubleEffect: r.Rules.DoubleEffects,
-				audit.LateDrain: r.Rules.LateDrainSends, audit.Felled: r.Rules.FelledBackends}
+			counts := map[audit.Rule]int{audit.Unanswered: r.Rules.Unanswered, audit.DuplicateEffect: r.Rules.DuplicateEffects,
+				audit.LateDrain: r.Rules.LateDrainSends, audit.BackendOverloaded: r.Rules.OverloadedBackends}
 			for rule, n := range counts {
 				if rule == tt.rule {
 					assert.Positive(t, n, rule)
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -223,9 +223,9 @@
 	l.post(func() {
 		if t := l.tries[id]; t != nil && !t.sent {
 			t.sent = true
-			l.w.audit.Taken(l.w.now, t.n.no, id, t.op.id, t.op.class.Name, patience)
+			l.w.audit.RequestReceived(l.w.now, t.n.no, id, t.op.id, t.op.class.Name, patience)
 			if t.orphan() {
-				l.w.audit.Left(l.w.now, id)
+				l.w.audit.ClientLeft(l.w.now, id)
 			}
 		}
 	})
@@ -253,22 +253,22 @@
 		w := l.w
 		died := t.orphan()
 		switch {
-		case v.Answer != audit.None:
+		case v.Answer != audit.NoAnswer:
 			if !died { // else it was on its way when its node was killed: nothing was owed any more
-				w.audit.Answered(w.now, id, v.Answer)
+				w.audit.RequestAnswered(w.now, id, v.Answer)
 			}
-			w.tally.answered([...]core.AnswerKind{audit.Served: core.Served, audit.Refused: core.Rejected, audit.Failed: core.Failed}[v.Answer])
+			w.tally.answered([...]core.AnswerKind{audit.Served: core.Served, audit.Rejected: core.Rejected, audit.Failed: core.Failed}[v.Answer])
 			t.answered = true
-			t.settle([...]verdict{audit.Served: served, audit.Refused: refused, audit.Failed: failed}[v.Answer], v.RetryAfter)
+			t.settle([...]verdict{audit.Served: served, audit.Rejected: refused, audit.Failed: failed}[v.Answer], v.RetryAfter)
 		case !v.Taken:
-			w.audit.Left(w.now, id)
+			w.audit.ClientLeft(w.now, id)
 			t.settle(unreachable, 0)
 		case v.Patient:
 			t.settle(timedOut, 0) // owed an answer: the auditor sees that none came
 		case died:
 			t.settle(broken, 0)
 		default:
-			w.audit.Answered(w.now, id, audit.None)
+			w.audit.RequestAnswered(w.now, id, audit.NoAnswer)
 			t.settle(broken, 0)
 		}
 	})
@@ -305,7 +305,7 @@
 		l.post(func() {
 			if a != nil && !a.over {
 				a.over = true
-				l.w.audit.Ended(l.w.now, id, string(a.b.id), false, "given up")
+				l.w.audit.AttemptEnded(l.w.now, id, string(a.b.id), false, "given up")
 				a.b.dropped(a)
 			}
 		})
@@ -323,7 +323,7 @@
 			return
 		}
 		a.over = true
-		w.audit.Ended(w.now, a.try.id, string(a.b.id), r == logic.QueueFull, resultNames[r])
+		w.audit.AttemptEnded(w.now, a.try.id, string(a.b.id), r == logic.QueueFull, resultNames[r])
 		a.reply(r, report)
 	})
 }
--- a/internal/emulator/live_test.go
+++ b/internal/emulator/live_test.go
@@ -28,7 +28,7 @@
 	go func() {
 		<-c.killed
 		c.Sending(t.ID, t.Patience)
-		c.Done(t.ID, Verdict{Answer: audit.None, Taken: true})
+		c.Done(t.ID, Verdict{Answer: audit.NoAnswer, Taken: true})
 	}()
 }
 
@@ -53,11 +53,11 @@
 			c.Live = NewLive(sc, 1)
 			r, err := c.Run(t.Context(), c, func(_, _ time.Duration) {})
 			require.NoError(t, err)
-			assert.Positive(t, r.Rules.Taken)
+			assert.Positive(t, r.Rules.Requests)
 			if killed {
 				assert.Zero(t, r.Rules.Unanswered, "%+v", r.Broken)
 			} else {
-				assert.Equal(t, r.Rules.Taken, r.Rules.Unanswered)
+				assert.Equal(t, r.Rules.Requests, r.Rules.Unanswered)
 			}
 		})
 	}
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -112,7 +112,7 @@
 func (n *node) kill() {
 	n.alive, n.watch = false, false
 	n.epoch++
-	n.w.audit.Died(n.w.now, n.no)
+	n.w.audit.NodeDied(n.w.now, n.no)
 	n.w.tier.died(n)
 	if n.w.live != nil {
 		n.w.live.out.Kill(n.no)
@@ -246,7 +246,7 @@
 	if b.zone != n.zone {
 		w.crossings++
 	}
-	w.audit.Sent(w.now, n.no, t.id, string(b.id), w.sc.Zones[b.zone].Name, b.cell)
+	w.audit.AttemptSent(w.now, n.no, t.id, string(b.id), w.sc.Zones[b.zone].Name, b.cell)
 }
 
 // reach has the attempt's last byte come to the backend.
@@ -296,7 +296,7 @@
 	at := w.now
 	n.tell(at, func() {
 		never := r == logic.QueueFull || r == logic.ConnectFailed || r == logic.NotSent
-		n.effect(func() { w.audit.Ended(w.now, a.try.id, string(a.b.id), never, resultNames[r]) })
+		n.effect(func() { w.audit.AttemptEnded(w.now, a.try.id, string(a.b.id), never, resultNames[r]) })
 		a.done(core.AttemptResult{Result: r, Reply: a.try, LoadReport: report, At: w.timeAt(at)})
 	})
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -53,7 +53,7 @@
 	CutOff    int                          `json:"lost_in_cuts"` // requests and answers
 	Stale     int                          `json:"stale_sends"`  // to a backend that its node had once been told was gone
 	Rules     *audit.Report                `json:"rules"`
-	Broken    []audit.Broken               `json:"broken,omitempty"`
+	Broken    []audit.Violation            `json:"broken,omitempty"`
 	Events    int                          `json:"events"` // emulated
 	Happened  []Happening                  `json:"happened"`
 	Seconds   []Second                     `json:"seconds"`
@@ -245,7 +245,7 @@
 	}
 	r.Members = w.tier.result()
 	r.Rules = w.audit.Finish(w.now)
-	r.Broken = r.Rules.Broken
+	r.Broken = r.Rules.Violations
 	return r
 }
 
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -379,7 +379,7 @@
 // ran tells that a backend took a request to work on.
 func (w *world) ran(b *backend, a *attempt) {
 	t := a.try
-	w.audit.Ran(w.now, t.op.id, t.id, string(b.id), w.sc.Zones[b.zone].Name, b.cell)
+	w.audit.RequestRan(w.now, t.op.id, t.id, string(b.id), w.sc.Zones[b.zone].Name, b.cell)
 }
 
 // finished has the answer to a request go back.
@@ -398,7 +398,7 @@
 // auditRules are the rules as the auditor takes them.
 func (s *Scenario) auditRules() audit.Rules {
 	r := audit.Rules{AnswerSlack: s.Rules.AnswerSlackMS.ms(), DrainGrace: s.Rules.DrainGraceMS.ms(),
-		FallMultiple: s.Rules.FallMultiple.From, FallAfter: s.Rules.FallAfterMS.ms()}
+		OverloadMultiple: s.Rules.FallMultiple.From, OverloadWindow: s.Rules.FallAfterMS.ms()}
 	mean, sum := 0.0, 0.0
 	for i := range s.Classes {
 		c := &s.Classes[i]
@@ -406,6 +406,6 @@
 		mean += c.Share.From * c.WorkMS.From / 1000
 		sum += c.Share.From
 	}
-	r.FallSlack = s.Rules.FallSlack.From * mean / sum
+	r.OverloadSlack = s.Rules.FallSlack.From * mean / sum
 	return r
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -43,7 +43,7 @@
 }
 
 func table(t *testing.T, s *Store) string {
-	rows, err := Summarise(s)
+	rows, err := Summarize(s)
 	require.NoError(t, err)
 	for _, r := range rows {
 		r.CostUS = nil
@@ -147,7 +147,7 @@
 	assert.Error(t, err, "two runs at once in one folder")
 	require.NoError(t, s.Close())
 	_, err = Open(dir, "two")
-	assert.ErrorIs(t, err, ErrOther)
+	assert.ErrorIs(t, err, ErrOtherPlan)
 	_, err = Open(t.TempDir(), "")
 	assert.Error(t, err)
 }
@@ -171,12 +171,12 @@
 }
 
 func TestMedian(t *testing.T) {
-	one := Median([]float64{3})
-	assert.Equal(t, Range{3, 3, 3}, one)
+	one := MedianWithInterval([]float64{3})
+	assert.Equal(t, Interval{3, 3, 3}, one)
 	v := []float64{9, 1, 2, 3, 4, 5, 6, 7, 8, 10}
-	r := Median(v)
+	r := MedianWithInterval(v)
 	assert.Equal(t, 5.5, r.Median)
 	assert.True(t, r.Low < r.Median && r.Median < r.High && r.Low >= 1 && r.High <= 10)
-	assert.Equal(t, r, Median(v), "the same values, the same interval")
-	assert.True(t, math.IsNaN(Median(nil).Median))
+	assert.Equal(t, r, MedianWithInterval(v), "the same values, the same interval")
+	assert.True(t, math.IsNaN(MedianWithInterval(nil).Median))
 }
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -23,7 +23,7 @@
 
 // Report writes one HTML page about a store, with all that it shows inside it.
 func Report(w io.Writer, title string, s *Store) error {
-	rows, err := Summarise(s)
+	rows, err := Summarize(s)
 	if err != nil {
 		return err
 	}
@@ -37,8 +37,8 @@
 		if g := strings.Join(group[0].Grid, ", "); g != "" {
 			p.Title += ", " + g
 		}
-		for _, paint := range []func([]*Row) (*plot.Plot, error){worthOverTime, latencies, bars("Retries for each req", func(r *Row) Range { return r.Retries }),
-			bars("Sends to cold backends", func(r *Row) Range { return r.ToCold })} {
+		for _, paint := range []func([]*Row) (*plot.Plot, error){worthOverTime, latencies, bars("Retries for each req", func(r *Row) Interval { return r.Retries }),
+			bars("Sends to cold backends", func(r *Row) Interval { return r.SendsToCold })} {
 			pl, err := paint(group)
 			if err != nil {
 				return err
@@ -196,7 +196,7 @@
 }
 
 // bars draws one figure of each policy with its interval.
-func bars(title string, of func(*Row) Range) func([]*Row) (*plot.Plot, error) {
+func bars(title string, of func(*Row) Interval) func([]*Row) (*plot.Plot, error) {
 	return func(rows []*Row) (*plot.Plot, error) {
 		p := plot.New()
 		p.Title.Text = title
@@ -266,8 +266,8 @@
 }
 
 var layout = template.Must(template.New("page").Funcs(template.FuncMap{
-	"range3": func(r Range) string { return fmt.Sprintf("%.3f [%.3f, %.3f]", r.Median, r.Low, r.High) },
-	"range1": func(r Range) string { return fmt.Sprintf("%.1f [%.1f, %.1f]", r.Median, r.Low, r.High) },
+	"range3": func(r Interval) string { return fmt.Sprintf("%.3f [%.3f, %.3f]", r.Median, r.Low, r.High) },
+	"range1": func(r Interval) string { return fmt.Sprintf("%.1f [%.1f, %.1f]", r.Median, r.Low, r.High) },
 	"join":   func(s []string) string { return strings.Join(s, ", ") },
 }).Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
@@ -276,7 +276,7 @@
 <h1>{{.Title}}</h1>
 <p>Medians over the days of each row, with 95% bootstrap intervals. Rules: days with a breach (unanswered, double effects, late drain sends, felled backends).</p>
 <table><tr><th>variant</th><th>grid</th><th>policy</th><th>days</th><th>G</th><th>p99 ms</th><th>retries a req</th><th>sends to cold</th><th>rules</th><th>µs a req</th></tr>
-{{range .Rows}}<tr><td>{{.Variant}}</td><td>{{join .Grid}}</td><td>{{.Policy}}</td><td>{{.Days}}</td><td>{{range3 .G}}</td><td>{{range1 .P99}}</td><td>{{range3 .Retries}}</td><td>{{range1 .ToCold}}</td><td>{{range .Broken}}{{.}} {{end}}</td><td>{{range1 .CostUS}}</td></tr>
+{{range .Rows}}<tr><td>{{.Variant}}</td><td>{{join .Grid}}</td><td>{{.Policy}}</td><td>{{.Days}}</td><td>{{range3 .G}}</td><td>{{range1 .P99}}</td><td>{{range3 .Retries}}</td><td>{{range1 .SendsToCold}}</td><td>{{range .DaysWithViolations}}{{.}} {{end}}</td><td>{{range1 .CostUS}}</td></tr>
 {{end}}</table>
 {{range .Parts}}<h2>{{.Title}}</h2>{{range .Plots}}<figure>{{.}}</figure>{{end}}
 {{end}}</body></html>
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -30,8 +30,8 @@
 	mark  = []byte("fingerprint")
 )
 
-// ErrOther tells that a folder holds the results of another plan or scenario.
-var ErrOther = errors.New("holds the results of another plan or scenario")
+// ErrOtherPlan tells that a folder holds the results of another plan or scenario.
+var ErrOtherPlan = errors.New("holds the results of another plan or scenario")
 
 // Open opens the store of a folder, making it where there is none. Where it
 // holds results of another fingerprint it returns ErrOther; an empty one takes
@@ -62,7 +62,7 @@
 		case print == "" || string(had) == print:
 			return nil
 		case had != nil:
-			return fmt.Errorf("%s: %w", dir, ErrOther)
+			return fmt.Errorf("%s: %w", dir, ErrOtherPlan)
 		}
 		return m.Put(mark, []byte(print))
 	})
--- a/internal/experiment/summary.go
+++ b/internal/experiment/summary.go
@@ -12,8 +12,8 @@
 	"pipitmux/internal/emulator"
 )
 
-// Range is a median and its interval, in which it lies with 95% confidence.
-type Range struct {
+// Interval is a median and its interval, in which it lies with 95% confidence.
+type Interval struct {
 	Median float64 `json:"median"`
 	Low    float64 `json:"low"`
 	High   float64 `json:"high"`
@@ -21,11 +21,11 @@
 
 const resamples = 2000
 
-// Median returns the median of values with a bootstrap interval (Efron's
+// MedianWithInterval returns the median of values with a bootstrap interval (Efron's
 // percentile method). The same values give the same interval.
-func Median(values []float64) Range {
+func MedianWithInterval(values []float64) Interval {
 	if len(values) == 0 {
-		return Range{math.NaN(), math.NaN(), math.NaN()}
+		return Interval{math.NaN(), math.NaN(), math.NaN()}
 	}
 	sorted := slices.Clone(values)
 	slices.Sort(sorted)
@@ -43,7 +43,7 @@
 		medians[i] = median(sample)
 	}
 	slices.Sort(medians)
-	return Range{median(sorted), stat.Quantile(.025, stat.Empirical, medians, nil), stat.Quantile(.975, stat.Empirical, medians, nil)}
+	return Interval{median(sorted), stat.Quantile(.025, stat.Empirical, medians, nil), stat.Quantile(.975, stat.Empirical, medians, nil)}
 }
 
 // median of sorted values; of an even number, between the two in the middle.
@@ -54,25 +54,25 @@
 
 // Row sums the cells up that differ in their seeds only.
 type Row struct {
-	Variant  string   `json:"variant"`
-	Grid     []string `json:"grid"`
-	Policy   string   `json:"policy"`
-	Days     int      `json:"days"`
-	G        Range    `json:"g"`
-	P99      Range    `json:"p99_ms"`  // of the class asked for most
-	Retries  Range    `json:"retries"` // for each request
-	ToCold   Range    `json:"sends_to_cold"`
-	Broken   [4]int   `json:"rules"` // days with a breach: unanswered, double effects, late drain sends, felled backends
-	Backends float64  `json:"backends"`
-	Requests float64  `json:"reqs"`
+	Variant            string   `json:"variant"`
+	Grid               []string `json:"grid"`
+	Policy             string   `json:"policy"`
+	Days               int      `json:"days"`
+	G                  Interval `json:"g"`
+	P99                Interval `json:"p99_ms"`  // of the class asked for most
+	Retries            Interval `json:"retries"` // for each request
+	SendsToCold        Interval `json:"sends_to_cold"`
+	DaysWithViolations [4]int   `json:"rules"` // days with a breach: unanswered, double effects, late drain sends, felled backends
+	Backends           float64  `json:"backends"`
+	Requests           float64  `json:"reqs"`
 	// CostUS is what a request cost to emulate on this machine, in microseconds. All else is
 	// the plan's and the program's alone, so it is told only where it is asked for.
-	CostUS  *Range `json:"cost_us,omitempty"`
+	CostUS  *Interval `json:"cost_us,omitempty"`
 	records []*Record
 }
 
-// Summarise makes the table of a store, in the order of the cells' keys.
-func Summarise(s *Store) ([]*Row, error) {
+// Summarize makes the table of a store, in the order of the cells' keys.
+func Summarize(s *Store) ([]*Row, error) {
 	rows := map[string]*Row{}
 	var order []string
 	err := s.Each(func(r *Record) error {
@@ -97,26 +97,26 @@
 }
 
 func (row *Row) sum() {
-	get := func(of func(*Record) float64) Range {
+	get := func(of func(*Record) float64) Interval {
 		var v []float64
 		for _, r := range row.records {
 			v = append(v, of(r))
 		}
-		return Median(v)
+		return MedianWithInterval(v)
 	}
 	row.Days = len(row.records)
 	row.G = get(func(r *Record) float64 { return r.Result.G })
 	row.P99 = get(func(r *Record) float64 { return r.Result.LatencyMS[mostAsked(r.Result)].P99 })
 	row.Retries = get(func(r *Record) float64 { return float64(r.Result.Retries) / float64(max(r.Result.Requests, 1)) })
-	row.ToCold = get(func(r *Record) float64 { return float64(r.Result.ToCold) })
+	row.SendsToCold = get(func(r *Record) float64 { return float64(r.Result.ToCold) })
 	cost := get(func(r *Record) float64 { return float64(r.TookNS) / 1000 / float64(max(r.Result.Requests, 1)) })
 	row.CostUS = &cost
 	row.Backends = get(func(r *Record) float64 { return float64(r.Result.Backends) }).Median
 	row.Requests = get(func(r *Record) float64 { return float64(r.Result.Requests) }).Median
 	for _, r := range row.records {
-		for i, n := range []int{r.Result.Rules.Unanswered, r.Result.Rules.DoubleEffects, r.Result.Rules.LateDrainSends, r.Result.Rules.FelledBackends} {
+		for i, n := range []int{r.Result.Rules.Unanswered, r.Result.Rules.DuplicateEffects, r.Result.Rules.LateDrainSends, r.Result.Rules.OverloadedBackends} {
 			if n > 0 {
-				row.Broken[i]++
+				row.DaysWithViolations[i]++
 			}
 		}
 	}
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -18,16 +18,16 @@
 
 // Day is what every report holds.
 type Day struct {
-	Scenario       string `json:"scenario"`
-	Seed           uint64 `json:"seed"`
-	Played         string `json:"played"` // "processes" or "emulated"
-	Nodes          int    `json:"nodes"`
-	Backends       int    `json:"backends"`
-	Requests       int    `json:"reqs"`
-	Unanswered     int    `json:"unanswered"`
-	DoubleEffects  int    `json:"double_effects"`
-	LateDrainSends int    `json:"late_drain_sends"`
-	FelledBackends int    `json:"felled_backends"`
+	Scenario           string `json:"scenario"`
+	Seed               uint64 `json:"seed"`
+	Played             string `json:"played"` // "processes" or "emulated"
+	Nodes              int    `json:"nodes"`
+	Backends           int    `json:"backends"`
+	Requests           int    `json:"reqs"`
+	Unanswered         int    `json:"unanswered"`
+	DuplicateEffects   int    `json:"double_effects"`
+	LateDrainSends     int    `json:"late_drain_sends"`
+	OverloadedBackends int    `json:"felled_backends"`
 
 	Happened []emulator.Happening `json:"happened"`
 	Seconds  []emulator.Second    `json:"seconds"`
@@ -35,17 +35,17 @@
 
 // Clean tells that no rule was broken.
 func (d *Day) Clean() bool {
-	return d.Unanswered+d.DoubleEffects+d.LateDrainSends+d.FelledBackends == 0
+	return d.Unanswered+d.DuplicateEffects+d.LateDrainSends+d.OverloadedBackends == 0
 }
 
 func dayOf(r *emulator.Result, played string) Day {
 	return Day{Scenario: r.Scenario, Seed: r.Seed, Played: played, Nodes: r.Nodes, Backends: r.Backends, Requests: r.Requests,
-		Unanswered: r.Rules.Unanswered, DoubleEffects: r.Rules.DoubleEffects, LateDrainSends: r.Rules.LateDrainSends,
-		FelledBackends: r.Rules.FelledBackends, Happened: r.Happened, Seconds: r.Seconds}
+		Unanswered: r.Rules.Unanswered, DuplicateEffects: r.Rules.DuplicateEffects, LateDrainSends: r.Rules.LateDrainSends,
+		OverloadedBackends: r.Rules.OverloadedBackends, Happened: r.Happened, Seconds: r.Seconds}
 }
 
-// Refusal is what was refused of one class.
-type Refusal struct {
+// Rejection is what was refused of one class.
+type Rejection struct {
 	Class   string  `json:"class"`
 	Worth   float64 `json:"worth"`
 	PerWork float64 `json:"worth_per_work"` // a second of work
@@ -59,7 +59,7 @@
 // (see emulator.Second).
 type SiteLoss struct {
 	Day
-	RefusedByWorth []Refusal `json:"refused_by_worth"` // least worth for its work first
+	RefusedByWorth []Rejection `json:"refused_by_worth"` // least worth for its work first
 	// ReturnOvershoot is the most that all nodes together sent a cold backend within the
 	// fall-over window, as a multiple of what it could do; OvershootLimit fells it.
 	ReturnOvershoot float64 `json:"return_overshoot"`
@@ -104,13 +104,13 @@
 
 // The kinds of trouble that a report is of.
 var (
-	SiteKinds  = []string{"zone_loss", "cut"}
-	PowerKinds = []string{"power_loss"}
+	SiteLossKinds  = []string{"zone_loss", "cut"}
+	PowerLossKinds = []string{"power_loss"}
 )
 
-// Window returns when the first loss of one of the kinds begins and when the last is over,
+// LossWindow returns when the first loss of one of the kinds begins and when the last is over,
 // counted from the beginning of the clients.
-func Window(sc *emulator.Scenario, kinds []string) (from, to time.Duration, err error) {
+func LossWindow(sc *emulator.Scenario, kinds []string) (from, to time.Duration, err error) {
 	for i := range sc.Troubles {
 		t := &sc.Troubles[i]
 		if !slices.Contains(kinds, t.Kind) || t.AtS.From != t.AtS.To || t.ForS.From != t.ForS.To {
@@ -129,9 +129,9 @@
 	return from, to, nil
 }
 
-// Power sums up a day of the scenario on which the power was lost.
-func Power(sc *emulator.Scenario, r *emulator.Result, played string) (*PowerLoss, error) {
-	from, to, err := Window(sc, PowerKinds)
+// SummarizePowerLoss sums up a day of the scenario on which the power was lost.
+func SummarizePowerLoss(sc *emulator.Scenario, r *emulator.Result, played string) (*PowerLoss, error) {
+	from, to, err := LossWindow(sc, PowerLossKinds)
 	if err != nil {
 		return nil, err
 	}
@@ -154,9 +154,9 @@
 	return -1
 }
 
-// Sum sums up a day of the scenario on which a site was lost or cut off.
-func Sum(sc *emulator.Scenario, r *emulator.Result, played string) (*SiteLoss, error) {
-	from, to, err := Window(sc, SiteKinds)
+// SummarizeSiteLoss sums up a day of the scenario on which a site was lost or cut off.
+func SummarizeSiteLoss(sc *emulator.Scenario, r *emulator.Result, played string) (*SiteLoss, error) {
+	from, to, err := LossWindow(sc, SiteLossKinds)
 	if err != nil {
 		return nil, err
 	}
@@ -164,13 +164,13 @@
 	for i := range sc.Classes {
 		c := &sc.Classes[i]
 		got := r.Classes[c.Name]
-		f := Refusal{Class: c.Name, Worth: c.Worth.From, PerWork: c.Worth.From / c.WorkMS.From * 1000, Asked: got.Asked, Refused: got.Refused}
+		f := Rejection{Class: c.Name, Worth: c.Worth.From, PerWork: c.Worth.From / c.WorkMS.From * 1000, Asked: got.Asked, Refused: got.Refused}
 		if f.Asked > 0 {
 			f.Part = float64(f.Refused) / float64(f.Asked)
 		}
 		s.RefusedByWorth = append(s.RefusedByWorth, f)
 	}
-	slices.SortStableFunc(s.RefusedByWorth, func(a, b Refusal) int { return cmp.Compare(a.PerWork, b.PerWork) })
+	slices.SortStableFunc(s.RefusedByWorth, func(a, b Rejection) int { return cmp.Compare(a.PerWork, b.PerWork) })
 	// The figures leave the first second out; a second in which something begins or ends
 	// counts to neither side whole, so it goes to the loss.
 	lost, back := int(from.Seconds())-1, int(to.Seconds())
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -37,12 +37,12 @@
 				f.day.Fail(fmt.Errorf("backend %d comes back: %w", no, err))
 			}
 			if f.cuts[[2]int{i, no}] {
-				f.jobs.Go(m.Vanish)
+				f.jobs.Go(m.Blackhole)
 			}
 		case emulator.Down:
 			m.Down()
 		case emulator.Silent:
-			f.jobs.Go(m.Vanish) // it fills a queue, which takes a moment
+			f.jobs.Go(m.Blackhole) // it fills a queue, which takes a moment
 		}
 	}
 }
@@ -57,7 +57,7 @@
 	}
 	m := f.machines[backend][node]
 	if f.cuts[at] = cut; cut {
-		f.jobs.Go(m.Vanish)
+		f.jobs.Go(m.Blackhole)
 	} else if f.day.Serves(backend) {
 		if err := m.Up(); err != nil {
 			f.day.Fail(fmt.Errorf("backend %d can be reached again: %w", backend, err))
--- a/internal/fleet/clients.go
+++ b/internal/fleet/clients.go
@@ -34,7 +34,7 @@
 		if c == nil {
 			var err error
 			if c, err = f.front.Dial(n.held.Addr, until); err != nil {
-				return emulator.Verdict{Answer: audit.None}
+				return emulator.Verdict{Answer: audit.NoAnswer}
 			}
 		}
 		v, crossed := f.talk(n, c, t, until)
@@ -78,12 +78,12 @@
 	f.day.Sending(t.ID, t.Patience)
 	if _, err := c.Write(b.Bytes()); err != nil {
 		c.Close()
-		return emulator.Verdict{Answer: audit.None}, true
+		return emulator.Verdict{Answer: audit.NoAnswer}, true
 	}
 	in := bufio.NewReader(c)
 	if _, err := in.Peek(1); err != nil {
 		c.Close()
-		return emulator.Verdict{Answer: audit.None, Taken: true, Patient: late(err)}, !late(err)
+		return emulator.Verdict{Answer: audit.NoAnswer, Taken: true, Patient: late(err)}, !late(err)
 	}
 	res, err := http.ReadResponse(in, &http.Request{Method: method})
 	var body []byte
@@ -92,7 +92,7 @@
 	}
 	if err != nil {
 		c.Close()
-		return emulator.Verdict{Answer: audit.None, Taken: true, Patient: late(err)}, false
+		return emulator.Verdict{Answer: audit.NoAnswer, Taken: true, Patient: late(err)}, false
 	}
 	if res.Close || in.Buffered() > 0 {
 		c.Close()
@@ -103,9 +103,9 @@
 	case res.StatusCode == http.StatusOK && string(body) == "for "+t.ID:
 		v.Answer = audit.Served
 	case res.StatusCode == http.StatusOK:
-		v.Answer, v.Taken = audit.None, true // served with what nobody made for it
+		v.Answer, v.Taken = audit.NoAnswer, true // served with what nobody made for it
 	case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests:
-		v.Answer = audit.Refused
+		v.Answer = audit.Rejected
 		if s, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil {
 			v.RetryAfter = time.Duration(s * float64(time.Second))
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -25,12 +25,12 @@
 
 // Options are what a fleet is run with.
 type Options struct {
-	Program  string // the node's
-	Sockets  int    // descriptors and MiB that a node is told to keep to
-	MemoryMB int
-	LogDir   string // where the nodes' logs go; "" keeps none
-	Keep     bool   // nodes keep their state on disk, through kills, until the day is over
-	Progress func(at, of time.Duration)
+	Program   string // the node's
+	Sockets   int    // descriptors and MiB that a node is told to keep to
+	MemoryMB  int
+	LogDir    string // where the nodes' logs go; "" keeps none
+	KeepState bool   // nodes keep their state on disk, through kills, until the day is over
+	Progress  func(at, of time.Duration)
 }
 
 const (
@@ -52,14 +52,14 @@
 	slower.Rules.AnswerSlackMS.To += float64(onSockets / time.Millisecond)
 	slower.TickMS = emulator.Span{} // nodes on sockets handle what comes at once
 	f := &fleet{opt: opt, dir: dir, day: emulator.NewLive(&slower, seed), cuts: map[[2]int]bool{}, quit: make(chan struct{})}
-	if f.front, err = standin.NewFront("127.0.0.1"); err != nil {
+	if f.front, err = standin.NewFrontend("127.0.0.1"); err != nil {
 		return nil, err
 	}
 	f.zones = f.day.Nodes()
 	f.fields = f.day.Settings(0).ReportFields
 	defer f.end()
 	for i := range f.zones {
-		held, err := standin.Hold("127.0.0.1")
+		held, err := standin.ReserveAddress("127.0.0.1")
 		if err != nil {
 			return nil, err
 		}
@@ -78,7 +78,7 @@
 		if f.relays, err = standin.NewRelays(at, seed); err != nil {
 			return nil, err
 		}
-		f.relays.Rule(f.day.Passes)
+		f.relays.SetDelivery(f.day.Passes)
 	}
 	return f.day.Run(ctx, f, opt.Progress)
 }
@@ -91,7 +91,7 @@
 	zones  []string
 	fields []string // of load reports
 	nodes  []*node
-	front  *standin.Front
+	front  *standin.Frontend
 	relays *standin.Relays // between the nodes, nil where they don't talk
 	quit   chan struct{}
 
@@ -104,7 +104,7 @@
 // node is a node's process, and the connections that clients hold to it.
 type node struct {
 	no       int
-	held     *standin.Held // its address, also while its process is down
+	held     *standin.ReservedAddress // its address, also while its process is down
 	registry *standin.Registry
 
 	mu    sync.Mutex
@@ -170,13 +170,13 @@
 		}
 		n.run = run
 		n.mu.Unlock()
-		if err := run.Ready(readyWithin); err != nil {
+		if err := run.WaitReady(readyWithin); err != nil {
 			f.day.Fail(fmt.Errorf("node %d: %w", no, err))
 			return
 		}
 		f.day.Up(no)
 		f.jobs.Go(func() {
-			<-run.Ended()
+			<-run.Exited()
 			n.mu.Lock()
 			own := n.epoch == epoch
 			n.mu.Unlock()
@@ -193,7 +193,7 @@
 		return nil, err
 	}
 	var own []byte
-	if f.opt.Keep {
+	if f.opt.KeepState {
 		own = fmt.Appendf(own, "state: {dir: %q}\n", f.dir)
 	}
 	if f.relays != nil {
@@ -217,7 +217,7 @@
 		log, done = file, func() { file.Close() }
 	}
 	if f.relays != nil {
-		log = &standin.PeerLog{Log: log, Changed: func(about int, state string) { f.takes(n.no, about, state) }}
+		log = &standin.PeerLogWriter{Log: log, OnChange: func(about int, state string) { f.takes(n.no, about, state) }}
 	}
 	run, err := standin.StartNode(f.opt.Program, dir, c, n.held.Addr, n.registry.Addr, log, args...)
 	if err != nil {
@@ -225,7 +225,7 @@
 		return nil, err
 	}
 	f.jobs.Go(func() { // what it wrote is copied until then
-		<-run.Ended()
+		<-run.Exited()
 		done()
 	})
 	return run, nil
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -24,7 +24,7 @@
 			t.Parallel()
 			sc, err := emulator.Read("../../deploy/lab/loopback.yaml")
 			require.NoError(t, err)
-			front, err := standin.NewFront("127.0.0.1")
+			front, err := standin.NewFrontend("127.0.0.1")
 			require.NoError(t, err)
 			defer front.Close()
 			n := &node{run: &standin.Node{}}
@@ -49,7 +49,7 @@
 			})
 			require.NoError(t, err)
 			defer m.Close()
-			n.held = &standin.Held{Addr: m.Addr}
+			n.held = &standin.ReservedAddress{Addr: m.Addr}
 			f := &fleet{day: emulator.NewLive(sc, 1), front: front, nodes: []*node{n}, quit: make(chan struct{})}
 			try := emulator.Try{ID: "1", Class: logic.Class{Effect: logic.Unsafe}, Patience: 10 * time.Second}
 			assert.Equal(t, emulator.Verdict{Answer: audit.Served}, f.client(try))
@@ -60,7 +60,7 @@
 				ids = append(ids, <-came)
 			}
 			if killed {
-				assert.Equal(t, emulator.Verdict{Answer: audit.None, Taken: true}, v)
+				assert.Equal(t, emulator.Verdict{Answer: audit.NoAnswer, Taken: true}, v)
 				assert.Equal(t, []string{"1", "2"}, ids)
 			} else {
 				assert.Equal(t, emulator.Verdict{Answer: audit.Served}, v)
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -34,8 +34,8 @@
 	node int
 }
 
-// Call is standin.Lists.
-func (l *lists) Call() (standin.List, bool) {
+// List is standin.Lists.
+func (l *lists) List() (standin.List, bool) {
 	got, ok := l.f.day.List(l.node)
 	if !ok {
 		return standin.List{}, false
@@ -52,8 +52,8 @@
 	return l.f.list(l.node, got), true
 }
 
-// Told is standin.Lists.
-func (l *lists) Told(list standin.List) {
+// Delivered is standin.Lists.
+func (l *lists) Delivered(list standin.List) {
 	entries, err := list.Backends()
 	if err != nil {
 		l.f.day.Fail(err)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -26,13 +26,13 @@
 
 // Class is a class of requests.
 type Class struct {
-	Name     string        `yaml:"name"`
-	Share    float64       `yaml:"share"`
-	Method   string        `yaml:"method"`
-	Path     string        `yaml:"path"`
-	Body     int           `yaml:"body_bytes"`
-	Key      bool          `yaml:"key"` // with an Idempotency-Key
-	Deadline time.Duration `yaml:"deadline"`
+	Name               string        `yaml:"name"`
+	Share              float64       `yaml:"share"`
+	Method             string        `yaml:"method"`
+	Path               string        `yaml:"path"`
+	BodyBytes          int           `yaml:"body_bytes"`
+	SendIdempotencyKey bool          `yaml:"key"` // with an Idempotency-Key
+	Deadline           time.Duration `yaml:"deadline"`
 }
 
 // Plan is what to send where.
@@ -89,7 +89,7 @@
 			return k + "method", errors.New("is no method")
 		case !strings.HasPrefix(c.Path, "/"):
 			return k + "path", errors.New("does not begin with /")
-		case c.Body < 0 || c.Body > 64<<10:
+		case c.BodyBytes < 0 || c.BodyBytes > 64<<10:
 			return k + "body_bytes", errors.New("does not lie from 0 to 65536")
 		case c.Deadline <= 0 || c.Deadline > time.Hour:
 			return k + "deadline", errors.New("does not lie above 0 and up to 1h")
@@ -121,12 +121,12 @@
 	LateMS    latency.Quantiles      `json:"late_ms"` // how late the tool itself was; more than a little spoils the rest
 }
 
-// Live is the state of a run under way.
-type Live struct {
-	At, Of           time.Duration
-	Due, Done, Open  int
-	Failed           int     // no 200
-	LastP50, LastP99 float64 // ms, since the last one
+// Progress is the state of a run under way.
+type Progress struct {
+	Elapsed, Total      time.Duration
+	Due, Done, InFlight int
+	Failed              int     // no 200
+	LastP50, LastP99    float64 // ms, since the last one
 }
 
 type tally struct {
@@ -151,7 +151,7 @@
 
 // Run carries a plan out that Check has passed. It calls live once a second. Where
 // ctx ends it early, the report covers what was sent until then.
-func Run(ctx context.Context, p Plan, live func(Live)) *Report {
+func Run(ctx context.Context, p Plan, live func(Progress)) *Report {
 	t := &tally{late: hist(), recent: hist()}
 	var cum []float64 // shares, added up
 	sum := 0.0
@@ -217,10 +217,10 @@
 	return r
 }
 
-func (t *tally) live(at, of time.Duration) Live {
+func (t *tally) live(at, of time.Duration) Progress {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := Live{At: at, Of: of, Due: t.due, Done: t.done, Open: t.due - t.done, Failed: t.failed,
+	l := Progress{Elapsed: at, Total: of, Due: t.due, Done: t.done, InFlight: t.due - t.done, Failed: t.failed,
 		LastP50: float64(t.recent.ValueAtQuantile(50)) / 1000, LastP99: float64(t.recent.ValueAtQuantile(99)) / 1000}
 	t.recent.Reset()
 	return l
@@ -239,12 +239,12 @@
 	ctx, cancel := context.WithDeadline(ctx, due.Add(c.Deadline))
 	defer cancel()
 	status, ok := "error", false
-	r, err := http.NewRequestWithContext(ctx, c.Method, "http://"+p.Target+c.Path, strings.NewReader(strings.Repeat("x", c.Body)))
+	r, err := http.NewRequestWithContext(ctx, c.Method, "http://"+p.Target+c.Path, strings.NewReader(strings.Repeat("x", c.BodyBytes)))
 	if err == nil {
 		r.Header.Set("X-Correlation-Id", id)
 		r.Header.Set("X-Service-Class", c.Name)
 		r.Header.Set("X-Time-Left", fmt.Sprintf("%du", max(time.Until(due.Add(c.Deadline)).Microseconds(), 1)))
-		if c.Key {
+		if c.SendIdempotencyKey {
 			r.Header.Set("Idempotency-Key", id)
 		}
 		var res *http.Response
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -30,7 +30,7 @@
 	key, err := p.Check()
 	require.NoError(t, err, key)
 	var seen atomic.Int64
-	r := Run(t.Context(), p, func(Live) { seen.Add(1) })
+	r := Run(t.Context(), p, func(Progress) { seen.Add(1) })
 	c := r.Classes["get"]
 	assert.Equal(t, r.Due, c.Status["200"])
 	assert.InDelta(t, 399, r.Due, 2)
@@ -63,9 +63,9 @@
 	p := Default()
 	p.Target, p.Seconds, p.PerSecond, p.Classes = s.Listener.Addr().String(), .5, 400, nil
 	for _, name := range []string{"served", "refused", "late", "broken", "moved"} {
-		p.Classes = append(p.Classes, Class{Name: name, Share: 1, Method: "POST", Path: "/api", Body: 10, Deadline: 300 * time.Millisecond})
+		p.Classes = append(p.Classes, Class{Name: name, Share: 1, Method: "POST", Path: "/api", BodyBytes: 10, Deadline: 300 * time.Millisecond})
 	}
-	r := Run(t.Context(), p, func(Live) {})
+	r := Run(t.Context(), p, func(Progress) {})
 	for name, status := range map[string]string{"served": "200", "refused": "503", "late": "timeout", "broken": "error", "moved": "302"} {
 		c := r.Classes[name]
 		require.Positive(t, c.Sent, name)
@@ -75,7 +75,7 @@
 
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.Zero(t, Run(ctx, p, func(Live) {}).Due)
+	assert.Zero(t, Run(ctx, p, func(Progress) {}).Due)
 }
 
 func TestPlansAreChecked(t *testing.T) {
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -29,11 +29,11 @@
 
 // Backend answers each request by a script.
 type Backend struct {
-	Addr   string
-	Seen   chan Request
-	Opened atomic.Int64
-	Closed atomic.Int64 // connections that the node has ended
-	l      net.Listener
+	Addr     string
+	Requests chan Request
+	Opened   atomic.Int64
+	Closed   atomic.Int64 // connections that the node has ended
+	l        net.Listener
 }
 
 // NewBackend runs a backend on a free port of 127.0.0.1 until Close. Requests are
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &Backend{Addr: l.Addr().String(), Seen: make(chan Request, 1000), l: l}
+	b := &Backend{Addr: l.Addr().String(), Requests: make(chan Request, 1000), l: l}
 	go accept(l, func(c *net.TCPConn) { go b.talk(c, int(b.Opened.Add(1)), script) })
 	return b, nil
 }
@@ -73,32 +73,32 @@
 		}
 		body, _ := io.ReadAll(r.Body)
 		seen := Request{r, string(body), no}
-		b.Seen <- seen
+		b.Requests <- seen
 		if !script(c, seen) {
 			return
 		}
 	}
 }
 
-// Say writes an answer; the header is whole lines, each with its CRLF.
-func Say(c *net.TCPConn, status int, header, body string) bool {
+// WriteResponse writes an answer; the header is whole lines, each with its CRLF.
+func WriteResponse(c *net.TCPConn, status int, header, body string) bool {
 	fmt.Fprintf(c, "HTTP/1.1 %d x\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), header, body)
 	return true
 }
 
 // OK serves the request, with a load report.
 func OK(c *net.TCPConn, _ Request) bool {
-	return Say(c, 200, "X-Backend-Load: inflight=7,queue=2\r\n", "done")
+	return WriteResponse(c, 200, "X-Backend-Load: inflight=7,queue=2\r\n", "done")
 }
 
-// Silent says nothing and keeps the connection.
-func Silent(*net.TCPConn, Request) bool { return true }
+// NoResponse says nothing and keeps the connection.
+func NoResponse(*net.TCPConn, Request) bool { return true }
 
-// Broken resets the connection with the request read whole.
-func Broken(c *net.TCPConn, _ Request) bool { c.SetLinger(0); return false }
+// ResetConnection resets the connection with the request read whole.
+func ResetConnection(c *net.TCPConn, _ Request) bool { c.SetLinger(0); return false }
 
-// Endless writes a text again and again until the node ends the connection.
-func Endless(first, again string) Script {
+// EndlessResponse writes a text again and again until the node ends the connection.
+func EndlessResponse(first, again string) Script {
 	return func(c *net.TCPConn, _ Request) bool {
 		text := strings.Repeat(again, 1000)
 		for _, err := io.WriteString(c, first); err == nil; {
@@ -112,7 +112,7 @@
 // come back. Connections are handed to serve, each in a goroutine of its own.
 type Machine struct {
 	Addr  string
-	held  *Held
+	held  *ReservedAddress
 	serve func(net.Conn)
 
 	mu    sync.Mutex
@@ -125,7 +125,7 @@
 
 // NewMachine listens on a free port of the host, which must be of 127.0.0.0/8.
 func NewMachine(host string, serve func(net.Conn)) (*Machine, error) {
-	held, err := Hold(host)
+	held, err := ReserveAddress(host)
 	if err != nil {
 		return nil, err
 	}
@@ -187,10 +187,10 @@
 	}
 }
 
-// Vanish makes the machine silent: what is open stays open and says nothing,
+// Blackhole makes the machine silent: what is open stays open and says nothing,
 // which is up to serve, and new connections do not come up. For that, it takes
 // none any more and fills the short queue of those that wait to be taken.
-func (m *Machine) Vanish() {
+func (m *Machine) Blackhole() {
 	m.mu.Lock()
 	if m.l == nil || m.gate != nil || m.over {
 		m.mu.Unlock()
--- a/internal/standin/front.go
+++ b/internal/standin/front.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Front stands before the nodes: clients connect to its address alone, and it
+// Frontend stands before the nodes: clients connect to its address alone, and it
 // passes each connection on to one node, where it stays until either side ends
 // it. To which node is told by whoever dials: the front's choice is a model's.
-type Front struct {
+type Frontend struct {
 	Addr string
 	l    net.Listener
 
@@ -32,19 +32,19 @@
 	result chan<- error
 }
 
-// NewFront listens on a free port of the host, of 127.0.0.0/8, until Close.
-func NewFront(host string) (*Front, error) {
+// NewFrontend listens on a free port of the host, of 127.0.0.0/8, until Close.
+func NewFrontend(host string) (*Frontend, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
-	f := &Front{Addr: l.Addr().String(), l: l, deals: map[string]chan deal{}, open: map[net.Conn]struct{}{}}
+	f := &Frontend{Addr: l.Addr().String(), l: l, deals: map[string]chan deal{}, open: map[net.Conn]struct{}{}}
 	go accept(l, func(c *net.TCPConn) { go f.serve(c) })
 	return f, nil
 }
 
 // Close ends it and the connections that it holds.
-func (f *Front) Close() {
+func (f *Frontend) Close() {
 	f.l.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -56,7 +56,7 @@
 
 // Dial connects to the front, which deals the connection to a node's address. It
 // fails where the front can't reach that, and then no node has seen a byte.
-func (f *Front) Dial(to string, until time.Time) (net.Conn, error) {
+func (f *Frontend) Dial(to string, until time.Time) (net.Conn, error) {
 	c, err := net.DialTimeout("tcp", f.Addr, time.Until(until))
 	if err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 }
 
 // deal is where the dealing of a connection is passed: either end may come first.
-func (f *Front) deal(client net.Addr) chan deal {
+func (f *Frontend) deal(client net.Addr) chan deal {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k := client.String()
@@ -88,7 +88,7 @@
 	return f.deals[k]
 }
 
-func (f *Front) serve(client *net.TCPConn) {
+func (f *Frontend) serve(client *net.TCPConn) {
 	defer client.Close()
 	if !f.keep(client) {
 		return
@@ -136,7 +136,7 @@
 	from.Close()
 }
 
-func (f *Front) keep(c net.Conn) bool {
+func (f *Frontend) keep(c net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.over {
@@ -145,7 +145,7 @@
 	return !f.over
 }
 
-func (f *Front) forget(c net.Conn) {
+func (f *Frontend) forget(c net.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.open, c)
--- a/internal/standin/front_test.go
+++ b/internal/standin/front_test.go
@@ -15,17 +15,17 @@
 // A front passes a connection on to the node it was dealt to and to no other,
 // says that a node can't be reached, and ends a client's side with the node's.
 func TestFront(t *testing.T) {
-	f, err := NewFront("127.0.0.1")
+	f, err := NewFrontend("127.0.0.1")
 	require.NoError(t, err)
 	defer f.Close()
 	until := time.Now().Add(10 * time.Second)
 	one, err := NewBackend(OK)
 	require.NoError(t, err)
 	defer one.Close()
-	two, err := NewBackend(Broken)
+	two, err := NewBackend(ResetConnection)
 	require.NoError(t, err)
 	defer two.Close()
-	down, err := Hold("127.0.0.1")
+	down, err := ReserveAddress("127.0.0.1")
 	require.NoError(t, err)
 	defer down.Close()
 	for _, tt := range []struct {
@@ -41,7 +41,7 @@
 		}
 		assert.ErrorIs(t, err, tt.err)
 	}
-	assert.Len(t, one.Seen, 1)
-	assert.Len(t, two.Seen, 1)
+	assert.Len(t, one.Requests, 1)
+	assert.Len(t, two.Requests, 1)
 	require.Eventually(t, func() bool { return one.Closed.Load() == 1 }, 10*time.Second, time.Millisecond)
 }
--- a/internal/standin/listen_linux.go
+++ b/internal/standin/listen_linux.go
@@ -12,17 +12,17 @@
 // loopback one that comes up does so at once.
 const fillWithin = 50 * time.Millisecond
 
-// Held is an address that stays ours while nobody listens at it: without that,
+// ReservedAddress is an address that stays ours while nobody listens at it: without that,
 // any connection that is opened meanwhile may be given its port. A listener that
 // sets SO_REUSEADDR, as net.Listen does, can take it; connections are refused
 // until one does.
-type Held struct {
+type ReservedAddress struct {
 	Addr string
 	f    *os.File
 }
 
-// Hold holds a free port of the host, which must be of 127.0.0.0/8, until Close.
-func Hold(host string) (*Held, error) {
+// ReserveAddress holds a free port of the host, which must be of 127.0.0.0/8, until Close.
+func ReserveAddress(host string) (*ReservedAddress, error) {
 	f, err := bound(net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
@@ -32,11 +32,11 @@
 		f.Close()
 		return nil, os.NewSyscallError("getsockname", err)
 	}
-	return &Held{net.JoinHostPort(host, strconv.Itoa(at.(*syscall.SockaddrInet4).Port)), f}, nil
+	return &ReservedAddress{net.JoinHostPort(host, strconv.Itoa(at.(*syscall.SockaddrInet4).Port)), f}, nil
 }
 
 // Close gives the address up.
-func (h *Held) Close() { h.f.Close() }
+func (h *ReservedAddress) Close() { h.f.Close() }
 
 // bound is a socket bound to an address.
 func bound(addr string) (*os.File, error) {
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -29,11 +29,11 @@
 
 // Node is the real program, running.
 type Node struct {
-	Cmd  *exec.Cmd
-	Addr string
-	Path string // of its configuration
-	end  chan struct{}
-	err  error
+	Cmd        *exec.Cmd
+	Addr       string
+	ConfigPath string // of its configuration
+	end        chan struct{}
+	err        error
 }
 
 // StartNode writes the configuration into dir and starts the program with it.
@@ -43,12 +43,12 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{Addr: listen, Path: filepath.Join(dir, "config.json"), end: make(chan struct{})}
-	if err := os.WriteFile(n.Path, append(text, '\n'), 0o600); err != nil {
+	n := &Node{Addr: listen, ConfigPath: filepath.Join(dir, "config.json"), end: make(chan struct{})}
+	if err := os.WriteFile(n.ConfigPath, append(text, '\n'), 0o600); err != nil {
 		return nil, err
 	}
 	n.Cmd = exec.Command(program, args...)
-	n.Cmd.Env = append(os.Environ(), "PROXY_CONFIG="+n.Path, "PROXY_DISCOVERY="+discovery)
+	n.Cmd.Env = append(os.Environ(), "PROXY_CONFIG="+n.ConfigPath, "PROXY_DISCOVERY="+discovery)
 	n.Cmd.Stdout, n.Cmd.Stderr = log, log
 	if err := n.Cmd.Start(); err != nil {
 		return nil, err
@@ -60,8 +60,8 @@
 	return n, nil
 }
 
-// Ended is closed when the process has ended.
-func (n *Node) Ended() <-chan struct{} { return n.end }
+// Exited is closed when the process has ended.
+func (n *Node) Exited() <-chan struct{} { return n.end }
 
 // Err is how it ended, once it has.
 func (n *Node) Err() error { return n.err }
@@ -87,8 +87,8 @@
 	}
 }
 
-// Ready waits until GET /ready answers 200.
-func (n *Node) Ready(within time.Duration) error {
+// WaitReady waits until GET /ready answers 200.
+func (n *Node) WaitReady(within time.Duration) error {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	for until := time.Now().Add(within); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		select {
--- a/internal/standin/peerlog.go
+++ b/internal/standin/peerlog.go
@@ -6,15 +6,15 @@
 	"io"
 )
 
-// PeerLog is where a node logs as JSON: it reads the lines on what the node takes its peers
+// PeerLogWriter is where a node logs as JSON: it reads the lines on what the node takes its peers
 // for, and passes all on.
-type PeerLog struct {
-	Changed func(number int, state string)
-	Log     io.Writer // nil: kept nowhere
-	rest    []byte
+type PeerLogWriter struct {
+	OnChange func(number int, state string)
+	Log      io.Writer // nil: kept nowhere
+	rest     []byte
 }
 
-func (p *PeerLog) Write(text []byte) (int, error) {
+func (p *PeerLogWriter) Write(text []byte) (int, error) {
 	p.rest = append(p.rest, text...)
 	for {
 		line, rest, whole := bytes.Cut(p.rest, []byte("\n"))
@@ -27,7 +27,7 @@
 			Number     int
 		}
 		if json.Unmarshal(line, &l) == nil && l.Msg == "peer" {
-			p.Changed(l.Number, l.State)
+			p.OnChange(l.Number, l.State)
 		}
 	}
 	if p.Log == nil {
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -15,13 +15,13 @@
 
 // ScriptedRegistry answers watches by lines that a test writes.
 type ScriptedRegistry struct {
-	Addr   string
-	Calls  chan string          // the query of each watch
-	Watch  chan (chan<- string) // the open watch: lines to write; closing it ends the watch
-	Ended  atomic.Int64         // watches that the node has ended
-	over   chan struct{}
-	once   sync.Once
-	server *http.Server
+	Addr         string
+	Queries      chan string          // the query of each watch
+	Watches      chan (chan<- string) // the open watch: lines to write; closing it ends the watch
+	WatchesEnded atomic.Int64         // watches that the node has ended
+	over         chan struct{}
+	once         sync.Once
+	server       *http.Server
 }
 
 // Lines after which a scripted watch says nothing any more, and begins a list that comes
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &ScriptedRegistry{Addr: l.Addr().String(), Calls: make(chan string, 100), Watch: make(chan (chan<- string), 100),
+	r := &ScriptedRegistry{Addr: l.Addr().String(), Queries: make(chan string, 100), Watches: make(chan (chan<- string), 100),
 		over: make(chan struct{})}
 	r.server = &http.Server{Handler: http.HandlerFunc(r.serve)}
 	go r.server.Serve(l)
@@ -54,9 +54,9 @@
 }
 
 func (r *ScriptedRegistry) serve(w http.ResponseWriter, request *http.Request) {
-	r.Calls <- request.URL.RawQuery
+	r.Queries <- request.URL.RawQuery
 	lines := make(chan string, 10)
-	r.Watch <- lines
+	r.Watches <- lines
 	beat := time.NewTicker(time.Second)
 	defer beat.Stop()
 	for said := false; ; said = true {
@@ -66,7 +66,7 @@
 			case <-r.over:
 				return
 			case <-request.Context().Done():
-				r.Ended.Add(1)
+				r.WatchesEnded.Add(1)
 				return
 			case <-beat.C:
 			case l, open := <-lines:
@@ -76,7 +76,7 @@
 				switch text = l; l {
 				case FallSilent:
 					<-request.Context().Done()
-					r.Ended.Add(1)
+					r.WatchesEnded.Add(1)
 					return
 				case Trickle:
 					text = `{"targets":[`
@@ -95,17 +95,17 @@
 	List   = discovery.List
 )
 
-// Lists is where a Registry has its lists from. It is asked from several
+// ListSource is where a Registry has its lists from. It is asked from several
 // goroutines.
-type Lists interface {
-	// Call waits for the service's turn and returns the whole list, or false
+type ListSource interface {
+	// List waits for the service's turn and returns the whole list, or false
 	// where the call fails.
-	Call() (List, bool)
+	List() (List, bool)
 	// Next waits for news after a version and returns what changed since; false
 	// where the watch breaks. It returns when stop is closed.
 	Next(rev int64, stop <-chan struct{}) (List, bool)
-	// Told is called when a list has been written.
-	Told(List)
+	// Delivered is called when a list has been written.
+	Delivered(List)
 }
 
 // heartbeat is how often a watch without news says so.
@@ -114,14 +114,14 @@
 // Registry serves one node's view of the list.
 type Registry struct {
 	Addr   string
-	lists  Lists
+	lists  ListSource
 	server *http.Server
 	over   chan struct{}
 	once   sync.Once
 }
 
 // NewRegistry serves on a free port of the host, of 127.0.0.0/8, until Close.
-func NewRegistry(host string, lists Lists) (*Registry, error) {
+func NewRegistry(host string, lists ListSource) (*Registry, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
@@ -150,11 +150,11 @@
 			err = http.NewResponseController(w).Flush()
 		}
 		if err == nil {
-			r.lists.Told(l)
+			r.lists.Delivered(l)
 		}
 		return err == nil
 	}
-	l, ok := r.lists.Call()
+	l, ok := r.lists.List()
 	if !ok {
 		http.Error(w, "not now", http.StatusServiceUnavailable)
 		return
--- a/internal/standin/relays.go
+++ b/internal/standin/relays.go
@@ -25,7 +25,7 @@
 // NewRelays opens those of nodes that listen at the addresses.
 func NewRelays(nodes []string, seed uint64) (*Relays, error) {
 	r := &Relays{rng: rand.New(rand.NewPCG(seed, 5)), passed: map[[2]int]int{}}
-	r.Fault(0, nil)
+	r.SetFaults(0, nil)
 	for _, n := range nodes {
 		at, err := net.ResolveUDPAddr("udp4", n)
 		if err != nil {
@@ -62,9 +62,9 @@
 	return out
 }
 
-// Fault sets the part of datagrams that is lost, and who is not heard by whom; nil: all are.
-func (r *Relays) Fault(loss float64, cut func(from, to int) bool) {
-	r.Rule(func(from, to, _ int) []time.Duration {
+// SetFaults sets the part of datagrams that is lost, and who is not heard by whom; nil: all are.
+func (r *Relays) SetFaults(loss float64, cut func(from, to int) bool) {
+	r.SetDelivery(func(from, to, _ int) []time.Duration {
 		if r.rng.Float64() < loss || cut != nil && cut(from, to) {
 			return nil
 		}
@@ -72,9 +72,9 @@
 	})
 }
 
-// Rule sets what becomes of a datagram: how long each of its copies takes; none: it is lost.
+// SetDelivery sets what becomes of a datagram: how long each of its copies takes; none: it is lost.
 // It is asked by one goroutine at a time.
-func (r *Relays) Rule(fate func(from, to, length int) []time.Duration) {
+func (r *Relays) SetDelivery(fate func(from, to, length int) []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fate = fate
@@ -112,8 +112,8 @@
 	}
 }
 
-// Passed is how many datagrams went from one to another.
-func (r *Relays) Passed(from, to int) int {
+// Forwarded is how many datagrams went from one to another.
+func (r *Relays) Forwarded(from, to int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.passed[[2]int{from, to}]
--- a/internal/standin/relays_test.go
+++ b/internal/standin/relays_test.go
@@ -24,7 +24,7 @@
 	require.NoError(t, err)
 	defer r.Close()
 	const late = 50 * time.Millisecond
-	r.Rule(func(from, to, length int) []time.Duration {
+	r.SetDelivery(func(from, to, length int) []time.Duration {
 		switch {
 		case from == 1:
 			return nil
@@ -55,5 +55,5 @@
 		}
 	}
 	assert.ElementsMatch(t, []string{"bb", "bb", "a"}, got)
-	assert.Equal(t, []int{2, 0}, []int{r.Passed(0, 1), r.Passed(1, 0)})
+	assert.Equal(t, []int{2, 0}, []int{r.Forwarded(0, 1), r.Forwarded(1, 0)})
 }
--- a/internal/tierlab/tierlab.go
+++ b/internal/tierlab/tierlab.go
@@ -224,7 +224,7 @@
 	m.process = process
 	m.mu.Unlock()
 	go func() {
-		<-process.Ended()
+		<-process.Exited()
 		if m.currentProcess() == process {
 			l.recordCrash(fmt.Sprintf("%s ended unexpectedly at %s: %v", m.Name, l.elapsed(), process.Err()))
 		}
--- a/internal/upstream/pending_test.go
+++ b/internal/upstream/pending_test.go
@@ -83,7 +83,7 @@
 			if tt.want == logic.OK {
 				sent = 1
 			}
-			assert.Len(t, b.Seen, sent)
+			assert.Len(t, b.Requests, sent)
 			assert.Empty(t, p.pending)
 
 			p.mu.Lock()
@@ -121,7 +121,7 @@
 				assert.Fail(t, "the attempt was neither written nor withdrawn", "%v", e.Result)
 			}
 		}
-		assert.Len(t, b.Seen, served)
+		assert.Len(t, b.Requests, served)
 		b.Close()
 	}
 }
@@ -134,9 +134,9 @@
 	respondedAgain := make(chan struct{})
 	b, err := standin.NewBackend(func(c *net.TCPConn, r standin.Request) bool {
 		if r.URL.Path == "/first" {
-			standin.Say(c, 200, "", "first")
+			standin.WriteResponse(c, 200, "", "first")
 			<-nextArrived
-			standin.Say(c, 200, "", "first") // the same response again
+			standin.WriteResponse(c, 200, "", "first") // the same response again
 			close(respondedAgain)
 			return true
 		}
@@ -144,7 +144,7 @@
 			close(nextArrived)
 			<-respondedAgain
 		}
-		return standin.Say(c, 200, "", r.URL.Path)
+		return standin.WriteResponse(c, 200, "", r.URL.Path)
 	})
 	require.NoError(t, err)
 	defer b.Close()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -75,7 +75,7 @@
 		if r.URL.Path == "/pass" {
 			header += "Pass: 1\r\n"
 		}
-		return standin.Say(c, 507, header, "no room")
+		return standin.WriteResponse(c, 507, header, "no room")
 	})
 	assert.NilError(t, err)
 	defer b.Close()
@@ -110,7 +110,7 @@
 			arrived <- struct{}{}
 			<-release
 		}
-		return standin.Say(c, 200, "", "done")
+		return standin.WriteResponse(c, 200, "", "done")
 	}
 	one, err := standin.NewBackend(script)
 	assert.NilError(t, err)
@@ -204,6 +204,6 @@
 		Rest: message.NewStream(strings.NewReader("gun"), func() {})}
 	p.Start(core.Attempt{Call: call, Instance: core.Instance{ID: "b", Endpoint: b.Addr}, Timeout: testTimeout}, func(e core.AttemptResult) { ends <- e })
 	assert.Equal(t, wait(t, ends).Result, logic.OK)
-	assert.Equal(t, (<-b.Seen).Body, "begun")
+	assert.Equal(t, (<-b.Requests).Body, "begun")
 	assert.Check(t, c.deadline.Load().IsZero())
 }
