--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -1,8 +1,8 @@
-// Package standin plays the parties that a node talks to on loopback: backends,
-// the registry, clients and the front that deals them out, and it runs the node
-// itself as a process. Tests and the lab share it. A stand-in does what it is
-// told and tells what it saw; it knows nothing of how nodes decide, and judges
-// nothing.
+// Package standin provides fakes of what a node talks to on loopback: backends,
+// the registry, the load balancer that spreads clients over nodes, and the network
+// between nodes. It also runs the node itself as a process. Tests and the lab share
+// it. A fake does what it is told and reports what it saw. It knows nothing of how
+// nodes decide, and checks nothing.
 package standin
 
 import (
@@ -16,53 +16,52 @@
 	"sync/atomic"
 )
 
-// Request is what a backend was sent, on which of its connections, from 1.
+// Request is a request that a backend received, with the number of the connection it came on, from 1.
 type Request struct {
 	*http.Request
 	Body string
 	Conn int
 }
 
-// Script answers a request by writing the answer's bytes. A connection that it
-// returns false for is closed.
+// Script writes the response to a request. It returns false to close the connection.
 type Script func(c *net.TCPConn, r Request) bool
 
-// Backend answers each request by a script.
+// Backend is a fake backend that answers each request with a script.
 type Backend struct {
 	Addr     string
 	Requests chan Request
 	Opened   atomic.Int64
-	Closed   atomic.Int64 // connections that the node has ended
-	l        net.Listener
+	Closed   atomic.Int64 // connections that the node closed
+	listener net.Listener
 }
 
-// NewBackend runs a backend on a free port of 127.0.0.1 until Close. Requests are
-// also put into Seen, which takes a thousand.
+// NewBackend runs a backend on a free port of 127.0.0.1 until Close. It also sends each request
+// to Requests, whose buffer holds 1000.
 func NewBackend(script Script) (*Backend, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &Backend{Addr: l.Addr().String(), Requests: make(chan Request, 1000), l: l}
-	go accept(l, func(c *net.TCPConn) { go b.talk(c, int(b.Opened.Add(1)), script) })
+	b := &Backend{Addr: l.Addr().String(), Requests: make(chan Request, 1000), listener: l}
+	go accept(l, func(c *net.TCPConn) { go b.serve(c, int(b.Opened.Add(1)), script) })
 	return b, nil
 }
 
-// accept hands over each connection, until the listener ends.
-func accept(l net.Listener, each func(*net.TCPConn)) {
+// accept calls handle for each new connection until the listener is closed.
+func accept(l net.Listener, handle func(*net.TCPConn)) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		each(c.(*net.TCPConn))
+		handle(c.(*net.TCPConn))
 	}
 }
 
-// Close ends the listener; what is open stays so.
-func (b *Backend) Close() { b.l.Close() }
+// Close closes the listener. Open connections stay open.
+func (b *Backend) Close() { b.listener.Close() }
 
-func (b *Backend) talk(c *net.TCPConn, no int, script Script) {
+func (b *Backend) serve(c *net.TCPConn, number int, script Script) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -72,7 +71,7 @@
 			return
 		}
 		body, _ := io.ReadAll(r.Body)
-		seen := Request{r, string(body), no}
+		seen := Request{r, string(body), number}
 		b.Requests <- seen
 		if !script(c, seen) {
 			return
@@ -80,24 +79,24 @@
 	}
 }
 
-// WriteResponse writes an answer; the header is whole lines, each with its CRLF.
+// WriteResponse writes a response and returns true. Each line of header ends with CRLF.
 func WriteResponse(c *net.TCPConn, status int, header, body string) bool {
 	fmt.Fprintf(c, "HTTP/1.1 %d x\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), header, body)
 	return true
 }
 
-// OK serves the request, with a load report.
+// OK answers with status 200 and a load report.
 func OK(c *net.TCPConn, _ Request) bool {
 	return WriteResponse(c, 200, "X-Backend-Load: inflight=7,queue=2\r\n", "done")
 }
 
-// NoResponse says nothing and keeps the connection.
+// NoResponse writes nothing and keeps the connection open.
 func NoResponse(*net.TCPConn, Request) bool { return true }
 
-// ResetConnection resets the connection with the request read whole.
+// ResetConnection resets the connection after the whole request was read.
 func ResetConnection(c *net.TCPConn, _ Request) bool { c.SetLinger(0); return false }
 
-// EndlessResponse writes a text again and again until the node ends the connection.
+// EndlessResponse writes first, and then again repeatedly until the node closes the connection.
 func EndlessResponse(first, again string) Script {
 	return func(c *net.TCPConn, _ Request) bool {
 		text := strings.Repeat(again, 1000)
@@ -108,48 +107,48 @@
 	}
 }
 
-// Machine is a listening address whose machine can vanish, lose its process and
-// come back. Connections are handed to serve, each in a goroutine of its own.
+// Machine is a listening address whose machine can become unreachable, lose its process and
+// come back. Each connection is passed to serve in its own goroutine.
 type Machine struct {
-	Addr  string
-	held  *ReservedAddress
-	serve func(net.Conn)
+	Addr        string
+	reservation *ReservedAddress
+	serve       func(net.Conn)
 
-	mu    sync.Mutex
-	l     *net.TCPListener
-	conns map[net.Conn]struct{}
-	stuff []net.Conn // fill the accept queue of a silent machine
-	gate  chan struct{}
-	over  bool
+	mu          sync.Mutex
+	listener    *net.TCPListener
+	conns       map[net.Conn]struct{}
+	queueFiller []net.Conn    // fill the accept queue of an unreachable machine
+	blackholed  chan struct{} // not nil while the machine is unreachable; closed when that ends
+	closed      bool
 }
 
-// NewMachine listens on a free port of the host, which must be of 127.0.0.0/8.
+// NewMachine listens on a free port of the host, which must be in 127.0.0.0/8.
 func NewMachine(host string, serve func(net.Conn)) (*Machine, error) {
-	held, err := ReserveAddress(host)
+	reservation, err := ReserveAddress(host)
 	if err != nil {
 		return nil, err
 	}
-	m := &Machine{Addr: held.Addr, held: held, serve: serve, conns: map[net.Conn]struct{}{}}
+	m := &Machine{Addr: reservation.Addr, reservation: reservation, serve: serve, conns: map[net.Conn]struct{}{}}
 	if err := m.Up(); err != nil {
-		held.Close()
+		reservation.Close()
 		return nil, err
 	}
 	return m, nil
 }
 
-// Up has its process listen, anew where it was down or silent.
+// Up makes the machine's process listen again after Down or Blackhole.
 func (m *Machine) Up() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.over || m.l != nil && m.gate == nil {
+	if m.closed || m.listener != nil && m.blackholed == nil {
 		return nil
 	}
-	m.drop()
-	l, err := listenShort(m.Addr)
+	m.reset()
+	l, err := listenShortQueue(m.Addr)
 	if err != nil {
 		return err
 	}
-	m.l = l
+	m.listener = l
 	go m.accept(l)
 	return nil
 }
@@ -161,16 +160,16 @@
 			return
 		}
 		m.mu.Lock()
-		gate := m.gate
-		if m.over || m.l != l {
+		blackholed := m.blackholed
+		if m.closed || m.listener != l {
 			m.mu.Unlock()
 			c.Close()
 			continue
 		}
-		if gate != nil { // it vanished while this one came up: nobody is there
-			m.stuff = append(m.stuff, c)
+		if blackholed != nil { // the machine became unreachable while this connection was being accepted
+			m.queueFiller = append(m.queueFiller, c)
 			m.mu.Unlock()
-			<-gate
+			<-blackholed
 			continue
 		}
 		m.conns[c] = struct{}{}
@@ -187,58 +186,59 @@
 	}
 }
 
-// Blackhole makes the machine silent: what is open stays open and says nothing,
-// which is up to serve, and new connections do not come up. For that, it takes
-// none any more and fills the short queue of those that wait to be taken.
+// Blackhole makes the machine unreachable. Open connections stay open, and serve must send nothing
+// on them. New connections are not established: the machine stops accepting, and Blackhole fills
+// the short accept queue.
 func (m *Machine) Blackhole() {
 	m.mu.Lock()
-	if m.l == nil || m.gate != nil || m.over {
+	if m.listener == nil || m.blackholed != nil || m.closed {
 		m.mu.Unlock()
 		return
 	}
-	m.gate = make(chan struct{})
+	m.blackholed = make(chan struct{})
 	addr := m.Addr
 	m.mu.Unlock()
 	for range backlog + 4 {
-		c, err := net.DialTimeout("tcp", addr, fillWithin)
+		c, err := net.DialTimeout("tcp", addr, fillTimeout)
 		if err != nil {
 			return // the queue is full
 		}
 		m.mu.Lock()
-		m.stuff = append(m.stuff, c)
+		m.queueFiller = append(m.queueFiller, c)
 		m.mu.Unlock()
 	}
 }
 
-// Down ends its process: connections are reset, new ones refused.
+// Down ends the machine's process: connections are reset and new ones refused.
 func (m *Machine) Down() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.drop()
+	m.reset()
 }
 
-// Close is Down for good.
+// Close ends the machine's process for good and releases the address.
 func (m *Machine) Close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.over = true
-	m.drop()
-	m.held.Close()
+	m.closed = true
+	m.reset()
+	m.reservation.Close()
 }
 
-func (m *Machine) drop() {
-	if m.l != nil {
-		unlisten(m.l)
-		m.l = nil
+// reset closes the listener and resets all connections. The caller holds mu.
+func (m *Machine) reset() {
+	if m.listener != nil {
+		shutdownListener(m.listener)
+		m.listener = nil
 	}
-	if m.gate != nil {
-		close(m.gate)
-		m.gate = nil
+	if m.blackholed != nil {
+		close(m.blackholed)
+		m.blackholed = nil
 	}
-	for _, c := range m.stuff {
+	for _, c := range m.queueFiller {
 		c.Close()
 	}
-	m.stuff = nil
+	m.queueFiller = nil
 	for c := range m.conns {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
--- a/internal/standin/machine_test.go
+++ b/internal/standin/machine_test.go
@@ -12,31 +12,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A machine can always come back: nobody else is given its port while it is
-// down, and the copies of its listener that processes being started have for a
-// moment don't go on listening.
-func TestMachineComesBack(t *testing.T) {
+// TestMachineCanListenAgain guards against a machine that can't listen again after Down: its port
+// must not be given to another socket meanwhile, and the copies of its listener that processes
+// being started have until their exec must not go on listening.
+func TestMachineCanListenAgain(t *testing.T) {
 	m, err := NewMachine("127.0.0.1", func(net.Conn) {})
 	require.NoError(t, err)
 	defer m.Close()
 	other, err := NewMachine("127.0.0.1", func(net.Conn) {})
 	require.NoError(t, err)
 	defer other.Close()
-	at, err := net.ResolveTCPAddr("tcp", m.Addr)
+	address, err := net.ResolveTCPAddr("tcp", m.Addr)
 	require.NoError(t, err)
 
 	m.Down()
 	_, err = net.Dial("tcp", m.Addr)
 	assert.ErrorIs(t, err, syscall.ECONNREFUSED)
-	_, err = (&net.Dialer{LocalAddr: at}).Dial("tcp", other.Addr)
+	_, err = (&net.Dialer{LocalAddr: address}).Dial("tcp", other.Addr)
 	assert.ErrorIs(t, err, syscall.EADDRINUSE)
 	require.NoError(t, m.Up())
 
-	var over atomic.Bool
+	var stopped atomic.Bool
 	var jobs sync.WaitGroup
 	for range 4 {
 		jobs.Go(func() {
-			for !over.Load() {
+			for !stopped.Load() {
 				exec.Command("/bin/true").Run()
 			}
 		})
@@ -47,7 +47,7 @@
 			break
 		}
 	}
-	over.Store(true)
+	stopped.Store(true)
 	jobs.Wait()
 	assert.NoError(t, err)
 }
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// NodeConfig is what a node is told, in the platform's form.
+// NodeConfig is a node's configuration file, in the platform's format.
 type NodeConfig struct {
 	Name      string         `json:"name"`
 	Listen    string         `json:"listen"`
@@ -27,23 +27,23 @@
 	Peers      []string `json:"peers,omitempty"`
 }
 
-// Node is the real program, running.
+// Node is a running process of the real program.
 type Node struct {
 	Cmd        *exec.Cmd
 	Addr       string
-	ConfigPath string // of its configuration
-	end        chan struct{}
+	ConfigPath string // of its configuration file
+	exited     chan struct{}
 	err        error
 }
 
-// StartNode writes the configuration into dir and starts the program with it.
-// Its output goes to log. The node may not be ready yet.
+// StartNode writes the configuration to dir and starts the program with it. The program's output
+// goes to log. StartNode doesn't wait until the node is ready.
 func StartNode(program, dir string, c any, listen, discovery string, log io.Writer, args ...string) (*Node, error) {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{Addr: listen, ConfigPath: filepath.Join(dir, "config.json"), end: make(chan struct{})}
+	n := &Node{Addr: listen, ConfigPath: filepath.Join(dir, "config.json"), exited: make(chan struct{})}
 	if err := os.WriteFile(n.ConfigPath, append(text, '\n'), 0o600); err != nil {
 		return nil, err
 	}
@@ -55,45 +55,45 @@
 	}
 	go func() {
 		n.err = n.Cmd.Wait()
-		close(n.end)
+		close(n.exited)
 	}()
 	return n, nil
 }
 
-// Exited is closed when the process has ended.
-func (n *Node) Exited() <-chan struct{} { return n.end }
+// Exited returns a channel that is closed when the process has exited.
+func (n *Node) Exited() <-chan struct{} { return n.exited }
 
-// Err is how it ended, once it has.
+// Err returns the error with which the process exited. It is valid after Exited is closed.
 func (n *Node) Err() error { return n.err }
 
-// Signal sends it a signal.
+// Signal sends the process a signal.
 func (n *Node) Signal(s os.Signal) error { return n.Cmd.Process.Signal(s) }
 
-// Kill ends it at once and waits for that.
+// Kill kills the process and waits until it has exited.
 func (n *Node) Kill() {
 	n.Cmd.Process.Kill()
-	<-n.end
+	<-n.exited
 }
 
-// Stop ends it with SIGTERM and waits, at most for a time; then it is killed.
-func (n *Node) Stop(within time.Duration) error {
+// Stop sends SIGTERM and waits until the process has exited. After the timeout it kills the process.
+func (n *Node) Stop(timeout time.Duration) error {
 	n.Signal(syscall.SIGTERM)
 	select {
-	case <-n.end:
+	case <-n.exited:
 		return n.err
-	case <-time.After(within):
+	case <-time.After(timeout):
 		n.Kill()
-		return errors.New("the node did not end in time and was killed")
+		return errors.New("the node did not exit in time and was killed")
 	}
 }
 
-// WaitReady waits until GET /ready answers 200.
-func (n *Node) WaitReady(within time.Duration) error {
+// WaitReady waits until GET /ready answers with status 200.
+func (n *Node) WaitReady(timeout time.Duration) error {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
-	for until := time.Now().Add(within); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		select {
-		case <-n.end:
-			return fmt.Errorf("the node has ended: %w", errors.Join(n.err, errEnded))
+		case <-n.exited:
+			return fmt.Errorf("the node has exited: %w", errors.Join(n.err, errExitedEarly))
 		default:
 		}
 		res, err := client.Get("http://" + n.Addr + "/ready")
@@ -105,7 +105,8 @@
 			return nil
 		}
 	}
-	return errors.New("the node is not ready in time")
+	return errors.New("the node was not ready in time")
 }
 
-var errEnded = errors.New("before it was ready")
+// errExitedEarly says that a node exited before GET /ready answered with status 200.
+var errExitedEarly = errors.New("before it was ready")
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -13,43 +13,43 @@
 	"pipitmux/internal/discovery"
 )
 
-// ScriptedRegistry answers watches by lines that a test writes.
+// ScriptedRegistry is a fake registry that answers each watch with lines from the test.
 type ScriptedRegistry struct {
 	Addr         string
-	Queries      chan string          // the query of each watch
-	Watches      chan (chan<- string) // the open watch: lines to write; closing it ends the watch
-	WatchesEnded atomic.Int64         // watches that the node has ended
-	over         chan struct{}
-	once         sync.Once
+	Queries      chan string          // raw query of each watch
+	Watches      chan (chan<- string) // for each watch, the channel of lines to write; closing it ends the watch
+	WatchesEnded atomic.Int64         // watches that the node closed
+	closed       chan struct{}
+	closeOnce    sync.Once
 	server       *http.Server
 }
 
-// Lines after which a scripted watch says nothing any more, and begins a list that comes
-// byte by byte and has no end.
+// Special lines of a ScriptedRegistry. After FallSilent the watch sends nothing more. After Trickle
+// it begins a list that never ends and arrives in small pieces.
 const (
 	FallSilent = "fall silent"
 	Trickle    = "trickle"
 )
 
-// NewScriptedRegistry runs one on a free port of 127.0.0.1 until Close.
+// NewScriptedRegistry starts a registry on a free port of 127.0.0.1. It runs until Close.
 func NewScriptedRegistry() (*ScriptedRegistry, error) { return NewScriptedRegistryAt("127.0.0.1:0") }
 
-// NewScriptedRegistryAt runs one at an address until Close.
+// NewScriptedRegistryAt starts a registry on an address. It runs until Close.
 func NewScriptedRegistryAt(addr string) (*ScriptedRegistry, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	r := &ScriptedRegistry{Addr: l.Addr().String(), Queries: make(chan string, 100), Watches: make(chan (chan<- string), 100),
-		over: make(chan struct{})}
+		closed: make(chan struct{})}
 	r.server = &http.Server{Handler: http.HandlerFunc(r.serve)}
 	go r.server.Serve(l)
 	return r, nil
 }
 
-// Close ends it and its watches.
+// Close stops the registry and ends its watches.
 func (r *ScriptedRegistry) Close() {
-	r.once.Do(func() { close(r.over) })
+	r.closeOnce.Do(func() { close(r.closed) })
 	r.server.Close()
 }
 
@@ -57,30 +57,30 @@
 	r.Queries <- request.URL.RawQuery
 	lines := make(chan string, 10)
 	r.Watches <- lines
-	beat := time.NewTicker(time.Second)
-	defer beat.Stop()
-	for said := false; ; said = true {
+	heartbeat := time.NewTicker(time.Second)
+	defer heartbeat.Stop()
+	for written := false; ; written = true {
 		text := "\n"
-		if said {
+		if written {
 			select {
-			case <-r.over:
+			case <-r.closed:
 				return
 			case <-request.Context().Done():
 				r.WatchesEnded.Add(1)
 				return
-			case <-beat.C:
-			case l, open := <-lines:
+			case <-heartbeat.C:
+			case line, open := <-lines:
 				if !open {
 					return
 				}
-				switch text = l; l {
+				switch text = line; line {
 				case FallSilent:
 					<-request.Context().Done()
 					r.WatchesEnded.Add(1)
 					return
 				case Trickle:
 					text = `{"targets":[`
-					beat.Reset(50 * time.Millisecond)
+					heartbeat.Reset(50 * time.Millisecond)
 				}
 			}
 		}
@@ -89,44 +89,45 @@
 	}
 }
 
-// Target is a backend, and List a list of them, in the registry's form.
+// Target is a backend and List a list of backends, in the registry's format.
 type (
 	Target = discovery.Target
 	List   = discovery.List
 )
 
-// ListSource is where a Registry has its lists from. It is asked from several
+// ListSource provides the lists that a Registry serves. Its methods are called from several
 // goroutines.
 type ListSource interface {
-	// List waits for the service's turn and returns the whole list, or false
-	// where the call fails.
+	// List waits for as long as the registry takes to answer, and returns the whole list. It
+	// returns false if the call fails.
 	List() (List, bool)
-	// Next waits for news after a version and returns what changed since; false
-	// where the watch breaks. It returns when stop is closed.
+	// Next waits for a revision after rev and returns the changes since rev. It returns false if
+	// the watch breaks. It returns when stop is closed.
 	Next(rev int64, stop <-chan struct{}) (List, bool)
-	// Delivered is called when a list has been written.
+	// Delivered is called after a list was written.
 	Delivered(List)
 }
 
-// heartbeat is how often a watch without news says so.
-const heartbeat = 2 * time.Second
+// heartbeatInterval is how often a watch sends an empty line while nothing changes.
+const heartbeatInterval = 2 * time.Second
 
-// Registry serves one node's view of the list.
+// Registry is a fake registry that serves one node's view of the list.
 type Registry struct {
-	Addr   string
-	lists  ListSource
-	server *http.Server
-	over   chan struct{}
-	once   sync.Once
+	Addr      string
+	source    ListSource
+	server    *http.Server
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-// NewRegistry serves on a free port of the host, of 127.0.0.0/8, until Close.
-func NewRegistry(host string, lists ListSource) (*Registry, error) {
+// NewRegistry starts a registry on a free port of the host, which must be in 127.0.0.0/8. It runs
+// until Close.
+func NewRegistry(host string, source ListSource) (*Registry, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
-	r := &Registry{Addr: l.Addr().String(), lists: lists, over: make(chan struct{})}
+	r := &Registry{Addr: l.Addr().String(), source: source, closed: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/endpoints", r.serve)
 	r.server = &http.Server{Handler: mux}
@@ -134,9 +135,9 @@
 	return r, nil
 }
 
-// Close ends it and its watches.
+// Close stops the registry and ends its watches.
 func (r *Registry) Close() {
-	r.once.Do(func() { close(r.over) })
+	r.closeOnce.Do(func() { close(r.closed) })
 	r.server.Close()
 }
 
@@ -150,11 +151,11 @@
 			err = http.NewResponseController(w).Flush()
 		}
 		if err == nil {
-			r.lists.Delivered(l)
+			r.source.Delivered(l)
 		}
 		return err == nil
 	}
-	l, ok := r.lists.List()
+	l, ok := r.source.List()
 	if !ok {
 		http.Error(w, "not now", http.StatusServiceUnavailable)
 		return
@@ -163,7 +164,7 @@
 		write(l)
 		return
 	}
-	if at, err := strconv.ParseInt(request.URL.Query().Get("index"), 10, 64); err == nil && at == l.Revision {
+	if revision, err := strconv.ParseInt(request.URL.Query().Get("index"), 10, 64); err == nil && revision == l.Revision {
 		io.WriteString(w, "\n")
 		http.NewResponseController(w).Flush()
 	} else if !write(l) {
@@ -171,37 +172,37 @@
 	}
 	stop := make(chan struct{})
 	defer close(stop)
-	news := make(chan List)
+	updates := make(chan List)
 	go func() {
-		defer close(news)
-		for at := l.Revision; ; {
-			next, ok := r.lists.Next(at, stop)
+		defer close(updates)
+		for revision := l.Revision; ; {
+			next, ok := r.source.Next(revision, stop)
 			if !ok {
 				return
 			}
 			select {
-			case news <- next:
-				at = next.Revision
+			case updates <- next:
+				revision = next.Revision
 			case <-stop:
 				return
 			}
 		}
 	}()
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
 		select {
-		case n, ok := <-news:
-			if !ok || !write(n) {
+		case update, ok := <-updates:
+			if !ok || !write(update) {
 				return
 			}
-		case <-beat.C:
+		case <-heartbeat.C:
 			if _, err := io.WriteString(w, "\n"); err != nil || http.NewResponseController(w).Flush() != nil {
 				return
 			}
 		case <-request.Context().Done():
 			return
-		case <-r.over:
+		case <-r.closed:
 			return
 		}
 	}
--- a/internal/standin/relays.go
+++ b/internal/standin/relays.go
@@ -9,33 +9,34 @@
 	"time"
 )
 
-// Relays stand between the nodes of a fleet: one for each ordered pair, at whose address the
-// first reaches the second, and from which the second hears of the first. They lose datagrams,
-// hold them up, double them and cut one way.
+// Relays forward datagrams between the nodes of a fleet and inject faults. There is one relay for
+// each ordered pair of nodes: the sender sends to its address, and the receiver gets the datagrams
+// from the address of the relay for the opposite direction, so that it can answer. Relays lose,
+// delay and duplicate datagrams, and can cut a path in one direction.
 type Relays struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	fate   func(from, to, length int) []time.Duration
-	nodes  []*net.UDPAddr   // where each node listens
-	pairs  [][]*net.UDPConn // by who sends, then by whom to
-	passed map[[2]int]int   // datagrams, by the same
-	ended  sync.WaitGroup
+	mu        sync.Mutex
+	rng       *rand.Rand
+	delivery  func(from, to, length int) []time.Duration
+	nodes     []*net.UDPAddr   // where each node listens
+	sockets   [][]*net.UDPConn // by sender, then receiver
+	forwarded map[[2]int]int   // number of datagrams, by sender and receiver
+	running   sync.WaitGroup
 }
 
-// NewRelays opens those of nodes that listen at the addresses.
+// NewRelays starts the relays of nodes that listen on the given addresses.
 func NewRelays(nodes []string, seed uint64) (*Relays, error) {
-	r := &Relays{rng: rand.New(rand.NewPCG(seed, 5)), passed: map[[2]int]int{}}
+	r := &Relays{rng: rand.New(rand.NewPCG(seed, 5)), forwarded: map[[2]int]int{}}
 	r.SetFaults(0, nil)
 	for _, n := range nodes {
-		at, err := net.ResolveUDPAddr("udp4", n)
+		address, err := net.ResolveUDPAddr("udp4", n)
 		if err != nil {
 			return nil, err
 		}
-		r.nodes = append(r.nodes, at)
+		r.nodes = append(r.nodes, address)
 	}
 	for range nodes {
 		row := make([]*net.UDPConn, len(nodes))
-		r.pairs = append(r.pairs, row)
+		r.sockets = append(r.sockets, row)
 		for to := range nodes {
 			c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 			if err != nil {
@@ -47,22 +48,22 @@
 	}
 	for from := range nodes {
 		for to := range nodes {
-			r.ended.Add(1)
-			go r.carry(from, to)
+			r.running.Add(1)
+			go r.forward(from, to)
 		}
 	}
 	return r, nil
 }
 
-// Peers returns the addresses at which the node of a number reaches each of all.
-func (r *Relays) Peers(from int) (out []string) {
-	for _, c := range r.pairs[from] {
-		out = append(out, c.LocalAddr().String())
+// Peers returns the addresses at which a node reaches each node, itself included, in their order.
+func (r *Relays) Peers(from int) (addresses []string) {
+	for _, c := range r.sockets[from] {
+		addresses = append(addresses, c.LocalAddr().String())
 	}
-	return out
+	return addresses
 }
 
-// SetFaults sets the part of datagrams that is lost, and who is not heard by whom; nil: all are.
+// SetFaults sets the share of datagrams that is lost, and which paths are cut. A nil cut cuts none.
 func (r *Relays) SetFaults(loss float64, cut func(from, to int) bool) {
 	r.SetDelivery(func(from, to, _ int) []time.Duration {
 		if r.rng.Float64() < loss || cut != nil && cut(from, to) {
@@ -72,22 +73,23 @@
 	})
 }
 
-// SetDelivery sets what becomes of a datagram: how long each of its copies takes; none: it is lost.
-// It is asked by one goroutine at a time.
-func (r *Relays) SetDelivery(fate func(from, to, length int) []time.Duration) {
+// SetDelivery sets the function that decides about each datagram. It returns the delay of each copy
+// that is delivered; without one, the datagram is lost. It is called by one goroutine at a time.
+func (r *Relays) SetDelivery(delivery func(from, to, length int) []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fate = fate
+	r.delivery = delivery
 }
 
-// relayBuffer is the most bytes that a relay reads of a datagram.
-const relayBuffer = 2048
+// maxDatagramBytes limits what a relay reads of a datagram.
+const maxDatagramBytes = 2048
 
-func (r *Relays) carry(from, to int) {
-	defer r.ended.Done()
-	buf := make([]byte, relayBuffer)
+// forward reads the datagrams of one path and delivers them.
+func (r *Relays) forward(from, to int) {
+	defer r.running.Done()
+	buf := make([]byte, maxDatagramBytes)
 	for {
-		n, _, err := r.pairs[from][to].ReadFromUDP(buf)
+		n, _, err := r.sockets[from][to].ReadFromUDP(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -95,38 +97,38 @@
 			continue
 		}
 		r.mu.Lock()
-		copies := r.fate(from, to, n)
+		copies := r.delivery(from, to, n)
 		if len(copies) > 0 {
-			r.passed[[2]int{from, to}]++
+			r.forwarded[[2]int{from, to}]++
 		}
 		r.mu.Unlock()
-		for _, d := range copies {
-			text := bytes.Clone(buf[:n])
-			pass := func() { r.pairs[to][from].WriteToUDP(text, r.nodes[to]) } // one that can't be sent is lost
-			if d > 0 {
-				time.AfterFunc(d, pass)
+		for _, delay := range copies {
+			datagram := bytes.Clone(buf[:n])
+			deliver := func() { r.sockets[to][from].WriteToUDP(datagram, r.nodes[to]) } // a datagram that can't be sent is lost
+			if delay > 0 {
+				time.AfterFunc(delay, deliver)
 			} else {
-				pass()
+				deliver()
 			}
 		}
 	}
 }
 
-// Forwarded is how many datagrams went from one to another.
+// Forwarded returns how many datagrams were forwarded from one node to another.
 func (r *Relays) Forwarded(from, to int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.passed[[2]int{from, to}]
+	return r.forwarded[[2]int{from, to}]
 }
 
-// Close ends them.
+// Close stops the relays.
 func (r *Relays) Close() {
-	for _, row := range r.pairs {
+	for _, row := range r.sockets {
 		for _, c := range row {
 			if c != nil {
 				c.Close()
 			}
 		}
 	}
-	r.ended.Wait()
+	r.running.Wait()
 }
--- a/internal/standin/relays_test.go
+++ b/internal/standin/relays_test.go
@@ -9,27 +9,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A relay hands a datagram on as often and as late as its rule tells, whole and from the
-// sender's own relay; what it loses stays lost, in that direction alone.
-func TestRelaysDoAsTheyAreTold(t *testing.T) {
+// TestRelaysFollowDelivery guards against relays that don't follow their delivery function: each
+// datagram arrives whole, in as many copies and as late as decided, from an address at which the
+// sender can be answered. A lost datagram stays lost, in that direction only.
+func TestRelaysFollowDelivery(t *testing.T) {
 	var nodes [2]*net.UDPConn
-	var at []string
+	var addresses []string
 	for i := range nodes {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		require.NoError(t, err)
 		defer c.Close()
-		nodes[i], at = c, append(at, c.LocalAddr().String())
+		nodes[i], addresses = c, append(addresses, c.LocalAddr().String())
 	}
-	r, err := NewRelays(at, 1)
+	r, err := NewRelays(addresses, 1)
 	require.NoError(t, err)
 	defer r.Close()
-	const late = 50 * time.Millisecond
+	const delay = 50 * time.Millisecond
 	r.SetDelivery(func(from, to, length int) []time.Duration {
 		switch {
 		case from == 1:
 			return nil
 		case length == 1:
-			return []time.Duration{late}
+			return []time.Duration{delay}
 		}
 		return []time.Duration{0, time.Millisecond}
 	})
@@ -49,9 +50,9 @@
 	for range 3 {
 		n, from, err := nodes[1].ReadFromUDP(buf)
 		require.NoError(t, err)
-		assert.Equal(t, r.Peers(1)[0], from.String(), "by which it can be answered")
+		assert.Equal(t, r.Peers(1)[0], from.String(), "the address at which the sender can be answered")
 		if got = append(got, string(buf[:n])); n == 1 {
-			assert.GreaterOrEqual(t, time.Since(sent), late)
+			assert.GreaterOrEqual(t, time.Since(sent), delay)
 		}
 	}
 	assert.ElementsMatch(t, []string{"bb", "bb", "a"}, got)
