--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,8 +1,8 @@
-// Package load drives an HTTP/1.1 address on loopback with an open schedule.
-// Each request's time counts from the instant at which it was due, not from when the
-// tool got to it: a server that stalls is charged with what would have come
-// meanwhile (Tene's "coordinated omission"). It judges nothing but times and
-// status codes.
+// Package load is an open-loop load generator for an HTTP/1.1 address on loopback.
+// It measures each request's latency from the time at which the request was due, not
+// from when it was sent. A server that stalls is thus charged for the requests that
+// were due meanwhile; measuring from the time of sending would hide them (Tene's
+// "coordinated omission"). The package looks only at times and status codes.
 package load
 
 import (
@@ -24,18 +24,18 @@
 	"pipitmux/internal/latency"
 )
 
-// Class is a class of requests.
+// Class describes one class of requests.
 type Class struct {
 	Name               string        `yaml:"name"`
 	Share              float64       `yaml:"share"`
 	Method             string        `yaml:"method"`
 	Path               string        `yaml:"path"`
 	BodyBytes          int           `yaml:"body_bytes"`
-	SendIdempotencyKey bool          `yaml:"key"` // with an Idempotency-Key
+	SendIdempotencyKey bool          `yaml:"key"` // send an Idempotency-Key
 	Deadline           time.Duration `yaml:"deadline"`
 }
 
-// Plan is what to send where.
+// Plan says which requests to send, where and when.
 type Plan struct {
 	Target      string        `yaml:"target"` // host:port on loopback
 	Seconds     float64       `yaml:"seconds"`
@@ -45,54 +45,54 @@
 	Swing       float64       `yaml:"swing"`
 	Period      time.Duration `yaml:"period"`
 	Even        bool          `yaml:"even"`
-	Connections int           `yaml:"connections"` // at most; what finds none free waits, and that counts
+	Connections int           `yaml:"connections"` // upper limit; the time that a request waits for a free one counts in its latency
 	Classes     []Class       `yaml:"classes"`
 }
 
-// Default returns a plan without a target.
+// Default returns the default plan, which has no target.
 func Default() Plan {
 	return Plan{Seconds: 10, Seed: 1, PerSecond: 100, Shape: "steady", Period: 10 * time.Second, Connections: 256,
 		Classes: []Class{{Name: "get", Share: 1, Method: http.MethodGet, Path: "/", Deadline: 5 * time.Second}}}
 }
 
-// Check returns the key of the first value that can't be used, and why.
+// Check returns the key of the first invalid value and the reason, or a nil error.
 func (p *Plan) Check() (key string, err error) {
 	host, _, err := net.SplitHostPort(p.Target)
 	if err != nil {
 		return "target", fmt.Errorf("%q is not host:port", p.Target)
 	}
 	if ip, err := netip.ParseAddr(host); host != "localhost" && (err != nil || !ip.IsLoopback()) {
-		return "target", fmt.Errorf("%q is not on loopback; nothing else is ever loaded", p.Target)
+		return "target", fmt.Errorf("%q is not a loopback address; no other target is allowed", p.Target)
 	}
 	s := p.schedule()
 	if err := s.Check(); err != nil {
 		return "per_second", err
 	}
 	if !(p.Seconds > 0 && p.Seconds <= 86400) {
-		return "seconds", errors.New("does not lie above 0 and up to 86400")
+		return "seconds", errors.New("must be above 0 and at most 86400")
 	}
 	if p.Connections < 1 || p.Connections > 60000 {
-		return "connections", errors.New("does not lie from 1 to 60000")
+		return "connections", errors.New("must be from 1 to 60000")
 	}
 	if len(p.Classes) == 0 {
-		return "classes", errors.New("at least one is needed")
+		return "classes", errors.New("at least one class is required")
 	}
 	for i := range p.Classes {
 		c := &p.Classes[i]
-		k := fmt.Sprintf("classes.%d.", i)
+		prefix := fmt.Sprintf("classes.%d.", i)
 		switch {
 		case c.Name == "":
-			return k + "name", errors.New("is missing")
+			return prefix + "name", errors.New("is missing")
 		case !(c.Share > 0):
-			return k + "share", errors.New("is not above 0")
+			return prefix + "share", errors.New("must be above 0")
 		case c.Method == "" || strings.ContainsAny(c.Method, " \r\n"):
-			return k + "method", errors.New("is no method")
+			return prefix + "method", errors.New("is not a valid method")
 		case !strings.HasPrefix(c.Path, "/"):
-			return k + "path", errors.New("does not begin with /")
+			return prefix + "path", errors.New("must begin with /")
 		case c.BodyBytes < 0 || c.BodyBytes > 64<<10:
-			return k + "body_bytes", errors.New("does not lie from 0 to 65536")
+			return prefix + "body_bytes", errors.New("must be from 0 to 65536")
 		case c.Deadline <= 0 || c.Deadline > time.Hour:
-			return k + "deadline", errors.New("does not lie above 0 and up to 1h")
+			return prefix + "deadline", errors.New("must be above 0 and at most 1h")
 		}
 	}
 	return "", nil
@@ -102,33 +102,38 @@
 	return arrivals.Schedule{PerSecond: p.PerSecond, Shape: p.Shape, Swing: p.Swing, Period: p.Period, Phase: -1, Even: p.Even}
 }
 
-// ClassReport is what became of a class.
+// ClassReport holds the results of one class.
 type ClassReport struct {
 	Sent      int               `json:"sent"`
-	Status    map[string]int    `json:"status"`             // by code; "timeout" and "error" where none came
-	LatencyMS latency.Quantiles `json:"latency_ms"`         // of all that was answered, from when it was due
-	ServedMS  latency.Quantiles `json:"served_latency_ms"`  // of the 200s
-	ServiceMS latency.Quantiles `json:"service_latency_ms"` // from when the tool sent it: what a closed loop would have told
+	Status    map[string]int    `json:"status"`             // counts by status code; "timeout" or "error" if there was no response
+	LatencyMS latency.Quantiles `json:"latency_ms"`         // of all requests, from the time each was due
+	ServedMS  latency.Quantiles `json:"served_latency_ms"`  // of the requests answered with status 200, from the time each was due
+	ServiceMS latency.Quantiles `json:"service_latency_ms"` // of all requests, from the time each was sent, as a closed-loop generator measures it
 }
 
-// Report is what a run came to.
+// Report holds the results of a run.
 type Report struct {
 	Target    string                 `json:"target"`
 	Seconds   float64                `json:"seconds"`
 	Due       int                    `json:"due"`
 	PerSecond float64                `json:"answered_per_second"`
 	Classes   map[string]ClassReport `json:"classes"`
-	LateMS    latency.Quantiles      `json:"late_ms"` // how late the tool itself was; more than a little spoils the rest
+	LateMS    latency.Quantiles      `json:"late_ms"` // how late the generator itself sent requests; large values make the other figures unreliable
 }
 
-// Progress is the state of a run under way.
+// Progress is the state of a run that is in progress.
 type Progress struct {
-	Elapsed, Total      time.Duration
-	Due, Done, InFlight int
-	Failed              int     // no 200
-	LastP50, LastP99    float64 // ms, since the last one
+	Elapsed  time.Duration
+	Total    time.Duration
+	Due      int
+	Done     int
+	InFlight int
+	Failed   int     // requests without a response with status 200
+	LastP50  float64 // milliseconds, since the previous call
+	LastP99  float64 // likewise
 }
 
+// tally adds up the results of a run.
 type tally struct {
 	mu      sync.Mutex
 	due     int
@@ -139,26 +144,31 @@
 	recent  *hdrhistogram.Histogram
 }
 
+// classTally adds up the results of one class.
 type classTally struct {
-	sent                 int
-	status               map[string]int
-	all, served, service *hdrhistogram.Histogram
+	sent    int
+	status  map[string]int
+	all     *hdrhistogram.Histogram
+	served  *hdrhistogram.Histogram
+	service *hdrhistogram.Histogram
 }
 
-const longest = int64(time.Hour / time.Microsecond)
+// maxLatencyUS is the largest latency that the histograms hold, in microseconds. It is also the
+// largest deadline of a class.
+const maxLatencyUS = int64(time.Hour / time.Microsecond)
 
-func hist() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest, 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyUS, 3) }
 
-// Run carries a plan out that Check has passed. It calls live once a second. Where
-// ctx ends it early, the report covers what was sent until then.
-func Run(ctx context.Context, p Plan, live func(Progress)) *Report {
-	t := &tally{late: hist(), recent: hist()}
-	var cum []float64 // shares, added up
+// Run executes a plan that has passed Check. It calls onProgress once a second. If ctx ends the run
+// early, the report covers the requests sent until then.
+func Run(ctx context.Context, p Plan, onProgress func(Progress)) *Report {
+	t := &tally{late: newHistogram(), recent: newHistogram()}
+	var cumulative []float64 // sums of the shares up to each class
 	sum := 0.0
 	for _, c := range p.Classes {
 		sum += c.Share
-		cum = append(cum, sum)
-		t.classes = append(t.classes, &classTally{status: map[string]int{}, all: hist(), served: hist(), service: hist()})
+		cumulative = append(cumulative, sum)
+		t.classes = append(t.classes, &classTally{status: map[string]int{}, all: newHistogram(), served: newHistogram(), service: newHistogram()})
 	}
 	transport := &http.Transport{MaxConnsPerHost: p.Connections, MaxIdleConnsPerHost: p.Connections, DisableCompression: true,
 		IdleConnTimeout: 1500 * time.Millisecond}
@@ -166,21 +176,21 @@
 	client := &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	rng := rand.New(rand.NewPCG(p.Seed, 11))
 	source := arrivals.New(p.schedule(), rand.New(rand.NewPCG(p.Seed, 12)))
-	var open sync.WaitGroup
-	of := time.Duration(p.Seconds * float64(time.Second))
+	var inFlight sync.WaitGroup
+	total := time.Duration(p.Seconds * float64(time.Second))
 	began := time.Now()
 	stop := make(chan struct{})
-	watched := make(chan struct{})
+	progressDone := make(chan struct{})
 	go func() {
-		defer close(watched)
-		every := time.NewTicker(time.Second)
-		defer every.Stop()
+		defer close(progressDone)
+		ticker := time.NewTicker(time.Second)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-stop:
 				return
-			case <-every.C:
-				live(t.live(time.Since(began), of))
+			case <-ticker.C:
+				onProgress(t.progress(time.Since(began), total))
 			}
 		}
 	}()
@@ -188,7 +198,7 @@
 	defer timer.Stop()
 	for n := 0; ; n++ {
 		due := source.Next()
-		if due >= of {
+		if due >= total {
 			break
 		}
 		if wait := due - time.Since(began); wait > 0 {
@@ -201,13 +211,13 @@
 		if ctx.Err() != nil {
 			break
 		}
-		i := arrivals.Pick(cum, rng)
+		class := arrivals.Pick(cumulative, rng)
 		id := fmt.Sprintf("load-%x-%d", p.Seed, n)
-		open.Go(func() { t.send(ctx, client, &p, i, id, began.Add(due)) })
+		inFlight.Go(func() { t.send(ctx, client, &p, class, id, began.Add(due)) })
 	}
-	open.Wait()
+	inFlight.Wait()
 	close(stop)
-	<-watched
+	<-progressDone
 	took := time.Since(began)
 	r := &Report{Target: p.Target, Seconds: took.Seconds(), Due: t.due, Classes: map[string]ClassReport{}, LateMS: latency.Of(t.late)}
 	for i, c := range t.classes {
@@ -217,23 +227,24 @@
 	return r
 }
 
-func (t *tally) live(at, of time.Duration) Progress {
+// progress returns the state of the run, and starts new quantiles for the next call.
+func (t *tally) progress(elapsed, total time.Duration) Progress {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := Progress{Elapsed: at, Total: of, Due: t.due, Done: t.done, InFlight: t.due - t.done, Failed: t.failed,
+	state := Progress{Elapsed: elapsed, Total: total, Due: t.due, Done: t.done, InFlight: t.due - t.done, Failed: t.failed,
 		LastP50: float64(t.recent.ValueAtQuantile(50)) / 1000, LastP99: float64(t.recent.ValueAtQuantile(99)) / 1000}
 	t.recent.Reset()
-	return l
+	return state
 }
 
-// send sends one request and counts what becomes of it.
+// send sends one request and records its result.
 func (t *tally) send(ctx context.Context, client *http.Client, p *Plan, class int, id string, due time.Time) {
 	c := &p.Classes[class]
-	begun := time.Now()
+	sentAt := time.Now()
 	t.mu.Lock()
 	t.due++
 	t.classes[class].sent++
-	t.late.RecordValue(max(begun.Sub(due).Microseconds(), 1))
+	t.late.RecordValue(max(sentAt.Sub(due).Microseconds(), 1))
 	t.mu.Unlock()
 
 	ctx, cancel := context.WithDeadline(ctx, due.Add(c.Deadline))
@@ -262,17 +273,17 @@
 		status, ok = "error", false
 	}
 	now := time.Now()
-	took := min(max(now.Sub(due).Microseconds(), 1), longest)
+	took := min(max(now.Sub(due).Microseconds(), 1), maxLatencyUS)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ct := t.classes[class]
-	ct.status[status]++
+	results := t.classes[class]
+	results.status[status]++
 	t.done++
-	ct.all.RecordValue(took)
-	ct.service.RecordValue(min(max(now.Sub(begun).Microseconds(), 1), longest))
+	results.all.RecordValue(took)
+	results.service.RecordValue(min(max(now.Sub(sentAt).Microseconds(), 1), maxLatencyUS))
 	t.recent.RecordValue(took)
 	if ok {
-		ct.served.RecordValue(took)
+		results.served.RecordValue(took)
 	} else {
 		t.failed++
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -15,13 +15,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A server that stalls for a while is charged with all that came due meanwhile:
-// with one connection, a closed loop would have seen one slow request.
-func TestStallShowsInTheTail(t *testing.T) {
-	var n atomic.Int64
+// TestStallCountsForAllDueRequests guards against coordinated omission: a server that stalls must be
+// charged for all requests that were due meanwhile. With one connection, a closed loop would have
+// measured one slow request.
+func TestStallCountsForAllDueRequests(t *testing.T) {
+	var received atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if n.Add(1) == 50 {
-			time.Sleep(600 * time.Millisecond) // the stall itself; the verdict is on what it did
+		if received.Add(1) == 50 {
+			time.Sleep(600 * time.Millisecond) // the stall under test; the assertions are on the latencies
 		}
 	}))
 	defer s.Close()
@@ -29,25 +30,27 @@
 	p.Target, p.Seconds, p.PerSecond, p.Even, p.Connections = s.Listener.Addr().String(), 2, 200, true, 1
 	key, err := p.Check()
 	require.NoError(t, err, key)
-	var seen atomic.Int64
-	r := Run(t.Context(), p, func(Progress) { seen.Add(1) })
+	var progressCalls atomic.Int64
+	r := Run(t.Context(), p, func(Progress) { progressCalls.Add(1) })
 	c := r.Classes["get"]
 	assert.Equal(t, r.Due, c.Status["200"])
 	assert.InDelta(t, 399, r.Due, 2)
-	assert.Positive(t, seen.Load())
-	// 0.6 s of 2 s: some 120 requests were due while the server stood still.
+	assert.Positive(t, progressCalls.Load())
+	// The stall took 0.6 s of 2 s, so about 120 requests were due meanwhile.
 	assert.Greater(t, c.LatencyMS.P90, 300.0)
 	assert.GreaterOrEqual(t, c.LatencyMS.Max, 500.0)
 }
 
-func TestWhatComesBackIsCounted(t *testing.T) {
+// TestResultsAreCountedByStatus guards against results counted under a wrong status: responses,
+// redirects, timeouts and reset connections.
+func TestResultsAreCountedByStatus(t *testing.T) {
 	var mu sync.Mutex
 	ids := map[string]bool{}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		ids[r.Header.Get("X-Correlation-Id")] = true
 		mu.Unlock()
-		io.Copy(io.Discard, r.Body) // else nobody would notice that the client has left
+		io.Copy(io.Discard, r.Body) // the server notices that the client has left only after it has read the body
 		switch r.Header.Get("X-Service-Class") {
 		case "refused":
 			w.WriteHeader(503)
@@ -71,14 +74,16 @@
 		require.Positive(t, c.Sent, name)
 		assert.Equal(t, map[string]int{status: c.Sent}, c.Status, name)
 	}
-	assert.Len(t, ids, r.Due, "each request has an id of its own")
+	assert.Len(t, ids, r.Due, "each request has its own id")
 
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	assert.Zero(t, Run(ctx, p, func(Progress) {}).Due)
 }
 
-func TestPlansAreChecked(t *testing.T) {
+// TestInvalidPlansAreRejected guards against an invalid plan that is accepted, and against an error
+// that names the wrong key.
+func TestInvalidPlansAreRejected(t *testing.T) {
 	for want, change := range map[string]func(p *Plan){
 		"target":             func(p *Plan) { p.Target = "10.0.0.1:80" },
 		"target:":            func(p *Plan) { p.Target = "example.org:80" },
