--- a/cmd/oaklab/experiment.go
+++ b/cmd/oaklab/experiment.go
@@ -113,8 +113,8 @@
 func printRows(w io.Writer, rows []*experiment.Row) {
 	fmt.Fprintf(w, "%-18s %-24s %-25s %5s  %-24s %-26s %-9s %-9s %s\n", "variant", "grid", "policy", "days", "G [95%]", "p99 ms [95%]", "retries", "to cold", "days with a rule broken")
 	for _, r := range rows {
-		fmt.Fprintf(w, "%-18s %-24s %-25s %5d  %.3f [%.3f, %.3f]    %6.1f [%6.1f, %6.1f]    %-9.3f %-9.0f %v", r.Variant, strings.Join(r.Grid, ","), r.Policy, r.Days,
-			r.G.Median, r.G.Low, r.G.High, r.P99.Median, r.P99.Low, r.P99.High, r.Retries.Median, r.SendsToCold.Median, r.DaysWithViolations)
+		fmt.Fprintf(w, "%-18s %-24s %-25s %5d  %.3f [%.3f, %.3f]    %6.1f [%6.1f, %6.1f]    %-9.3f %-9.0f %v", r.Variant, strings.Join(r.Grid, ","), r.Policy, r.Runs,
+			r.G.Median, r.G.Low, r.G.High, r.P99.Median, r.P99.Low, r.P99.High, r.Retries.Median, r.SendsToCold.Median, r.RunsWithViolations)
 		if r.CostUS != nil {
 			fmt.Fprintf(w, "  %.1f us a req", r.CostUS.Median)
 		}
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,6 +1,7 @@
-// Package experiment runs grids of emulated days over all cores, keeps each
-// finished cell durably, and sums the cells up. A cell's result depends on the
-// plan and the program alone; only the time it took is the machine's.
+// Package experiment runs grids of emulated scenarios on all cores, stores the
+// result of each finished cell durably, and summarizes the cells. The result of a
+// cell depends on the plan and the program only. The time it took also depends on
+// the machine.
 package experiment
 
 import (
@@ -18,17 +19,17 @@
 	"pipitmux/internal/yamlfile"
 )
 
-// Plan is an experiment file.
+// Plan is the content of an experiment file.
 type Plan struct {
 	Name     string           `yaml:"name"`
-	Scenario string           `yaml:"scenario"` // a file, from the plan's folder
+	Scenario string           `yaml:"scenario"` // path of a scenario file, relative to the plan's folder
 	Policies []string         `yaml:"policies"`
 	Seeds    Seeds            `yaml:"seeds"`
-	Variants []Variant        `yaml:"variants"` // each with keys of the scenario set otherwise
-	Grid     map[string][]any `yaml:"grid"`     // keys of the scenario by the values that each takes
+	Variants []Variant        `yaml:"variants"` // each changes some keys of the scenario
+	Grid     map[string][]any `yaml:"grid"`     // values to try, by key of the scenario
 }
 
-// Seeds are from, from+1 and so on.
+// Seeds is the range of seeds From, From+1 and so on, Count in total.
 type Seeds struct {
 	From  uint64 `yaml:"from"`
 	Count int    `yaml:"count"`
@@ -37,39 +38,40 @@
 // Variant is a named change of the scenario.
 type Variant struct {
 	Name     string         `yaml:"name"`
-	Scenario string         `yaml:"scenario"` // in place of the plan's
+	Scenario string         `yaml:"scenario"` // replaces the plan's scenario if not empty
 	Set      map[string]any `yaml:"set"`
 }
 
-// Cell is one day to be played.
+// Cell is one emulation run: a scenario with its changes, a policy and a seed.
 type Cell struct {
-	Variant string   `json:"variant"`
-	Grid    []string `json:"grid"` // key=value, in the order of the keys
-	Policy  string   `json:"policy"`
-	Seed    uint64   `json:"seed"`
-	sc      *emulator.Scenario
+	Variant  string   `json:"variant"`
+	Grid     []string `json:"grid"` // key=value, in the order of the keys
+	Policy   string   `json:"policy"`
+	Seed     uint64   `json:"seed"`
+	scenario *emulator.Scenario
 }
 
-// Key names the cell among those of its plan.
+// Key returns the cell's unique name within its plan.
 func (c *Cell) Key() string {
 	return fmt.Sprintf("%s|%s|%s|%020d", c.Variant, strings.Join(c.Grid, ","), c.Policy, c.Seed)
 }
 
-// Group names the cells that differ in their seeds only.
+// Group returns the common name of the cells that differ only in their seeds.
 func (c *Cell) Group() string { return strings.TrimSuffix(c.Key(), fmt.Sprintf("|%020d", c.Seed)) }
 
+// maxCells limits the cells of a plan and the points of its grid.
 const maxCells = 1_000_000
 
-// Read reads a plan with its scenarios, and returns its cells in their order and
-// a fingerprint of all that their results depend on but the program.
-func Read(name string) (p *Plan, cells []Cell, print string, err error) {
+// Read reads a plan and its scenarios. It returns the cells in their order, and a fingerprint of
+// everything that their results depend on except the program.
+func Read(name string) (p *Plan, cells []Cell, fingerprint string, err error) {
 	p = &Plan{Seeds: Seeds{From: 1, Count: 5}, Policies: []string{"module"}}
 	f, err := yamlfile.Read(name, p)
 	if err != nil {
 		return nil, nil, "", err
 	}
 	if p.Scenario == "" && len(p.Variants) == 0 {
-		return nil, nil, "", f.Errorf("scenario", "a scenario file is wanted")
+		return nil, nil, "", f.Errorf("scenario", "a scenario file is required")
 	}
 	for i, policy := range p.Policies {
 		if _, err := emulator.Policy(policy); err != nil {
@@ -83,50 +85,50 @@
 	if len(variants) == 0 {
 		variants = []Variant{{Name: "base"}}
 	}
-	grid, err := p.grid(f)
+	grid, err := p.gridPoints(f)
 	if err != nil {
 		return nil, nil, "", err
 	}
 	if n := len(variants) * len(grid) * len(p.Policies) * p.Seeds.Count; n > maxCells || n <= 0 {
-		return nil, nil, "", f.Errorf("grid", "%d cells; up to %d are played", n, maxCells)
+		return nil, nil, "", f.Errorf("grid", "%d cells; at most %d are allowed", n, maxCells)
 	}
 	hash := sha256.New()
-	seen := map[string]bool{}
+	names := map[string]bool{}
 	for i, v := range variants {
-		at := fmt.Sprintf("variants.%d", i)
-		if v.Name == "" || seen[v.Name] || strings.ContainsAny(v.Name, "|") {
-			return nil, nil, "", f.Errorf(at+".name", "must be there, unlike the others and without |")
+		key := fmt.Sprintf("variants.%d", i)
+		if v.Name == "" || names[v.Name] || strings.ContainsAny(v.Name, "|") {
+			return nil, nil, "", f.Errorf(key+".name", "must be set, unique and without |")
 		}
-		seen[v.Name] = true
+		names[v.Name] = true
 		file := filepath.Join(filepath.Dir(name), p.Scenario)
 		if v.Scenario != "" {
 			file = filepath.Join(filepath.Dir(name), v.Scenario)
 		}
 		text, err := os.ReadFile(file)
 		if err != nil {
-			return nil, nil, "", f.Errorf(at+".scenario", "%v", err)
+			return nil, nil, "", f.Errorf(key+".scenario", "%v", err)
 		}
 		for _, k := range slices.Sorted(maps.Keys(v.Set)) {
-			if text, err = set(file, text, k, v.Set[k]); err != nil {
-				return nil, nil, "", f.Errorf(at+".set", "%v", err)
+			if text, err = setValue(file, text, k, v.Set[k]); err != nil {
+				return nil, nil, "", f.Errorf(key+".set", "%v", err)
 			}
 		}
 		for _, point := range grid {
-			here := text
-			for _, kv := range point {
-				k, value, _ := strings.Cut(kv, "=")
-				if here, err = yamlfile.Set(file, here, k, value); err != nil {
+			pointText := text
+			for _, pair := range point {
+				k, value, _ := strings.Cut(pair, "=")
+				if pointText, err = yamlfile.Set(file, pointText, k, value); err != nil {
 					return nil, nil, "", f.Errorf("grid", "%v", err)
 				}
 			}
-			sc, err := emulator.Parse(file, here)
+			sc, err := emulator.Parse(file, pointText)
 			if err != nil {
-				return nil, nil, "", f.Errorf(at, "%v", err)
+				return nil, nil, "", f.Errorf(key, "%v", err)
 			}
-			hash.Write(here)
+			hash.Write(pointText)
 			for _, policy := range p.Policies {
-				for s := range p.Seeds.Count {
-					cells = append(cells, Cell{v.Name, point, policy, p.Seeds.From + uint64(s), sc})
+				for offset := range p.Seeds.Count {
+					cells = append(cells, Cell{v.Name, point, policy, p.Seeds.From + uint64(offset), sc})
 				}
 			}
 		}
@@ -137,17 +139,18 @@
 	return p, cells, hex.EncodeToString(hash.Sum(nil)[:12]), nil
 }
 
-// set puts a value that came from YAML into a scenario's text. JSON is YAML too.
-func set(file string, text []byte, key string, value any) ([]byte, error) {
-	v, err := json.Marshal(value)
+// setValue sets a value that was read from YAML in a scenario's text. It writes the value as JSON,
+// which is valid YAML.
+func setValue(file string, text []byte, key string, value any) ([]byte, error) {
+	encoded, err := json.Marshal(value)
 	if err != nil {
 		return nil, err
 	}
-	return yamlfile.Set(file, text, key, string(v))
+	return yamlfile.Set(file, text, key, string(encoded))
 }
 
-// grid returns every point of the grid, each as key=value pairs.
-func (p *Plan) grid(f *yamlfile.File) ([][]string, error) {
+// gridPoints returns every point of the grid, each as key=value pairs in the order of the keys.
+func (p *Plan) gridPoints(f *yamlfile.File) ([][]string, error) {
 	points := [][]string{{}}
 	for _, k := range slices.Sorted(maps.Keys(p.Grid)) {
 		if len(p.Grid[k]) == 0 {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -21,7 +21,7 @@
 	"pipitmux/internal/latency"
 )
 
-// Report writes one HTML page about a store, with all that it shows inside it.
+// Report writes one HTML page about a store. The page is self-contained.
 func Report(w io.Writer, title string, s *Store) error {
 	rows, err := Summarize(s)
 	if err != nil {
@@ -30,20 +30,20 @@
 	page := struct {
 		Title string
 		Rows  []*Row
-		Parts []part
+		Parts []section
 	}{Title: title, Rows: rows}
-	for _, group := range panels(rows) {
-		p := part{Title: group[0].Variant}
+	for _, group := range groupByScenario(rows) {
+		p := section{Title: group[0].Variant}
 		if g := strings.Join(group[0].Grid, ", "); g != "" {
 			p.Title += ", " + g
 		}
-		for _, paint := range []func([]*Row) (*plot.Plot, error){worthOverTime, latencies, bars("Retries for each req", func(r *Row) Interval { return r.Retries }),
-			bars("Sends to cold backends", func(r *Row) Interval { return r.SendsToCold })} {
-			pl, err := paint(group)
+		for _, newPlot := range []func([]*Row) (*plot.Plot, error){plotWorth, plotLatencies, newBarPlot("Retries for each req", func(r *Row) Interval { return r.Retries }),
+			newBarPlot("Sends to cold backends", func(r *Row) Interval { return r.SendsToCold })} {
+			pl, err := newPlot(group)
 			if err != nil {
 				return err
 			}
-			svg, err := picture(pl)
+			svg, err := renderSVG(pl)
 			if err != nil {
 				return err
 			}
@@ -51,45 +51,51 @@
 		}
 		page.Parts = append(page.Parts, p)
 	}
-	if pl, err := costs(rows); err != nil {
+	if pl, err := plotCosts(rows); err != nil {
 		return err
 	} else if pl != nil {
-		svg, err := picture(pl)
+		svg, err := renderSVG(pl)
 		if err != nil {
 			return err
 		}
-		page.Parts = append(page.Parts, part{"Cost against the size of the fleet", []template.HTML{svg}})
+		page.Parts = append(page.Parts, section{"Cost against the size of the fleet", []template.HTML{svg}})
 	}
-	return layout.Execute(w, page)
+	return pageTemplate.Execute(w, page)
 }
 
-type part struct {
+// section is a part of the page with a heading and plots.
+type section struct {
 	Title string
 	Plots []template.HTML
 }
 
-// panels groups the rows that differ in their policies only.
-func panels(rows []*Row) [][]*Row {
-	by := map[string][]*Row{}
+// groupByScenario groups the rows that differ only in their policies.
+func groupByScenario(rows []*Row) [][]*Row {
+	groups := map[string][]*Row{}
 	var order []string
 	for _, r := range rows {
 		k := r.Variant + "|" + strings.Join(r.Grid, ",")
-		if by[k] == nil {
+		if groups[k] == nil {
 			order = append(order, k)
 		}
-		by[k] = append(by[k], r)
+		groups[k] = append(groups[k], r)
 	}
 	var out [][]*Row
 	for _, k := range order {
-		out = append(out, by[k])
+		out = append(out, groups[k])
 	}
 	return out
 }
 
-const wide, high = 14 * vg.Centimeter, 8 * vg.Centimeter
+// The size of each plot.
+const (
+	plotWidth  = 14 * vg.Centimeter
+	plotHeight = 8 * vg.Centimeter
+)
 
-func picture(p *plot.Plot) (template.HTML, error) {
-	c := vgsvg.New(wide, high)
+// renderSVG draws a plot as an SVG element.
+func renderSVG(p *plot.Plot) (template.HTML, error) {
+	c := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
@@ -97,14 +103,13 @@
 	}
 	_, svg, ok := strings.Cut(b.String(), "<svg")
 	if !ok {
-		return "", fmt.Errorf("no picture was drawn")
+		return "", fmt.Errorf("drawing the plot produced no SVG element")
 	}
-	return template.HTML("<svg" + svg), nil // made here, of numbers and escaped names
+	return template.HTML("<svg" + svg), nil // safe: generated here from numbers and escaped names
 }
 
-// worthOverTime draws, for each second, the median over the days of the part of
-// the worth asked that was won.
-func worthOverTime(rows []*Row) (*plot.Plot, error) {
+// plotWorth draws, for each second, the median over the runs of the earned share of the offered worth.
+func plotWorth(rows []*Row) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Worth won over worth asked", "second", "part"
 	p.Y.Min, p.Y.Max = 0, 1.02
@@ -123,29 +128,34 @@
 			slices.Sort(v)
 			xy = append(xy, plotter.XY{X: float64(at), Y: median(v)})
 		}
-		if err := line(p, i, r.Policy, xy); err != nil {
+		if err := addLine(p, i, r.Policy, xy); err != nil {
 			return nil, err
 		}
 	}
-	widen(p, policies(rows), false)
+	widenForLegend(p, policies(rows), false)
 	return p, nil
 }
 
-// widen makes a plot so much wider than its curves that the legend stands beside them.
-func widen(p *plot.Plot, names []string, log bool) {
+// widenForLegend extends the X axis, so that the legend is beside the curves.
+func widenForLegend(p *plot.Plot, names []string, log bool) {
 	longest := 0
 	for _, n := range names {
 		longest = max(longest, len(n))
 	}
-	const whole, mark, letter = 350, 40, 5 // points: of the axis, of a legend's line and of a letter
-	more := 1 / (1 - min(float64(mark+letter*longest)/whole, .7))
+	const ( // widths in points
+		axisWidth       = 350
+		legendLineWidth = 40
+		letterWidth     = 5
+	)
+	factor := 1 / (1 - min(float64(legendLineWidth+letterWidth*longest)/axisWidth, .7))
 	if log {
-		p.X.Max = p.X.Min * math.Pow(p.X.Max/p.X.Min, more)
+		p.X.Max = p.X.Min * math.Pow(p.X.Max/p.X.Min, factor)
 	} else {
-		p.X.Max = p.X.Min + (p.X.Max-p.X.Min)*more
+		p.X.Max = p.X.Min + (p.X.Max-p.X.Min)*factor
 	}
 }
 
+// policies returns the policy of each row.
 func policies(rows []*Row) (names []string) {
 	for _, r := range rows {
 		names = append(names, r.Policy)
@@ -153,7 +163,8 @@
 	return names
 }
 
-func line(p *plot.Plot, i int, name string, xy plotter.XYs) error {
+// addLine adds a curve in the color of its index, with an entry in the legend.
+func addLine(p *plot.Plot, i int, name string, xy plotter.XYs) error {
 	if len(xy) == 0 {
 		return nil
 	}
@@ -169,10 +180,10 @@
 	return nil
 }
 
-// latencies draws the quantiles of the class asked for most.
-func latencies(rows []*Row) (*plot.Plot, error) {
+// plotLatencies draws the latency quantiles of the class with the most operations.
+func plotLatencies(rows []*Row) (*plot.Plot, error) {
 	p := plot.New()
-	class := mostAsked(rows[0].records[0].Result)
+	class := busiestClass(rows[0].records[0].Result)
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Latency of "+class, "quantile", "ms"
 	p.NominalX("p50", "p90", "p99", "p99.9")
 	for i, r := range rows {
@@ -187,33 +198,33 @@
 			slices.Sort(v)
 			xy = append(xy, plotter.XY{X: float64(x), Y: median(v)})
 		}
-		if err := line(p, i, r.Policy, xy); err != nil {
+		if err := addLine(p, i, r.Policy, xy); err != nil {
 			return nil, err
 		}
 	}
-	widen(p, policies(rows), false)
+	widenForLegend(p, policies(rows), false)
 	return p, nil
 }
 
-// bars draws one figure of each policy with its interval.
-func bars(title string, of func(*Row) Interval) func([]*Row) (*plot.Plot, error) {
+// newBarPlot returns a function that draws one figure of each policy with its interval.
+func newBarPlot(title string, figure func(*Row) Interval) func([]*Row) (*plot.Plot, error) {
 	return func(rows []*Row) (*plot.Plot, error) {
 		p := plot.New()
 		p.Title.Text = title
 		var values plotter.Values
-		var marks errorBars
+		var intervals errorBars
 		for i, r := range rows {
-			v := of(r)
+			v := figure(r)
 			values = append(values, v.Median)
-			marks.XYs = append(marks.XYs, plotter.XY{X: float64(i), Y: v.Median})
-			marks.YErrors = append(marks.YErrors, struct{ Low, High float64 }{v.Median - v.Low, v.High - v.Median})
+			intervals.XYs = append(intervals.XYs, plotter.XY{X: float64(i), Y: v.Median})
+			intervals.YErrors = append(intervals.YErrors, struct{ Low, High float64 }{v.Median - v.Low, v.High - v.Median})
 		}
 		b, err := plotter.NewBarChart(values, vg.Points(14))
 		if err != nil {
 			return nil, err
 		}
 		b.Color = color.RGBA{R: 90, G: 130, B: 180, A: 255}
-		e, err := plotter.NewYErrorBars(marks)
+		e, err := plotter.NewYErrorBars(intervals)
 		if err != nil {
 			return nil, err
 		}
@@ -222,25 +233,26 @@
 		p.X.Tick.Label.Rotation = math.Pi / 5
 		p.X.Tick.Label.XAlign = -1
 		p.Y.Min = 0
-		if !slices.ContainsFunc(rows, func(r *Row) bool { return of(r).High > 0 }) {
-			// None at all; the plot would make it a scale from -1 to 1.
+		if !slices.ContainsFunc(rows, func(r *Row) bool { return figure(r).High > 0 }) {
+			// All values are 0: without a maximum the plot's scale would go from -1 to 1.
 			p.Y.Max = 1
 		}
 		return p, nil
 	}
 }
 
+// errorBars holds the points and intervals of a bar plot.
 type errorBars struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// costs draws what a request costs against the number of backends, nil where all
-// fleets are of one size.
-func costs(rows []*Row) (*plot.Plot, error) {
-	by, sizes := map[string]plotter.XYs{}, map[float64]bool{}
+// plotCosts draws the emulation cost of a request against the number of backends. It returns nil if
+// all fleets have the same size.
+func plotCosts(rows []*Row) (*plot.Plot, error) {
+	curves, sizes := map[string]plotter.XYs{}, map[float64]bool{}
 	for _, r := range rows {
-		by[r.Policy] = append(by[r.Policy], plotter.XY{X: r.Backends, Y: r.CostUS.Median})
+		curves[r.Policy] = append(curves[r.Policy], plotter.XY{X: r.Backends, Y: r.CostUS.Median})
 		sizes[r.Backends] = true
 	}
 	if len(sizes) < 2 {
@@ -249,23 +261,24 @@
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Emulation of one req", "backends", "µs"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	names := make([]string, 0, len(by))
-	for n := range by {
+	names := make([]string, 0, len(curves))
+	for n := range curves {
 		names = append(names, n)
 	}
 	sort.Strings(names)
 	for i, n := range names {
-		xy := by[n]
+		xy := curves[n]
 		sort.Slice(xy, func(a, b int) bool { return xy[a].X < xy[b].X })
-		if err := line(p, i, n, xy); err != nil {
+		if err := addLine(p, i, n, xy); err != nil {
 			return nil, err
 		}
 	}
-	widen(p, names, true)
+	widenForLegend(p, names, true)
 	return p, nil
 }
 
-var layout = template.Must(template.New("page").Funcs(template.FuncMap{
+// pageTemplate is the HTML page of a report.
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
 	"range3": func(r Interval) string { return fmt.Sprintf("%.3f [%.3f, %.3f]", r.Median, r.Low, r.High) },
 	"range1": func(r Interval) string { return fmt.Sprintf("%.1f [%.1f, %.1f]", r.Median, r.Low, r.High) },
 	"join":   func(s []string) string { return strings.Join(s, ", ") },
@@ -276,7 +289,7 @@
 <h1>{{.Title}}</h1>
 <p>Medians over the days of each row, with 95% bootstrap intervals. Rules: days with a breach (unanswered, double effects, late drain sends, felled backends).</p>
 <table><tr><th>variant</th><th>grid</th><th>policy</th><th>days</th><th>G</th><th>p99 ms</th><th>retries a req</th><th>sends to cold</th><th>rules</th><th>µs a req</th></tr>
-{{range .Rows}}<tr><td>{{.Variant}}</td><td>{{join .Grid}}</td><td>{{.Policy}}</td><td>{{.Days}}</td><td>{{range3 .G}}</td><td>{{range1 .P99}}</td><td>{{range3 .Retries}}</td><td>{{range1 .SendsToCold}}</td><td>{{range .DaysWithViolations}}{{.}} {{end}}</td><td>{{range1 .CostUS}}</td></tr>
+{{range .Rows}}<tr><td>{{.Variant}}</td><td>{{join .Grid}}</td><td>{{.Policy}}</td><td>{{.Runs}}</td><td>{{range3 .G}}</td><td>{{range1 .P99}}</td><td>{{range3 .Retries}}</td><td>{{range1 .SendsToCold}}</td><td>{{range .RunsWithViolations}}{{.}} {{end}}</td><td>{{range1 .CostUS}}</td></tr>
 {{end}}</table>
 {{range .Parts}}<h2>{{.Title}}</h2>{{range .Plots}}<figure>{{.}}</figure>{{end}}
 {{end}}</body></html>
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -9,23 +9,22 @@
 	"pipitmux/internal/emulator"
 )
 
-// Run plays the cells that the store lacks, several at once, and keeps each as
-// it ends. It returns how many it played; where ctx ends it, the rest is left
-// for the next run.
-func Run(ctx context.Context, list []Cell, s *Store, at int, progress func(done, of int)) (played int, err error) {
+// Run runs the cells that are not in the store yet, several at a time, and stores each result at
+// once. It returns how many cells it ran. If ctx ends it early, the next call runs the rest.
+func Run(ctx context.Context, cells []Cell, s *Store, workers int, progress func(done, total int)) (completed int, err error) {
 	var todo []*Cell
-	for i := range list {
-		if !s.Has(list[i].Key()) {
-			todo = append(todo, &list[i])
+	for i := range cells {
+		if !s.Has(cells[i].Key()) {
+			todo = append(todo, &cells[i])
 		}
 	}
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	var mu sync.Mutex
-	next, done := 0, len(list)-len(todo)
-	var all sync.WaitGroup
-	for range max(at, 1) {
-		all.Go(func() {
+	next, done := 0, len(cells)-len(todo)
+	var running sync.WaitGroup
+	for range max(workers, 1) {
+		running.Go(func() {
 			for ctx.Err() == nil {
 				mu.Lock()
 				if next == len(todo) {
@@ -36,7 +35,7 @@
 				next++
 				mu.Unlock()
 				began := time.Now()
-				r, err := emulator.Run(c.sc, c.Seed, emulator.Options{Policy: c.Policy, Progress: func(_, _ time.Duration) bool { return ctx.Err() == nil }})
+				r, err := emulator.Run(c.scenario, c.Seed, emulator.Options{Policy: c.Policy, Progress: func(_, _ time.Duration) bool { return ctx.Err() == nil }})
 				if err == nil {
 					err = s.Put(&Record{*c, r, time.Since(began).Nanoseconds()})
 				}
@@ -47,16 +46,16 @@
 					return
 				}
 				mu.Lock()
-				played++
+				completed++
 				done++
-				progress(done, len(list))
+				progress(done, len(cells))
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
-	if played < len(todo) {
-		return played, context.Cause(ctx)
+	running.Wait()
+	if completed < len(todo) {
+		return completed, context.Cause(ctx)
 	}
-	return played, nil
+	return completed, nil
 }
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -13,37 +13,38 @@
 	"pipitmux/internal/emulator"
 )
 
-// Record is a cell that has been played.
+// Record is a finished cell with its result.
 type Record struct {
 	Cell
 	Result *emulator.Result `json:"result"`
-	TookNS int64            `json:"took_ns"` // the machine's, and no part of the result
+	TookNS int64            `json:"took_ns"` // time taken on this machine, not part of the result
 }
 
-// Store keeps the records of one experiment in a folder. A record is there whole
-// once Put has returned, also where the process or the machine dies then.
+// Store keeps the records of one experiment in a folder. After Put has returned, the record is stored
+// completely, even if the process or the machine then fails.
 type Store struct{ db *bbolt.DB }
 
+// The buckets of results.db, and the key of the fingerprint in the meta bucket.
 var (
-	meta  = []byte("meta")
-	cells = []byte("cells")
-	mark  = []byte("fingerprint")
+	metaBucket     = []byte("meta")
+	cellsBucket    = []byte("cells")
+	fingerprintKey = []byte("fingerprint")
 )
 
-// ErrOtherPlan tells that a folder holds the results of another plan or scenario.
+// ErrOtherPlan means that a folder holds the results of another plan or scenario.
 var ErrOtherPlan = errors.New("holds the results of another plan or scenario")
 
-// Open opens the store of a folder, making it where there is none. Where it
-// holds results of another fingerprint it returns ErrOther; an empty one takes
-// any store as it is.
-func Open(dir, print string) (*Store, error) {
-	if print != "" {
+// Open opens the store in a folder and creates it if there is none. If the store has another
+// fingerprint, Open returns ErrOtherPlan. With an empty fingerprint, Open opens an existing store
+// whatever its fingerprint, and creates none.
+func Open(dir, fingerprint string) (*Store, error) {
+	if fingerprint != "" {
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return nil, err
 		}
 	}
 	path := filepath.Join(dir, "results.db")
-	if _, err := os.Stat(path); err != nil && print == "" {
+	if _, err := os.Stat(path); err != nil && fingerprint == "" {
 		return nil, err
 	}
 	db, err := bbolt.Open(path, 0o644, &bbolt.Options{Timeout: time.Second})
@@ -51,20 +52,20 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		m, err := tx.CreateBucketIfNotExists(meta)
+		m, err := tx.CreateBucketIfNotExists(metaBucket)
 		if err != nil {
 			return err
 		}
-		if _, err := tx.CreateBucketIfNotExists(cells); err != nil {
+		if _, err := tx.CreateBucketIfNotExists(cellsBucket); err != nil {
 			return err
 		}
-		switch had := m.Get(mark); {
-		case print == "" || string(had) == print:
+		switch stored := m.Get(fingerprintKey); {
+		case fingerprint == "" || string(stored) == fingerprint:
 			return nil
-		case had != nil:
+		case stored != nil:
 			return fmt.Errorf("%s: %w", dir, ErrOtherPlan)
 		}
-		return m.Put(mark, []byte(print))
+		return m.Put(fingerprintKey, []byte(fingerprint))
 	})
 	if err != nil {
 		db.Close()
@@ -73,37 +74,37 @@
 	return &Store{db}, nil
 }
 
-// Close gives the folder free.
+// Close closes the store, so that another process can open it.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Has tells whether a cell has been played.
-func (s *Store) Has(key string) (has bool) {
+// Has reports whether the store holds the result of a cell.
+func (s *Store) Has(key string) (found bool) {
 	s.db.View(func(tx *bbolt.Tx) error {
-		has = tx.Bucket(cells).Get([]byte(key)) != nil
+		found = tx.Bucket(cellsBucket).Get([]byte(key)) != nil
 		return nil
 	})
-	return has
+	return found
 }
 
-// Put keeps a record. It may be called from several goroutines, whose records
-// then share a write.
+// Put stores a record. It may be called from several goroutines; records that are stored at the same
+// time share a write.
 func (s *Store) Put(r *Record) error {
 	text, err := json.Marshal(r)
 	if err != nil {
 		return err
 	}
-	return s.db.Batch(func(tx *bbolt.Tx) error { return tx.Bucket(cells).Put([]byte(r.Key()), text) })
+	return s.db.Batch(func(tx *bbolt.Tx) error { return tx.Bucket(cellsBucket).Put([]byte(r.Key()), text) })
 }
 
-// Each calls do with every record, in the order of their keys.
-func (s *Store) Each(do func(*Record) error) error {
+// Each calls visit with every record, in the order of their keys.
+func (s *Store) Each(visit func(*Record) error) error {
 	return s.db.View(func(tx *bbolt.Tx) error {
-		return tx.Bucket(cells).ForEach(func(k, v []byte) error {
+		return tx.Bucket(cellsBucket).ForEach(func(k, v []byte) error {
 			var r Record
 			if err := json.Unmarshal(v, &r); err != nil {
 				return fmt.Errorf("cell %s: %w", k, err)
 			}
-			return do(&r)
+			return visit(&r)
 		})
 	})
 }
--- a/internal/experiment/summary.go
+++ b/internal/experiment/summary.go
@@ -12,17 +12,18 @@
 	"pipitmux/internal/emulator"
 )
 
-// Interval is a median and its interval, in which it lies with 95% confidence.
+// Interval is a median with its 95% confidence interval.
 type Interval struct {
 	Median float64 `json:"median"`
 	Low    float64 `json:"low"`
 	High   float64 `json:"high"`
 }
 
+// resamples is the number of bootstrap samples that an interval is computed from.
 const resamples = 2000
 
-// MedianWithInterval returns the median of values with a bootstrap interval (Efron's
-// percentile method). The same values give the same interval.
+// MedianWithInterval returns the median of values with a bootstrap confidence interval (Efron's
+// percentile method). The same values always give the same interval. Without values all is NaN.
 func MedianWithInterval(values []float64) Interval {
 	if len(values) == 0 {
 		return Interval{math.NaN(), math.NaN(), math.NaN()}
@@ -33,11 +34,11 @@
 	for i := range weights {
 		weights[i] = 1
 	}
-	draw := distuv.NewCategorical(weights, rand.NewPCG(1, uint64(len(sorted))))
+	categorical := distuv.NewCategorical(weights, rand.NewPCG(1, uint64(len(sorted))))
 	medians, sample := make([]float64, resamples), make([]float64, len(sorted))
 	for i := range medians {
 		for j := range sample {
-			sample[j] = sorted[int(draw.Rand())]
+			sample[j] = sorted[int(categorical.Rand())]
 		}
 		slices.Sort(sample)
 		medians[i] = median(sample)
@@ -46,32 +47,33 @@
 	return Interval{median(sorted), stat.Quantile(.025, stat.Empirical, medians, nil), stat.Quantile(.975, stat.Empirical, medians, nil)}
 }
 
-// median of sorted values; of an even number, between the two in the middle.
+// median returns the median of sorted values: the mean of the two in the middle if their number is
+// even.
 func median(sorted []float64) float64 {
 	n := len(sorted)
 	return (sorted[(n-1)/2] + sorted[n/2]) / 2
 }
 
-// Row sums the cells up that differ in their seeds only.
+// Row summarizes the cells that differ only in their seeds.
 type Row struct {
 	Variant            string   `json:"variant"`
 	Grid               []string `json:"grid"`
 	Policy             string   `json:"policy"`
-	Days               int      `json:"days"`
+	Runs               int      `json:"days"` // number of cells
 	G                  Interval `json:"g"`
-	P99                Interval `json:"p99_ms"`  // of the class asked for most
-	Retries            Interval `json:"retries"` // for each request
+	P99                Interval `json:"p99_ms"`  // of the class with the most operations
+	Retries            Interval `json:"retries"` // per request
 	SendsToCold        Interval `json:"sends_to_cold"`
-	DaysWithViolations [4]int   `json:"rules"` // days with a breach: unanswered, double effects, late drain sends, felled backends
+	RunsWithViolations [4]int   `json:"rules"` // cells in which a rule was broken: unanswered, duplicate effects, late drain sends, overloaded backends
 	Backends           float64  `json:"backends"`
 	Requests           float64  `json:"reqs"`
-	// CostUS is what a request cost to emulate on this machine, in microseconds. All else is
-	// the plan's and the program's alone, so it is told only where it is asked for.
+	// CostUS is the time it took to emulate a request on this machine, in microseconds. All other
+	// fields depend on the plan and the program only, so the cost is reported only on request.
 	CostUS  *Interval `json:"cost_us,omitempty"`
 	records []*Record
 }
 
-// Summarize makes the table of a store, in the order of the cells' keys.
+// Summarize returns the rows of a store, in the order of the cells' keys.
 func Summarize(s *Store) ([]*Row, error) {
 	rows := map[string]*Row{}
 	var order []string
@@ -90,23 +92,24 @@
 	sort.Strings(order)
 	out := make([]*Row, 0, len(order))
 	for _, k := range order {
-		rows[k].sum()
+		rows[k].summarize()
 		out = append(out, rows[k])
 	}
 	return out, nil
 }
 
-func (row *Row) sum() {
-	get := func(of func(*Record) float64) Interval {
-		var v []float64
+// summarize computes the row's figures from its records.
+func (row *Row) summarize() {
+	get := func(value func(*Record) float64) Interval {
+		var values []float64
 		for _, r := range row.records {
-			v = append(v, of(r))
+			values = append(values, value(r))
 		}
-		return MedianWithInterval(v)
+		return MedianWithInterval(values)
 	}
-	row.Days = len(row.records)
+	row.Runs = len(row.records)
 	row.G = get(func(r *Record) float64 { return r.Result.G })
-	row.P99 = get(func(r *Record) float64 { return r.Result.LatencyMS[mostAsked(r.Result)].P99 })
+	row.P99 = get(func(r *Record) float64 { return r.Result.LatencyMS[busiestClass(r.Result)].P99 })
 	row.Retries = get(func(r *Record) float64 { return float64(r.Result.Retries) / float64(max(r.Result.Requests, 1)) })
 	row.SendsToCold = get(func(r *Record) float64 { return float64(r.Result.ToCold) })
 	cost := get(func(r *Record) float64 { return float64(r.TookNS) / 1000 / float64(max(r.Result.Requests, 1)) })
@@ -116,14 +119,14 @@
 	for _, r := range row.records {
 		for i, n := range []int{r.Result.Rules.Unanswered, r.Result.Rules.DuplicateEffects, r.Result.Rules.LateDrainSends, r.Result.Rules.OverloadedBackends} {
 			if n > 0 {
-				row.DaysWithViolations[i]++
+				row.RunsWithViolations[i]++
 			}
 		}
 	}
 }
 
-// mostAsked is the class that was asked for most, the first by name of equals.
-func mostAsked(r *emulator.Result) string {
+// busiestClass returns the class with the most operations, and of several the first by name.
+func busiestClass(r *emulator.Result) string {
 	best, n := "", -1
 	for name, c := range r.Classes {
 		if c.Asked > n || c.Asked == n && name < best {
