--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -211,7 +211,7 @@
 		work *= lognormal(b.rng, 1, cv)
 	}
 	b.sim.workRequested += work
-	if b.warmFraction() < 1 && b.sim.auditor.Work(b.sim.now, string(b.id), work+connectWork, b.warmCapacity()) {
+	if b.warmFraction() < 1 && b.sim.auditor.WorkArrived(b.sim.now, string(b.id), work+connectWork, b.warmCapacity()) {
 		b.sim.recordFault("felled", string(b.id))
 		b.stop(Down)
 		b.sim.reportChange(b, b.sim.scenario.Discovery.SilentNoticeDelayS.sec())
@@ -304,7 +304,7 @@
 	b.processEpoch++
 	b.state, b.startedAt, b.draining = Up, max(b.sim.now, 1), false
 	b.progressAt = b.sim.now
-	b.sim.auditor.Started(string(b.id))
+	b.sim.auditor.BackendStarted(string(b.id))
 	b.reschedule()
 	b.sim.live.updateBackend(b)
 	b.sim.reportChange(b, b.sim.scenario.Discovery.AddDelayS.sec())
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -155,7 +155,7 @@
 	}
 	n.requests[request] = struct{}{}
 	arrived := sim.now
-	sim.auditor.Taken(arrived, n.number, request.id, request.operation.id, request.operation.class.Name, timeout)
+	sim.auditor.RequestReceived(arrived, n.number, request.id, request.operation.id, request.operation.class.Name, timeout)
 	n.schedule(arrived, func() {
 		n.engine.Request(core.Request{ID: request.id, Class: request.operation.class.Name, Retry: sim.scenario.Clients.MarksRetry && request.operation.requests > 1,
 			Arrived: sim.wallTimeAt(arrived), Timeout: timeout, Call: request, Session: request})
@@ -192,8 +192,8 @@
 	sim := request.operation.sim
 	request.answered = true
 	delete(request.node.requests, request)
-	kinds := [...]audit.Answer{core.Served: audit.Served, core.Rejected: audit.Refused, core.Failed: audit.Failed, core.Duplicate: audit.Failed}
-	sim.auditor.Answered(sim.now, request.id, kinds[a.Kind])
+	kinds := [...]audit.Answer{core.Served: audit.Served, core.Rejected: audit.Rejected, core.Failed: audit.Failed, core.Duplicate: audit.Failed}
+	sim.auditor.RequestAnswered(sim.now, request.id, kinds[a.Kind])
 	sim.stats.recordAnswer(a.Kind)
 	result := [...]requestResult{core.Served: served, core.Rejected: rejected, core.Failed: failed, core.Duplicate: failed}[a.Kind]
 	delay := sim.jitteredDelay(sim.scenario.Net.ClientMS)
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -225,9 +225,9 @@
 	l.post(func() {
 		if request := l.requests[id]; request != nil && !request.writeStarted {
 			request.writeStarted = true
-			l.sim.auditor.Taken(l.sim.now, request.node.number, id, request.operation.id, request.operation.class.Name, timeout)
+			l.sim.auditor.RequestReceived(l.sim.now, request.node.number, id, request.operation.id, request.operation.class.Name, timeout)
 			if request.nodeRestarted() {
-				l.sim.auditor.Left(l.sim.now, id)
+				l.sim.auditor.ClientLeft(l.sim.now, id)
 			}
 		}
 	})
@@ -257,22 +257,22 @@
 		sim := l.sim
 		died := request.nodeRestarted()
 		switch {
-		case v.Answer != audit.None:
+		case v.Answer != audit.NoAnswer:
 			if !died { // else the response was on its way when the node was killed, and no answer was due any more
-				sim.auditor.Answered(sim.now, id, v.Answer)
+				sim.auditor.RequestAnswered(sim.now, id, v.Answer)
 			}
-			sim.stats.recordAnswer([...]core.AnswerKind{audit.Served: core.Served, audit.Refused: core.Rejected, audit.Failed: core.Failed}[v.Answer])
+			sim.stats.recordAnswer([...]core.AnswerKind{audit.Served: core.Served, audit.Rejected: core.Rejected, audit.Failed: core.Failed}[v.Answer])
 			request.answered = true
-			request.finish([...]requestResult{audit.Served: served, audit.Refused: rejected, audit.Failed: failed}[v.Answer], v.RetryAfter)
+			request.finish([...]requestResult{audit.Served: served, audit.Rejected: rejected, audit.Failed: failed}[v.Answer], v.RetryAfter)
 		case !v.FullySent:
-			sim.auditor.Left(sim.now, id)
+			sim.auditor.ClientLeft(sim.now, id)
 			request.finish(unreachable, 0)
 		case v.TimedOut:
 			request.finish(timedOut, 0) // an answer was due: the auditor sees that none came
 		case died:
 			request.finish(connectionBroken, 0)
 		default:
-			sim.auditor.Answered(sim.now, id, audit.None)
+			sim.auditor.RequestAnswered(sim.now, id, audit.NoAnswer)
 			request.finish(connectionBroken, 0)
 		}
 	})
@@ -308,7 +308,7 @@
 		l.post(func() {
 			if a != nil && !a.ended {
 				a.ended = true
-				l.sim.auditor.Ended(l.sim.now, id, string(a.backend.id), false, "given up")
+				l.sim.auditor.AttemptEnded(l.sim.now, id, string(a.backend.id), false, "given up")
 				a.backend.cancel(a)
 			}
 		})
@@ -326,7 +326,7 @@
 			return
 		}
 		a.ended = true
-		sim.auditor.Ended(sim.now, a.request.id, string(a.backend.id), r == logic.QueueFull, resultNames[r])
+		sim.auditor.AttemptEnded(sim.now, a.request.id, string(a.backend.id), r == logic.QueueFull, resultNames[r])
 		a.reply(r, report)
 	})
 }
--- a/internal/emulator/live_test.go
+++ b/internal/emulator/live_test.go
@@ -28,7 +28,7 @@
 	go func() {
 		<-c.killed
 		c.RequestStarted(t.ID, t.Timeout)
-		c.RequestDone(t.ID, RequestOutcome{Answer: audit.None, FullySent: true})
+		c.RequestDone(t.ID, RequestOutcome{Answer: audit.NoAnswer, FullySent: true})
 	}()
 }
 
@@ -53,11 +53,11 @@
 			c.LiveRun = NewLiveRun(scenario, 1)
 			r, err := c.Run(t.Context(), c, func(_, _ time.Duration) {})
 			require.NoError(t, err)
-			assert.Positive(t, r.Rules.Taken)
+			assert.Positive(t, r.Rules.Requests)
 			if killed {
 				assert.Zero(t, r.Rules.Unanswered, "%+v", r.Violations)
 			} else {
-				assert.Equal(t, r.Rules.Taken, r.Rules.Unanswered)
+				assert.Equal(t, r.Rules.Requests, r.Rules.Unanswered)
 			}
 		})
 	}
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -114,7 +114,7 @@
 func (n *node) kill() {
 	n.alive, n.watching = false, false
 	n.epoch++
-	n.sim.auditor.Died(n.sim.now, n.number)
+	n.sim.auditor.NodeDied(n.sim.now, n.number)
 	n.sim.peerNetwork.nodeDied(n)
 	if n.sim.live != nil {
 		n.sim.live.environment.KillNode(n.number)
@@ -248,7 +248,7 @@
 	if b.zone != n.zone {
 		sim.crossZoneSends++
 	}
-	sim.auditor.Sent(sim.now, n.number, request.id, string(b.id), sim.scenario.Zones[b.zone].Name, b.cell)
+	sim.auditor.AttemptSent(sim.now, n.number, request.id, string(b.id), sim.scenario.Zones[b.zone].Name, b.cell)
 }
 
 // arrive delivers the attempt's last byte to the backend.
@@ -298,7 +298,9 @@
 	at := sim.now
 	n.schedule(at, func() {
 		neverRan := r == logic.QueueFull || r == logic.ConnectFailed || r == logic.NotSent
-		n.effect(func() { sim.auditor.Ended(sim.now, a.request.id, string(a.backend.id), neverRan, resultNames[r]) })
+		n.effect(func() {
+			sim.auditor.AttemptEnded(sim.now, a.request.id, string(a.backend.id), neverRan, resultNames[r])
+		})
 		a.done(core.AttemptResult{Result: r, Reply: a.request, LoadReport: report, At: sim.wallTimeAt(at)})
 	})
 }
--- a/internal/emulator/registry.go
+++ b/internal/emulator/registry.go
@@ -143,7 +143,7 @@
 		n.knownStates[number] = e.State
 		delete(n.toldGone, e.ID)
 	}
-	n.sim.auditor.Told(n.sim.now, n.number, string(e.ID), e.State == logic.Serving)
+	n.sim.auditor.BackendListed(n.sim.now, n.number, string(e.ID), e.State == logic.Serving)
 }
 
 // reserve queues a call that reaches the registry at an instant. It returns when the call will
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -53,7 +53,7 @@
 	LostInPartitions  int                          `json:"lost_in_cuts"` // requests and responses
 	StaleSends        int                          `json:"stale_sends"`  // to a backend that the node had been told was gone
 	Rules             *audit.Report                `json:"rules"`
-	Violations        []audit.Broken               `json:"broken,omitempty"`
+	Violations        []audit.Violation            `json:"broken,omitempty"`
 	Events            int                          `json:"events"` // events of the emulator
 	FaultEvents       []FaultEvent                 `json:"happened"`
 	Seconds           []SecondStats                `json:"seconds"`
@@ -256,7 +256,7 @@
 	}
 	r.Membership = sim.peerNetwork.result()
 	r.Rules = sim.auditor.Finish(sim.now)
-	r.Violations = r.Rules.Broken
+	r.Violations = r.Rules.Violations
 	return r
 }
 
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -397,7 +397,7 @@
 // recordAccepted tells the auditor that a backend accepted a request.
 func (sim *simulation) recordAccepted(b *backend, a *attempt) {
 	request := a.request
-	sim.auditor.Ran(sim.now, request.operation.id, request.id, string(b.id), sim.scenario.Zones[b.zone].Name, b.cell)
+	sim.auditor.RequestRan(sim.now, request.operation.id, request.id, string(b.id), sim.scenario.Zones[b.zone].Name, b.cell)
 }
 
 // requestFinished sends the response to a request whose work is done.
@@ -416,7 +416,7 @@
 // auditRules returns the rules as the auditor expects them.
 func (s *Scenario) auditRules() audit.Rules {
 	r := audit.Rules{AnswerSlack: s.Rules.AnswerSlackMS.ms(), DrainGrace: s.Rules.DrainGraceMS.ms(),
-		FallMultiple: s.Rules.FallMultiple.From, FallAfter: s.Rules.FallAfterMS.ms()}
+		OverloadMultiple: s.Rules.FallMultiple.From, OverloadWindow: s.Rules.FallAfterMS.ms()}
 	mean, sum := 0.0, 0.0
 	for i := range s.Classes {
 		c := &s.Classes[i]
@@ -424,6 +424,6 @@
 		mean += c.Share.From * c.WorkMS.From / 1000
 		sum += c.Share.From
 	}
-	r.FallSlack = s.Rules.FallSlack.From * mean / sum
+	r.OverloadSlack = s.Rules.FallSlack.From * mean / sum
 	return r
 }
--- a/internal/fleet/clients.go
+++ b/internal/fleet/clients.go
@@ -34,7 +34,7 @@
 		if c == nil {
 			var err error
 			if c, err = f.front.Dial(n.held.Addr, until); err != nil {
-				return emulator.RequestOutcome{Answer: audit.None}
+				return emulator.RequestOutcome{Answer: audit.NoAnswer}
 			}
 		}
 		v, crossed := f.talk(n, c, t, until)
@@ -78,12 +78,12 @@
 	f.day.RequestStarted(t.ID, t.Timeout)
 	if _, err := c.Write(b.Bytes()); err != nil {
 		c.Close()
-		return emulator.RequestOutcome{Answer: audit.None}, true
+		return emulator.RequestOutcome{Answer: audit.NoAnswer}, true
 	}
 	in := bufio.NewReader(c)
 	if _, err := in.Peek(1); err != nil {
 		c.Close()
-		return emulator.RequestOutcome{Answer: audit.None, FullySent: true, TimedOut: late(err)}, !late(err)
+		return emulator.RequestOutcome{Answer: audit.NoAnswer, FullySent: true, TimedOut: late(err)}, !late(err)
 	}
 	res, err := http.ReadResponse(in, &http.Request{Method: method})
 	var body []byte
@@ -92,7 +92,7 @@
 	}
 	if err != nil {
 		c.Close()
-		return emulator.RequestOutcome{Answer: audit.None, FullySent: true, TimedOut: late(err)}, false
+		return emulator.RequestOutcome{Answer: audit.NoAnswer, FullySent: true, TimedOut: late(err)}, false
 	}
 	if res.Close || in.Buffered() > 0 {
 		c.Close()
@@ -103,9 +103,9 @@
 	case res.StatusCode == http.StatusOK && string(body) == "for "+t.ID:
 		v.Answer = audit.Served
 	case res.StatusCode == http.StatusOK:
-		v.Answer, v.FullySent = audit.None, true // served with what nobody made for it
+		v.Answer, v.FullySent = audit.NoAnswer, true // served with what nobody made for it
 	case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests:
-		v.Answer = audit.Refused
+		v.Answer = audit.Rejected
 		if s, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil {
 			v.RetryAfter = time.Duration(s * float64(time.Second))
 		}
