--- /dev/null
+++ b/internal/barograph/servers/compat_test.go
@@ -0,0 +1,83 @@
+package servers
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"gotest.tools/v3/assert"
+
+	"pipitmux/internal/station/protocol"
+)
+
+// The fixtures are a publication and a snapshot as the build before identifiers were renamed wrote
+// them. They must not be regenerated: a node reads them from its disk after an upgrade, and nodes of
+// both builds send them to each other.
+
+func earlierBytes(t *testing.T, name string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", "earlier_build", name))
+	assert.NilError(t, err)
+	return data
+}
+
+func earlierServers() []protocol.Server {
+	return []protocol.Server{
+		{ID: "s-1", Address: "10.2.0.1:9000", Zone: "zone-a", Capacity: 3, Draining: true, Warmup: 4 * time.Second},
+		{ID: "s-2", Address: "10.2.0.2:9000", Zone: "zone-b", Capacity: 5},
+	}
+}
+
+func earlierPublication() Publication {
+	return Publication{Epoch: 6, Sequence: 7, Services: []Service{
+		{Name: "tiny", Servers: earlierServers()},
+		{Name: "large", Servers: earlierServers()[1:]},
+		{Name: "gone"},
+	}}
+}
+
+// The lister's publications of an earlier build must be read with all their fields, and written in
+// the same form.
+func TestDecodesPublicationOfEarlierBuild(t *testing.T) {
+	raw := earlierBytes(t, "publication.cbor")
+	var got Publication
+	assert.NilError(t, cbor.Unmarshal(raw, &got))
+	assert.DeepEqual(t, got, earlierPublication())
+	want := earlierPublication()
+	written, err := want.Encode()
+	assert.NilError(t, err)
+	assert.DeepEqual(t, written, raw)
+
+	m := New(nil)
+	assert.DeepEqual(t, m.Apply(raw), []byte{1})
+	checkEarlierState(t, m)
+	assert.DeepEqual(t, m.Snapshot(), earlierBytes(t, "snapshot.cbor"))
+}
+
+// A snapshot of an earlier build must be restored whole, and written in the same form.
+func TestRestoresSnapshotOfEarlierBuild(t *testing.T) {
+	raw := earlierBytes(t, "snapshot.cbor")
+	m := New(nil)
+	assert.NilError(t, m.Restore(raw))
+	checkEarlierState(t, m)
+	assert.DeepEqual(t, m.Snapshot(), raw)
+}
+
+// checkEarlierState checks the lists, and that epoch and sequence are known: they tell a late
+// publication from a new one.
+func checkEarlierState(t *testing.T, m *Machine) {
+	t.Helper()
+	lists, version := m.Lists()
+	assert.Equal(t, version, uint64(3))
+	assert.DeepEqual(t, lists, []protocol.ServerList{
+		{Service: "large", Version: 2, Servers: earlierServers()[1:]},
+		{Service: "tiny", Version: 1, Servers: earlierServers()},
+	})
+	for _, late := range []Publication{{Epoch: 5, Sequence: 8}, {Epoch: 6, Sequence: 7}} {
+		text, err := late.Encode()
+		assert.NilError(t, err)
+		assert.DeepEqual(t, m.Apply(text), []byte{0})
+	}
+}
--- /dev/null
+++ b/internal/barograph/turns/compat_test.go
@@ -0,0 +1,109 @@
+package turns
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"gotest.tools/v3/assert"
+)
+
+// The fixtures are commands and a snapshot as the build before identifiers were renamed wrote them.
+// They must not be regenerated: a node reads them from its disk after an upgrade, and nodes of both
+// builds send them to each other.
+
+func earlierBytes(t *testing.T, name string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", "earlier_build", name))
+	assert.NilError(t, err)
+	return data
+}
+
+func earlierClock() time.Duration { return 0 }
+
+type earlierCommand struct {
+	name    string
+	command Command
+}
+
+// earlierCommands returns the commands in the order in which they were applied.
+func earlierCommands() []earlierCommand {
+	return []earlierCommand{
+		{"admit", Command{Admit: &Admission{Program: "program", Attempt: "attempt-1", Previous: "elsewhere", Imported: true,
+			Budget: 1000, Most: 600, Keep: 3 * time.Minute, Token: 1<<63 + 4}}},
+		{"end", Command{End: &Ending{Program: "program", Attempt: "attempt-1", Whole: true, Tokens: 500, Previous: "elsewhere",
+			Imported: []byte("before,"), Input: []byte("input,"), Output: []byte("output\n"), Keep: 5 * time.Minute, Token: 1<<63 + 4}}},
+		{"admit_next", Command{Admit: &Admission{Program: "program", Attempt: "attempt-2", Previous: "attempt-1",
+			Budget: 1000, Most: 400, Keep: 2 * time.Minute, Token: 7}}},
+		{"forget", Command{Forget: []Rest{{Program: "other", Steps: 8}, {Program: "program", Steps: 1}}}},
+	}
+}
+
+// A command of an earlier build must be read with all its fields, and written in the same form.
+func TestDecodesCommandsOfEarlierBuild(t *testing.T) {
+	for _, c := range earlierCommands() {
+		t.Run(c.name, func(t *testing.T) {
+			raw := earlierBytes(t, c.name+".cbor")
+			var got Command
+			assert.NilError(t, cbor.Unmarshal(raw, &got))
+			assert.DeepEqual(t, got, c.command)
+			written, err := c.command.Encode()
+			assert.NilError(t, err)
+			assert.DeepEqual(t, written, raw)
+		})
+	}
+}
+
+// The log of an earlier build must lead to the state that it led to there. The results are sent and
+// so written as numbers.
+func TestAppliesCommandsOfEarlierBuild(t *testing.T) {
+	m := New(earlierClock)
+	for _, c := range earlierCommands() {
+		assert.DeepEqual(t, m.Apply(earlierBytes(t, c.name+".cbor")), []byte{1})
+	}
+	checkEarlierState(t, m)
+	assert.DeepEqual(t, m.Snapshot(), earlierBytes(t, "snapshot.cbor"))
+	assert.DeepEqual(t, m.Apply(earlierBytes(t, "admit.cbor")), []byte{4}) // the attempt has ended
+	assert.DeepEqual(t, m.Apply([]byte("no command")), []byte{5})
+	spent, missing := earlierCommands()[2].command, earlierCommands()[2].command
+	spent.Admit.Attempt, missing.Admit.Previous = "attempt-3", "nowhere"
+	for want, c := range map[byte]*Command{2: &spent, 3: &missing} {
+		text, err := c.Encode()
+		assert.NilError(t, err)
+		assert.DeepEqual(t, m.Apply(text), []byte{want})
+	}
+}
+
+// A snapshot of an earlier build must be restored whole, and written in the same form. It holds one
+// program and one turn, so that the order of a map can't change its bytes.
+func TestRestoresSnapshotOfEarlierBuild(t *testing.T) {
+	raw := earlierBytes(t, "snapshot.cbor")
+	m := New(earlierClock)
+	assert.NilError(t, m.Restore(raw))
+	checkEarlierState(t, m)
+	assert.DeepEqual(t, m.Snapshot(), raw)
+}
+
+// checkEarlierState checks the state after all commands.
+func checkEarlierState(t *testing.T, m *Machine) {
+	t.Helper()
+	want := state{
+		Programs: map[string]*program{"program": {
+			Spent:    500,
+			Reserved: map[string]hold{"attempt-2": {Most: 400, Token: 7}},
+			Ended:    map[string]struct{}{"attempt-1": {}},
+			Turns:    []string{"attempt-1"},
+			Keep:     5 * time.Minute,
+			Steps:    4,
+		}},
+		Turns: map[string]*turn{"attempt-1": {Program: "program", Previous: "elsewhere",
+			Imported: []byte("before,"), Input: []byte("input,"), Output: []byte("output\n")}},
+	}
+	assert.Assert(t, reflect.DeepEqual(m.state, want), "%+v", m.state.Programs["program"])
+	history, found := m.History("attempt-1")
+	assert.Assert(t, found)
+	assert.Equal(t, string(history), "before,input,output\n")
+}
