--- a/cmd/oakseam/compat_test.go
+++ b/cmd/oakseam/compat_test.go
@@ -46,27 +46,27 @@
 
 // A node must start from the state file of an earlier build, found under its name, and write the
 // same bytes.
-func TestRecallsStateFileOfEarlierBuild(t *testing.T) {
+func TestRestoresStateFileOfEarlierBuild(t *testing.T) {
 	const listen = "127.0.0.1:8080"
 	raw, err := os.ReadFile(earlierFile("node.state"))
 	require.NoError(t, err)
 	dir := t.TempDir()
 	name := filepath.Join(dir, "oakseam-127.0.0.1-8080.state")
-	assert.Equal(t, name, stateFile(dir, listen))
+	assert.Equal(t, name, stateFileName(dir, listen))
 	require.NoError(t, os.WriteFile(name, raw, 0o600))
 
-	p := &place{log: slog.New(slog.DiscardHandler)}
-	p.recall(name, earlierAt.Add(time.Minute))
-	checkEarlierList(t, p.known)
-	assert.Equal(t, earlierLearned, string(p.learned))
+	process := &takeover{log: slog.New(slog.DiscardHandler)}
+	process.restore(name, earlierAt.Add(time.Minute))
+	checkEarlierList(t, process.known)
+	assert.Equal(t, earlierLearned, string(process.moduleState))
 
 	// What the module learned is trusted for a minute only, the list for longer.
-	late := &place{log: slog.New(slog.DiscardHandler)}
-	late.recall(name, earlierAt.Add(time.Minute+time.Millisecond))
+	late := &takeover{log: slog.New(slog.DiscardHandler)}
+	late.restore(name, earlierAt.Add(time.Minute+time.Millisecond))
 	checkEarlierList(t, late.known)
-	assert.Empty(t, late.learned)
+	assert.Empty(t, late.moduleState)
 
-	text, err := json.Marshal(saved{handed{p.known, p.learned}, earlierAt})
+	text, err := json.Marshal(savedState{handoverState{process.known, process.moduleState}, earlierAt})
 	require.NoError(t, err)
 	framed, err := durable.Frame(text)
 	require.NoError(t, err)
@@ -78,11 +78,11 @@
 func TestTakesStateHandedByEarlierBuild(t *testing.T) {
 	raw, err := os.ReadFile(earlierFile("handed.json"))
 	require.NoError(t, err)
-	p := &place{log: slog.New(slog.DiscardHandler)}
-	require.NoError(t, p.take(raw))
-	checkEarlierList(t, p.known)
-	assert.Equal(t, earlierLearned, string(p.learned))
-	text, err := json.Marshal(handed{p.known, p.learned})
+	process := &takeover{log: slog.New(slog.DiscardHandler)}
+	require.NoError(t, process.importState(raw))
+	checkEarlierList(t, process.known)
+	assert.Equal(t, earlierLearned, string(process.moduleState))
+	text, err := json.Marshal(handoverState{process.known, process.moduleState})
 	require.NoError(t, err)
 	assert.Equal(t, string(raw), string(text))
 }
