--- a/internal/barograph/revisions/compat_test.go
+++ b/internal/barograph/revisions/compat_test.go
@@ -39,8 +39,8 @@
 		{"register_storage_2", Command{Register: &protocol.Node{ID: 3, Name: "storage-2", Class: 3, Address: "10.1.0.3:7381", Zone: "zone-c"}}},
 		{"register_storage_3", Command{Register: &protocol.Node{ID: 4, Name: "storage-3", Class: 3, Address: "10.1.0.4:7381", Zone: "zone-d"}}},
 		{"assign", Command{Assign: &Assignment{Partitions: [][]replica.NodeID{{2, 3}, {3}}}}},
-		{"moved", Command{Moved: &Moved{Partition: 1, Change: 6, Step: 7, Ahead: true, Voters: []replica.NodeID{3, 2}}}},
-		{"retire", Command{Retire: &Retirement{Node: "storage-2", Least: 1}}},
+		{"moved", Command{Membership: &MembershipUpdate{Partition: 1, Change: 6, Step: 7, Announced: true, Voters: []replica.NodeID{3, 2}}}},
+		{"retire", Command{Retire: &Retirement{Node: "storage-2", MinRemaining: 1}}},
 		{"forget", Command{Forget: 4}},
 	}
 }
--- a/internal/barograph/turns/compat_test.go
+++ b/internal/barograph/turns/compat_test.go
@@ -33,12 +33,12 @@
 func earlierCommands() []earlierCommand {
 	return []earlierCommand{
 		{"admit", Command{Admit: &Admission{Program: "program", Attempt: "attempt-1", Previous: "elsewhere", Imported: true,
-			Budget: 1000, Most: 600, Keep: 3 * time.Minute, Token: 1<<63 + 4}}},
-		{"end", Command{End: &Ending{Program: "program", Attempt: "attempt-1", Whole: true, Tokens: 500, Previous: "elsewhere",
-			Imported: []byte("before,"), Input: []byte("input,"), Output: []byte("output\n"), Keep: 5 * time.Minute, Token: 1<<63 + 4}}},
+			Budget: 1000, MaxTokens: 600, Retention: 3 * time.Minute, Token: 1<<63 + 4}}},
+		{"end", Command{Finish: &Completion{Program: "program", Attempt: "attempt-1", Complete: true, Tokens: 500, Previous: "elsewhere",
+			Imported: []byte("before,"), Input: []byte("input,"), Output: []byte("output\n"), Retention: 5 * time.Minute, Token: 1<<63 + 4}}},
 		{"admit_next", Command{Admit: &Admission{Program: "program", Attempt: "attempt-2", Previous: "attempt-1",
-			Budget: 1000, Most: 400, Keep: 2 * time.Minute, Token: 7}}},
-		{"forget", Command{Forget: []Rest{{Program: "other", Steps: 8}, {Program: "program", Steps: 1}}}},
+			Budget: 1000, MaxTokens: 400, Retention: 2 * time.Minute, Token: 7}}},
+		{"forget", Command{Forget: []IdleProgram{{Program: "other", Steps: 8}, {Program: "program", Steps: 1}}}},
 	}
 }
 
@@ -92,12 +92,12 @@
 	t.Helper()
 	want := state{
 		Programs: map[string]*program{"program": {
-			Spent:    500,
-			Reserved: map[string]hold{"attempt-2": {Most: 400, Token: 7}},
-			Ended:    map[string]struct{}{"attempt-1": {}},
-			Turns:    []string{"attempt-1"},
-			Keep:     5 * time.Minute,
-			Steps:    4,
+			SpentTokens:  500,
+			Reservations: map[string]reservation{"attempt-2": {MaxTokens: 400, Token: 7}},
+			Ended:        map[string]struct{}{"attempt-1": {}},
+			Turns:        []string{"attempt-1"},
+			Retention:    5 * time.Minute,
+			Steps:        4,
 		}},
 		Turns: map[string]*turn{"attempt-1": {Program: "program", Previous: "elsewhere",
 			Imported: []byte("before,"), Input: []byte("input,"), Output: []byte("output\n")}},
--- a/internal/durable/compat_test.go
+++ b/internal/durable/compat_test.go
@@ -33,7 +33,7 @@
 
 // A node must look for its files where an earlier build left them.
 func TestFileNamesAreThoseOfEarlierBuild(t *testing.T) {
-	assert.Equal(t, "oakseam-127.0.0.1-8080", NameOf("127.0.0.1:8080"))
-	assert.Equal(t, "oakseam-[fe80--1_eth0]-80", NameOf("[fe80::1%eth0]:80"))
-	assert.Equal(t, "oakseam-a_b", NameOf("a/b"))
+	assert.Equal(t, "oakseam-127.0.0.1-8080", BaseName("127.0.0.1:8080"))
+	assert.Equal(t, "oakseam-[fe80--1_eth0]-80", BaseName("[fe80::1%eth0]:80"))
+	assert.Equal(t, "oakseam-a_b", BaseName("a/b"))
 }
--- a/internal/handover/compat_test.go
+++ b/internal/handover/compat_test.go
@@ -43,9 +43,9 @@
 	require.NoError(t, err)
 	defer front.Close()
 	raw := earlierBytes(t)
-	heard := make(chan byte, 1)
+	readyByte := make(chan byte, 1)
 	go func() { // the predecessor
-		defer close(heard)
+		defer close(readyByte)
 		c, err := listener.AcceptUnix()
 		if !assert.NoError(t, err) {
 			return
@@ -62,27 +62,27 @@
 		assert.NoError(t, err)
 		var word [1]byte
 		if _, err := io.ReadFull(c, word[:]); assert.NoError(t, err) {
-			heard <- word[0]
+			readyByte <- word[0]
 		}
 	}()
-	taken, err := Claim(dir, earlierListen)
+	taken, err := TakeOver(dir, earlierListen)
 	require.NoError(t, err)
-	defer taken.Abandon()
+	defer taken.Abort()
 	defer taken.Listener.Close()
 	assert.Equal(t, earlierState, string(taken.State))
 	assert.Equal(t, front.Addr().String(), taken.Listener.Addr().String())
-	require.NoError(t, taken.Ready())
-	assert.Equal(t, byte(earlierReady), <-heard)
+	require.NoError(t, taken.SignalReady())
+	assert.Equal(t, byte(earlierReady), <-readyByte)
 }
 
-// A successor of an earlier build must get the bytes that it reads, and its word must be heard.
+// A successor of an earlier build must get the bytes that it reads, and its word must be readyByte.
 func TestOffersToEarlierBuild(t *testing.T) {
 	dir := t.TempDir()
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer front.Close()
-	told := make(heir, 10)
-	o, err := Wait(dir, earlierListen, front.(*net.TCPListener), func() ([]byte, error) { return []byte(earlierState), nil }, told, slog.New(slog.DiscardHandler))
+	observer := make(recorder, 10)
+	o, err := NewOffer(dir, earlierListen, front.(*net.TCPListener), func() ([]byte, error) { return []byte(earlierState), nil }, observer, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer o.Close()
 	c, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: filepath.Join(dir, earlierSocket), Net: "unix"})
@@ -103,10 +103,10 @@
 	_, err = io.ReadFull(c, got[n:])
 	require.NoError(t, err)
 	assert.Equal(t, raw, got)
-	told.hears(t, "began")
+	observer.expect(t, "began")
 	_, err = c.Write([]byte{earlierReady})
 	require.NoError(t, err)
-	told.hears(t, "ready")
+	observer.expect(t, "ready")
 	require.NoError(t, c.Close())
-	told.hears(t, "gone")
+	observer.expect(t, "gone")
 }
