--- a/cmd/oaklab/emulate.go
+++ b/cmd/oaklab/emulate.go
@@ -26,27 +26,28 @@
 
 func emulateCommand() *cobra.Command {
 	var (
-		seed          uint64
-		policy        string
-		sets          []string
-		asJSON, names bool
-		profile       string
-		timed         bool
+		seed         uint64
+		policy       string
+		sets         []string
+		asJSON       bool
+		listPolicies bool
+		profile      string
+		timed        bool
 	)
 	c := &cobra.Command{
 		Use:   "emulate SCENARIO",
-		Short: "Play a scenario's day in virtual time",
-		Long: "Plays the day that a scenario file draws for a seed, and judges it. The result holds nothing of the\n" +
-			"machine: two runs are equal. Exit code 1 where the policy broke a rule.",
+		Short: "Emulate a scenario in virtual time",
+		Long: "Emulates a scenario file with the random choices of a seed, and checks the rules. The result doesn't\n" +
+			"depend on the machine: two runs give the same. Exit code 1 if the policy broke a rule.",
 		Args: func(c *cobra.Command, args []string) error {
-			if names {
+			if listPolicies {
 				return cobra.NoArgs(c, args)
 			}
 			return cobra.ExactArgs(1)(c, args)
 		},
 		RunE: func(c *cobra.Command, args []string) error {
 			out := c.OutOrStdout()
-			if names {
+			if listPolicies {
 				fmt.Fprintln(out, strings.Join(emulator.Policies(), "\n"))
 				return nil
 			}
@@ -72,37 +73,37 @@
 			}
 			began := time.Now()
 			opt := emulator.Options{Policy: policy, Workers: runtime.GOMAXPROCS(0)}
-			var spent stopwatch
+			var decisionTimes stopwatch
 			if timed {
 				make, err := emulator.Policy(cmp.Or(policy, sc.Policy))
 				if err != nil {
 					return cli.Wrong(err)
 				}
-				opt.Make = spent.around(make)
+				opt.Make = decisionTimes.wrap(make)
 			}
-			r, err := play(c.Context(), sc, seed, opt, c.ErrOrStderr())
+			r, err := emulate(c.Context(), sc, seed, opt, c.ErrOrStderr())
 			if err != nil {
 				return err
 			}
 			took := time.Since(began)
-			return tell(out, r, asJSON, func() {
-				spent.print(out)
+			return printAndExit(out, r, asJSON, func() {
+				decisionTimes.print(out)
 				fmt.Fprintf(out, "played in %.2f s, %.1f us a req\n", took.Seconds(), took.Seconds()*1e6/float64(max(r.Requests, 1)))
 			})
 		},
 	}
 	f := c.Flags()
-	f.Uint64Var(&seed, "seed", 1, "which day is drawn")
-	f.StringVar(&policy, "policy", "", "in place of the scenario's; see --list-policies")
-	f.BoolVar(&names, "list-policies", false, "print the policies and end")
-	f.StringArrayVar(&sets, "set", nil, "KEY=VALUE in place of the scenario's, such as nodes.count=4")
+	f.Uint64Var(&seed, "seed", 1, "seed of all random choices")
+	f.StringVar(&policy, "policy", "", "policy that replaces the scenario's; see --list-policies")
+	f.BoolVar(&listPolicies, "list-policies", false, "print the names of the policies and exit")
+	f.StringArrayVar(&sets, "set", nil, "KEY=VALUE that replaces a value of the scenario, such as nodes.count=4")
 	f.BoolVar(&asJSON, "json", false, "print one JSON object")
-	f.BoolVar(&timed, "time", false, "tell what the policy's decisions took, by kind of event")
+	f.BoolVar(&timed, "time", false, "print how long the policy's decisions took, by kind of event")
 	f.StringVar(&profile, "cpu-profile", "", "write a CPU profile to this file")
 	return c
 }
 
-// readScenario reads a scenario with some of its keys set otherwise.
+// readScenario reads a scenario file and replaces the values of some keys. Each of sets is KEY=VALUE.
 func readScenario(name string, sets []string) (*emulator.Scenario, error) {
 	if len(sets) == 0 {
 		return emulator.Read(name)
@@ -114,7 +115,7 @@
 	for _, s := range sets {
 		k, v, ok := strings.Cut(s, "=")
 		if !ok {
-			return nil, fmt.Errorf("--set %s: KEY=VALUE is wanted", s)
+			return nil, fmt.Errorf("--set %s: must be KEY=VALUE", s)
 		}
 		if text, err = yamlfile.Set(name, text, k, v); err != nil {
 			return nil, err
@@ -123,10 +124,11 @@
 	return emulator.Parse(name, text)
 }
 
-func play(ctx context.Context, sc *emulator.Scenario, seed uint64, opt emulator.Options, progress io.Writer) (*emulator.Result, error) {
+// emulate runs a scenario in virtual time and writes the progress.
+func emulate(ctx context.Context, sc *emulator.Scenario, seed uint64, opt emulator.Options, progress io.Writer) (*emulator.Result, error) {
 	p := cli.NewProgress(progress)
-	opt.Progress = func(at, of time.Duration) bool {
-		p.Say("%.1f of %.1f s emulated", at.Seconds(), of.Seconds())
+	opt.Progress = func(at, total time.Duration) bool {
+		p.Say("%.1f of %.1f s emulated", at.Seconds(), total.Seconds())
 		return ctx.Err() == nil
 	}
 	r, err := emulator.Run(sc, seed, opt)
@@ -136,21 +138,24 @@
 	return r, err
 }
 
-// stopwatch adds up what the modules of a day take.
+// stopwatch adds up the time that the modules of an emulation take for their decisions.
 type stopwatch struct {
-	took  [3]atomic.Int64 // ns; nodes decide at once
+	took  [3]atomic.Int64 // nanoseconds; atomic because nodes decide concurrently
 	calls [3]atomic.Int64
 }
 
+// eventNames names the kinds of events that a stopwatch tells apart.
 var eventNames = [...]string{"a req", "an outcome", "other events"}
 
-func (s *stopwatch) around(make emulator.Maker) emulator.Maker {
+// wrap returns a factory whose modules measure their decisions.
+func (s *stopwatch) wrap(make emulator.Maker) emulator.Maker {
 	return func(set logic.Settings, seed uint64) (core.Module, error) {
 		m, err := make(set, seed)
 		return &timedModule{m, s}, err
 	}
 }
 
+// print writes the mean time of a decision for each kind of event.
 func (s *stopwatch) print(w io.Writer) {
 	for i := range s.calls {
 		if n := s.calls[i].Load(); n > 0 {
@@ -159,37 +164,38 @@
 	}
 }
 
+// timedModule measures the decisions of a module.
 type timedModule struct {
 	core.Module
-	s *stopwatch
+	stopwatch *stopwatch
 }
 
-// Handle is core.Module.
+// Handle implements core.Module.
 func (t *timedModule) Handle(now time.Duration, ev logic.Event) []logic.Action {
-	i := 2
+	kind := 2 // index into eventNames
 	switch ev.(type) {
 	case logic.Request:
-		i = 0
+		kind = 0
 	case logic.Outcome:
-		i = 1
+		kind = 1
 	}
 	began := time.Now()
-	out := t.Module.Handle(now, ev)
-	t.s.took[i].Add(time.Since(began).Nanoseconds())
-	t.s.calls[i].Add(1)
-	return out
+	actions := t.Module.Handle(now, ev)
+	t.stopwatch.took[kind].Add(time.Since(began).Nanoseconds())
+	t.stopwatch.calls[kind].Add(1)
+	return actions
 }
 
-// tell prints a day's result, with more behind it where it is for people, and
-// ends the command by whether the rules were kept.
-func tell(w io.Writer, r *emulator.Result, asJSON bool, more func()) error {
+// printAndExit prints a result, and calls printMore if the output is not JSON. It returns an error that
+// sets the exit code if a rule was broken.
+func printAndExit(w io.Writer, r *emulator.Result, asJSON bool, printMore func()) error {
 	if asJSON {
 		if err := json.NewEncoder(w).Encode(r); err != nil {
 			return err
 		}
 	} else {
 		printResult(w, r)
-		more()
+		printMore()
 	}
 	if !r.Rules.Clean() {
 		return cli.Exit(cli.Failed)
--- a/cmd/oaklab/experiment.go
+++ b/cmd/oaklab/experiment.go
@@ -25,12 +25,12 @@
 	)
 	c := &cobra.Command{
 		Use:   "experiment PLAN",
-		Short: "Play a grid of emulated days over all cores and sum them up",
-		Long: "Plays every cell of a plan (variants x grid x policies x seeds) and keeps each as it ends: a run that is\n" +
-			"killed goes on where it was when it is started again. Prints medians with 95% bootstrap intervals.",
+		Short: "Emulate a grid of scenarios on all cores and summarize the results",
+		Long: "Runs every cell of a plan (variants x grid x policies x seeds) and stores each result at once: a run that was\n" +
+			"killed continues when it is started again. Prints medians with 95% bootstrap intervals.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			plan, cells, print, err := experiment.Read(args[0])
+			plan, cells, fingerprint, err := experiment.Read(args[0])
 			if err != nil {
 				return cli.Wrong(err)
 			}
@@ -38,17 +38,17 @@
 				name := strings.TrimSuffix(filepath.Base(args[0]), filepath.Ext(args[0]))
 				dir = filepath.Join("found", name)
 			}
-			s, err := experiment.Open(dir, print)
+			s, err := experiment.Open(dir, fingerprint)
 			if errors.Is(err, experiment.ErrOtherPlan) {
-				return cli.Wrong(fmt.Errorf("%w; name another folder with --dir", err))
+				return cli.Wrong(fmt.Errorf("%w; choose another folder with --dir", err))
 			}
 			if err != nil {
 				return err
 			}
 			defer s.Close()
 			p := cli.NewProgress(c.ErrOrStderr())
-			if _, err := experiment.Run(c.Context(), cells, s, workers, func(done, of int) {
-				p.Say("%s: %d of %d cells", plan.Name, done, of)
+			if _, err := experiment.Run(c.Context(), cells, s, workers, func(done, total int) {
+				p.Say("%s: %d of %d cells", plan.Name, done, total)
 			}); err != nil {
 				return err
 			}
@@ -69,10 +69,10 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&dir, "dir", "", "where results are kept (default found/NAME of the plan)")
-	f.IntVar(&workers, "workers", runtime.GOMAXPROCS(0), "days played at once")
+	f.StringVar(&dir, "dir", "", "folder of the results (default found/NAME of the plan)")
+	f.IntVar(&workers, "workers", runtime.GOMAXPROCS(0), "cells that run at the same time")
 	f.BoolVar(&asJSON, "json", false, "print one JSON array")
-	f.BoolVar(&cost, "cost", false, "tell what a request cost to emulate as well, which is this machine's")
+	f.BoolVar(&cost, "cost", false, "also print how long a request took to emulate, which depends on this machine")
 	return c
 }
 
@@ -80,7 +80,7 @@
 	var out, title string
 	c := &cobra.Command{
 		Use:   "report DIR",
-		Short: "Write one HTML page with tables and plots about an experiment's results",
+		Short: "Write an HTML page with tables and plots of an experiment's results",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := experiment.Open(args[0], "")
@@ -105,8 +105,8 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&out, "out", "", "the page (default DIR/report.html)")
-	c.Flags().StringVar(&title, "title", "", "its heading")
+	c.Flags().StringVar(&out, "out", "", "file of the page (default DIR/report.html)")
+	c.Flags().StringVar(&title, "title", "", "heading of the page")
 	return c
 }
 
--- a/cmd/oaklab/fault.go
+++ b/cmd/oaklab/fault.go
@@ -20,7 +20,7 @@
 func faultCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "fault",
-		Short: "Inject faults between several real nodes and sum up what became of the fleet",
+		Short: "Inject faults into a fleet of real nodes and summarize the effects",
 		Args:  cobra.NoArgs,
 		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
@@ -29,10 +29,10 @@
 }
 
 func siteLossCommand() *cobra.Command {
-	return lossCommand("site-loss", "Lose a site, or cut it off, and bring it back",
-		"Plays a scenario that loses a site: real nodes in two sites on loopback, killed with -9 where theirs is\n"+
-			"lost, backends that fall silent, cuts in one direction, a return with cold backends and old lists. Prints\n"+
-			"what was won before, during and after, beside what the capacity left would have allowed.",
+	return lossCommand("site-loss", "Lose a site, or partition it, and bring it back",
+		"Runs a scenario that loses a site: real nodes in two sites on loopback, killed with -9 if their site is\n"+
+			"lost, backends that stop answering, one-way partitions, a return with cold backends and old lists. Prints\n"+
+			"the share of worth earned before, during and after, and what the remaining capacity would have allowed.",
 		fault.SiteLossKinds, func(sc *emulator.Scenario, r *emulator.Result, played string) (report, error) {
 			s, err := fault.SummarizeSiteLoss(sc, r, played)
 			return siteLoss{s}, err
@@ -40,37 +40,41 @@
 }
 
 func powerLossCommand() *cobra.Command {
-	return lossCommand("power-loss", "Lose all power at once and start everything again",
-		"Plays a scenario in which every node is killed with -9 and every backend and the registry fall silent, and\n"+
-			"all start again, in the same instant or in a random order, the registry late. Prints how long it took until\n"+
-			"service was as before, and what was won in the first minute.",
+	return lossCommand("power-loss", "Lose all power at once and restart everything",
+		"Runs a scenario in which every node is killed with -9 and every backend and the registry stop answering.\n"+
+			"All restart, at the same time or in a random order, the registry late. Prints how long it took until\n"+
+			"service was as before, and the share of worth earned in the first minute.",
 		fault.PowerLossKinds, func(sc *emulator.Scenario, r *emulator.Result, played string) (report, error) {
 			p, err := fault.SummarizePowerLoss(sc, r, played)
 			return powerLoss{p}, err
 		})
 }
 
-// report is what a fault command prints.
+// report is the result that a fault command prints.
 type report interface {
 	Clean() bool
 	print(io.Writer)
 }
 
+// The reports of the commands site-loss and power-loss.
 type (
 	siteLoss  struct{ *fault.SiteLoss }
 	powerLoss struct{ *fault.PowerLoss }
 )
 
-func lossCommand(name, short, long string, kinds []string, sum func(*emulator.Scenario, *emulator.Result, string) (report, error)) *cobra.Command {
+// lossCommand returns a command that runs a scenario with a loss of one of the kinds, and prints the
+// summary.
+func lossCommand(name, short, long string, kinds []string, summarize func(*emulator.Scenario, *emulator.Result, string) (report, error)) *cobra.Command {
 	var (
-		seed             uint64
-		sets             []string
-		asJSON, emulated bool
-		opt              fleet.Options
+		seed     uint64
+		sets     []string
+		asJSON   bool
+		emulated bool
+		opt      fleet.Options
 	)
 	c := &cobra.Command{
 		Use: name + " SCENARIO", Short: short,
-		Long: long + " --emulated plays\nthe same day in virtual time. Exit code 1 where a rule was broken or a node crashed.",
+		Long: long + " --emulated runs\nthe same scenario in virtual time. Exit code 1 if a rule was broken or a node crashed.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			sc, err := readScenario(args[0], sets)
@@ -84,14 +88,14 @@
 			var r *emulator.Result
 			if emulated {
 				played = "emulated"
-				r, err = play(c.Context(), sc, seed, emulator.Options{Workers: runtime.GOMAXPROCS(0)}, c.ErrOrStderr())
+				r, err = emulate(c.Context(), sc, seed, emulator.Options{Workers: runtime.GOMAXPROCS(0)}, c.ErrOrStderr())
 			} else {
-				r, err = onLoopback(c.Context(), sc, seed, opt, c.ErrOrStderr())
+				r, err = runOnLoopback(c.Context(), sc, seed, opt, c.ErrOrStderr())
 			}
 			if err != nil {
 				return err
 			}
-			s, err := sum(sc, r, played)
+			s, err := summarize(sc, r, played)
 			if err != nil {
 				return err
 			}
@@ -107,20 +111,20 @@
 		},
 	}
 	f := c.Flags()
-	f.Uint64Var(&seed, "seed", 1, "which day is drawn")
-	f.StringArrayVar(&sets, "set", nil, "KEY=VALUE in place of the scenario's, such as nodes.count=4")
+	f.Uint64Var(&seed, "seed", 1, "seed of all random choices")
+	f.StringArrayVar(&sets, "set", nil, "KEY=VALUE that replaces a value of the scenario, such as nodes.count=4")
 	f.BoolVar(&asJSON, "json", false, "print one JSON object")
-	f.BoolVar(&emulated, "emulated", false, "play in virtual time, without processes")
-	f.BoolVar(&opt.KeepState, "keep-state", false, "have nodes keep their state on disk (processes only)")
-	fleetFlags(f, &opt)
+	f.BoolVar(&emulated, "emulated", false, "run in virtual time, without processes")
+	f.BoolVar(&opt.KeepState, "keep-state", false, "nodes keep their state on disk (processes only)")
+	addFleetFlags(f, &opt)
 	return c
 }
 
-// onLoopback plays a day with real nodes.
-func onLoopback(ctx context.Context, sc *emulator.Scenario, seed uint64, opt fleet.Options, progress io.Writer) (*emulator.Result, error) {
+// runOnLoopback runs a scenario with real nodes.
+func runOnLoopback(ctx context.Context, sc *emulator.Scenario, seed uint64, opt fleet.Options, progress io.Writer) (*emulator.Result, error) {
 	var err error
 	if opt.Program == "" {
-		if opt.Program, err = beside("oakseam"); err != nil {
+		if opt.Program, err = siblingProgram("oakseam"); err != nil {
 			return nil, cli.Wrong(fmt.Errorf("--node: %w", err))
 		}
 	}
@@ -130,10 +134,11 @@
 		}
 	}
 	p := cli.NewProgress(progress)
-	opt.Progress = func(at, of time.Duration) { p.Say("%.0f of %.0f s played", at.Seconds(), of.Seconds()) }
+	opt.Progress = func(at, total time.Duration) { p.Say("%.0f of %.0f s done", at.Seconds(), total.Seconds()) }
 	return fleet.Run(ctx, sc, seed, opt)
 }
 
+// print writes the report as text.
 func (s siteLoss) print(w io.Writer) {
 	printHead(w, &s.Day)
 	for _, p := range []struct {
@@ -154,6 +159,7 @@
 	printEnd(w, &s.Day, "")
 }
 
+// print writes the report as text.
 func (p powerLoss) print(w io.Writer) {
 	printHead(w, &p.Day)
 	fmt.Fprintf(w, "before G %.3f, first 60 s with power G %.3f of an ideal %.3f\n", p.GBefore, p.GFirst60S, p.IdealFirst60S)
@@ -162,11 +168,12 @@
 	printEnd(w, &p.Day, fmt.Sprintf("; stale sends %d", p.StaleSends))
 }
 
+// printHead writes the line that begins every report.
 func printHead(w io.Writer, d *fault.Day) {
 	fmt.Fprintf(w, "%s, seed %d, %s: %d nodes, %d backends, %d reqs\n", d.Scenario, d.Seed, d.Played, d.Nodes, d.Backends, d.Requests)
 }
 
-// printEnd prints the breaches, with more of them behind, and what happened.
+// printEnd writes the counts of broken rules, followed by more, and the faults that happened.
 func printEnd(w io.Writer, d *fault.Day, more string) {
 	fmt.Fprintf(w, "rules broken: unanswered %d, double effects %d, late drain sends %d, felled backends %d%s\n",
 		d.Unanswered, d.DuplicateEffects, d.LateDrainSends, d.OverloadedBackends, more)
--- a/cmd/oaklab/fault_test.go
+++ b/cmd/oaklab/fault_test.go
@@ -17,10 +17,11 @@
 	"pipitmux/internal/fleet"
 )
 
-// Troubles of a short day in two sites: one is lost with its nodes and comes back cold
-// while the other is overloaded; then what one sends the other is lost, as requests and answers.
-// Connections cost something, so that nodes keep them and have some open as the cut begins.
-const siteTroubles = `
+// siteFaults are the faults of a short run in two sites. One site is lost with its nodes and comes back
+// cold while the other is overloaded. Then everything that one site sends to the other is lost, both
+// requests and responses. Connections have a cost, so that nodes keep them and have some open when the
+// partition begins.
+const siteFaults = `
 prices: {handshake: 0.02}
 troubles:
   - {kind: zone_loss, at_s: 2, for_s: 2, size: 1, zone: a, lag_s: 0.5}
@@ -28,38 +29,40 @@
   - {kind: cut, at_s: 6, for_s: 1.5, zone: a, to: b}
 `
 
-// A site with two of four real nodes is killed with -9, its backends fall silent, and it
-// comes back with old lists, the nodes before their backends; then a cut in one direction.
-// No rule is broken, requests and answers were lost in the cut, and the fleet serves again.
-func TestSiteLossOfRealNodes(t *testing.T) {
-	sc, r := fourNodes(t, siteTroubles)
+// TestRealNodesKeepRulesInSiteLoss guards against a broken rule or a fleet that doesn't recover when a
+// site is lost: two of four real nodes are killed with -9, their backends stop answering, and the site
+// comes back with old lists, the nodes before their backends. A one-way partition follows, which must
+// lose requests and responses.
+func TestRealNodesKeepRulesInSiteLoss(t *testing.T) {
+	sc, r := runFourNodes(t, siteFaults)
 	assert.Positive(t, r.CutOff)
 	s, err := fault.SummarizeSiteLoss(sc, r, "processes")
 	require.NoError(t, err)
 	assert.Less(t, s.ReturnOvershoot, s.OvershootLimit)
-	assert.Less(t, s.GDuring, s.GBefore, "half of the fleet was gone")
-	assert.Greater(t, s.GAfter, s.GBefore/2, "and came back")
+	assert.Less(t, s.GDuring, s.GBefore, "half of the fleet was lost")
+	assert.Greater(t, s.GAfter, s.GBefore/2, "the site came back")
 	for _, h := range []string{"zone_loss", "zone_loss over", "cut", "cut over"} {
-		assert.Contains(t, happened(r), h)
+		assert.Contains(t, happenedFaults(r), h)
 	}
 }
 
-// fourNodes plays ten seconds of four real nodes in two sites with the troubles, and wants
-// every rule kept.
-func fourNodes(t *testing.T, troubles string) (*emulator.Scenario, *emulator.Result) {
-	day, _, _ := strings.Cut(onSockets, "troubles:")
-	day = strings.NewReplacer("seconds: 5", "seconds: 10", "count: 2", "count: 4", "per_second: 30", "per_second: 120").Replace(day)
-	sc, err := emulator.Parse("four.yaml", []byte(day+troubles))
+// runFourNodes runs four real nodes in two sites for 10 s with the given faults, and checks that no
+// rule is broken.
+func runFourNodes(t *testing.T, faults string) (*emulator.Scenario, *emulator.Result) {
+	scenario, _, _ := strings.Cut(shortScenario, "troubles:")
+	scenario = strings.NewReplacer("seconds: 5", "seconds: 10", "count: 2", "count: 4", "per_second: 30", "per_second: 120").Replace(scenario)
+	sc, err := emulator.Parse("four.yaml", []byte(scenario+faults))
 	require.NoError(t, err)
 	sc.Nodes.Zones = []string{"a", "b", "a", "b"}
-	return sc, playProcesses(t, sc)
+	return sc, runProcesses(t, sc)
 }
 
-// stated is a figure that no seed draws.
-func stated(v float64) emulator.Span { return emulator.Span{From: v, To: v} }
+// fixed returns a value that doesn't depend on the seed.
+func fixed(v float64) emulator.Span { return emulator.Span{From: v, To: v} }
 
-// playProcesses plays a day of real nodes, whose logs it prints where that fails.
-func playProcesses(t *testing.T, sc *emulator.Scenario) *emulator.Result {
+// runProcesses runs a scenario with real nodes and checks that no rule is broken. On failure it prints
+// the nodes' logs.
+func runProcesses(t *testing.T, sc *emulator.Scenario) *emulator.Result {
 	t.Helper()
 	dir := t.TempDir()
 	r, err := fleet.Run(t.Context(), sc, 1, fleet.Options{Program: buildNode(t, dir), Sockets: 512, MemoryMB: 64, LogDir: dir, Progress: func(_, _ time.Duration) {}})
@@ -75,34 +78,36 @@
 	return r
 }
 
-// Twenty real nodes and all backends start cold together, some nodes with several times the
-// traffic of others; then each node starts anew and three backends make room for new ones,
-// while all are cold. No backend is felled by the sum of what all send, nor by chance allowed for.
-func TestColdFleetOfRealNodes(t *testing.T) {
+// TestRealNodesSpareColdBackends guards against cold backends that are overloaded by what all nodes
+// together send. Twenty real nodes and all backends start cold at the same time, some nodes with several
+// times the traffic of others. Then each node restarts and three backends are replaced, while all are
+// cold. The limit is checked without the allowance for chance.
+func TestRealNodesSpareColdBackends(t *testing.T) {
 	sc, err := emulator.Read("../../deploy/lab/cold-fleet.yaml")
 	require.NoError(t, err)
-	sc.Seconds, sc.Nodes.Count = stated(9), stated(20)
-	for i, s := range []float64{1, 3, 2} {
-		sc.Troubles[i].AtS = stated(s)
+	sc.Seconds, sc.Nodes.Count = fixed(9), fixed(20)
+	for i, seconds := range []float64{1, 3, 2} {
+		sc.Troubles[i].AtS = fixed(seconds)
 	}
-	sc.Troubles[0].ForS, sc.Troubles[1].ForS = stated(0.5), stated(3)
-	r := playProcesses(t, sc)
+	sc.Troubles[0].ForS, sc.Troubles[1].ForS = fixed(0.5), fixed(3)
+	r := runProcesses(t, sc)
 	p, err := fault.SummarizePowerLoss(sc, r, "processes")
 	require.NoError(t, err)
 	assert.True(t, p.Clean())
-	assert.Less(t, p.Overshoot, p.OvershootLimit, "with nothing put down to chance")
+	assert.Less(t, p.Overshoot, p.OvershootLimit, "without an allowance for chance")
 	assert.Greater(t, p.Overshoot, 0.5, "cold backends were used")
 	for _, h := range []string{"power_loss over", "restart_nodes", "replace"} {
-		assert.Contains(t, happened(r), h)
+		assert.Contains(t, happenedFaults(r), h)
 	}
-	t.Logf("most to a cold backend %.2f of %.2f", p.Overshoot, p.OvershootLimit)
+	t.Logf("largest overshoot of a cold backend %.2f, limit %.2f", p.Overshoot, p.OvershootLimit)
 }
 
-// Four real nodes are killed with -9 in one instant and all backends and the registry fall
-// silent; all start again, at once and then in a random order with the registry late. No
-// backend is felled, no rule broken, none that was gone is sent to, and service comes back.
-func TestPowerLossOfRealNodes(t *testing.T) {
-	sc, r := fourNodes(t, `
+// TestRealNodesRecoverFromPowerLoss guards against overloaded backends, broken rules, requests to
+// backends that are gone, and a fleet that doesn't recover after a power loss. Four real nodes are
+// killed with -9 at the same time, and all backends and the registry stop answering. All restart, first
+// at the same time and then in a random order with the registry late.
+func TestRealNodesRecoverFromPowerLoss(t *testing.T) {
+	sc, r := runFourNodes(t, `
 troubles:
   - {kind: replace, at_s: 0.2, for_s: 0.1, part: 0.17}
   - {kind: power_loss, at_s: 2, for_s: 0.5}
@@ -111,9 +116,9 @@
 	p, err := fault.SummarizePowerLoss(sc, r, "processes")
 	require.NoError(t, err)
 	assert.True(t, p.Clean())
-	assert.Greater(t, p.GFirst60S, p.GBefore/3, "service came back twice, the backends still cold")
+	assert.Greater(t, p.GFirst60S, p.GBefore/3, "service came back twice while the backends were still cold")
 	n := 0
-	for _, h := range happened(r) {
+	for _, h := range happenedFaults(r) {
 		if h == "power_loss over" {
 			n++
 		}
@@ -121,20 +126,21 @@
 	assert.Equal(t, 2, n)
 }
 
-func happened(r *emulator.Result) (what []string) {
+// happenedFaults returns the kinds of the faults of a run, in their order.
+func happenedFaults(r *emulator.Result) (kinds []string) {
 	for _, h := range r.Happened {
-		what = append(what, h.What)
+		kinds = append(kinds, h.What)
 	}
-	return what
+	return kinds
 }
 
-// The report's keys are there, the same day gives the same bytes, and a scenario without
-// a loss is turned down by name.
-func TestSiteLossEmulated(t *testing.T) {
+// TestSiteLossCommand guards against missing keys in the report, results that differ between equal
+// runs, and a scenario without a loss that is accepted or reported without the kinds of loss.
+func TestSiteLossCommand(t *testing.T) {
 	args := []string{"fault", "site-loss", "../../deploy/lab/site-loss.yaml", "--emulated", "--json", "--seed", "3"}
-	code, first, errs := lab(args...)
+	code, first, errs := runOaklab(args...)
 	require.Equal(t, cli.OK, code, errs)
-	_, second, _ := lab(args...)
+	_, second, _ := runOaklab(args...)
 	assert.Equal(t, first, second)
 	var s map[string]any
 	require.NoError(t, json.Unmarshal([]byte(first), &s))
@@ -143,12 +149,12 @@
 		assert.Contains(t, s, k)
 	}
 	bad := filepath.Join(t.TempDir(), "calm.yaml")
-	day, _, _ := strings.Cut(onSockets, "troubles:")
-	require.NoError(t, os.WriteFile(bad, []byte(day), 0o600))
-	code, _, errs = lab("fault", "site-loss", bad)
+	scenario, _, _ := strings.Cut(shortScenario, "troubles:")
+	require.NoError(t, os.WriteFile(bad, []byte(scenario), 0o600))
+	code, _, errs = runOaklab("fault", "site-loss", bad)
 	assert.Equal(t, cli.Misuse, code)
 	assert.Contains(t, errs, "no such loss at a stated time: zone_loss or cut")
-	code, _, errs = lab("emulate", "../../deploy/lab/site-loss.yaml", "--set", "troubles.0.kind=cut")
+	code, _, errs = runOaklab("emulate", "../../deploy/lab/site-loss.yaml", "--set", "troubles.0.kind=cut")
 	assert.Equal(t, cli.Misuse, code)
 	assert.Contains(t, errs, "troubles.0.to")
 }
--- a/cmd/oaklab/fleet.go
+++ b/cmd/oaklab/fleet.go
@@ -20,41 +20,41 @@
 	)
 	c := &cobra.Command{
 		Use:   "fleet SCENARIO",
-		Short: "Play a scenario's day on loopback sockets, with real nodes",
-		Long: "Starts stand-in backends, a registry for each node, the nodes themselves and the clients on 127.0.0.1,\n" +
-			"plays the day in real time with its troubles, judges it as emulate does, and ends all it has started.\n" +
-			"Exit code 1 where a rule was broken or a node crashed.",
+		Short: "Run a scenario on loopback sockets, with real nodes",
+		Long: "Starts fake backends, a registry for each node, the nodes themselves and the clients on 127.0.0.1,\n" +
+			"runs the scenario with its faults in real time, checks the rules as emulate does, and ends all it has\n" +
+			"started. Exit code 1 if a rule was broken or a node crashed.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			sc, err := readScenario(args[0], sets)
 			if err != nil {
 				return cli.Wrong(err)
 			}
-			r, err := onLoopback(c.Context(), sc, seed, opt, c.ErrOrStderr())
+			r, err := runOnLoopback(c.Context(), sc, seed, opt, c.ErrOrStderr())
 			if err != nil {
 				return err
 			}
-			return tell(c.OutOrStdout(), r, asJSON, func() {})
+			return printAndExit(c.OutOrStdout(), r, asJSON, func() {})
 		},
 	}
 	f := c.Flags()
-	f.Uint64Var(&seed, "seed", 1, "which day is drawn")
-	f.StringArrayVar(&sets, "set", nil, "KEY=VALUE in place of the scenario's, such as nodes.count=4")
+	f.Uint64Var(&seed, "seed", 1, "seed of all random choices")
+	f.StringArrayVar(&sets, "set", nil, "KEY=VALUE that replaces a value of the scenario, such as nodes.count=4")
 	f.BoolVar(&asJSON, "json", false, "print one JSON object")
-	fleetFlags(f, &opt)
+	addFleetFlags(f, &opt)
 	return c
 }
 
-// fleetFlags are those of the commands that start real nodes.
-func fleetFlags(f *pflag.FlagSet, opt *fleet.Options) {
-	f.StringVar(&opt.Program, "node", "", "the node's program (default: oakseam beside this program)")
-	f.StringVar(&opt.LogDir, "logs", "", "keep the nodes' logs in this folder")
-	f.IntVar(&opt.Sockets, "sockets", 1024, "descriptors that a node is told to keep to")
-	f.IntVar(&opt.MemoryMB, "memory-mb", 192, "memory that a node is told to keep to")
+// addFleetFlags adds the flags of the commands that start real nodes.
+func addFleetFlags(f *pflag.FlagSet, opt *fleet.Options) {
+	f.StringVar(&opt.Program, "node", "", "program of the node (default: oakseam in the folder of this program)")
+	f.StringVar(&opt.LogDir, "logs", "", "folder for the nodes' logs")
+	f.IntVar(&opt.Sockets, "sockets", 1024, "limit on descriptors in a node's configuration")
+	f.IntVar(&opt.MemoryMB, "memory-mb", 192, "limit on memory in a node's configuration, in MiB")
 }
 
-// beside returns the path of a program in the folder of this one.
-func beside(name string) (string, error) {
+// siblingProgram returns the path of a program in the folder of this program.
+func siblingProgram(name string) (string, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return "", err
--- a/cmd/oaklab/load.go
+++ b/cmd/oaklab/load.go
@@ -18,34 +18,34 @@
 
 func loadCommand() *cobra.Command {
 	var (
-		asJSON bool
-		p      = load.Default()
-		span   time.Duration
+		asJSON   bool
+		p        = load.Default()
+		duration time.Duration
 	)
 	c := &cobra.Command{
 		Use:   "load [PLAN]",
 		Short: "Drive an HTTP/1.1 address on loopback with an open schedule",
-		Long: "Sends requests at the instants of a schedule (steady, wave, bursty, step), whatever becomes of earlier ones,\n" +
-			"and times each from when it was due, so that a node that stalls is not flattered. A plan is a YAML file;\n" +
-			"flags go before it. Exit code 1 where the tool itself was late by more than 10 ms at the 99th percentile.",
+		Long: "Sends requests at the times of a schedule (steady, wave, bursty, step), without waiting for earlier ones,\n" +
+			"and measures each from when it was due, so that a stalled node's latency counts in full. A plan is a YAML\n" +
+			"file; flags override it. Exit code 1 if the tool itself was late by more than 10 ms at the 99th percentile.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			f := &yamlfile.File{Name: "flags"}
 			if len(args) == 1 {
-				given := map[*pflag.Flag]string{} // they go before the plan, which is read over them
-				c.Flags().Visit(func(g *pflag.Flag) { given[g] = g.Value.String() })
+				given := map[*pflag.Flag]string{} // flags override the plan, but reading it overwrites them
+				c.Flags().Visit(func(flag *pflag.Flag) { given[flag] = flag.Value.String() })
 				var err error
 				if f, err = yamlfile.Read(args[0], &p); err != nil {
 					return cli.Wrong(err)
 				}
-				for g, v := range given {
-					if err := g.Value.Set(v); err != nil {
+				for flag, value := range given {
+					if err := flag.Value.Set(value); err != nil {
 						return err
 					}
 				}
 			}
 			if c.Flags().Changed("for") {
-				p.Seconds = span.Seconds()
+				p.Seconds = duration.Seconds()
 			}
 			if key, err := p.Check(); err != nil {
 				return cli.Wrong(f.Errorf(key, "%v", err))
@@ -61,8 +61,8 @@
 			} else {
 				printLoad(c.OutOrStdout(), r)
 			}
-			if r.LateMS.P99 > lateMost {
-				fmt.Fprintf(c.ErrOrStderr(), "oaklab: the tool was late itself (p99 %.1f ms): these times are not the target's alone\n", r.LateMS.P99)
+			if r.LateMS.P99 > maxLateMS {
+				fmt.Fprintf(c.ErrOrStderr(), "oaklab: the tool itself was late (p99 %.1f ms): the latencies are not the target's alone\n", r.LateMS.P99)
 				return cli.Exit(cli.Failed)
 			}
 			return nil
@@ -70,21 +70,22 @@
 	}
 	f := c.Flags()
 	f.StringVar(&p.Target, "target", p.Target, "host:port on loopback")
-	f.Float64Var(&p.PerSecond, "rate", p.PerSecond, "requests a second on the mean")
-	f.DurationVar(&span, "for", 10*time.Second, "how long requests come due")
+	f.Float64Var(&p.PerSecond, "rate", p.PerSecond, "mean number of requests per second")
+	f.DurationVar(&duration, "for", 10*time.Second, "how long requests are due")
 	f.StringVar(&p.Shape, "shape", p.Shape, "steady, wave, bursty or step")
-	f.Float64Var(&p.Swing, "swing", p.Swing, "up and down by this part of the rate")
-	f.DurationVar(&p.Period, "period", p.Period, "of a wave or a step")
-	f.BoolVar(&p.Even, "even", p.Even, "at even distances, not by chance")
-	f.IntVar(&p.Connections, "connections", p.Connections, "at most")
-	f.Uint64Var(&p.Seed, "seed", p.Seed, "for the schedule")
+	f.Float64Var(&p.Swing, "swing", p.Swing, "share of the rate by which a wave or step varies")
+	f.DurationVar(&p.Period, "period", p.Period, "period of a wave or a step")
+	f.BoolVar(&p.Even, "even", p.Even, "send at equal intervals instead of random ones")
+	f.IntVar(&p.Connections, "connections", p.Connections, "maximum number of connections")
+	f.Uint64Var(&p.Seed, "seed", p.Seed, "seed of the schedule")
 	f.BoolVar(&asJSON, "json", false, "print one JSON object")
 	return c
 }
 
-// lateMost is how late the tool may be at the 99th percentile, in milliseconds.
-const lateMost = 10
+// maxLateMS is how late the tool may be at the 99th percentile, in milliseconds.
+const maxLateMS = 10
 
+// printLoad writes a report as text.
 func printLoad(w io.Writer, r *load.Report) {
 	fmt.Fprintf(w, "%s: %d reqs due in %.1f s, %.1f answered a second; the tool was late by p99 %.2f ms\n", r.Target, r.Due, r.Seconds, r.PerSecond, r.LateMS.P99)
 	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
--- a/cmd/oaklab/load_test.go
+++ b/cmd/oaklab/load_test.go
@@ -18,22 +18,22 @@
 	"pipitmux/logic"
 )
 
-// A real node that is stopped for a while shows it in the tail of what the tool
-// tells, since each request counts from when it was due.
-func TestStalledNodeShowsInTheTail(t *testing.T) {
+// TestStalledNodeRaisesTailLatency guards against a load tool that hides a stall of a real node: each
+// request must count from when it was due.
+func TestStalledNodeRaisesTailLatency(t *testing.T) {
 	dir := t.TempDir()
 	program := buildNode(t, dir)
 	b, err := standin.NewBackend(standin.OK)
 	require.NoError(t, err)
 	defer b.Close()
 	go func() {
-		for range b.Requests { // nobody asks what it saw
+		for range b.Requests { // discard the received requests
 		}
 	}()
-	held, err := standin.ReserveAddress("127.0.0.1")
+	reservation, err := standin.ReserveAddress("127.0.0.1")
 	require.NoError(t, err)
-	defer held.Close()
-	addr := held.Addr
+	defer reservation.Close()
+	addr := reservation.Addr
 	settings := logic.Settings{Nodes: 1, CanCancel: true, ConnIdle: 5 * time.Second, Classes: []logic.Class{
 		{Name: "topup", Effect: logic.Unsafe, Aim: 5 * time.Second, Deadline: 10 * time.Second, Worth: 8}}}
 	n, err := standin.StartNode(program, dir, standin.NodeConfig{Name: "n", Listen: addr, Discovery: "127.0.0.1:1", Seed: "1",
@@ -49,24 +49,24 @@
 	measure := func(during func()) load.ClassReport {
 		done := make(chan struct{})
 		go func() { defer close(done); during() }()
-		code, text, errs := lab("load", plan, "--target", addr, "--json")
+		code, text, errs := runOaklab("load", plan, "--target", addr, "--json")
 		<-done
 		var r load.Report
 		require.NoError(t, json.Unmarshal([]byte(text), &r), errs)
 		if code != cli.OK {
-			t.Log(errs) // a busy machine: the tool says so itself
+			t.Log(errs) // on a busy machine the tool reports that it was late
 		}
 		c := r.Classes["topup"]
-		assert.Equal(t, c.Sent, c.Status["200"], "all are served, stalled or not: %v", c.Status)
+		assert.Equal(t, c.Sent, c.Status["200"], "all requests are served, also during the stall: %v", c.Status)
 		return c
 	}
 	calm := measure(func() {})
 	stalled := measure(func() {
-		time.Sleep(700 * time.Millisecond) // somewhere within the run; the verdict is on the tail
+		time.Sleep(700 * time.Millisecond) // any time within the run; the assertions are on the tail
 		require.NoError(t, n.Signal(syscall.SIGSTOP))
 		time.Sleep(600 * time.Millisecond)
 		require.NoError(t, n.Signal(syscall.SIGCONT))
 	})
-	assert.Greater(t, stalled.LatencyMS.P90, 200.0, "30%% of the time it stood still, for 0.6 s")
+	assert.Greater(t, stalled.LatencyMS.P90, 200.0, "the node was stopped for 0.6 s, 30%% of the time")
 	assert.Greater(t, stalled.LatencyMS.P90, 3*calm.LatencyMS.P50)
 }
--- a/cmd/oaklab/main.go
+++ b/cmd/oaklab/main.go
@@ -1,5 +1,5 @@
-// Command oaklab is the lab: it plays fleets in virtual time, drives real nodes
-// with load, and runs experiments over both.
+// Command oaklab tests load-balancing designs. It emulates fleets in virtual time, runs fleets of real
+// nodes on loopback with faults, generates load, and runs experiments.
 package main
 
 import (
@@ -10,14 +10,15 @@
 	"pipitmux/internal/cli"
 )
 
-func main() { os.Exit(cli.Run(root(), os.Args[1:])) }
+func main() { os.Exit(cli.Run(newRootCommand(), os.Args[1:])) }
 
-func root() *cobra.Command {
+// newRootCommand returns the command line with all its commands.
+func newRootCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "oaklab",
-		Short: "Try balancing designs in an emulator, on loopback fleets and in experiments",
-		Long: "oaklab plays fleets of nodes and backends in virtual time, drives real nodes with load,\n" +
-			"and runs grids of experiments. Exit codes: 0 done and rules kept, 1 failed or a rule broken, 2 misuse.",
+		Short: "Test balancing designs in an emulator, on loopback fleets and in experiments",
+		Long: "oaklab emulates fleets of nodes and backends in virtual time, generates load for real nodes,\n" +
+			"and runs grids of experiments. Exit codes: 0 success and no rule broken, 1 failure or a rule broken, 2 invalid use.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
--- a/cmd/oaklab/members_test.go
+++ b/cmd/oaklab/members_test.go
@@ -18,57 +18,61 @@
 	"pipitmux/logic"
 )
 
-// view is what a node takes each peer for, by its log.
-type view struct {
-	mu   sync.Mutex
-	of   map[int]string
-	seen map[string]int // changes, as "number state"
+// peerView holds the states of a node's peers, as the node logs them.
+type peerView struct {
+	mu      sync.Mutex
+	states  map[int]string // last logged state, by the peer's number
+	changes map[string]int // number of changes, by "number state"
 }
 
-func (v *view) changed(number int, state string) {
+// record records a logged change.
+func (v *peerView) record(number int, state string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.of[number] = state
-	v.seen[fmt.Sprint(number, " ", state)]++
+	v.states[number] = state
+	v.changes[fmt.Sprint(number, " ", state)]++
 }
 
-// takes tells what the node takes a peer for; it says nothing of one that was there all along.
-func (v *view) takes(number int) string {
+// state returns the state of a peer. The node logs nothing about a peer that was always there.
+func (v *peerView) state(number int) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if s := v.of[number]; s != "" {
+	if s := v.states[number]; s != "" {
 		return s
 	}
 	return "there"
 }
 
-func (v *view) saw(change string) int {
+// changeCount returns how often the node logged a change, such as "3 gone".
+func (v *peerView) changeCount(change string) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.seen[change]
+	return v.changes[change]
 }
 
-// tier is real nodes that talk to each other by way of relays.
-type tier struct {
+// gossipFleet runs real nodes that gossip with each other through relays.
+type gossipFleet struct {
 	t       *testing.T
 	program string
 	relays  *standin.Relays
 	listen  []string
 	nodes   []*standin.Node
-	views   []*view
+	views   []*peerView
 }
 
-func newTier(t *testing.T, count int) *tier {
+// newGossipFleet starts nodes with their relays. The nodes listen on 127.0.0.2 and the relays on
+// 127.0.0.1: a relay may have the same port number as a node.
+func newGossipFleet(t *testing.T, count int) *gossipFleet {
 	dir := t.TempDir()
-	f := &tier{t: t, program: buildNode(t, dir)}
+	f := &gossipFleet{t: t, program: buildNode(t, dir)}
 	for range count {
-		held, err := standin.ReserveAddress("127.0.0.2") // for its number: the datagrams come to the same port,
+		reservation, err := standin.ReserveAddress("127.0.0.2") // reserves TCP; the node also uses the same UDP port
 		require.NoError(t, err)
-		t.Cleanup(func() { held.Close() })
-		f.listen = append(f.listen, held.Addr)
-		_, port, err := net.SplitHostPort(held.Addr)
+		t.Cleanup(func() { reservation.Close() })
+		f.listen = append(f.listen, reservation.Addr)
+		_, port, err := net.SplitHostPort(reservation.Addr)
 		require.NoError(t, err)
-		other, err := net.ListenPacket("udp4", net.JoinHostPort("127.0.0.1", port)) // which a relay may have as well
+		other, err := net.ListenPacket("udp4", net.JoinHostPort("127.0.0.1", port)) // occupies the port that a relay could have, too
 		if err == nil {
 			t.Cleanup(func() { other.Close() })
 		}
@@ -77,7 +81,7 @@
 	f.relays, err = standin.NewRelays(f.listen, 1)
 	require.NoError(t, err)
 	t.Cleanup(f.relays.Close)
-	f.nodes, f.views = make([]*standin.Node, count), make([]*view, count)
+	f.nodes, f.views = make([]*standin.Node, count), make([]*peerView, count)
 	t.Cleanup(func() {
 		for _, n := range f.nodes {
 			if n != nil {
@@ -91,52 +95,52 @@
 	return f
 }
 
-// start starts a node that knows nothing of an earlier life.
-func (f *tier) start(n int) {
+// start starts a node without any state of an earlier process.
+func (f *gossipFleet) start(n int) {
 	f.t.Helper()
 	dir := filepath.Join(f.t.TempDir(), fmt.Sprint(n))
 	require.NoError(f.t, os.MkdirAll(dir, 0o700))
-	own := filepath.Join(dir, "own.yaml")
-	require.NoError(f.t, os.WriteFile(own, []byte("log: {format: json}\npeers: {bytes_per_s: 2000}\n"), 0o600))
+	optionsFile := filepath.Join(dir, "own.yaml")
+	require.NoError(f.t, os.WriteFile(optionsFile, []byte("log: {format: json}\npeers: {bytes_per_s: 2000}\n"), 0o600))
 	settings := logic.Settings{Nodes: len(f.listen), Number: n, CanCancel: true, ConnIdle: 5 * time.Second, Classes: []logic.Class{
 		{Name: "topup", Effect: logic.Unsafe, Aim: 5 * time.Second, Deadline: 10 * time.Second, Worth: 8}}}
-	f.views[n] = &view{of: map[int]string{}, seen: map[string]int{}}
+	f.views[n] = &peerView{states: map[int]string{}, changes: map[string]int{}}
 	node, err := standin.StartNode(f.program, dir, map[string]any{"name": fmt.Sprint("n", n), "listen": f.listen[n], "discovery": "127.0.0.1:1",
 		"seed": fmt.Sprint(n + 1), "limits": map[string]any{"sockets": 256}, "peer_listen": f.listen[n], "peers": f.relays.Peers(n),
-		"known": standin.List{Revision: 1, Full: true}, "settings": wire.EncodeSettings(settings, time.Second)}, f.listen[n], "127.0.0.1:1", &standin.PeerLogWriter{OnChange: f.views[n].changed}, "node", "--config", own)
+		"known": standin.List{Revision: 1, Full: true}, "settings": wire.EncodeSettings(settings, time.Second)}, f.listen[n], "127.0.0.1:1", &standin.PeerLogWriter{OnChange: f.views[n].record}, "node", "--config", optionsFile)
 	require.NoError(f.t, err)
 	f.nodes[n] = node
 }
 
 // kill kills a node with -9.
-func (f *tier) kill(n int) {
+func (f *gossipFleet) kill(n int) {
 	f.nodes[n].Kill()
 	f.nodes[n] = nil
 }
 
-// all waits until every living node takes each of some for what is wanted.
-func (f *tier) all(of []int, want string) {
+// waitForState waits until every running node sees each of the peers in the wanted state.
+func (f *gossipFleet) waitForState(peers []int, want string) {
 	f.t.Helper()
 	began := time.Now()
 	require.Eventually(f.t, func() bool {
 		for by, n := range f.nodes {
-			for _, m := range of {
-				if n != nil && by != m && f.views[by].takes(m) != want {
+			for _, peer := range peers {
+				if n != nil && by != peer && f.views[by].state(peer) != want {
 					return false
 				}
 			}
 		}
 		return true
-	}, time.Minute, 20*time.Millisecond, "%v %s to all", of, want)
-	f.t.Logf("%v %s to all after %v", of, want, time.Since(began).Round(10*time.Millisecond))
+	}, time.Minute, 20*time.Millisecond, "%v %s in the view of all", peers, want)
+	f.t.Logf("%v %s in the view of all after %v", peers, want, time.Since(began).Round(10*time.Millisecond))
 }
 
-// TestMembersProcesses: six real nodes in three sites of two, 20% of the datagrams between
-// them lost. One is killed with -9 and started from nothing; a path is cut one way; a site is
-// cut off both ways and comes back; all lose power at once. Each time all that live come to
-// agree on who is there, and none that lives and is heard by any is ever gone.
-func TestMembersProcesses(t *testing.T) {
-	f := newTier(t, 6)
+// TestRealNodesAgreeOnMembership guards against nodes that don't agree on who is alive, or that take a
+// reachable node for gone. Six real nodes in three sites of two lose 20% of the datagrams between them.
+// One is killed with -9 and restarted without state, a path is cut in one direction, a site is
+// partitioned and comes back, and all lose power at the same time.
+func TestRealNodesAgreeOnMembership(t *testing.T) {
+	f := newGossipFleet(t, 6)
 	everyone := []int{0, 1, 2, 3, 4, 5}
 	f.relays.SetFaults(0.2, nil)
 	require.Eventually(t, func() bool {
@@ -148,65 +152,65 @@
 			}
 		}
 		return true
-	}, time.Minute, 20*time.Millisecond, "all talk to all")
+	}, time.Minute, 20*time.Millisecond, "every node sends to every other")
 
 	f.kill(3)
-	f.all([]int{3}, "gone")
+	f.waitForState([]int{3}, "gone")
 	f.start(3)
-	f.all(everyone, "there")
+	f.waitForState(everyone, "there")
 
-	// One way is cut: the others go round it. As many datagrams as a suspicion would take
-	// pass meanwhile.
+	// One direction is cut: probes through other nodes must go around it. Meanwhile as many datagrams
+	// pass as a suspicion would take.
 	f.relays.SetFaults(0.2, func(from, to int) bool { return from == 1 && to == 4 })
 	before := f.relays.Forwarded(4, 1)
 	require.Eventually(t, func() bool { return f.relays.Forwarded(4, 1) > before+12 }, time.Minute, 20*time.Millisecond)
 	f.relays.SetFaults(0.2, nil)
-	f.all(everyone, "there")
+	f.waitForState(everyone, "there")
 	for by, v := range f.views {
-		for _, m := range []int{0, 1, 2, 4, 5} {
-			assert.Zero(t, v.saw(fmt.Sprint(m, " gone")), "%d, to %d: it lives and is heard", m, by)
+		for _, peer := range []int{0, 1, 2, 4, 5} {
+			assert.Zero(t, v.changeCount(fmt.Sprint(peer, " gone")), "%d in the view of %d: it is alive and reachable", peer, by)
 		}
 	}
 
-	site := func(n int) bool { return n < 2 } // cut off: both sides go on
-	f.relays.SetFaults(0.2, func(from, to int) bool { return site(from) != site(to) })
+	inSite := func(n int) bool { return n < 2 } // the partitioned site; both sides keep running
+	f.relays.SetFaults(0.2, func(from, to int) bool { return inSite(from) != inSite(to) })
 	for by := range f.nodes {
-		for m := range f.nodes {
-			if site(by) != site(m) {
-				require.Eventually(t, func() bool { return f.views[by].takes(m) == "gone" }, time.Minute, 20*time.Millisecond, "%d to %d, who is cut off", m, by)
+		for peer := range f.nodes {
+			if inSite(by) != inSite(peer) {
+				require.Eventually(t, func() bool { return f.views[by].state(peer) == "gone" }, time.Minute, 20*time.Millisecond, "%d in the view of %d, which is partitioned from it", peer, by)
 			}
 		}
 	}
-	assert.Equal(t, "there", f.views[0].takes(1))
+	assert.Equal(t, "there", f.views[0].state(1))
 	f.relays.SetFaults(0.2, nil)
-	f.all(everyone, "there")
+	f.waitForState(everyone, "there")
 
-	for n := range f.nodes { // power loss: all at once, from nothing
+	for n := range f.nodes { // power loss: all are killed and restart without state
 		f.kill(n)
 	}
 	for n := range f.nodes {
 		f.start(n)
 	}
 	f.kill(5)
-	f.all([]int{5}, "gone")
-	f.all([]int{0, 1, 2, 3, 4}, "there")
+	f.waitForState([]int{5}, "gone")
+	f.waitForState([]int{0, 1, 2, 3, 4}, "there")
 	for _, n := range f.nodes[:5] {
 		assert.NoError(t, n.Stop(20*time.Second))
 	}
 	clear(f.nodes)
 }
 
-// The lab plays a day in which real nodes talk, by the scenario: a site is lost with its nodes
-// for good, and the result tells that the others came to know it.
-func TestMembersOfRealNodes(t *testing.T) {
+// TestRealNodesDetectLostSite guards against a lost site that the other nodes don't detect, and against
+// live nodes that are taken for gone. A site of the scenario is lost for good with its nodes.
+func TestRealNodesDetectLostSite(t *testing.T) {
 	sc, err := emulator.Read("../../deploy/lab/members.yaml")
 	require.NoError(t, err)
-	sc.Seconds, sc.Troubles = stated(18), sc.Troubles[:2]
-	sc.Troubles[0].AtS, sc.Troubles[0].ForS = stated(1), stated(4)
-	sc.Troubles[1].AtS, sc.Troubles[1].ForS = stated(2), stated(60)
-	m := playProcesses(t, sc).Members
+	sc.Seconds, sc.Troubles = fixed(18), sc.Troubles[:2]
+	sc.Troubles[0].AtS, sc.Troubles[0].ForS = fixed(1), fixed(4)
+	sc.Troubles[1].AtS, sc.Troubles[1].ForS = fixed(2), fixed(60)
+	m := runProcesses(t, sc).Members
 	require.NotNil(t, m)
-	assert.Equal(t, 8, m.Detected, "each of four takes each of two for gone")
+	assert.Equal(t, 8, m.Detected, "each of four nodes detects that each of two is gone")
 	assert.Zero(t, m.Undetected)
 	assert.Zero(t, m.FalseGone)
 	assert.Zero(t, m.Disagree)
--- a/cmd/oaklab/oaklab_test.go
+++ b/cmd/oaklab/oaklab_test.go
@@ -18,21 +18,23 @@
 	"pipitmux/internal/fleet"
 )
 
-// lab runs the command line in this process.
-func lab(args ...string) (code int, out, errs string) {
-	var o, e bytes.Buffer
-	r := root()
-	r.SetOut(&o)
-	r.SetErr(&e)
-	code = cli.Run(r, args)
-	return code, o.String(), e.String()
+// runOaklab runs the command line in this process.
+func runOaklab(args ...string) (code int, out, errs string) {
+	var stdout, stderr bytes.Buffer
+	command := newRootCommand()
+	command.SetOut(&stdout)
+	command.SetErr(&stderr)
+	code = cli.Run(command, args)
+	return code, stdout.String(), stderr.String()
 }
 
-func TestEmulate(t *testing.T) {
+// TestEmulateCommand guards against results that differ between equal runs, missing keys in the JSON
+// output, and invalid arguments that are accepted or reported without the key, the value or the file.
+func TestEmulateCommand(t *testing.T) {
 	const scenario = "../../deploy/lab/meter-platform.yaml"
-	code, first, _ := lab("emulate", scenario, "--seed", "1", "--json", "--set", "seconds=8")
+	code, first, _ := runOaklab("emulate", scenario, "--seed", "1", "--json", "--set", "seconds=8")
 	assert.Equal(t, cli.OK, code)
-	_, second, _ := lab("emulate", scenario, "--seed", "1", "--json", "--set", "seconds=8")
+	_, second, _ := runOaklab("emulate", scenario, "--seed", "1", "--json", "--set", "seconds=8")
 	assert.Equal(t, first, second)
 	var r map[string]any
 	require.NoError(t, json.Unmarshal([]byte(first), &r))
@@ -42,7 +44,7 @@
 	for _, key := range []string{"unanswered", "double_effects", "late_drain_sends", "felled_backends"} {
 		assert.Contains(t, r["rules"], key)
 	}
-	code, out, _ := lab("emulate", "--list-policies")
+	code, out, _ := runOaklab("emulate", "--list-policies")
 	assert.Equal(t, cli.OK, code)
 	assert.Equal(t, strings.Join(emulator.Policies(), "\n")+"\n", out)
 	for _, tt := range []struct{ args, want string }{
@@ -54,15 +56,16 @@
 		{"fleet " + scenario + " --node nowhere --set seconds=x", "seconds: a number or a pair"},
 		{"nonesuch", "unknown command"},
 	} {
-		code, _, errs := lab(strings.Fields(tt.args)...)
+		code, _, errs := runOaklab(strings.Fields(tt.args)...)
 		assert.Equal(t, cli.Misuse, code, tt.args)
 		assert.Contains(t, errs, tt.want)
 		assert.Equal(t, 1, strings.Count(errs, "\n"), errs)
 	}
 }
 
-// Each scenario that is shipped can be played, here for a second.
-func TestShippedScenarios(t *testing.T) {
+// TestShippedScenariosRun guards against a shipped scenario that can't be read or emulated. Each runs
+// for 2 s.
+func TestShippedScenariosRun(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/lab/*.yaml")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -82,7 +85,8 @@
 	}
 }
 
-const onSockets = `
+// shortScenario is a short scenario of two real nodes, with faults.
+const shortScenario = `
 name: sockets
 seconds: 5
 zones: [{name: a, traffic: 1, backends: 1}, {name: b, traffic: 1, backends: 1}]
@@ -105,7 +109,7 @@
   - {kind: discovery_down, at_s: 3.5, for_s: 0.5}
 `
 
-// buildNode builds the node's program into a folder and returns its path.
+// buildNode builds the node's program in a folder and returns its path.
 func buildNode(t *testing.T, dir string) string {
 	t.Helper()
 	program := filepath.Join(dir, "oakseam")
@@ -114,13 +118,13 @@
 	return program
 }
 
-// Real nodes serve a day on loopback through vanished machines, a replacement,
-// kills of the nodes themselves and a registry that fails; the auditor, which
-// sees the sockets only, finds the rules kept.
-func TestFleetOnSockets(t *testing.T) {
-	sc, err := emulator.Parse("sockets.yaml", []byte(onSockets))
+// TestRealNodesKeepRulesUnderFaults guards against real nodes that break a rule while backends become
+// unreachable or are replaced, the nodes are killed, and the registry fails. The auditor sees the
+// sockets only. An aborted run must end all processes, and a node that exits early must be reported.
+func TestRealNodesKeepRulesUnderFaults(t *testing.T) {
+	sc, err := emulator.Parse("sockets.yaml", []byte(shortScenario))
 	require.NoError(t, err)
-	r := playProcesses(t, sc)
+	r := runProcesses(t, sc)
 	assert.Greater(t, r.Requests, 100)
 	assert.Greater(t, r.Classes["topup"].Served, r.Classes["topup"].Asked/2)
 	assert.Greater(t, r.Attempts, 100)
@@ -128,7 +132,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err = fleet.Run(ctx, sc, 1, fleet.Options{Program: buildNode(t, t.TempDir()), Sockets: 512, MemoryMB: 64, Progress: func(_, _ time.Duration) {}})
-	assert.ErrorIs(t, err, emulator.ErrLate, "a day that is broken off ends what it started")
+	assert.ErrorIs(t, err, emulator.ErrLate, "an aborted run ends what it started")
 	_, err = fleet.Run(t.Context(), sc, 1, fleet.Options{Program: "/bin/false", Sockets: 512, MemoryMB: 64, Progress: func(_, _ time.Duration) {}})
 	assert.ErrorContains(t, err, "before it was ready")
 }
--- a/cmd/oaklab/tier.go
+++ b/cmd/oaklab/tier.go
@@ -14,16 +14,16 @@
 
 func tierCommand() *cobra.Command {
 	opt := tierlab.Default()
-	var history string
+	var historyFile string
 	c := &cobra.Command{
 		Use:   "tier",
-		Short: "Play the whole serving tier on loopback, with processes killed under way",
-		Long: "Starts edge, core and storage machines as processes on addresses of their own, with stand-ins for the\n" +
-			"platform, servers, an operator and clients, kills processes and releases servers under way, and judges\n" +
-			"what clients, servers and operator saw. Exit code 1 where a rule was broken or a process crashed.",
+		Short: "Run the whole serving tier on loopback and kill processes meanwhile",
+		Long: "Starts edge, core and storage machines as processes on their own addresses, with fakes of the platform,\n" +
+			"servers, an operator and clients. Kills processes and releases servers meanwhile, and checks what clients,\n" +
+			"servers and operator saw. Exit code 1 if a rule was broken or a process crashed.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := tierPrograms(&opt); err != nil {
+			if err := findTierPrograms(&opt); err != nil {
 				return cli.Wrong(err)
 			}
 			progress := cli.NewProgress(c.ErrOrStderr())
@@ -35,7 +35,7 @@
 				return err
 			}
 			r.Print(c.OutOrStdout())
-			if err := keepHistory(history, r.History); err != nil {
+			if err := writeHistory(historyFile, r.History); err != nil {
 				return err
 			}
 			if !r.Clean() {
@@ -45,25 +45,25 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&opt.Anemometer, "anemometer", "", "the data plane's program (default: anemometer beside this program)")
-	f.StringVar(&opt.Barograph, "barograph", "", "the control plane's program (default: barograph beside this program)")
-	f.StringVar(&opt.Network, "network", opt.Network, "first two numbers of the machines' addresses")
-	f.StringVar(&opt.Folder, "folder", "", "for the machines' disks (default: a temporary one)")
-	f.StringVar(&opt.LogDir, "logs", "", "keep the processes' logs in this folder")
-	f.StringVar(&history, "history", "", "write all that was seen into this file, as JSON")
-	f.Float64Var(&opt.Seconds, "seconds", opt.Seconds, "how long clients begin new work")
-	f.IntVar(&opt.Edges, "edges", opt.Edges, "edge machines")
-	f.IntVar(&opt.Cores, "cores", opt.Cores, "core machines")
-	f.IntVar(&opt.Storages, "storages", opt.Storages, "storage machines")
-	f.IntVar(&opt.Agents, "agents", opt.Agents, "agents that run programs")
-	f.Uint64Var(&opt.Seed, "seed", opt.Seed, "which programs are drawn")
-	f.BoolVar(&opt.Calm, "calm", false, "no troubles")
-	f.BoolVar(&opt.Harsh, "harsh", false, "more troubles: an edge killed, machines frozen, one emptied, all without power, servers that break off")
+	f.StringVar(&opt.Anemometer, "anemometer", "", "program of the data plane (default: anemometer in the folder of this program)")
+	f.StringVar(&opt.Barograph, "barograph", "", "program of the control plane (default: barograph in the folder of this program)")
+	f.StringVar(&opt.Network, "network", opt.Network, "first two numbers of the machines' IPv4 addresses")
+	f.StringVar(&opt.Folder, "folder", "", "folder of the machines' disks (default: a temporary folder)")
+	f.StringVar(&opt.LogDir, "logs", "", "folder for the processes' logs")
+	f.StringVar(&historyFile, "history", "", "write the history of the run to this file, as JSON")
+	f.Float64Var(&opt.Seconds, "seconds", opt.Seconds, "how long clients start new work")
+	f.IntVar(&opt.Edges, "edges", opt.Edges, "number of edge machines")
+	f.IntVar(&opt.Cores, "cores", opt.Cores, "number of core machines")
+	f.IntVar(&opt.Storages, "storages", opt.Storages, "number of storage machines")
+	f.IntVar(&opt.Agents, "agents", opt.Agents, "number of agents that run programs")
+	f.Uint64Var(&opt.Seed, "seed", opt.Seed, "seed of all random choices")
+	f.BoolVar(&opt.Calm, "calm", false, "inject no faults")
+	f.BoolVar(&opt.Harsh, "harsh", false, "inject more faults: an edge killed, machines frozen, one emptied, power loss of all, servers that break off")
 	return c
 }
 
-// keepHistory writes a run's history to a path, where there is one.
-func keepHistory(path string, h *audit.History) error {
+// writeHistory writes a run's history as JSON to a file, unless the path is empty.
+func writeHistory(path string, h *audit.History) error {
 	if path == "" {
 		return nil
 	}
@@ -74,11 +74,11 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// tierPrograms finds the programs that no flag names.
-func tierPrograms(opt *tierlab.Options) (err error) {
+// findTierPrograms sets the paths of the programs that no flag names.
+func findTierPrograms(opt *tierlab.Options) (err error) {
 	for name, path := range map[string]*string{"anemometer": &opt.Anemometer, "barograph": &opt.Barograph} {
 		if *path == "" {
-			if *path, err = beside(name); err != nil {
+			if *path, err = siblingProgram(name); err != nil {
 				return err
 			}
 		}
--- a/cmd/oaklab/tier_test.go
+++ b/cmd/oaklab/tier_test.go
@@ -14,21 +14,21 @@
 	"pipitmux/internal/tierlab"
 )
 
-// buildTier builds the tier's programs into a folder and returns options that name them.
+// buildTier builds the tier's programs in a folder and returns options that name them.
 func buildTier(t *testing.T, dir string) tierlab.Options {
 	t.Helper()
 	out, err := exec.Command("go", "build", "-o", dir, "../anemometer", "../barograph").CombinedOutput()
 	require.NoError(t, err, "%s", out)
 	opt := tierlab.Default()
 	opt.Anemometer, opt.Barograph = filepath.Join(dir, "anemometer"), filepath.Join(dir, "barograph")
-	opt.Network, opt.LogDir = "127.30", dir // beside a run of the command
+	opt.Network, opt.LogDir = "127.30", dir // differs from the default, so that the command can run at the same time
 	return opt
 }
 
-// The whole tier as processes serves clients while storage machines, the configuration's
-// owner and an edge are lost and come back and servers are released: every rule is looked
-// at and kept, and nearly all that was asked is served.
-func TestTierOfProcesses(t *testing.T) {
+// TestTierKeepsRulesUnderFaults guards against a tier that breaks a rule or stops serving while storage
+// machines, the leader of the configuration and an edge are lost and come back, and servers are
+// released. Every rule must be checked at least once, and nearly all requests served.
+func TestTierKeepsRulesUnderFaults(t *testing.T) {
 	dir := t.TempDir()
 	opt := buildTier(t, dir)
 	opt.Seconds, opt.Agents = 8, 12
@@ -56,12 +56,13 @@
 	assert.Len(t, r.Report.Faults, 8)
 }
 
-// A program that isn't there, and one that ends at once, are told.
-func TestTierWithoutPrograms(t *testing.T) {
-	code, _, errs := lab("tier", "--barograph", "/bin/false")
-	assert.Equal(t, cli.Misuse, code, "there is no anemometer beside the test")
+// TestTierReportsMissingPrograms guards against a run that doesn't report a missing program, or one
+// that exits at once.
+func TestTierReportsMissingPrograms(t *testing.T) {
+	code, _, errs := runOaklab("tier", "--barograph", "/bin/false")
+	assert.Equal(t, cli.Misuse, code, "there is no anemometer in the test's folder")
 	assert.Contains(t, errs, "anemometer")
-	code, _, errs = lab("tier", "--network", "127.31", "--anemometer", "/bin/false", "--barograph", "/bin/false")
+	code, _, errs = runOaklab("tier", "--network", "127.31", "--anemometer", "/bin/false", "--barograph", "/bin/false")
 	assert.Equal(t, cli.Failed, code)
 	assert.Contains(t, errs, tierlab.ErrCrashed.Error())
 }
