--- a/cmd/oaklab/fault.go
+++ b/cmd/oaklab/fault.go
@@ -152,8 +152,8 @@
 	} else {
 		fmt.Fprintf(w, "steady again %.0f s after the return\n", s.SteadyAfterS)
 	}
-	for _, r := range s.RefusedByWorth {
-		fmt.Fprintf(w, "refused %-12s %6d of %6d (%.3f), worth %g, %.0f a second of work\n", r.Class, r.Refused, r.Asked, r.Part, r.Worth, r.PerWork)
+	for _, r := range s.RejectedByWorth {
+		fmt.Fprintf(w, "refused %-12s %6d of %6d (%.3f), worth %g, %.0f a second of work\n", r.Class, r.Rejected, r.Asked, r.Share, r.Worth, r.PerWork)
 	}
 	fmt.Fprintf(w, "return overshoot %.2f of the capacity, %.2f fells\n", s.ReturnOvershoot, s.OvershootLimit)
 	printEnd(w, &s.Day, "")
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,8 +1,8 @@
-// Package fault sums up a day on which a part of the fleet was lost: what was won before
-// the loss, during it and after the return, against what the capacity that was left would
-// have allowed, what was refused, and whether rules were kept. It judges the results of
-// package emulator, played by real processes or in virtual time, and does no I/O. It must
-// not know how nodes decide.
+// Package fault summarizes a run in which a part of the fleet was lost: the worth earned before
+// the loss, during it and after the return, compared with what the remaining capacity would
+// have allowed, what was rejected, and whether rules were kept. It reads the results of
+// package emulator, from real processes or from virtual time, and does no I/O. It must not
+// know how nodes decide.
 package fault
 
 import (
@@ -16,7 +16,7 @@
 	"pipitmux/internal/emulator"
 )
 
-// Day is what every report holds.
+// Day holds what every report has: the run and its counts of broken rules.
 type Day struct {
 	Scenario           string `json:"scenario"`
 	Seed               uint64 `json:"seed"`
@@ -33,35 +33,36 @@
 	Seconds  []emulator.Second    `json:"seconds"`
 }
 
-// Clean tells that no rule was broken.
+// Clean reports whether no rule was broken.
 func (d *Day) Clean() bool {
 	return d.Unanswered+d.DuplicateEffects+d.LateDrainSends+d.OverloadedBackends == 0
 }
 
-func dayOf(r *emulator.Result, played string) Day {
+// newDay returns the common part of a report.
+func newDay(r *emulator.Result, played string) Day {
 	return Day{Scenario: r.Scenario, Seed: r.Seed, Played: played, Nodes: r.Nodes, Backends: r.Backends, Requests: r.Requests,
 		Unanswered: r.Rules.Unanswered, DuplicateEffects: r.Rules.DuplicateEffects, LateDrainSends: r.Rules.LateDrainSends,
 		OverloadedBackends: r.Rules.OverloadedBackends, Happened: r.Happened, Seconds: r.Seconds}
 }
 
-// Rejection is what was refused of one class.
+// Rejection holds how much of one class was rejected.
 type Rejection struct {
-	Class   string  `json:"class"`
-	Worth   float64 `json:"worth"`
-	PerWork float64 `json:"worth_per_work"` // a second of work
-	Asked   int     `json:"asked"`
-	Refused int     `json:"refused"` // operations whose last try was refused
-	Part    float64 `json:"part"`
+	Class    string  `json:"class"`
+	Worth    float64 `json:"worth"`
+	PerWork  float64 `json:"worth_per_work"` // worth per second of work
+	Asked    int     `json:"asked"`
+	Rejected int     `json:"refused"` // operations whose last request was rejected
+	Share    float64 `json:"part"`
 }
 
-// SiteLoss is the report of a day with the loss of a site. A G is the part won of the worth
-// asked in its part of the day, an ideal what an estimate from capacity alone would have won
-// (see emulator.Second).
+// SiteLoss is the report of a run in which a site was lost. Each G is the earned share of the worth
+// offered in that part of the run. Each ideal is the share that an estimate from capacity alone would
+// have earned (see the seconds of emulator.Result).
 type SiteLoss struct {
 	Day
-	RefusedByWorth []Rejection `json:"refused_by_worth"` // least worth for its work first
-	// ReturnOvershoot is the most that all nodes together sent a cold backend within the
-	// fall-over window, as a multiple of what it could do; OvershootLimit fells it.
+	RejectedByWorth []Rejection `json:"refused_by_worth"` // ordered by worth per work, lowest first
+	// ReturnOvershoot is the largest amount of work that all nodes together sent a cold backend
+	// within the overload window, as a multiple of its capacity. At OvershootLimit the backend fails.
 	ReturnOvershoot float64 `json:"return_overshoot"`
 	OvershootLimit  float64 `json:"overshoot_limit"`
 	GBefore         float64 `json:"g_before"`
@@ -70,46 +71,46 @@
 	IdealBefore     float64 `json:"ideal_before"`
 	IdealDuring     float64 `json:"ideal_during"`
 	IdealAfter      float64 `json:"ideal_after"`
-	// SteadyAfterS is how long after the return the share won in steadyFor was back at
-	// steadyPart of that before; -1: not on this day.
+	// SteadyAfterS is how long after the return the share earned in steadySeconds was again
+	// steadyShare of that before the loss. It is -1 if that did not happen in this run.
 	SteadyAfterS float64 `json:"steady_after_s"`
 }
 
 const (
-	steadyFor  = 3    // seconds
-	steadyPart = 0.95 // of what was won before
+	steadySeconds = 3    // length of the interval that must be steady
+	steadyShare   = 0.95 // of the share that was earned before the loss
 )
 
-// PowerLoss is the report of a day on which all machines lost their power.
+// PowerLoss is the report of a run in which all machines lost power.
 type PowerLoss struct {
 	Day
-	StaleSends     int     `json:"stale_sends"` // to a backend that its node had once been told was gone
+	StaleSends     int     `json:"stale_sends"` // attempts sent to a backend after its node was told that the backend is gone
 	Overshoot      float64 `json:"overshoot"`   // see SiteLoss.ReturnOvershoot
 	OvershootLimit float64 `json:"overshoot_limit"`
 	GBefore        float64 `json:"g_before"`
-	GFirst60S      float64 `json:"g_first_60s"` // after the power is back
+	GFirst60S      float64 `json:"g_first_60s"` // after power returned
 	IdealFirst60S  float64 `json:"ideal_first_60s"`
-	// SecondsToService is how long after the power is back the share won in steadyFor was
-	// at steadyPart of that before; -1: not on this day.
+	// SecondsToService is how long after power returned the share earned in steadySeconds was
+	// steadyShare of that before the loss. It is -1 if that did not happen in this run.
 	SecondsToService float64 `json:"seconds_to_service"`
 }
 
-// Clean tells that no rule was broken, and that nobody who was gone was sent to.
+// Clean reports whether no rule was broken and nothing was sent to backends known to be gone.
 func (p *PowerLoss) Clean() bool {
 	return p.Day.Clean() && p.StaleSends == 0
 }
 
-// ErrNoLoss tells that a scenario states no loss of the kind that is to be played.
+// ErrNoLoss means that a scenario has no loss of the requested kind at a fixed time.
 var ErrNoLoss = errors.New("no such loss at a stated time")
 
-// The kinds of trouble that a report is of.
+// The kinds of faults that each report covers.
 var (
 	SiteLossKinds  = []string{"zone_loss", "cut"}
 	PowerLossKinds = []string{"power_loss"}
 )
 
-// LossWindow returns when the first loss of one of the kinds begins and when the last is over,
-// counted from the beginning of the clients.
+// LossWindow returns when the first loss of one of the kinds begins and when the last one ends,
+// counted from the start of the clients.
 func LossWindow(sc *emulator.Scenario, kinds []string) (from, to time.Duration, err error) {
 	for i := range sc.Troubles {
 		t := &sc.Troubles[i]
@@ -129,65 +130,67 @@
 	return from, to, nil
 }
 
-// SummarizePowerLoss sums up a day of the scenario on which the power was lost.
+// SummarizePowerLoss summarizes a run of the scenario in which power was lost.
 func SummarizePowerLoss(sc *emulator.Scenario, r *emulator.Result, played string) (*PowerLoss, error) {
 	from, to, err := LossWindow(sc, PowerLossKinds)
 	if err != nil {
 		return nil, err
 	}
-	p := &PowerLoss{Day: dayOf(r, played), StaleSends: r.Stale, Overshoot: r.Rules.Overshoot,
+	p := &PowerLoss{Day: newDay(r, played), StaleSends: r.Stale, Overshoot: r.Rules.Overshoot,
 		OvershootLimit: sc.Rules.FallMultiple.From}
-	back := int(to.Seconds())
-	p.GBefore, _ = share(r.Seconds, 0, int(from.Seconds())-1)
-	p.GFirst60S, p.IdealFirst60S = share(r.Seconds, back, back+60)
-	p.SecondsToService = steady(r.Seconds, back, p.GBefore)
+	returned := int(to.Seconds())
+	p.GBefore, _ = earnedShare(r.Seconds, 0, int(from.Seconds())-1)
+	p.GFirst60S, p.IdealFirst60S = earnedShare(r.Seconds, returned, returned+60)
+	p.SecondsToService = secondsUntilSteady(r.Seconds, returned, p.GBefore)
 	return p, nil
 }
 
-// steady is how many seconds after one the share won is steadyPart of a former one again.
-func steady(of []emulator.Second, back int, before float64) float64 {
-	for i := back; i+steadyFor <= len(of); i++ {
-		if won, _ := share(of, i, i+steadyFor); won >= steadyPart*before {
-			return float64(i - back)
+// secondsUntilSteady returns how many seconds after a given one the share earned in steadySeconds is
+// steadyShare of an earlier share again, or -1.
+func secondsUntilSteady(seconds []emulator.Second, returned int, before float64) float64 {
+	for i := returned; i+steadySeconds <= len(seconds); i++ {
+		if earned, _ := earnedShare(seconds, i, i+steadySeconds); earned >= steadyShare*before {
+			return float64(i - returned)
 		}
 	}
 	return -1
 }
 
-// SummarizeSiteLoss sums up a day of the scenario on which a site was lost or cut off.
+// SummarizeSiteLoss summarizes a run of the scenario in which a site was lost or partitioned.
 func SummarizeSiteLoss(sc *emulator.Scenario, r *emulator.Result, played string) (*SiteLoss, error) {
 	from, to, err := LossWindow(sc, SiteLossKinds)
 	if err != nil {
 		return nil, err
 	}
-	s := &SiteLoss{Day: dayOf(r, played), ReturnOvershoot: r.Rules.Overshoot, OvershootLimit: sc.Rules.FallMultiple.From}
+	s := &SiteLoss{Day: newDay(r, played), ReturnOvershoot: r.Rules.Overshoot, OvershootLimit: sc.Rules.FallMultiple.From}
 	for i := range sc.Classes {
 		c := &sc.Classes[i]
 		got := r.Classes[c.Name]
-		f := Rejection{Class: c.Name, Worth: c.Worth.From, PerWork: c.Worth.From / c.WorkMS.From * 1000, Asked: got.Asked, Refused: got.Refused}
+		f := Rejection{Class: c.Name, Worth: c.Worth.From, PerWork: c.Worth.From / c.WorkMS.From * 1000, Asked: got.Asked, Rejected: got.Refused}
 		if f.Asked > 0 {
-			f.Part = float64(f.Refused) / float64(f.Asked)
+			f.Share = float64(f.Rejected) / float64(f.Asked)
 		}
-		s.RefusedByWorth = append(s.RefusedByWorth, f)
+		s.RejectedByWorth = append(s.RejectedByWorth, f)
 	}
-	slices.SortStableFunc(s.RefusedByWorth, func(a, b Rejection) int { return cmp.Compare(a.PerWork, b.PerWork) })
-	// The figures leave the first second out; a second in which something begins or ends
-	// counts to neither side whole, so it goes to the loss.
-	lost, back := int(from.Seconds())-1, int(to.Seconds())
-	s.GBefore, s.IdealBefore = share(r.Seconds, 0, lost)
-	s.GDuring, s.IdealDuring = share(r.Seconds, lost, back)
-	s.GAfter, s.IdealAfter = share(r.Seconds, back, len(r.Seconds))
-	s.SteadyAfterS = steady(r.Seconds, back, s.GBefore)
+	slices.SortStableFunc(s.RejectedByWorth, func(a, b Rejection) int { return cmp.Compare(a.PerWork, b.PerWork) })
+	// The result's seconds begin one second after the clients do. A second in which a loss begins or
+	// ends lies on both sides of it, so it counts as part of the loss.
+	lost, returned := int(from.Seconds())-1, int(to.Seconds())
+	s.GBefore, s.IdealBefore = earnedShare(r.Seconds, 0, lost)
+	s.GDuring, s.IdealDuring = earnedShare(r.Seconds, lost, returned)
+	s.GAfter, s.IdealAfter = earnedShare(r.Seconds, returned, len(r.Seconds))
+	s.SteadyAfterS = secondsUntilSteady(r.Seconds, returned, s.GBefore)
 	return s, nil
 }
 
-func share(of []emulator.Second, from, to int) (won, ideal float64) {
-	asked := 0.0
-	for _, x := range of[min(max(from, 0), len(of)):min(max(to, 0), len(of))] {
-		asked, won, ideal = asked+x.Asked, won+x.Won, ideal+x.Ideal
+// earnedShare returns the earned and the ideal share of the worth offered in a range of seconds.
+func earnedShare(seconds []emulator.Second, from, to int) (earned, ideal float64) {
+	offered := 0.0
+	for _, x := range seconds[min(max(from, 0), len(seconds)):min(max(to, 0), len(seconds))] {
+		offered, earned, ideal = offered+x.Asked, earned+x.Won, ideal+x.Ideal
 	}
-	if asked == 0 {
+	if offered == 0 {
 		return 0, 0
 	}
-	return won / asked, ideal / asked
+	return earned / offered, ideal / offered
 }
