--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -13,63 +13,64 @@
 	"pipitmux/logic"
 )
 
-// Backend is emulator.Outside.
-func (f *fleet) Backend(no int, how emulator.Machine) {
+// Backend implements emulator.Outside. It starts the machines of new backends, one for each node, and
+// sets the state of a backend's machines.
+func (f *fleet) Backend(number int, how emulator.Machine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for len(f.machines) <= no {
-		at := len(f.machines)
-		var ms []*standin.Machine
+	for len(f.machines) <= number {
+		backend := len(f.machines)
+		var machines []*standin.Machine
 		for i := range f.nodes {
-			m, err := standin.NewMachine("127.0.0.1", func(c net.Conn) { f.serve(c, at, i) })
+			m, err := standin.NewMachine("127.0.0.1", func(c net.Conn) { f.serve(c, backend, i) })
 			if err != nil {
 				f.day.Fail(err)
 				return
 			}
-			ms = append(ms, m)
+			machines = append(machines, m)
 		}
-		f.machines = append(f.machines, ms)
+		f.machines = append(f.machines, machines)
 	}
-	for i, m := range f.machines[no] {
+	for i, m := range f.machines[number] {
 		switch how {
 		case emulator.Up:
 			if err := m.Up(); err != nil {
-				f.day.Fail(fmt.Errorf("backend %d comes back: %w", no, err))
+				f.day.Fail(fmt.Errorf("backend %d can't listen again: %w", number, err))
 			}
-			if f.cuts[[2]int{i, no}] {
-				f.jobs.Go(m.Blackhole)
+			if f.cuts[[2]int{i, number}] {
+				f.background.Go(m.Blackhole)
 			}
 		case emulator.Down:
 			m.Down()
 		case emulator.Silent:
-			f.jobs.Go(m.Blackhole) // it fills a queue, which takes a moment
+			f.background.Go(m.Blackhole) // in the background, because filling the accept queue takes a moment
 		}
 	}
 }
 
-// Cut is emulator.Outside.
+// Cut implements emulator.Outside. It makes a backend unreachable for one node, or reachable again.
 func (f *fleet) Cut(node, backend int, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at := [2]int{node, backend}
-	if f.cuts[at] == cut || backend >= len(f.machines) {
+	path := [2]int{node, backend}
+	if f.cuts[path] == cut || backend >= len(f.machines) {
 		return
 	}
 	m := f.machines[backend][node]
-	if f.cuts[at] = cut; cut {
-		f.jobs.Go(m.Blackhole)
+	if f.cuts[path] = cut; cut {
+		f.background.Go(m.Blackhole)
 	} else if f.day.Serves(backend) {
 		if err := m.Up(); err != nil {
-			f.day.Fail(fmt.Errorf("backend %d can be reached again: %w", backend, err))
+			f.day.Fail(fmt.Errorf("backend %d can't listen again after a partition: %w", backend, err))
 		}
 	}
 }
 
-// serve is a backend's side of one connection.
+// serve handles a backend's side of one connection. It answers one request at a time.
 func (f *fleet) serve(c net.Conn, backend, node int) {
 	f.day.Conns(backend, 1)
 	defer f.day.Conns(backend, -1)
-	requests := make(chan string, 1) // ids
+	requests := make(chan string, 1) // ids of the requests received
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() {
@@ -90,11 +91,11 @@
 			}
 		}
 	}()
-	fresh := true
+	newConnection := true
 	for id := range requests {
 		done := make(chan []byte, 1)
-		gone := f.day.Arrived(backend, node, id, fresh, func(r logic.Result, report []float64) { done <- answer(id, r, report, f.fields) })
-		fresh = false
+		hangUp := f.day.Arrived(backend, node, id, newConnection, func(r logic.Result, report []float64) { done <- response(id, r, report, f.fields) })
+		newConnection = false
 		select {
 		case text := <-done:
 			if text == nil {
@@ -106,8 +107,8 @@
 			if _, err := c.Write(text); err != nil {
 				return
 			}
-		case <-requests: // the connection has ended, or was used against the protocol
-			gone()
+		case <-requests: // the connection ended, or a second request came before the response
+			hangUp()
 			return
 		case <-f.quit:
 			return
@@ -115,14 +116,14 @@
 	}
 }
 
-// answer is what a backend says; nil stands for a reset.
-func answer(id string, r logic.Result, report []float64, fields []string) []byte {
-	var head strings.Builder
+// response returns the bytes of a backend's response, or nil if the connection is to be reset.
+func response(id string, r logic.Result, report []float64, fields []string) []byte {
+	var header strings.Builder
 	if report != nil {
-		head.WriteString("X-Backend-Load: ")
-		for i, v := range report {
+		header.WriteString("X-Backend-Load: ")
+		for i, value := range report {
 			if i > 0 {
-				head.WriteByte(',')
+				header.WriteByte(',')
 			}
 			name := fields[i]
 			switch name {
@@ -131,18 +132,18 @@
 			case logic.ReportInFlight:
 				name = "inflight"
 			}
-			fmt.Fprintf(&head, "%s=%g", name, v)
+			fmt.Fprintf(&header, "%s=%g", name, value)
 		}
-		head.WriteString("\r\n")
+		header.WriteString("\r\n")
 	}
 	body := "for " + id
 	switch r {
 	case logic.OK:
-		return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", head.String(), len(body), body)
+		return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", header.String(), len(body), body)
 	case logic.QueueFull:
-		return fmt.Appendf(nil, "HTTP/1.1 503 Full\r\n%sX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", head.String())
+		return fmt.Appendf(nil, "HTTP/1.1 503 Full\r\n%sX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", header.String())
 	case logic.Failed:
-		return fmt.Appendf(nil, "HTTP/1.1 500 Failed\r\n%sContent-Length: 0\r\n\r\n", head.String())
+		return fmt.Appendf(nil, "HTTP/1.1 500 Failed\r\n%sContent-Length: 0\r\n\r\n", header.String())
 	}
 	return nil
 }
--- a/internal/fleet/clients.go
+++ b/internal/fleet/clients.go
@@ -17,38 +17,41 @@
 	"pipitmux/logic"
 )
 
-// Send is emulator.Outside: the front has picked the node, the client sends.
+// Send implements emulator.Outside. It sends a request to the node that the model chose.
 func (f *fleet) Send(t emulator.Try) {
-	f.jobs.Go(func() { f.day.Done(t.ID, f.client(t)) })
+	f.background.Go(func() { f.day.Done(t.ID, f.send(t)) })
 }
 
-// client sends a request over a kept connection or a new one, and waits for its
-// answer until it is out of patience.
-func (f *fleet) client(t emulator.Try) emulator.Verdict {
+// send sends a request on an idle connection or a new one, and waits for the response until the
+// client's timeout.
+func (f *fleet) send(t emulator.Try) emulator.Verdict {
 	n := f.nodes[t.Node]
-	until := time.Now().Add(t.Patience + onSockets + 20*time.Millisecond)
-	process := n.process()
-	c := n.take()
-	kept := c != nil
+	deadline := time.Now().Add(t.Patience + socketSlack + 20*time.Millisecond)
+	epoch := n.currentEpoch()
+	c := n.takeIdle()
+	reused := c != nil
 	for {
 		if c == nil {
 			var err error
-			if c, err = f.front.Dial(n.held.Addr, until); err != nil {
+			if c, err = f.frontend.Dial(n.reservation.Addr, deadline); err != nil {
 				return emulator.Verdict{Answer: audit.NoAnswer}
 			}
 		}
-		v, crossed := f.talk(n, c, t, until)
-		// A close that crossed the request: the node has not read it, so it goes once more. One
-		// that was killed may have.
-		if !crossed || !kept || n.process() != process {
+		v, closed := f.exchange(n, c, t, deadline)
+		// The node closed an idle connection while the request was on its way. It has not read the
+		// request, so the client sends it once more. A node that was killed may have read it.
+		if !closed || !reused || n.currentEpoch() != epoch {
 			return v
 		}
-		c, kept = nil, false
+		c, reused = nil, false
 	}
 }
 
-func (f *fleet) talk(n *node, c net.Conn, t emulator.Try, until time.Time) (v emulator.Verdict, crossed bool) {
-	c.SetDeadline(until)
+// exchange sends a request on a connection and reads the response. closed means that sending
+// failed or that the connection ended before any byte of the response; a timeout of the response
+// doesn't count.
+func (f *fleet) exchange(n *node, c net.Conn, t emulator.Try, deadline time.Time) (v emulator.Verdict, closed bool) {
+	c.SetDeadline(deadline)
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() {
@@ -83,7 +86,7 @@
 	in := bufio.NewReader(c)
 	if _, err := in.Peek(1); err != nil {
 		c.Close()
-		return emulator.Verdict{Answer: audit.NoAnswer, Taken: true, Patient: late(err)}, !late(err)
+		return emulator.Verdict{Answer: audit.NoAnswer, Taken: true, Patient: timedOut(err)}, !timedOut(err)
 	}
 	res, err := http.ReadResponse(in, &http.Request{Method: method})
 	var body []byte
@@ -92,18 +95,18 @@
 	}
 	if err != nil {
 		c.Close()
-		return emulator.Verdict{Answer: audit.NoAnswer, Taken: true, Patient: late(err)}, false
+		return emulator.Verdict{Answer: audit.NoAnswer, Taken: true, Patient: timedOut(err)}, false
 	}
 	if res.Close || in.Buffered() > 0 {
 		c.Close()
 	} else {
-		n.give(c)
+		n.keepIdle(c)
 	}
 	switch {
 	case res.StatusCode == http.StatusOK && string(body) == "for "+t.ID:
 		v.Answer = audit.Served
 	case res.StatusCode == http.StatusOK:
-		v.Answer, v.Taken = audit.NoAnswer, true // served with what nobody made for it
+		v.Answer, v.Taken = audit.NoAnswer, true // the response to another request
 	case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests:
 		v.Answer = audit.Rejected
 		if s, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil {
@@ -115,31 +118,34 @@
 	return v, false
 }
 
-func late(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
+// timedOut reports whether an error is a timeout.
+func timedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// keptFor is how long a client keeps a connection without a request: a little less
-// than nodes do.
-const keptFor = 1500 * time.Millisecond
+// clientIdleTimeout is how long a client keeps an idle connection. It is a little shorter than the
+// nodes' timeout.
+const clientIdleTimeout = 1500 * time.Millisecond
 
-type kept struct {
+// idleConnection is a client's idle connection.
+type idleConnection struct {
 	net.Conn
 	since time.Time
 }
 
-// process tells the node's processes apart.
-func (n *node) process() int {
+// currentEpoch returns a number that changes whenever the node's process is started or ended.
+func (n *node) currentEpoch() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.epoch
 }
 
-func (n *node) take() net.Conn {
+// takeIdle returns an idle connection to the node, or nil if there is none.
+func (n *node) takeIdle() net.Conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for len(n.idle) > 0 {
 		c := n.idle[len(n.idle)-1]
 		n.idle = n.idle[:len(n.idle)-1]
-		if time.Since(c.since) < keptFor {
+		if time.Since(c.since) < clientIdleTimeout {
 			return c.Conn
 		}
 		c.Close()
@@ -147,12 +153,13 @@
 	return nil
 }
 
-func (n *node) give(c net.Conn) {
+// keepIdle keeps a connection for later requests. It closes it if the node's process has ended.
+func (n *node) keepIdle(c net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.run == nil {
+	if n.process == nil {
 		c.Close()
 		return
 	}
-	n.idle = append(n.idle, kept{c, time.Now()})
+	n.idle = append(n.idle, idleConnection{c, time.Now()})
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet plays a scenario's day on loopback sockets: real nodes as
-// processes, with stand-ins for backends, registry, front and clients. The
-// models behind the stand-ins, and the judgement, are package emulator's.
+// Package fleet runs a scenario on loopback sockets: real nodes as processes, with
+// fakes of the backends, the registry, the load balancer and the clients. The models
+// behind the fakes and the checks of the rules are in package emulator.
 package fleet
 
 import (
@@ -23,59 +23,59 @@
 	"pipitmux/internal/wire"
 )
 
-// Options are what a fleet is run with.
+// Options configures a run.
 type Options struct {
-	Program   string // the node's
-	Sockets   int    // descriptors and MiB that a node is told to keep to
-	MemoryMB  int
-	LogDir    string // where the nodes' logs go; "" keeps none
-	KeepState bool   // nodes keep their state on disk, through kills, until the day is over
-	Progress  func(at, of time.Duration)
+	Program   string // path of the node's program
+	Sockets   int    // limit on descriptors in a node's configuration
+	MemoryMB  int    // limit on memory in a node's configuration, in MiB
+	LogDir    string // folder for the nodes' logs; if empty, they are discarded
+	KeepState bool   // nodes keep their state on disk until the end of the run, also when they are killed
+	Progress  func(at, total time.Duration)
 }
 
 const (
-	readyWithin = 15 * time.Second
-	stopWithin  = 6 * time.Second
-	// onSockets is how much longer than by the rules an answer may take here.
-	onSockets = 50 * time.Millisecond
+	readyTimeout = 15 * time.Second
+	stopTimeout  = 6 * time.Second
+	// socketSlack is how much later than the rules allow an answer may come on real sockets.
+	socketSlack = 50 * time.Millisecond
 )
 
-// Run plays a scenario's day of a seed. What it has started it ends.
+// Run runs a scenario with a seed. It ends all processes that it has started.
 func Run(ctx context.Context, sc *emulator.Scenario, seed uint64, opt Options) (*emulator.Result, error) {
 	dir, err := os.MkdirTemp("", "oaklab-fleet")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	slower := *sc
-	slower.Rules.AnswerSlackMS.From += float64(onSockets / time.Millisecond)
-	slower.Rules.AnswerSlackMS.To += float64(onSockets / time.Millisecond)
-	slower.TickMS = emulator.Span{} // nodes on sockets handle what comes at once
-	f := &fleet{opt: opt, dir: dir, day: emulator.NewLive(&slower, seed), cuts: map[[2]int]bool{}, quit: make(chan struct{})}
-	if f.front, err = standin.NewFrontend("127.0.0.1"); err != nil {
+	relaxed := *sc
+	relaxed.Rules.AnswerSlackMS.From += float64(socketSlack / time.Millisecond)
+	relaxed.Rules.AnswerSlackMS.To += float64(socketSlack / time.Millisecond)
+	relaxed.TickMS = emulator.Span{} // real nodes handle events as they arrive
+	f := &fleet{opt: opt, dir: dir, day: emulator.NewLive(&relaxed, seed), cuts: map[[2]int]bool{}, quit: make(chan struct{})}
+	if f.frontend, err = standin.NewFrontend("127.0.0.1"); err != nil {
 		return nil, err
 	}
 	f.zones = f.day.Nodes()
 	f.fields = f.day.Settings(0).ReportFields
-	defer f.end()
+	defer f.stop()
 	for i := range f.zones {
-		held, err := standin.ReserveAddress("127.0.0.1")
+		reservation, err := standin.ReserveAddress("127.0.0.1")
 		if err != nil {
 			return nil, err
 		}
-		d, err := standin.NewRegistry("127.0.0.1", &lists{f, i})
+		registry, err := standin.NewRegistry("127.0.0.1", &listSource{f, i})
 		if err != nil {
-			held.Close()
+			reservation.Close()
 			return nil, err
 		}
-		f.nodes = append(f.nodes, &node{no: i, held: held, registry: d})
+		f.nodes = append(f.nodes, &node{number: i, reservation: reservation, registry: registry})
 	}
 	if f.day.Talk() > 0 {
-		var at []string
+		var addresses []string
 		for _, n := range f.nodes {
-			at = append(at, n.peerListen())
+			addresses = append(addresses, n.peerAddress())
 		}
-		if f.relays, err = standin.NewRelays(at, seed); err != nil {
+		if f.relays, err = standin.NewRelays(addresses, seed); err != nil {
 			return nil, err
 		}
 		f.relays.SetDelivery(f.day.Passes)
@@ -83,47 +83,48 @@
 	return f.day.Run(ctx, f, opt.Progress)
 }
 
-// fleet is the Outside of a live day.
+// fleet implements emulator.Outside with processes and sockets.
 type fleet struct {
-	opt    Options
-	dir    string
-	day    *emulator.Live
-	zones  []string
-	fields []string // of load reports
-	nodes  []*node
-	front  *standin.Frontend
-	relays *standin.Relays // between the nodes, nil where they don't talk
-	quit   chan struct{}
+	opt      Options
+	dir      string
+	day      *emulator.Live
+	zones    []string
+	fields   []string // names of the fields of load reports
+	nodes    []*node
+	frontend *standin.Frontend
+	relays   *standin.Relays // between the nodes; nil if the nodes don't send each other datagrams
+	quit     chan struct{}
 
-	mu       sync.Mutex
-	machines [][]*standin.Machine // of each backend, by the node that reaches it there
-	cuts     map[[2]int]bool      // by node and backend: no connection comes up
-	jobs     sync.WaitGroup
+	mu         sync.Mutex
+	machines   [][]*standin.Machine // by backend, then by the node that connects there
+	cuts       map[[2]int]bool      // by node and backend; true if the node can't reach the backend
+	background sync.WaitGroup
 }
 
-// node is a node's process, and the connections that clients hold to it.
+// node is a node with its process and the clients' idle connections to it.
 type node struct {
-	no       int
-	held     *standin.ReservedAddress // its address, also while its process is down
-	registry *standin.Registry
+	number      int
+	reservation *standin.ReservedAddress // keeps the node's address while its process is down
+	registry    *standin.Registry
 
-	mu    sync.Mutex
-	epoch int
-	run   *standin.Node
-	idle  []kept
+	mu      sync.Mutex
+	epoch   int // changes whenever the process is started or ended
+	process *standin.Node
+	idle    []idleConnection
 }
 
-func (f *fleet) end() {
+// stop ends all processes and closes all sockets.
+func (f *fleet) stop() {
 	close(f.quit)
-	f.front.Close()
+	f.frontend.Close()
 	var stopped sync.WaitGroup
 	for _, n := range f.nodes {
 		stopped.Go(func() {
-			if run := n.drop(); run != nil {
-				run.Stop(stopWithin)
+			if process := n.detach(); process != nil {
+				process.Stop(stopTimeout)
 			}
 			n.registry.Close()
-			n.held.Close()
+			n.reservation.Close()
 		})
 	}
 	stopped.Wait()
@@ -131,33 +132,33 @@
 		f.relays.Close()
 	}
 	f.mu.Lock()
-	for _, ms := range f.machines {
-		for _, m := range ms {
+	for _, machines := range f.machines {
+		for _, m := range machines {
 			m.Close()
 		}
 	}
 	f.mu.Unlock()
-	f.jobs.Wait()
+	f.background.Wait()
 }
 
-// Start is emulator.Outside.
-func (f *fleet) Start(no int, rev int64, known []core.Backend) {
-	n := f.nodes[no]
+// Start implements emulator.Outside. It starts a node's process in the background.
+func (f *fleet) Start(number int, rev int64, known []core.Backend) {
+	n := f.nodes[number]
 	n.mu.Lock()
 	n.epoch++
 	epoch := n.epoch
 	n.mu.Unlock()
 	c := standin.NodeConfig{
-		Name: fmt.Sprint("n", no), Listen: n.held.Addr, Discovery: n.registry.Addr, Seed: strconv.FormatUint(uint64(no+1)*0x9e3779b97f4a7c15+uint64(epoch), 16),
+		Name: fmt.Sprint("n", number), Listen: n.reservation.Addr, Discovery: n.registry.Addr, Seed: strconv.FormatUint(uint64(number+1)*0x9e3779b97f4a7c15+uint64(epoch), 16),
 		Limits:   map[string]any{"cores": 1.0, "memory_mb": f.opt.MemoryMB, "sockets": f.opt.Sockets},
-		Known:    f.list(no, emulator.ListChanges{Rev: rev, All: true, Entries: known}),
-		Settings: wire.EncodeSettings(f.day.Settings(no), f.day.Connect()),
+		Known:    f.convertList(number, emulator.ListChanges{Rev: rev, All: true, Entries: known}),
+		Settings: wire.EncodeSettings(f.day.Settings(number), f.day.Connect()),
 	}
 	if f.relays != nil {
-		c.PeerListen, c.Peers = n.peerListen(), f.relays.Peers(no)
+		c.PeerListen, c.Peers = n.peerAddress(), f.relays.Peers(number)
 	}
-	f.jobs.Go(func() {
-		run, err := f.launch(n, c)
+	f.background.Go(func() {
+		process, err := f.launch(n, c)
 		if err != nil {
 			f.day.Fail(err)
 			return
@@ -165,103 +166,106 @@
 		n.mu.Lock()
 		if n.epoch != epoch {
 			n.mu.Unlock()
-			run.Kill()
+			process.Kill()
 			return
 		}
-		n.run = run
+		n.process = process
 		n.mu.Unlock()
-		if err := run.WaitReady(readyWithin); err != nil {
-			f.day.Fail(fmt.Errorf("node %d: %w", no, err))
+		if err := process.WaitReady(readyTimeout); err != nil {
+			f.day.Fail(fmt.Errorf("node %d: %w", number, err))
 			return
 		}
-		f.day.Up(no)
-		f.jobs.Go(func() {
-			<-run.Exited()
+		f.day.Up(number)
+		f.background.Go(func() {
+			<-process.Exited()
 			n.mu.Lock()
-			own := n.epoch == epoch
+			current := n.epoch == epoch
 			n.mu.Unlock()
-			if own { // nobody killed it
-				f.day.Crashed(no, errors.Join(run.Err(), errors.New("see its log")))
+			if current { // the run did not end it
+				f.day.Crashed(number, errors.Join(process.Err(), errors.New("see its log")))
 			}
 		})
 	})
 }
 
+// launch writes a node's files and starts its process.
 func (f *fleet) launch(n *node, c standin.NodeConfig) (*standin.Node, error) {
 	dir, err := os.MkdirTemp(f.dir, "node")
 	if err != nil {
 		return nil, err
 	}
-	var own []byte
+	var options []byte
 	if f.opt.KeepState {
-		own = fmt.Appendf(own, "state: {dir: %q}\n", f.dir)
+		options = fmt.Appendf(options, "state: {dir: %q}\n", f.dir)
 	}
 	if f.relays != nil {
-		own = fmt.Appendf(own, "peers: {bytes_per_s: %g}\nlog: {format: json}\n", f.day.Talk())
+		options = fmt.Appendf(options, "peers: {bytes_per_s: %g}\nlog: {format: json}\n", f.day.Talk())
 	}
 	var args []string
-	if own != nil {
+	if options != nil {
 		name := filepath.Join(dir, "own.yaml")
-		if err := os.WriteFile(name, own, 0o600); err != nil {
+		if err := os.WriteFile(name, options, 0o600); err != nil {
 			return nil, err
 		}
 		args = []string{"node", "--config", name}
 	}
 	var log io.Writer
-	done := func() {}
+	closeLog := func() {}
 	if f.opt.LogDir != "" {
 		file, err := os.OpenFile(filepath.Join(f.opt.LogDir, c.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return nil, err
 		}
-		log, done = file, func() { file.Close() }
+		log, closeLog = file, func() { file.Close() }
 	}
 	if f.relays != nil {
-		log = &standin.PeerLogWriter{Log: log, OnChange: func(about int, state string) { f.takes(n.no, about, state) }}
+		log = &standin.PeerLogWriter{Log: log, OnChange: func(peer int, state string) { f.recordPeerState(n.number, peer, state) }}
 	}
-	run, err := standin.StartNode(f.opt.Program, dir, c, n.held.Addr, n.registry.Addr, log, args...)
+	process, err := standin.StartNode(f.opt.Program, dir, c, n.reservation.Addr, n.registry.Addr, log, args...)
 	if err != nil {
-		done()
+		closeLog()
 		return nil, err
 	}
-	f.jobs.Go(func() { // what it wrote is copied until then
-		<-run.Exited()
-		done()
+	f.background.Go(func() { // the process's output is copied until it exits
+		<-process.Exited()
+		closeLog()
 	})
-	return run, nil
+	return process, nil
 }
 
-// peerListen is where the node hears others: at its own number, on an address that no relay has.
-func (n *node) peerListen() string {
-	_, port, _ := net.SplitHostPort(n.held.Addr) // an address of ours
+// peerAddress returns the address on which the node receives datagrams of other nodes. It has the port
+// of the node's own address, on a host address that no relay uses.
+func (n *node) peerAddress() string {
+	_, port, _ := net.SplitHostPort(n.reservation.Addr) // always a valid address
 	return net.JoinHostPort("127.0.0.3", port)
 }
 
-// takes tells the day what a node takes another for, by its log.
-func (f *fleet) takes(by, about int, state string) {
+// recordPeerState passes on the state of a peer that a node has logged.
+func (f *fleet) recordPeerState(by, peer int, state string) {
 	for _, s := range []member.State{member.There, member.Suspected, member.Gone} {
 		if peers.StateName(s) == state {
-			f.day.Takes(by, about, s)
+			f.day.Takes(by, peer, s)
 		}
 	}
 }
 
-// Kill is emulator.Outside.
-func (f *fleet) Kill(no int) {
-	if run := f.nodes[no].drop(); run != nil {
-		run.Signal(os.Kill)
+// Kill implements emulator.Outside. It kills a node's process.
+func (f *fleet) Kill(number int) {
+	if process := f.nodes[number].detach(); process != nil {
+		process.Signal(os.Kill)
 	}
 }
 
-// drop gives up the node's process, which it returns, and what clients hold to it.
-func (n *node) drop() *standin.Node {
+// detach closes the clients' idle connections and returns the node's process, which no longer belongs
+// to the node.
+func (n *node) detach() *standin.Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.epoch++
-	run := n.run
+	process := n.process
 	for _, c := range n.idle {
 		c.Close()
 	}
-	n.run, n.idle = nil, nil
-	return run
+	n.process, n.idle = nil, nil
+	return process
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,19 +16,20 @@
 	"pipitmux/logic"
 )
 
-// A client whose kept connection ends with no answer sends its request once more where the node
-// lives on, and not where it was killed: that one may have read it.
-func TestCloseUnderARequest(t *testing.T) {
-	for name, killed := range map[string]bool{"killed": true, "lives on": false} {
+// TestClientResendsOnlyIfNodeIsAlive guards against a client that sends a request twice to a node that
+// may have read it. If an idle connection is closed without a response while the node is alive, the
+// client sends the request once more. If the node was killed, it does not.
+func TestClientResendsOnlyIfNodeIsAlive(t *testing.T) {
+	for name, killed := range map[string]bool{"killed": true, "alive": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			sc, err := emulator.Read("../../deploy/lab/loopback.yaml")
 			require.NoError(t, err)
-			front, err := standin.NewFrontend("127.0.0.1")
+			frontend, err := standin.NewFrontend("127.0.0.1")
 			require.NoError(t, err)
-			defer front.Close()
-			n := &node{run: &standin.Node{}}
-			came := make(chan string, 10)
+			defer frontend.Close()
+			n := &node{process: &standin.Node{}}
+			received := make(chan string, 10)
 			m, err := standin.NewMachine("127.0.0.1", func(c net.Conn) {
 				in := bufio.NewReader(c)
 				for first := true; ; first = false {
@@ -37,27 +38,27 @@
 						return
 					}
 					id := r.Header.Get("X-Correlation-Id")
-					came <- id
+					received <- id
 					if !first {
 						if killed {
-							n.drop()
+							n.detach()
 						}
 						return
 					}
-					c.Write(answer(id, logic.OK, nil, nil))
+					c.Write(response(id, logic.OK, nil, nil))
 				}
 			})
 			require.NoError(t, err)
 			defer m.Close()
-			n.held = &standin.ReservedAddress{Addr: m.Addr}
-			f := &fleet{day: emulator.NewLive(sc, 1), front: front, nodes: []*node{n}, quit: make(chan struct{})}
+			n.reservation = &standin.ReservedAddress{Addr: m.Addr}
+			f := &fleet{day: emulator.NewLive(sc, 1), frontend: frontend, nodes: []*node{n}, quit: make(chan struct{})}
 			try := emulator.Try{ID: "1", Class: logic.Class{Effect: logic.Unsafe}, Patience: 10 * time.Second}
-			assert.Equal(t, emulator.Verdict{Answer: audit.Served}, f.client(try))
+			assert.Equal(t, emulator.Verdict{Answer: audit.Served}, f.send(try))
 			try.ID = "2"
-			v := f.client(try)
+			v := f.send(try)
 			var ids []string
-			for len(came) > 0 { // each was put there before the client had its answer or end
-				ids = append(ids, <-came)
+			for len(received) > 0 { // each id was sent before the client got its response or the close
+				ids = append(ids, <-received)
 			}
 			if killed {
 				assert.Equal(t, emulator.Verdict{Answer: audit.NoAnswer, Taken: true}, v)
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -9,18 +9,19 @@
 	"pipitmux/internal/standin"
 )
 
-// list puts a list into the registry's form, with the endpoints of one node.
-func (f *fleet) list(node int, l emulator.ListChanges) standin.List {
+// convertList converts a list to the registry's format. The endpoints are the addresses at which one
+// node reaches the backends.
+func (f *fleet) convertList(node int, l emulator.ListChanges) standin.List {
 	var entries []core.Backend
 	for _, e := range l.Entries {
-		no, err := f.day.BackendNo(e.Endpoint)
+		number, err := f.day.BackendNo(e.Endpoint)
 		if err != nil {
 			continue
 		}
 		f.mu.Lock()
 		e.Endpoint = ""
-		if no < len(f.machines) {
-			e.Endpoint = f.machines[no][node].Addr
+		if number < len(f.machines) {
+			e.Endpoint = f.machines[number][node].Addr
 		}
 		f.mu.Unlock()
 		entries = append(entries, e)
@@ -28,39 +29,39 @@
 	return discovery.NewList(l.Rev, l.All, entries)
 }
 
-// lists is one node's side of the registry.
-type lists struct {
-	f    *fleet
-	node int
+// listSource provides the lists of one node's registry.
+type listSource struct {
+	fleet *fleet
+	node  int
 }
 
-// List is standin.Lists.
-func (l *lists) List() (standin.List, bool) {
-	got, ok := l.f.day.List(l.node)
+// List implements standin.ListSource.
+func (l *listSource) List() (standin.List, bool) {
+	got, ok := l.fleet.day.List(l.node)
 	if !ok {
 		return standin.List{}, false
 	}
-	return l.f.list(l.node, got), true
+	return l.fleet.convertList(l.node, got), true
 }
 
-// Next is standin.Lists.
-func (l *lists) Next(rev int64, stop <-chan struct{}) (standin.List, bool) {
-	got, ok := l.f.day.Next(l.node, rev, stop)
+// Next implements standin.ListSource.
+func (l *listSource) Next(rev int64, stop <-chan struct{}) (standin.List, bool) {
+	got, ok := l.fleet.day.Next(l.node, rev, stop)
 	if !ok {
 		return standin.List{}, false
 	}
-	return l.f.list(l.node, got), true
+	return l.fleet.convertList(l.node, got), true
 }
 
-// Delivered is standin.Lists.
-func (l *lists) Delivered(list standin.List) {
+// Delivered implements standin.ListSource.
+func (l *listSource) Delivered(list standin.List) {
 	entries, err := list.Backends()
 	if err != nil {
-		l.f.day.Fail(err)
+		l.fleet.day.Fail(err)
 		return
 	}
-	for i, e := range entries { // the day's endpoint is the id without its generation
+	for i, e := range entries { // the emulator's endpoint is the id without its generation
 		entries[i].Endpoint, _, _ = strings.Cut(string(e.ID), ".")
 	}
-	l.f.day.Told(l.node, emulator.ListChanges{Rev: list.Revision, All: list.Full, Entries: entries})
+	l.fleet.day.Told(l.node, emulator.ListChanges{Rev: list.Revision, All: list.Full, Entries: entries})
 }
