--- a/cmd/oaklab/fault.go
+++ b/cmd/oaklab/fault.go
@@ -33,8 +33,8 @@
 		"Runs a scenario that loses a site: real nodes in two sites on loopback, killed with -9 if their site is\n"+
 			"lost, backends that stop answering, one-way partitions, a return with cold backends and old lists. Prints\n"+
 			"the share of worth earned before, during and after, and what the remaining capacity would have allowed.",
-		fault.SiteLossKinds, func(sc *emulator.Scenario, r *emulator.Result, played string) (report, error) {
-			s, err := fault.SummarizeSiteLoss(sc, r, played)
+		fault.SiteLossKinds, func(sc *emulator.Scenario, r *emulator.Result, execution string) (report, error) {
+			s, err := fault.SummarizeSiteLoss(sc, r, execution)
 			return siteLoss{s}, err
 		})
 }
@@ -44,8 +44,8 @@
 		"Runs a scenario in which every node is killed with -9 and every backend and the registry stop answering.\n"+
 			"All restart, at the same time or in a random order, the registry late. Prints how long it took until\n"+
 			"service was as before, and the share of worth earned in the first minute.",
-		fault.PowerLossKinds, func(sc *emulator.Scenario, r *emulator.Result, played string) (report, error) {
-			p, err := fault.SummarizePowerLoss(sc, r, played)
+		fault.PowerLossKinds, func(sc *emulator.Scenario, r *emulator.Result, execution string) (report, error) {
+			p, err := fault.SummarizePowerLoss(sc, r, execution)
 			return powerLoss{p}, err
 		})
 }
@@ -84,10 +84,10 @@
 			if _, _, err := fault.LossWindow(sc, kinds); err != nil {
 				return cli.Wrong(fmt.Errorf("%s: %w", args[0], err))
 			}
-			played := "processes"
+			execution := "processes"
 			var r *emulator.Result
 			if emulated {
-				played = "emulated"
+				execution = "emulated"
 				r, err = emulate(c.Context(), sc, seed, emulator.Options{Workers: runtime.GOMAXPROCS(0)}, c.ErrOrStderr())
 			} else {
 				r, err = runOnLoopback(c.Context(), sc, seed, opt, c.ErrOrStderr())
@@ -95,7 +95,7 @@
 			if err != nil {
 				return err
 			}
-			s, err := summarize(sc, r, played)
+			s, err := summarize(sc, r, execution)
 			if err != nil {
 				return err
 			}
@@ -140,7 +140,7 @@
 
 // print writes the report as text.
 func (s siteLoss) print(w io.Writer) {
-	printHead(w, &s.Day)
+	printHead(w, &s.RunSummary)
 	for _, p := range []struct {
 		name     string
 		g, ideal float64
@@ -156,25 +156,25 @@
 		fmt.Fprintf(w, "refused %-12s %6d of %6d (%.3f), worth %g, %.0f a second of work\n", r.Class, r.Rejected, r.Asked, r.Share, r.Worth, r.PerWork)
 	}
 	fmt.Fprintf(w, "return overshoot %.2f of the capacity, %.2f fells\n", s.ReturnOvershoot, s.OvershootLimit)
-	printEnd(w, &s.Day, "")
+	printEnd(w, &s.RunSummary, "")
 }
 
 // print writes the report as text.
 func (p powerLoss) print(w io.Writer) {
-	printHead(w, &p.Day)
+	printHead(w, &p.RunSummary)
 	fmt.Fprintf(w, "before G %.3f, first 60 s with power G %.3f of an ideal %.3f\n", p.GBefore, p.GFirst60S, p.IdealFirst60S)
 	fmt.Fprintf(w, "seconds to service %.0f\n", p.SecondsToService)
 	fmt.Fprintf(w, "overshoot %.2f of the capacity, %.2f fells\n", p.Overshoot, p.OvershootLimit)
-	printEnd(w, &p.Day, fmt.Sprintf("; stale sends %d", p.StaleSends))
+	printEnd(w, &p.RunSummary, fmt.Sprintf("; stale sends %d", p.StaleSends))
 }
 
 // printHead writes the line that begins every report.
-func printHead(w io.Writer, d *fault.Day) {
-	fmt.Fprintf(w, "%s, seed %d, %s: %d nodes, %d backends, %d reqs\n", d.Scenario, d.Seed, d.Played, d.Nodes, d.Backends, d.Requests)
+func printHead(w io.Writer, d *fault.RunSummary) {
+	fmt.Fprintf(w, "%s, seed %d, %s: %d nodes, %d backends, %d reqs\n", d.Scenario, d.Seed, d.Execution, d.Nodes, d.Backends, d.Requests)
 }
 
 // printEnd writes the counts of broken rules, followed by more, and the faults that happened.
-func printEnd(w io.Writer, d *fault.Day, more string) {
+func printEnd(w io.Writer, d *fault.RunSummary, more string) {
 	fmt.Fprintf(w, "rules broken: unanswered %d, double effects %d, late drain sends %d, felled backends %d%s\n",
 		d.Unanswered, d.DuplicateEffects, d.LateDrainSends, d.OverloadedBackends, more)
 	for _, h := range d.Happened {
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -16,11 +16,11 @@
 	"pipitmux/internal/emulator"
 )
 
-// Day holds what every report has: the run and its counts of broken rules.
-type Day struct {
+// RunSummary holds what every report has: the run and its counts of broken rules.
+type RunSummary struct {
 	Scenario           string `json:"scenario"`
 	Seed               uint64 `json:"seed"`
-	Played             string `json:"played"` // "processes" or "emulated"
+	Execution          string `json:"played"` // "processes" or "emulated"
 	Nodes              int    `json:"nodes"`
 	Backends           int    `json:"backends"`
 	Requests           int    `json:"reqs"`
@@ -34,13 +34,13 @@
 }
 
 // Clean reports whether no rule was broken.
-func (d *Day) Clean() bool {
-	return d.Unanswered+d.DuplicateEffects+d.LateDrainSends+d.OverloadedBackends == 0
+func (s *RunSummary) Clean() bool {
+	return s.Unanswered+s.DuplicateEffects+s.LateDrainSends+s.OverloadedBackends == 0
 }
 
-// newDay returns the common part of a report.
-func newDay(r *emulator.Result, played string) Day {
-	return Day{Scenario: r.Scenario, Seed: r.Seed, Played: played, Nodes: r.Nodes, Backends: r.Backends, Requests: r.Requests,
+// newRunSummary returns the common part of a report.
+func newRunSummary(r *emulator.Result, execution string) RunSummary {
+	return RunSummary{Scenario: r.Scenario, Seed: r.Seed, Execution: execution, Nodes: r.Nodes, Backends: r.Backends, Requests: r.Requests,
 		Unanswered: r.Rules.Unanswered, DuplicateEffects: r.Rules.DuplicateEffects, LateDrainSends: r.Rules.LateDrainSends,
 		OverloadedBackends: r.Rules.OverloadedBackends, Happened: r.Happened, Seconds: r.Seconds}
 }
@@ -59,7 +59,7 @@
 // offered in that part of the run. Each ideal is the share that an estimate from capacity alone would
 // have earned (see the seconds of emulator.Result).
 type SiteLoss struct {
-	Day
+	RunSummary
 	RejectedByWorth []Rejection `json:"refused_by_worth"` // ordered by worth per work, lowest first
 	// ReturnOvershoot is the largest amount of work that all nodes together sent a cold backend
 	// within the overload window, as a multiple of its capacity. At OvershootLimit the backend fails.
@@ -83,7 +83,7 @@
 
 // PowerLoss is the report of a run in which all machines lost power.
 type PowerLoss struct {
-	Day
+	RunSummary
 	StaleSends     int     `json:"stale_sends"` // attempts sent to a backend after its node was told that the backend is gone
 	Overshoot      float64 `json:"overshoot"`   // see SiteLoss.ReturnOvershoot
 	OvershootLimit float64 `json:"overshoot_limit"`
@@ -97,7 +97,7 @@
 
 // Clean reports whether no rule was broken and nothing was sent to backends known to be gone.
 func (p *PowerLoss) Clean() bool {
-	return p.Day.Clean() && p.StaleSends == 0
+	return p.RunSummary.Clean() && p.StaleSends == 0
 }
 
 // ErrNoLoss means that a scenario has no loss of the requested kind at a fixed time.
@@ -131,12 +131,12 @@
 }
 
 // SummarizePowerLoss summarizes a run of the scenario in which power was lost.
-func SummarizePowerLoss(sc *emulator.Scenario, r *emulator.Result, played string) (*PowerLoss, error) {
+func SummarizePowerLoss(sc *emulator.Scenario, r *emulator.Result, execution string) (*PowerLoss, error) {
 	from, to, err := LossWindow(sc, PowerLossKinds)
 	if err != nil {
 		return nil, err
 	}
-	p := &PowerLoss{Day: newDay(r, played), StaleSends: r.Stale, Overshoot: r.Rules.Overshoot,
+	p := &PowerLoss{RunSummary: newRunSummary(r, execution), StaleSends: r.Stale, Overshoot: r.Rules.Overshoot,
 		OvershootLimit: sc.Rules.FallMultiple.From}
 	returned := int(to.Seconds())
 	p.GBefore, _ = earnedShare(r.Seconds, 0, int(from.Seconds())-1)
@@ -157,12 +157,12 @@
 }
 
 // SummarizeSiteLoss summarizes a run of the scenario in which a site was lost or partitioned.
-func SummarizeSiteLoss(sc *emulator.Scenario, r *emulator.Result, played string) (*SiteLoss, error) {
+func SummarizeSiteLoss(sc *emulator.Scenario, r *emulator.Result, execution string) (*SiteLoss, error) {
 	from, to, err := LossWindow(sc, SiteLossKinds)
 	if err != nil {
 		return nil, err
 	}
-	s := &SiteLoss{Day: newDay(r, played), ReturnOvershoot: r.Rules.Overshoot, OvershootLimit: sc.Rules.FallMultiple.From}
+	s := &SiteLoss{RunSummary: newRunSummary(r, execution), ReturnOvershoot: r.Rules.Overshoot, OvershootLimit: sc.Rules.FallMultiple.From}
 	for i := range sc.Classes {
 		c := &sc.Classes[i]
 		got := r.Classes[c.Name]
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -24,7 +24,7 @@
 		for i := range f.nodes {
 			m, err := standin.NewMachine("127.0.0.1", func(c net.Conn) { f.serve(c, backend, i) })
 			if err != nil {
-				f.day.Fail(err)
+				f.live.Fail(err)
 				return
 			}
 			machines = append(machines, m)
@@ -35,7 +35,7 @@
 		switch how {
 		case emulator.Up:
 			if err := m.Up(); err != nil {
-				f.day.Fail(fmt.Errorf("backend %d can't listen again: %w", number, err))
+				f.live.Fail(fmt.Errorf("backend %d can't listen again: %w", number, err))
 			}
 			if f.cuts[[2]int{i, number}] {
 				f.background.Go(m.Blackhole)
@@ -59,17 +59,17 @@
 	m := f.machines[backend][node]
 	if f.cuts[path] = cut; cut {
 		f.background.Go(m.Blackhole)
-	} else if f.day.Serves(backend) {
+	} else if f.live.Serves(backend) {
 		if err := m.Up(); err != nil {
-			f.day.Fail(fmt.Errorf("backend %d can't listen again after a partition: %w", backend, err))
+			f.live.Fail(fmt.Errorf("backend %d can't listen again after a partition: %w", backend, err))
 		}
 	}
 }
 
 // serve handles a backend's side of one connection. It answers one request at a time.
 func (f *fleet) serve(c net.Conn, backend, node int) {
-	f.day.Conns(backend, 1)
-	defer f.day.Conns(backend, -1)
+	f.live.Conns(backend, 1)
+	defer f.live.Conns(backend, -1)
 	requests := make(chan string, 1) // ids of the requests received
 	stop := make(chan struct{})
 	defer close(stop)
@@ -94,7 +94,7 @@
 	newConnection := true
 	for id := range requests {
 		done := make(chan []byte, 1)
-		hangUp := f.day.Arrived(backend, node, id, newConnection, func(r logic.Result, report []float64) { done <- response(id, r, report, f.fields) })
+		hangUp := f.live.Arrived(backend, node, id, newConnection, func(r logic.Result, report []float64) { done <- response(id, r, report, f.fields) })
 		newConnection = false
 		select {
 		case text := <-done:
--- a/internal/fleet/clients.go
+++ b/internal/fleet/clients.go
@@ -19,7 +19,7 @@
 
 // Send implements emulator.Outside. It sends a request to the node that the model chose.
 func (f *fleet) Send(t emulator.Try) {
-	f.background.Go(func() { f.day.Done(t.ID, f.send(t)) })
+	f.background.Go(func() { f.live.Done(t.ID, f.send(t)) })
 }
 
 // send sends a request on an idle connection or a new one, and waits for the response until the
@@ -78,7 +78,7 @@
 		b.WriteString("Content-Length: 0\r\n")
 	}
 	b.WriteString("\r\n")
-	f.day.Sending(t.ID, t.Patience)
+	f.live.Sending(t.ID, t.Patience)
 	if _, err := c.Write(b.Bytes()); err != nil {
 		c.Close()
 		return emulator.Verdict{Answer: audit.NoAnswer}, true
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -51,12 +51,12 @@
 	relaxed.Rules.AnswerSlackMS.From += float64(socketSlack / time.Millisecond)
 	relaxed.Rules.AnswerSlackMS.To += float64(socketSlack / time.Millisecond)
 	relaxed.TickMS = emulator.Span{} // real nodes handle events as they arrive
-	f := &fleet{opt: opt, dir: dir, day: emulator.NewLive(&relaxed, seed), cuts: map[[2]int]bool{}, quit: make(chan struct{})}
+	f := &fleet{opt: opt, dir: dir, live: emulator.NewLive(&relaxed, seed), cuts: map[[2]int]bool{}, quit: make(chan struct{})}
 	if f.frontend, err = standin.NewFrontend("127.0.0.1"); err != nil {
 		return nil, err
 	}
-	f.zones = f.day.Nodes()
-	f.fields = f.day.Settings(0).ReportFields
+	f.zones = f.live.Nodes()
+	f.fields = f.live.Settings(0).ReportFields
 	defer f.stop()
 	for i := range f.zones {
 		reservation, err := standin.ReserveAddress("127.0.0.1")
@@ -70,7 +70,7 @@
 		}
 		f.nodes = append(f.nodes, &node{number: i, reservation: reservation, registry: registry})
 	}
-	if f.day.Talk() > 0 {
+	if f.live.Talk() > 0 {
 		var addresses []string
 		for _, n := range f.nodes {
 			addresses = append(addresses, n.peerAddress())
@@ -78,16 +78,16 @@
 		if f.relays, err = standin.NewRelays(addresses, seed); err != nil {
 			return nil, err
 		}
-		f.relays.SetDelivery(f.day.Passes)
+		f.relays.SetDelivery(f.live.Passes)
 	}
-	return f.day.Run(ctx, f, opt.Progress)
+	return f.live.Run(ctx, f, opt.Progress)
 }
 
 // fleet implements emulator.Outside with processes and sockets.
 type fleet struct {
 	opt      Options
 	dir      string
-	day      *emulator.Live
+	live     *emulator.Live
 	zones    []string
 	fields   []string // names of the fields of load reports
 	nodes    []*node
@@ -152,7 +152,7 @@
 		Name: fmt.Sprint("n", number), Listen: n.reservation.Addr, Discovery: n.registry.Addr, Seed: strconv.FormatUint(uint64(number+1)*0x9e3779b97f4a7c15+uint64(epoch), 16),
 		Limits:   map[string]any{"cores": 1.0, "memory_mb": f.opt.MemoryMB, "sockets": f.opt.Sockets},
 		Known:    f.convertList(number, emulator.ListChanges{Rev: rev, All: true, Entries: known}),
-		Settings: wire.EncodeSettings(f.day.Settings(number), f.day.Connect()),
+		Settings: wire.EncodeSettings(f.live.Settings(number), f.live.Connect()),
 	}
 	if f.relays != nil {
 		c.PeerListen, c.Peers = n.peerAddress(), f.relays.Peers(number)
@@ -160,7 +160,7 @@
 	f.background.Go(func() {
 		process, err := f.launch(n, c)
 		if err != nil {
-			f.day.Fail(err)
+			f.live.Fail(err)
 			return
 		}
 		n.mu.Lock()
@@ -172,17 +172,17 @@
 		n.process = process
 		n.mu.Unlock()
 		if err := process.WaitReady(readyTimeout); err != nil {
-			f.day.Fail(fmt.Errorf("node %d: %w", number, err))
+			f.live.Fail(fmt.Errorf("node %d: %w", number, err))
 			return
 		}
-		f.day.Up(number)
+		f.live.Up(number)
 		f.background.Go(func() {
 			<-process.Exited()
 			n.mu.Lock()
 			current := n.epoch == epoch
 			n.mu.Unlock()
 			if current { // the run did not end it
-				f.day.Crashed(number, errors.Join(process.Err(), errors.New("see its log")))
+				f.live.Crashed(number, errors.Join(process.Err(), errors.New("see its log")))
 			}
 		})
 	})
@@ -199,7 +199,7 @@
 		options = fmt.Appendf(options, "state: {dir: %q}\n", f.dir)
 	}
 	if f.relays != nil {
-		options = fmt.Appendf(options, "peers: {bytes_per_s: %g}\nlog: {format: json}\n", f.day.Talk())
+		options = fmt.Appendf(options, "peers: {bytes_per_s: %g}\nlog: {format: json}\n", f.live.Talk())
 	}
 	var args []string
 	if options != nil {
@@ -244,7 +244,7 @@
 func (f *fleet) recordPeerState(by, peer int, state string) {
 	for _, s := range []member.State{member.There, member.Suspected, member.Gone} {
 		if peers.StateName(s) == state {
-			f.day.Takes(by, peer, s)
+			f.live.Takes(by, peer, s)
 		}
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -51,7 +51,7 @@
 			require.NoError(t, err)
 			defer m.Close()
 			n.reservation = &standin.ReservedAddress{Addr: m.Addr}
-			f := &fleet{day: emulator.NewLive(sc, 1), frontend: frontend, nodes: []*node{n}, quit: make(chan struct{})}
+			f := &fleet{live: emulator.NewLive(sc, 1), frontend: frontend, nodes: []*node{n}, quit: make(chan struct{})}
 			try := emulator.Try{ID: "1", Class: logic.Class{Effect: logic.Unsafe}, Patience: 10 * time.Second}
 			assert.Equal(t, emulator.Verdict{Answer: audit.Served}, f.send(try))
 			try.ID = "2"
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -14,7 +14,7 @@
 func (f *fleet) convertList(node int, l emulator.ListChanges) standin.List {
 	var entries []core.Backend
 	for _, e := range l.Entries {
-		number, err := f.day.BackendNo(e.Endpoint)
+		number, err := f.live.BackendNo(e.Endpoint)
 		if err != nil {
 			continue
 		}
@@ -37,7 +37,7 @@
 
 // List implements standin.ListSource.
 func (l *listSource) List() (standin.List, bool) {
-	got, ok := l.fleet.day.List(l.node)
+	got, ok := l.fleet.live.List(l.node)
 	if !ok {
 		return standin.List{}, false
 	}
@@ -46,7 +46,7 @@
 
 // Next implements standin.ListSource.
 func (l *listSource) Next(rev int64, stop <-chan struct{}) (standin.List, bool) {
-	got, ok := l.fleet.day.Next(l.node, rev, stop)
+	got, ok := l.fleet.live.Next(l.node, rev, stop)
 	if !ok {
 		return standin.List{}, false
 	}
@@ -57,11 +57,11 @@
 func (l *listSource) Delivered(list standin.List) {
 	entries, err := list.Backends()
 	if err != nil {
-		l.fleet.day.Fail(err)
+		l.fleet.live.Fail(err)
 		return
 	}
 	for i, e := range entries { // the emulator's endpoint is the id without its generation
 		entries[i].Endpoint, _, _ = strings.Cut(string(e.ID), ".")
 	}
-	l.fleet.day.Told(l.node, emulator.ListChanges{Rev: list.Revision, All: list.Full, Entries: entries})
+	l.fleet.live.Told(l.node, emulator.ListChanges{Rev: list.Revision, All: list.Full, Entries: entries})
 }
