--- a/cmd/oaklab/emulate.go
+++ b/cmd/oaklab/emulate.go
@@ -53,11 +53,11 @@
 			}
 			sc, err := readScenario(args[0], sets)
 			if err != nil {
-				return cli.Wrong(err)
+				return cli.UsageError(err)
 			}
 			if policy != "" {
-				if _, err := emulator.Policy(policy); err != nil {
-					return cli.Wrong(err)
+				if _, err := emulator.FactoryFor(policy); err != nil {
+					return cli.UsageError(err)
 				}
 			}
 			if profile != "" {
@@ -75,11 +75,11 @@
 			opt := emulator.Options{Policy: policy, Workers: runtime.GOMAXPROCS(0)}
 			var decisionTimes stopwatch
 			if timed {
-				make, err := emulator.Policy(cmp.Or(policy, sc.Policy))
+				make, err := emulator.FactoryFor(cmp.Or(policy, sc.Policy))
 				if err != nil {
-					return cli.Wrong(err)
+					return cli.UsageError(err)
 				}
-				opt.Make = decisionTimes.wrap(make)
+				opt.NewModule = decisionTimes.wrap(make)
 			}
 			r, err := emulate(c.Context(), sc, seed, opt, c.ErrOrStderr())
 			if err != nil {
@@ -88,7 +88,7 @@
 			took := time.Since(began)
 			return printAndExit(out, r, asJSON, func() {
 				decisionTimes.print(out)
-				fmt.Fprintf(out, "played in %.2f s, %.1f us a req\n", took.Seconds(), took.Seconds()*1e6/float64(max(r.Requests, 1)))
+				fmt.Fprintf(out, "played in %.2f s, %.1f us a req\n", took.Seconds(), took.Seconds()*1e6/float64(max(r.Operations, 1)))
 			})
 		},
 	}
@@ -128,7 +128,7 @@
 func emulate(ctx context.Context, sc *emulator.Scenario, seed uint64, opt emulator.Options, progress io.Writer) (*emulator.Result, error) {
 	p := cli.NewProgress(progress)
 	opt.Progress = func(at, total time.Duration) bool {
-		p.Say("%.1f of %.1f s emulated", at.Seconds(), total.Seconds())
+		p.Printf("%.1f of %.1f s emulated", at.Seconds(), total.Seconds())
 		return ctx.Err() == nil
 	}
 	r, err := emulator.Run(sc, seed, opt)
@@ -148,7 +148,7 @@
 var eventNames = [...]string{"a req", "an outcome", "other events"}
 
 // wrap returns a factory whose modules measure their decisions.
-func (s *stopwatch) wrap(make emulator.Maker) emulator.Maker {
+func (s *stopwatch) wrap(make emulator.ModuleFactory) emulator.ModuleFactory {
 	return func(set logic.Settings, seed uint64) (core.Module, error) {
 		m, err := make(set, seed)
 		return &timedModule{m, s}, err
@@ -198,26 +198,26 @@
 		printMore()
 	}
 	if !r.Rules.Clean() {
-		return cli.Exit(cli.Failed)
+		return cli.ExitSilently(cli.ExitFailure)
 	}
 	return nil
 }
 
 func printResult(w io.Writer, r *emulator.Result) {
-	fmt.Fprintf(w, "%s, policy %s, seed %d: %d nodes, %d backends, %d reqs in %d tries\n", r.Scenario, r.Policy, r.Seed, r.Nodes, r.Backends, r.Requests, r.Tries)
-	fmt.Fprintf(w, "G %.4f  (whole %.4f, worst window %.4f, worst class %.4f, prices %.4f)\n", r.G, r.Parts["whole"], r.Parts["worst_window"], r.Parts["worst_class"], r.Parts["prices"])
+	fmt.Fprintf(w, "%s, policy %s, seed %d: %d nodes, %d backends, %d reqs in %d tries\n", r.Scenario, r.Policy, r.Seed, r.Nodes, r.Backends, r.Operations, r.ClientRequests)
+	fmt.Fprintf(w, "G %.4f  (whole %.4f, worst window %.4f, worst class %.4f, prices %.4f)\n", r.Score, r.ScoreParts["whole"], r.ScoreParts["worst_window"], r.ScoreParts["worst_class"], r.ScoreParts["prices"])
 	for _, n := range slices.Sorted(maps.Keys(r.Classes)) {
 		c, l := r.Classes[n], r.LatencyMS[n]
-		fmt.Fprintf(w, "%-12s asked %7d  in aim %7d  G %.4f  ms p50 %.1f  p99 %.1f  p99.9 %.1f\n", n, c.Asked, c.InAim, c.G, l.P50, l.P99, l.P999)
+		fmt.Fprintf(w, "%-12s asked %7d  in aim %7d  G %.4f  ms p50 %.1f  p99 %.1f  p99.9 %.1f\n", n, c.Operations, c.WithinAim, c.Score, l.P50, l.P99, l.P999)
 	}
 	fmt.Fprintf(w, "answers: served %d, refused %d, failed %d; attempts %d, of these retries %d, to cold ones %d; connections opened %d; crowded %d times\n",
-		r.Answers["served"], r.Answers["refused"], r.Answers["failed"], r.Attempts, r.Retries, r.ToCold, r.Opened, r.Crowded)
+		r.Answers["served"], r.Answers["refused"], r.Answers["failed"], r.Attempts, r.Retries, r.SendsToCold, r.ConnectionsOpened, r.CongestionCount)
 	fmt.Fprintf(w, "rules broken: unanswered %d, double effects %d, late drain sends %d, felled backends %d\n",
 		r.Rules.Unanswered, r.Rules.DuplicateEffects, r.Rules.LateDrainSends, r.Rules.OverloadedBackends)
-	for _, h := range r.Happened {
-		fmt.Fprintf(w, "%9.2f s  %s %s\n", h.AtS, h.What, h.On)
+	for _, h := range r.FaultEvents {
+		fmt.Fprintf(w, "%9.2f s  %s %s\n", h.AtSeconds, h.Kind, h.Target)
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		fmt.Fprintf(w, "BROKEN %s at %.3f s: %s", b.Rule, b.At.Seconds(), b.Why)
 		if b.Request != "" {
 			fmt.Fprintf(w, ", req %s", b.Request)
--- a/cmd/oaklab/fault.go
+++ b/cmd/oaklab/fault.go
@@ -79,10 +79,10 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			sc, err := readScenario(args[0], sets)
 			if err != nil {
-				return cli.Wrong(err)
+				return cli.UsageError(err)
 			}
 			if _, _, err := fault.LossWindow(sc, kinds); err != nil {
-				return cli.Wrong(fmt.Errorf("%s: %w", args[0], err))
+				return cli.UsageError(fmt.Errorf("%s: %w", args[0], err))
 			}
 			execution := "processes"
 			var r *emulator.Result
@@ -105,7 +105,7 @@
 				s.print(c.OutOrStdout())
 			}
 			if err == nil && !s.Clean() {
-				err = cli.Exit(cli.Failed)
+				err = cli.ExitSilently(cli.ExitFailure)
 			}
 			return err
 		},
@@ -125,16 +125,16 @@
 	var err error
 	if opt.Program == "" {
 		if opt.Program, err = siblingProgram("oakseam"); err != nil {
-			return nil, cli.Wrong(fmt.Errorf("--node: %w", err))
+			return nil, cli.UsageError(fmt.Errorf("--node: %w", err))
 		}
 	}
 	if opt.LogDir != "" {
 		if err := os.MkdirAll(opt.LogDir, 0o755); err != nil {
-			return nil, cli.Wrong(err)
+			return nil, cli.UsageError(err)
 		}
 	}
 	p := cli.NewProgress(progress)
-	opt.Progress = func(at, total time.Duration) { p.Say("%.0f of %.0f s done", at.Seconds(), total.Seconds()) }
+	opt.Progress = func(at, total time.Duration) { p.Printf("%.0f of %.0f s done", at.Seconds(), total.Seconds()) }
 	return fleet.Run(ctx, sc, seed, opt)
 }
 
@@ -178,6 +178,6 @@
 	fmt.Fprintf(w, "rules broken: unanswered %d, double effects %d, late drain sends %d, felled backends %d%s\n",
 		d.Unanswered, d.DuplicateEffects, d.LateDrainSends, d.OverloadedBackends, more)
 	for _, h := range d.Happened {
-		fmt.Fprintf(w, "%9.2f s  %s %s\n", h.AtS, h.What, h.On)
+		fmt.Fprintf(w, "%9.2f s  %s %s\n", h.AtSeconds, h.Kind, h.Target)
 	}
 }
--- a/cmd/oaklab/fault_test.go
+++ b/cmd/oaklab/fault_test.go
@@ -35,7 +35,7 @@
 // lose requests and responses.
 func TestRealNodesKeepRulesInSiteLoss(t *testing.T) {
 	sc, r := runFourNodes(t, siteFaults)
-	assert.Positive(t, r.CutOff)
+	assert.Positive(t, r.LostInPartitions)
 	s, err := fault.SummarizeSiteLoss(sc, r, "processes")
 	require.NoError(t, err)
 	assert.Less(t, s.ReturnOvershoot, s.OvershootLimit)
@@ -58,7 +58,7 @@
 }
 
 // fixed returns a value that doesn't depend on the seed.
-func fixed(v float64) emulator.Span { return emulator.Span{From: v, To: v} }
+func fixed(v float64) emulator.Range { return emulator.Range{From: v, To: v} }
 
 // runProcesses runs a scenario with real nodes and checks that no rule is broken. On failure it prints
 // the nodes' logs.
@@ -74,7 +74,7 @@
 		}
 	}
 	require.NoError(t, err)
-	assert.True(t, r.Rules.Clean(), "%+v", r.Broken)
+	assert.True(t, r.Rules.Clean(), "%+v", r.Violations)
 	return r
 }
 
@@ -89,7 +89,7 @@
 	for i, seconds := range []float64{1, 3, 2} {
 		sc.Troubles[i].AtS = fixed(seconds)
 	}
-	sc.Troubles[0].ForS, sc.Troubles[1].ForS = fixed(0.5), fixed(3)
+	sc.Troubles[0].DurationS, sc.Troubles[1].DurationS = fixed(0.5), fixed(3)
 	r := runProcesses(t, sc)
 	p, err := fault.SummarizePowerLoss(sc, r, "processes")
 	require.NoError(t, err)
@@ -128,8 +128,8 @@
 
 // happenedFaults returns the kinds of the faults of a run, in their order.
 func happenedFaults(r *emulator.Result) (kinds []string) {
-	for _, h := range r.Happened {
-		kinds = append(kinds, h.What)
+	for _, h := range r.FaultEvents {
+		kinds = append(kinds, h.Kind)
 	}
 	return kinds
 }
@@ -139,7 +139,7 @@
 func TestSiteLossCommand(t *testing.T) {
 	args := []string{"fault", "site-loss", "../../deploy/lab/site-loss.yaml", "--emulated", "--json", "--seed", "3"}
 	code, first, errs := runOaklab(args...)
-	require.Equal(t, cli.OK, code, errs)
+	require.Equal(t, cli.ExitOK, code, errs)
 	_, second, _ := runOaklab(args...)
 	assert.Equal(t, first, second)
 	var s map[string]any
@@ -152,9 +152,9 @@
 	scenario, _, _ := strings.Cut(shortScenario, "troubles:")
 	require.NoError(t, os.WriteFile(bad, []byte(scenario), 0o600))
 	code, _, errs = runOaklab("fault", "site-loss", bad)
-	assert.Equal(t, cli.Misuse, code)
+	assert.Equal(t, cli.ExitUsage, code)
 	assert.Contains(t, errs, "no such loss at a stated time: zone_loss or cut")
 	code, _, errs = runOaklab("emulate", "../../deploy/lab/site-loss.yaml", "--set", "troubles.0.kind=cut")
-	assert.Equal(t, cli.Misuse, code)
+	assert.Equal(t, cli.ExitUsage, code)
 	assert.Contains(t, errs, "troubles.0.to")
 }
--- a/cmd/oaklab/load.go
+++ b/cmd/oaklab/load.go
@@ -36,7 +36,7 @@
 				c.Flags().Visit(func(flag *pflag.Flag) { given[flag] = flag.Value.String() })
 				var err error
 				if f, err = yamlfile.Read(args[0], &p); err != nil {
-					return cli.Wrong(err)
+					return cli.UsageError(err)
 				}
 				for flag, value := range given {
 					if err := flag.Value.Set(value); err != nil {
@@ -48,7 +48,7 @@
 				p.Seconds = duration.Seconds()
 			}
 			if key, err := p.Check(); err != nil {
-				return cli.Wrong(f.Errorf(key, "%v", err))
+				return cli.UsageError(f.Errorf(key, "%v", err))
 			}
 			r := load.Run(c.Context(), p, func(l load.Progress) {
 				fmt.Fprintf(c.ErrOrStderr(), "%3.0f of %.0f s: due %d, done %d, open %d, not served %d; last second p50 %.1f ms, p99 %.1f ms\n",
@@ -63,7 +63,7 @@
 			}
 			if r.LateMS.P99 > maxLateMS {
 				fmt.Fprintf(c.ErrOrStderr(), "oaklab: the tool itself was late (p99 %.1f ms): the latencies are not the target's alone\n", r.LateMS.P99)
-				return cli.Exit(cli.Failed)
+				return cli.ExitSilently(cli.ExitFailure)
 			}
 			return nil
 		},
--- a/cmd/oaklab/load_test.go
+++ b/cmd/oaklab/load_test.go
@@ -53,7 +53,7 @@
 		<-done
 		var r load.Report
 		require.NoError(t, json.Unmarshal([]byte(text), &r), errs)
-		if code != cli.OK {
+		if code != cli.ExitOK {
 			t.Log(errs) // on a busy machine the tool reports that it was late
 		}
 		c := r.Classes["topup"]
--- a/cmd/oaklab/members_test.go
+++ b/cmd/oaklab/members_test.go
@@ -206,16 +206,16 @@
 	sc, err := emulator.Read("../../deploy/lab/members.yaml")
 	require.NoError(t, err)
 	sc.Seconds, sc.Troubles = fixed(18), sc.Troubles[:2]
-	sc.Troubles[0].AtS, sc.Troubles[0].ForS = fixed(1), fixed(4)
-	sc.Troubles[1].AtS, sc.Troubles[1].ForS = fixed(2), fixed(60)
-	m := runProcesses(t, sc).Members
+	sc.Troubles[0].AtS, sc.Troubles[0].DurationS = fixed(1), fixed(4)
+	sc.Troubles[1].AtS, sc.Troubles[1].DurationS = fixed(2), fixed(60)
+	m := runProcesses(t, sc).Membership
 	require.NotNil(t, m)
 	assert.Equal(t, 8, m.Detected, "each of four nodes detects that each of two is gone")
 	assert.Zero(t, m.Undetected)
 	assert.Zero(t, m.FalseGone)
-	assert.Zero(t, m.Disagree)
+	assert.Zero(t, m.Disagreements)
 	assert.Positive(t, m.DetectMSP50)
-	assert.Less(t, m.BytesPerS, 512.0)
-	assert.Positive(t, m.BytesPerS)
+	assert.Less(t, m.BytesPerSecond, 512.0)
+	assert.Positive(t, m.BytesPerSecond)
 	t.Logf("%+v", *m)
 }
--- a/cmd/oaklab/oaklab_test.go
+++ b/cmd/oaklab/oaklab_test.go
@@ -33,7 +33,7 @@
 func TestEmulateCommand(t *testing.T) {
 	const scenario = "../../deploy/lab/meter-platform.yaml"
 	code, first, _ := runOaklab("emulate", scenario, "--seed", "1", "--json", "--set", "seconds=8")
-	assert.Equal(t, cli.OK, code)
+	assert.Equal(t, cli.ExitOK, code)
 	_, second, _ := runOaklab("emulate", scenario, "--seed", "1", "--json", "--set", "seconds=8")
 	assert.Equal(t, first, second)
 	var r map[string]any
@@ -45,7 +45,7 @@
 		assert.Contains(t, r["rules"], key)
 	}
 	code, out, _ := runOaklab("emulate", "--list-policies")
-	assert.Equal(t, cli.OK, code)
+	assert.Equal(t, cli.ExitOK, code)
 	assert.Equal(t, strings.Join(emulator.Policies(), "\n")+"\n", out)
 	for _, tt := range []struct{ args, want string }{
 		{"emulate", "accepts 1 arg(s)"},
@@ -57,7 +57,7 @@
 		{"nonesuch", "unknown command"},
 	} {
 		code, _, errs := runOaklab(strings.Fields(tt.args)...)
-		assert.Equal(t, cli.Misuse, code, tt.args)
+		assert.Equal(t, cli.ExitUsage, code, tt.args)
 		assert.Contains(t, errs, tt.want)
 		assert.Equal(t, 1, strings.Count(errs, "\n"), errs)
 	}
@@ -81,7 +81,7 @@
 		require.NoError(t, err, f)
 		r, err := emulator.Run(sc, 1, emulator.Options{})
 		require.NoError(t, err, f)
-		assert.Positive(t, r.Requests, f)
+		assert.Positive(t, r.Operations, f)
 	}
 }
 
@@ -125,14 +125,14 @@
 	sc, err := emulator.Parse("sockets.yaml", []byte(shortScenario))
 	require.NoError(t, err)
 	r := runProcesses(t, sc)
-	assert.Greater(t, r.Requests, 100)
-	assert.Greater(t, r.Classes["topup"].Served, r.Classes["topup"].Asked/2)
+	assert.Greater(t, r.Operations, 100)
+	assert.Greater(t, r.Classes["topup"].Served, r.Classes["topup"].Operations/2)
 	assert.Greater(t, r.Attempts, 100)
 
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err = fleet.Run(ctx, sc, 1, fleet.Options{Program: buildNode(t, t.TempDir()), Sockets: 512, MemoryMB: 64, Progress: func(_, _ time.Duration) {}})
-	assert.ErrorIs(t, err, emulator.ErrLate, "an aborted run ends what it started")
+	assert.ErrorIs(t, err, emulator.ErrAborted, "an aborted run ends what it started")
 	_, err = fleet.Run(t.Context(), sc, 1, fleet.Options{Program: "/bin/false", Sockets: 512, MemoryMB: 64, Progress: func(_, _ time.Duration) {}})
 	assert.ErrorContains(t, err, "before it was ready")
 }
--- a/cmd/oaklab/tier_test.go
+++ b/cmd/oaklab/tier_test.go
@@ -60,9 +60,9 @@
 // that exits at once.
 func TestTierReportsMissingPrograms(t *testing.T) {
 	code, _, errs := runOaklab("tier", "--barograph", "/bin/false")
-	assert.Equal(t, cli.Misuse, code, "there is no anemometer in the test's folder")
+	assert.Equal(t, cli.ExitUsage, code, "there is no anemometer in the test's folder")
 	assert.Contains(t, errs, "anemometer")
 	code, _, errs = runOaklab("tier", "--network", "127.31", "--anemometer", "/bin/false", "--barograph", "/bin/false")
-	assert.Equal(t, cli.Failed, code)
+	assert.Equal(t, cli.ExitFailure, code)
 	assert.Contains(t, errs, tierlab.ErrCrashed.Error())
 }
--- a/internal/anemometer/dispatch/capacity_test.go
+++ b/internal/anemometer/dispatch/capacity_test.go
@@ -49,7 +49,7 @@
 		b.Run(fmt.Sprintf("classes/routes=%d", routes), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				assert.Equal(b, len(classesByService(configuration)), scaletest.Models)
+				assert.Equal(b, len(classesByService(configuration)), scaletest.ServiceCount)
 			}
 		})
 	}
--- a/internal/anemometer/edge/edge.go
+++ b/internal/anemometer/edge/edge.go
@@ -81,7 +81,7 @@
 	n.dispatcher = dispatch.New(dispatch.Options{Zone: s.Zone, Name: s.NodeName, MaxConns: int(serverShare * descriptors), Budget: budget, Counters: n.counters, Log: log})
 	n.turns = turnclient.New(pool)
 	n.gateway = gateway.New(gateway.Options{Dispatcher: n.dispatcher, Turns: n.turns, Budget: budget, Counters: n.counters, MaxOpenRequests: maxOpenRequests, Current: n.current})
-	n.follower = follow.New(follow.Options{Name: s.NodeName, Seeds: seeds, Slots: s.FaultTolerance.MachineLosses + 1, Pool: pool, Told: n.handleUpdate})
+	n.follower = follow.New(follow.Options{Name: s.NodeName, Seeds: seeds, ConcurrentCalls: s.FaultTolerance.MachineLosses + 1, Pool: pool, OnUpdate: n.handleUpdate})
 	n.server = ingress.New(ingress.Options{
 		Handler: n.gateway.Handle, RejectAmbiguous: rejectAmbiguous,
 		MaxSessions: int(clientShare * descriptors), Overflow: overflow,
@@ -126,7 +126,7 @@
 }
 
 // handleUpdate applies an update from the control plane.
-func (n *Node) handleUpdate(news follow.News) {
+func (n *Node) handleUpdate(news follow.Update) {
 	switch {
 	case news.Configuration != nil:
 		n.configure(news.Configuration)
@@ -172,7 +172,7 @@
 }
 
 // current reports whether the configuration is recent enough to say that a route does not exist.
-func (n *Node) current() bool { return n.follower.Age() <= n.settings.Bounds.ConfigApply }
+func (n *Node) current() bool { return n.follower.Staleness() <= n.settings.Bounds.ConfigApply }
 
 // pollPlatform lists the servers from the platform while no core node vouches for its lists.
 func (n *Node) pollPlatform(ctx context.Context) {
@@ -184,7 +184,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if n.follower.Age() < standaloneAfter {
+		if n.follower.Staleness() < standaloneAfter {
 			continue
 		}
 		lists, err := n.platform.List(ctx)
@@ -207,5 +207,5 @@
 	for p, l := range partitions {
 		n.dispatcher.UpdateServers(p, l)
 	}
-	n.follower.ForgetLists()
+	n.follower.RefreshLists()
 }
--- a/internal/anemometer/turnclient/turnclient_test.go
+++ b/internal/anemometer/turnclient/turnclient_test.go
@@ -150,7 +150,7 @@
 }
 
 func TestAnswerOfLeaderIsFinal(t *testing.T) {
-	for _, outcome := range []protocol.TurnOutcome{protocol.TurnSpent, protocol.TurnMissing, protocol.TurnClosed} {
+	for _, outcome := range []protocol.TurnOutcome{protocol.TurnBudgetExhausted, protocol.TurnNotFound, protocol.TurnClosed} {
 		c, nodes := startNodes(t, 1)
 		nodes[0].admit = always(outcome)
 		reply, err := c.Admit(longContext(t), protocol.AdmitArgs{Program: "p"})
--- a/internal/audit/tier/report.go
+++ b/internal/audit/tier/report.go
@@ -71,9 +71,9 @@
 		}
 	}
 	for k := range whole {
-		r.Kinds[k].Latency = latency.Of(whole[k])
+		r.Kinds[k].Latency = latency.FromHistogram(whole[k])
 	}
-	r.First, r.Programs, r.BudgetExhausted = latency.Of(first), len(programs), len(exhausted)
+	r.First, r.Programs, r.BudgetExhausted = latency.FromHistogram(first), len(programs), len(exhausted)
 	for _, c := range h.Configurations {
 		r.Configurations++
 		r.ConfigurationAttempts += c.Tries
--- a/internal/barograph/keeper/calls.go
+++ b/internal/barograph/keeper/calls.go
@@ -12,19 +12,19 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// turnCalls are the calls that data-plane nodes make to a storage node.
-type turnCalls struct{ k *Keeper }
+// turnsService serves the calls of data plane nodes to a storage node.
+type turnsService struct{ keeper *Keeper }
 
-// Admit reserves a turn's tokens and tells what was said before.
-func (s *turnCalls) Admit(args *protocol.AdmitArgs, reply *protocol.AdmitReply) error {
+// Admit reserves a turn's tokens and returns the history it continues.
+func (s *turnsService) Admit(args *protocol.AdmitArgs, reply *protocol.AdmitReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Within)
 	defer cancel()
 	group := protocol.TurnGroup(args.Partition)
 	admission := &turns.Admission{
 		Program: args.Program, Attempt: args.Attempt, Previous: args.Previous, Imported: args.Imported,
-		Budget: args.Budget, Most: args.Most, Keep: args.Keep, Token: args.Token,
+		Budget: args.Budget, MaxTokens: args.Most, Retention: args.Keep, Token: args.Token,
 	}
-	result, err := s.k.propose(ctx, group, &turns.Command{Admit: admission})
+	result, err := s.keeper.propose(ctx, group, &turns.Command{Admit: admission})
 	if reply.Outcome, reply.Owner = outcomeOf(result, err); reply.Outcome != protocol.TurnGranted {
 		return nil
 	}
@@ -32,37 +32,37 @@
 		return nil
 	}
 	found := false
-	s.k.node.Host.ReadLocal(group, func(m host.StateMachine) { reply.History, found = m.(*turns.Machine).History(args.Previous) })
+	s.keeper.node.Host.ReadLocal(group, func(m host.StateMachine) { reply.History, found = m.(*turns.Machine).History(args.Previous) })
 	if !found {
-		reply.Outcome = protocol.TurnMissing
+		reply.Outcome = protocol.TurnNotFound
 	}
 	return nil
 }
 
-// Finish ends a try, and keeps its turn where that was answered whole.
-func (s *turnCalls) Finish(args *protocol.FinishArgs, reply *protocol.FinishReply) error {
+// Finish ends an attempt, and stores its turn if the turn was answered completely.
+func (s *turnsService) Finish(args *protocol.FinishArgs, reply *protocol.FinishReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Within)
 	defer cancel()
 	group := protocol.TurnGroup(args.Partition)
-	ending := &turns.Ending{
-		Program: args.Program, Attempt: args.Attempt, Whole: args.Whole, Tokens: args.Tokens, Previous: args.Previous,
-		Imported: args.Imported, Input: args.Input, Output: args.Output, Keep: args.Keep, Token: args.Token,
+	completion := &turns.Completion{
+		Program: args.Program, Attempt: args.Attempt, Complete: args.Whole, Tokens: args.Tokens, Previous: args.Previous,
+		Imported: args.Imported, Input: args.Input, Output: args.Output, Retention: args.Keep, Token: args.Token,
 	}
-	result, err := s.k.propose(ctx, group, &turns.Command{End: ending})
+	result, err := s.keeper.propose(ctx, group, &turns.Command{Finish: completion})
 	reply.Outcome, reply.Owner = outcomeOf(result, err)
 	return nil
 }
 
-// Find looks for a turn in all partitions that this node surely owns.
-func (s *turnCalls) Find(args *protocol.FindArgs, reply *protocol.FindReply) error {
+// Find looks for a turn in all partitions that this node certainly leads.
+func (s *turnsService) Find(args *protocol.FindArgs, reply *protocol.FindReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Within)
 	defer cancel()
-	for _, partition := range s.k.partitions() {
-		status, err := s.k.node.Host.Status(protocol.TurnGroup(partition))
+	for _, partition := range s.keeper.partitions() {
+		status, err := s.keeper.node.Host.Status(protocol.TurnGroup(partition))
 		if err != nil || !status.LeaderReady {
 			continue
 		}
-		err = s.k.node.Host.Read(ctx, protocol.TurnGroup(partition), func(m host.StateMachine) {
+		err = s.keeper.node.Host.Read(ctx, protocol.TurnGroup(partition), func(m host.StateMachine) {
 			if history, found := m.(*turns.Machine).History(args.Attempt); found {
 				reply.Found, reply.History = true, history
 			}
@@ -78,38 +78,41 @@
 	return nil
 }
 
+// propose proposes a command to a partition's group on this node.
 func (k *Keeper) propose(ctx context.Context, group replica.GroupID, command *turns.Command) (turns.Result, error) {
 	text, err := command.Encode()
 	if err != nil {
 		return 0, err
 	}
-	answer, err := k.node.Host.Propose(ctx, group, text)
+	reply, err := k.node.Host.Propose(ctx, group, text)
 	if err != nil {
 		return 0, err
 	}
-	return turns.ReadResult(answer)
+	return turns.ReadResult(reply)
 }
 
-var results = map[turns.Result]protocol.TurnOutcome{
-	turns.Granted: protocol.TurnGranted,
-	turns.Spent:   protocol.TurnSpent,
-	turns.Missing: protocol.TurnMissing,
-	turns.Closed:  protocol.TurnClosed,
+// turnOutcomes maps results of the state machine to the outcomes sent in replies.
+var turnOutcomes = map[turns.Result]protocol.TurnOutcome{
+	turns.Accepted:        protocol.TurnGranted,
+	turns.BudgetExhausted: protocol.TurnBudgetExhausted,
+	turns.UnknownTurn:     protocol.TurnNotFound,
+	turns.AttemptClosed:   protocol.TurnClosed,
 }
 
+// outcomeOf returns the outcome to send in a reply, and the leader if it is known.
 func outcomeOf(result turns.Result, err error) (protocol.TurnOutcome, replica.NodeID) {
 	if err == nil {
-		return results[result], 0
+		return turnOutcomes[result], 0
 	}
-	var unread *turns.ResultError
-	if errors.As(err, &unread) {
+	var resultError *turns.ResultError
+	if errors.As(err, &resultError) {
 		return protocol.TurnUnavailable, 0
 	}
-	switch outcome, owner := node.OutcomeOf(err); outcome {
+	switch outcome, leader := node.OutcomeOf(err); outcome {
 	case protocol.NotOwner:
-		return protocol.TurnNotOwner, owner
+		return protocol.TurnNotOwner, leader
 	case protocol.Unknown:
-		return protocol.TurnUnknown, owner
+		return protocol.TurnUnknown, leader
 	}
 	return protocol.TurnUnavailable, 0
 }
--- a/internal/barograph/revisions/revisions.go
+++ b/internal/barograph/revisions/revisions.go
@@ -1,5 +1,5 @@
-// Package revisions is the state machine of the configuration's partition: the newest
-// configuration, which changes were taken, and the directory of the control plane's
+// Package revisions is the state machine of the configuration group: the newest
+// configuration, the changes that were accepted, and the directory of the control plane's
 // nodes. It is pure and deterministic.
 package revisions
 
@@ -16,68 +16,68 @@
 	"pipitmux/internal/station/protocol"
 )
 
-// takenMost is how many changes are remembered, so that one that is sent again is
-// acknowledged again: more than a day's.
-const takenMost = 20000
+// maxRememberedChanges is how many accepted changes are remembered, so that a repeated one is
+// acknowledged again. It exceeds the number of changes in a day.
+const maxRememberedChanges = 20000
 
 // Digest identifies a change by its bytes.
 type Digest [sha256.Size]byte
 
-// Change is a configuration that takes the place of the one at Base. Machine.Change makes it.
+// Change replaces the configuration at revision Base. Machine.NewChange builds it.
 type Change struct {
 	Base, Revision uint64
-	Digest         Digest // of the base and the body
-	Patch          []byte // the body as its difference to the one at Base; empty: Base was left long ago
+	Digest         Digest // of Base and the new body
+	Patch          []byte // difference from the body at Base; empty if Base is no longer current
 }
 
-// Command is one step of the machine. One of the pointers is set.
+// Command is one entry of the group's log. Exactly one field is set.
 type Command struct {
-	Change   *Change        `cbor:"1,keyasint,omitempty"`
-	Register *protocol.Node `cbor:"2,keyasint,omitempty"`
-	Assign   *Assignment    `cbor:"3,keyasint,omitempty"`
-	Moved    *Moved         `cbor:"4,keyasint,omitempty"`
-	Retire   *Retirement    `cbor:"5,keyasint,omitempty"`
-	Forget   replica.NodeID `cbor:"6,keyasint,omitempty"` // a node that is gone for good
+	Change     *Change           `cbor:"1,keyasint,omitempty"`
+	Register   *protocol.Node    `cbor:"2,keyasint,omitempty"`
+	Assign     *Assignment       `cbor:"3,keyasint,omitempty"`
+	Membership *MembershipUpdate `cbor:"4,keyasint,omitempty"`
+	Retire     *Retirement       `cbor:"5,keyasint,omitempty"`
+	Forget     replica.NodeID    `cbor:"6,keyasint,omitempty"` // a node that was removed permanently
 }
 
-// Assignment gives the partitions of the turns their first members. It counts once.
+// Assignment sets the initial members of the turn partitions. It takes effect once.
 type Assignment struct{ Partitions [][]replica.NodeID }
 
-// Moved tells that a partition of the turns has other members, or is about to have them: a
-// node becomes a voter only after an announcement of it was taken, so that a retirement that
-// is asked for before is known to who would make it one, and one that is asked for later waits
-// until the node has left again.
-type Moved struct {
+// MembershipUpdate records that a turn partition has other members or is about to have them.
+// A node becomes a voter only after its announcement was accepted. A retirement requested
+// before is therefore known to the leader that would add the node, and one requested later
+// does not complete until the node has left again.
+type MembershipUpdate struct {
 	Partition int
-	Change    uint64 // index in the partition's log up to which all is committed
-	Step      uint64 // one more than the directory has at that index, any where it has an earlier one
-	Ahead     bool   // they are about to be the members
+	Change    uint64 // commit index of the partition's log
+	Step      uint64 // one more than the directory's step at that index; any value if the directory has an earlier index
+	Announced bool   `cbor:"Ahead"` // the voters are announced, not yet in force
 	Voters    []replica.NodeID
 }
 
-// Retirement asks for a storage node to be emptied.
+// Retirement requests that a storage node be emptied.
 type Retirement struct {
-	Node  string
-	Least int // storage nodes that must be left
+	Node         string
+	MinRemaining int `cbor:"Least"` // storage nodes that must remain
 }
 
-// Result is what came of a command.
+// Result is the outcome of a command.
 type Result uint8
 
-// The results of commands.
+// The results of commands. Their values are stored in replies.
 const (
-	Taken    Result = iota + 1
-	Conflict        // another version is current
-	Stale           // the revision isn't above the current one
-	Missing         // no such node
-	TooFew          // too few nodes would be left
-	Unreadable
+	Accepted      Result = iota + 1
+	Conflict             // another revision or a newer state is current
+	StaleRevision        // the revision isn't above the current one
+	UnknownNode          // no such node or partition
+	TooFewNodes          // too few nodes would remain
+	Unreadable           // the command cannot be decoded or does not fit the current configuration
 )
 
-// Bytes is the form in which a result is handed back.
+// Bytes encodes the result.
 func (r Result) Bytes() []byte { return []byte{byte(r)} }
 
-// ReadResult reads a result that was handed back.
+// ReadResult decodes a result.
 func ReadResult(text []byte) (Result, error) {
 	if len(text) != 1 || text[0] == 0 || Result(text[0]) > Unreadable {
 		return 0, &ResultError{Length: len(text)}
@@ -85,38 +85,38 @@
 	return Result(text[0]), nil
 }
 
-// ResultError tells of a result that can't be read.
+// ResultError reports a result that cannot be decoded.
 type ResultError struct{ Length int }
 
-func (e *ResultError) Error() string { return "the result of a command can't be read" }
+func (e *ResultError) Error() string { return "cannot decode the result of a command" }
 
-// state is what snapshots hold.
+// state is the content of a snapshot. CBOR stores the fields under their Go names or tags.
 type state struct {
-	Revision  uint64
-	Packed    []byte   // the body as a patch without a base; in snapshots only
-	Taken     []Digest // oldest first
-	Directory protocol.Directory
+	Revision        uint64
+	PackedBody      []byte   `cbor:"Packed"` // the body as a patch without a base; nil until needed
+	AcceptedChanges []Digest `cbor:"Taken"`  // oldest first
+	Directory       protocol.Directory
 }
 
 // Machine is the state machine. It is not safe for concurrent use.
 type Machine struct {
-	state   state
-	body    []byte
-	steps   steps
-	known   map[Digest]struct{}
-	changed func()
+	state           state
+	body            []byte
+	steps           recentSteps
+	acceptedDigests map[Digest]struct{}
+	changed         func()
 }
 
-// New returns an empty Machine. It calls changed, where not nil, after each step that
-// changes its state.
+// New returns an empty Machine. If changed is not nil, it is called after each change of the
+// state.
 func New(changed func()) *Machine {
 	if changed == nil {
 		changed = func() {}
 	}
-	return &Machine{known: map[Digest]struct{}{}, changed: changed}
+	return &Machine{acceptedDigests: map[Digest]struct{}{}, changed: changed}
 }
 
-// Encode gives a command the form that Apply takes.
+// Encode encodes a command for Apply.
 func (c *Command) Encode() ([]byte, error) {
 	text, err := cbor.Marshal(c)
 	if err != nil {
@@ -125,14 +125,14 @@
 	return text, nil
 }
 
-// Apply takes a command and returns its Result.
+// Apply applies an encoded command and returns its encoded Result.
 func (m *Machine) Apply(text []byte) []byte {
 	var command Command
 	if err := cbor.Unmarshal(text, &command); err != nil {
 		return Unreadable.Bytes()
 	}
 	result := m.apply(&command)
-	if result == Taken {
+	if result == Accepted {
 		m.changed()
 	}
 	return result.Bytes()
@@ -141,13 +141,13 @@
 func (m *Machine) apply(c *Command) Result {
 	switch {
 	case c.Change != nil:
-		return m.replace(c.Change)
+		return m.applyChange(c.Change)
 	case c.Register != nil:
 		return m.register(*c.Register)
 	case c.Assign != nil:
 		return m.assign(c.Assign)
-	case c.Moved != nil:
-		return m.move(c.Moved)
+	case c.Membership != nil:
+		return m.updateMembership(c.Membership)
 	case c.Retire != nil:
 		return m.retire(c.Retire)
 	case c.Forget != 0:
@@ -156,37 +156,36 @@
 	return Unreadable
 }
 
-// replace is a compare-and-set on the revision. A change that was taken is
-// acknowledged whenever it comes again: by its base and its bytes it is known to be
-// that very one.
-func (m *Machine) replace(c *Change) Result {
-	if _, ok := m.known[c.Digest]; ok {
-		return Taken
+// applyChange is a compare-and-set on the revision. A change that was accepted before is
+// acknowledged again: its digest, over base and bytes, identifies it.
+func (m *Machine) applyChange(c *Change) Result {
+	if _, ok := m.acceptedDigests[c.Digest]; ok {
+		return Accepted
 	}
 	switch {
 	case c.Base != m.state.Revision:
 		return Conflict
 	case c.Revision <= m.state.Revision:
-		return Stale
+		return StaleRevision
 	}
 	body, err := patch.Apply(m.body, c.Patch)
 	if err != nil || DigestOf(c.Base, body) != c.Digest {
 		return Unreadable
 	}
-	m.state.Revision, m.state.Packed, m.body = c.Revision, nil, body
+	m.state.Revision, m.state.PackedBody, m.body = c.Revision, nil, body
 	m.steps.add(Step{Base: c.Base, Revision: c.Revision, Patch: c.Patch})
-	m.state.Taken = append(m.state.Taken, c.Digest)
-	m.known[c.Digest] = struct{}{}
-	if over := len(m.state.Taken) - takenMost; over > 0 {
-		for _, old := range m.state.Taken[:over] {
-			delete(m.known, old)
+	m.state.AcceptedChanges = append(m.state.AcceptedChanges, c.Digest)
+	m.acceptedDigests[c.Digest] = struct{}{}
+	if over := len(m.state.AcceptedChanges) - maxRememberedChanges; over > 0 {
+		for _, old := range m.state.AcceptedChanges[:over] {
+			delete(m.acceptedDigests, old)
 		}
-		m.state.Taken = slices.Delete(m.state.Taken, 0, over)
+		m.state.AcceptedChanges = slices.Delete(m.state.AcceptedChanges, 0, over)
 	}
-	return Taken
+	return Accepted
 }
 
-// DigestOf identifies the change of a base to a body.
+// DigestOf identifies the change from revision base to body.
 func DigestOf(base uint64, body []byte) Digest {
 	sum := sha256.New()
 	sum.Write(binary.BigEndian.AppendUint64(nil, base))
@@ -194,10 +193,10 @@
 	return Digest(sum.Sum(nil))
 }
 
-// Change makes the change of a base to a body. The base must be or have been in force here: one
-// that was left can't be changed any more, so that nothing but the digest is of interest then.
-// Fails with patch.ErrTooLong.
-func (m *Machine) Change(base, revision uint64, body []byte) (*Change, error) {
+// NewChange returns the change from revision base to body. base must be the current revision
+// or a former one. A former base cannot be changed any more, so the change then has no patch.
+// It fails with patch.ErrTooLong.
+func (m *Machine) NewChange(base, revision uint64, body []byte) (*Change, error) {
 	c := &Change{Base: base, Revision: revision, Digest: DigestOf(base, body)}
 	if base != m.state.Revision {
 		return c, nil
@@ -210,14 +209,14 @@
 	return c, nil
 }
 
-// register takes a node on. An earlier incarnation of it has gone for good.
+// register adds a node to the directory and removes its earlier incarnation.
 func (m *Machine) register(n protocol.Node) Result {
 	nodes := slices.DeleteFunc(slices.Clone(m.state.Directory.Nodes), func(o protocol.Node) bool {
-		return o.ID == n.ID || o.SameMachine(n)
+		return o.ID == n.ID || o.SameNode(n)
 	})
 	m.state.Directory.Nodes = append(nodes, n)
 	m.state.Directory.Version++
-	return Taken
+	return Accepted
 }
 
 func (m *Machine) assign(a *Assignment) Result {
@@ -228,29 +227,29 @@
 		m.state.Directory.Partitions = append(m.state.Directory.Partitions, protocol.PartitionMembers{Voters: voters})
 	}
 	m.state.Directory.Version++
-	return Taken
+	return Accepted
 }
 
-func (m *Machine) move(to *Moved) Result {
+func (m *Machine) updateMembership(to *MembershipUpdate) Result {
 	if to.Partition < 0 || to.Partition >= len(m.state.Directory.Partitions) {
-		return Missing
+		return UnknownNode
 	}
-	// The directory is handed out by reference: what is handed out stays as it is.
+	// Callers hold references to the directory, so it is copied before a change.
 	partitions := slices.Clone(m.state.Directory.Partitions)
 	p := &partitions[to.Partition]
 	if to.Change < p.Change || to.Change == p.Change && to.Step != p.Step+1 {
 		return Conflict
 	}
-	if to.Ahead && m.addsRetiring(p.Voters, to.Voters) {
+	if to.Announced && m.addsRetiring(p.Voters, to.Voters) {
 		return Conflict
 	}
 	p.Change, p.Step, p.Voters = to.Change, to.Step, to.Voters
 	m.state.Directory.Partitions = partitions
 	m.state.Directory.Version++
-	return Taken
+	return Accepted
 }
 
-// addsRetiring tells whether a node that is to be emptied would become a voter.
+// addsRetiring reports whether a retiring node would become a voter.
 func (m *Machine) addsRetiring(from, to []replica.NodeID) bool {
 	return slices.ContainsFunc(m.state.Directory.Nodes, func(n protocol.Node) bool {
 		return slices.Contains(m.state.Directory.Retiring, n.Name) && slices.Contains(to, n.ID) && !slices.Contains(from, n.ID)
@@ -259,7 +258,7 @@
 
 func (m *Machine) retire(r *Retirement) Result {
 	if slices.Contains(m.state.Directory.Retiring, r.Node) {
-		return Taken
+		return Accepted
 	}
 	left, found := 0, false
 	for _, n := range m.state.Directory.Nodes {
@@ -273,16 +272,16 @@
 	}
 	switch {
 	case !found:
-		return Missing
-	case left < r.Least:
-		return TooFew
+		return UnknownNode
+	case left < r.MinRemaining:
+		return TooFewNodes
 	}
 	m.state.Directory.Retiring = append(slices.Clone(m.state.Directory.Retiring), r.Node)
 	m.state.Directory.Version++
-	return Taken
+	return Accepted
 }
 
-// forget takes a node out of the directory. One that keeps a partition stays.
+// forget removes a node from the directory, unless it is a voter of a partition.
 func (m *Machine) forget(id replica.NodeID) Result {
 	for _, p := range m.state.Directory.Partitions {
 		if slices.Contains(p.Voters, id) {
@@ -291,21 +290,21 @@
 	}
 	nodes := slices.DeleteFunc(slices.Clone(m.state.Directory.Nodes), func(n protocol.Node) bool { return n.ID == id })
 	if len(nodes) == len(m.state.Directory.Nodes) {
-		return Missing
+		return UnknownNode
 	}
 	m.state.Directory.Nodes = nodes
 	m.state.Directory.Version++
-	return Taken
+	return Accepted
 }
 
-// Configuration returns the newest configuration and its revision, 0: none yet. The
-// bytes must not be changed.
+// Configuration returns the newest configuration and its revision, 0 if there is none. The
+// bytes must not be modified.
 func (m *Machine) Configuration() (revision uint64, body []byte) {
 	return m.state.Revision, m.body
 }
 
-// Since returns the steps that lead from a revision to the newest one, none if it is that. Where
-// they are not known any more it is one step without a base.
+// Since returns the steps from a revision to the newest one, none if it is the newest. If the
+// steps are no longer known, it returns one step without a base.
 func (m *Machine) Since(revision uint64) []Step {
 	if revision == m.state.Revision {
 		return nil
@@ -313,26 +312,26 @@
 	if chain, ok := m.steps.from(revision); ok {
 		return chain
 	}
-	return []Step{{Revision: m.state.Revision, Patch: m.packed()}}
+	return []Step{{Revision: m.state.Revision, Patch: m.packedBody()}}
 }
 
-// packed is the body as a patch without a base.
-func (m *Machine) packed() []byte {
-	if m.state.Packed == nil {
+// packedBody returns the body as a patch without a base.
+func (m *Machine) packedBody() []byte {
+	if m.state.PackedBody == nil {
 		text, err := patch.Make(nil, m.body)
 		if err != nil {
-			panic(err) // the body came out of a patch: it isn't too long
+			panic(err) // unreachable: the body came from a patch, so it is not too long
 		}
-		m.state.Packed = text
+		m.state.PackedBody = text
 	}
-	return m.state.Packed
+	return m.state.PackedBody
 }
 
-// Directory returns the directory. What it refers to must not be changed.
+// Directory returns the directory. The values it refers to must not be modified.
 func (m *Machine) Directory() protocol.Directory { return m.state.Directory }
 
-// Emptied tells whether no partition is kept by the node any more, nor will be, and whether
-// it is known to be retiring. Before the partitions are dealt out it may still get some.
+// Emptied reports whether the node is not and will not become a voter of any partition, and
+// whether it is retiring. Before the partitions are assigned it may still receive some.
 func (m *Machine) Emptied(node string) (emptied, retiring bool) {
 	retiring = slices.Contains(m.state.Directory.Retiring, node)
 	if len(m.state.Directory.Partitions) == 0 {
@@ -351,17 +350,17 @@
 	return true, retiring
 }
 
-// Snapshot returns the state.
+// Snapshot returns the encoded state.
 func (m *Machine) Snapshot() []byte {
-	m.packed()
+	m.packedBody()
 	text, err := cbor.Marshal(&m.state)
 	if err != nil {
-		panic(err) // the state is made of plain values only
+		panic(err) // unreachable: the state consists of plain values
 	}
 	return text
 }
 
-// Restore takes a state on; an empty one is the state at first.
+// Restore replaces the state with a snapshot. An empty snapshot is the initial state.
 func (m *Machine) Restore(text []byte) error {
 	var next state
 	if len(text) > 0 {
@@ -370,16 +369,16 @@
 		}
 	}
 	var body []byte
-	if len(next.Packed) > 0 {
+	if len(next.PackedBody) > 0 {
 		var err error
-		if body, err = patch.Apply(nil, next.Packed); err != nil {
+		if body, err = patch.Apply(nil, next.PackedBody); err != nil {
 			return errors.Wrap(err, "restore configuration")
 		}
 	}
-	m.state, m.body, m.steps = next, body, steps{}
-	m.known = make(map[Digest]struct{}, len(next.Taken))
-	for _, d := range next.Taken {
-		m.known[d] = struct{}{}
+	m.state, m.body, m.steps = next, body, recentSteps{}
+	m.acceptedDigests = make(map[Digest]struct{}, len(next.AcceptedChanges))
+	for _, d := range next.AcceptedChanges {
+		m.acceptedDigests[d] = struct{}{}
 	}
 	m.changed()
 	return nil
--- a/internal/barograph/simulation/lister_test.go
+++ b/internal/barograph/simulation/lister_test.go
@@ -78,7 +78,7 @@
 	}
 	s.registry = newRegistry(w)
 	for _, n := range w.nodes {
-		n.bootstrap(protocol.ListerDuty, members.Clone())
+		n.bootstrap(protocol.ListerTask, members.Clone())
 		n.bootstrap(protocol.ServiceGroup(testedPartition), members.Clone())
 		s.registry.subscribe(n.address)
 		n.start()
@@ -116,7 +116,7 @@
 }
 
 func (s *listerWorkload) newStateMachine(_ *simulatedNode, group replica.GroupID) stateMachine {
-	if group == protocol.ListerDuty {
+	if group == protocol.ListerTask {
 		return emptyStateMachine{}
 	}
 	return servers.New(nil)
@@ -138,10 +138,10 @@
 	d := s.listers[n.address]
 	if d == nil || d.incarnation != n.incarnation {
 		d = &fakeDuty{workload: s, node: n, incarnation: n.incarnation}
-		d.lister = lister.New(d, d, lister.Pause(0))
+		d.lister = lister.New(d, d, lister.Interval(0))
 		s.listers[n.address] = d
 	}
-	d.lister.Once(context.Background())
+	d.lister.ListOnce(context.Background())
 }
 
 // fakeDuty connects a node's lister with the simulated groups and platform.
@@ -176,9 +176,9 @@
 	return lists, nil
 }
 
-// Held implements lister.Duty.
+// Held implements lister.Task.
 func (d *fakeDuty) Held() (uint64, bool) {
-	m := d.node.member(protocol.ListerDuty)
+	m := d.node.member(protocol.ListerTask)
 	if m == nil {
 		return 0, false
 	}
@@ -190,7 +190,7 @@
 	return d.epoch, m.holdsLease()
 }
 
-// Lists implements lister.Duty. The simulation stores the sender's epoch in the zone of the
+// Lists implements lister.Task. The simulation stores the sender's epoch in the zone of the
 // servers. Only their number is the platform's data, so both sides of the lister's comparison get
 // the same zone.
 func (d *fakeDuty) Lists(partition int) []protocol.ServerList {
@@ -209,7 +209,7 @@
 	return lists
 }
 
-// Publish implements lister.Duty.
+// Publish implements lister.Task.
 func (d *fakeDuty) Publish(_ context.Context, partition int, p *servers.Publication) error {
 	s := d.workload
 	s.world.tally.publications++
@@ -238,9 +238,9 @@
 	return text
 }
 
-// GiveUp implements lister.Duty.
+// GiveUp implements lister.Task.
 func (d *fakeDuty) GiveUp() {
-	m := d.node.member(protocol.ListerDuty)
+	m := d.node.member(protocol.ListerTask)
 	if m == nil {
 		return
 	}
@@ -264,7 +264,7 @@
 // onApplied verifies that no publication of an earlier epoch takes effect after one of a later
 // epoch.
 func (s *listerWorkload) onApplied(m *member, index uint64, command, result []byte) {
-	if m.group == protocol.ListerDuty {
+	if m.group == protocol.ListerTask {
 		return
 	}
 	if known, ok := s.resultByIndex[index]; ok {
@@ -308,7 +308,7 @@
 // recovered reports whether both groups are healthy and all nodes have the platform's servers.
 func (s *listerWorkload) recovered() bool {
 	voters := min(3, len(s.world.nodes))
-	for _, group := range []replica.GroupID{protocol.ListerDuty, protocol.ServiceGroup(testedPartition)} {
+	for _, group := range []replica.GroupID{protocol.ListerTask, protocol.ServiceGroup(testedPartition)} {
 		if !s.world.isHealthy(group, voters, nil) {
 			return false
 		}
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A file holds the old value or the new one; one cut anywhere is refused as torn; a write
-// that fails leaves the old one and nothing beside it.
-func TestAFileIsWholeOrRefused(t *testing.T) {
+// Guards against partial values: a file holds the old or the new value, a file truncated
+// anywhere is rejected as torn, and a failed write leaves the old value and no temporary file.
+func TestFileIsWholeOrRejected(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "value")
 	_, err := Read(name)
 	assert.ErrorIs(t, err, os.ErrNotExist)
@@ -21,23 +21,23 @@
 	got, err := Read(name)
 	require.NoError(t, err)
 	assert.Equal(t, "new one", string(got))
-	assert.ErrorIs(t, Write(name, make([]byte, Most+1)), ErrLong)
-	full := filepath.Join(filepath.Dir(name), "folder")
-	require.NoError(t, os.MkdirAll(filepath.Join(full, "in the way"), 0o700))
-	assert.Error(t, Write(full, []byte("x")), "the rename fails")
+	assert.ErrorIs(t, Write(name, make([]byte, MaxValueSize+1)), ErrTooLong)
+	blocked := filepath.Join(filepath.Dir(name), "folder")
+	require.NoError(t, os.MkdirAll(filepath.Join(blocked, "in the way"), 0o700))
+	assert.Error(t, Write(blocked, []byte("x")), "the rename must fail")
 	left, err := os.ReadDir(filepath.Dir(name))
 	require.NoError(t, err)
-	assert.Len(t, left, 2, "nothing is left beside them")
+	assert.Len(t, left, 2, "a temporary file is left")
 	whole, err := os.ReadFile(name)
 	require.NoError(t, err)
 	for n := range whole {
 		require.NoError(t, os.WriteFile(name, whole[:n], 0o600))
 		_, err := Read(name)
-		assert.ErrorIs(t, err, ErrTorn, "cut at %d", n)
+		assert.ErrorIs(t, err, ErrTorn, "truncated at %d", n)
 	}
 }
 
-func TestValuesThatAreNotRead(t *testing.T) {
+func TestInvalidFramesAreRejected(t *testing.T) {
 	whole, err := Frame([]byte("state"))
 	require.NoError(t, err)
 	for want, change := range map[string]func([]byte) []byte{
@@ -56,7 +56,7 @@
 	assert.Equal(t, "state", string(state))
 }
 
-// FuzzUnframe: whatever a link or a file brings, a value is read whole or not at all.
+// FuzzUnframe checks that a value is read whole or not at all, whatever the input.
 func FuzzUnframe(f *testing.F) {
 	whole, _ := Frame([]byte("state"))
 	f.Add(whole)
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -10,35 +10,37 @@
 	"sync"
 )
 
-// Store keeps values by name through crashes. It may be used from several goroutines, and a
-// folder's by several processes. What every Store promises is judged by the clauses of contract_test.go.
+// Store keeps values by name across crashes. It is safe for concurrent use, and a directory
+// also for use by several processes. contract_test.go checks every promise made here.
 type Store interface {
-	// Write replaces the value of a name. Once it has returned without an error, Read
-	// returns this value, also after a crash; where it fails or is cut off at any moment,
-	// Read returns the value before or this one, whole. Of two writers of one name one
-	// wins, whole. The value is not kept: the caller may change it afterwards. One of more
-	// than Most bytes is refused with ErrLong, a name that is no plain file name with ErrName.
+	// Write replaces the value of a name. After it has returned without an error, Read
+	// returns this value, also after a crash. If it fails or is interrupted at any moment,
+	// Read returns the previous value or this one, whole. Of two concurrent writers of one
+	// name one wins, whole. The caller may change the value afterwards. More than
+	// MaxValueSize bytes return ErrTooLong, a name that is not a plain file name returns
+	// ErrInvalidName.
 	Write(name string, value []byte) error
-	// Read returns the value of a name, the caller's to change: fs.ErrNotExist where there
-	// is none, ErrTorn, ErrForeign or ErrVersion where what is there can't be trusted.
+	// Read returns the value of a name, owned by the caller: fs.ErrNotExist where there is
+	// none; ErrTorn, ErrForeign or ErrVersion where the stored bytes are not valid.
 	Read(name string) ([]byte, error)
 }
 
-// ErrName refuses a name under which nothing is kept.
-var ErrName = errors.New("no plain name")
+// ErrInvalidName is returned for a name that is not a plain file name.
+var ErrInvalidName = errors.New("not a plain file name")
 
+// checkName returns ErrInvalidName for anything but a plain file name.
 func checkName(name string) error {
 	if !fs.ValidPath(name) || name == "." || strings.ContainsAny(name, "/\\\x00") {
-		return fmt.Errorf("%w: %q", ErrName, name)
+		return fmt.Errorf("%w: %q", ErrInvalidName, name)
 	}
 	return nil
 }
 
-// Folder is the Store on disk: a file a name.
-type Folder string
+// Directory is the Store on disk, with one file per name.
+type Directory string
 
 // Write implements Store.
-func (f Folder) Write(name string, value []byte) error {
+func (f Directory) Write(name string, value []byte) error {
 	if err := checkName(name); err != nil {
 		return err
 	}
@@ -46,41 +48,41 @@
 }
 
 // Read implements Store.
-func (f Folder) Read(name string) ([]byte, error) {
+func (f Directory) Read(name string) ([]byte, error) {
 	if err := checkName(name); err != nil {
 		return nil, err
 	}
 	return Read(filepath.Join(string(f), name))
 }
 
-// Memory is a Store for tests and for the emulator: its "crash" is one of the emulated node,
-// which the values outlive. The zero value is empty.
-type Memory struct {
-	mu    sync.Mutex
-	disk  map[string][]byte // framed, as a file would hold them
-	room  int               // bytes that the disk takes yet, where limited
-	limit bool
+// MemoryStore is a Store for tests and for the emulator, in which a node's values survive its
+// simulated crash. The zero value is empty.
+type MemoryStore struct {
+	mu        sync.Mutex
+	disk      map[string][]byte // framed, as a file would contain them
+	freeSpace int               // bytes, if limited
+	limited   bool
 }
 
-// ErrFull is the error of a disk that takes no more.
+// ErrFull is returned when the simulated disk is full.
 var ErrFull = errors.New("no space left")
 
-// Limit leaves room for so many bytes more; below 0, any number.
-func (m *Memory) Limit(room int) {
+// SetFreeSpace limits the bytes of further writes. A negative value removes the limit.
+func (m *MemoryStore) SetFreeSpace(freeSpace int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.room, m.limit = room, room >= 0
+	m.freeSpace, m.limited = freeSpace, freeSpace >= 0
 }
 
-// Spoil changes what the disk holds under a name, as a fault would.
-func (m *Memory) Spoil(name string, change func([]byte) []byte) {
+// Corrupt changes the stored bytes of a name, as a disk fault would.
+func (m *MemoryStore) Corrupt(name string, change func([]byte) []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.disk[name] = change(bytes.Clone(m.disk[name]))
 }
 
 // Write implements Store.
-func (m *Memory) Write(name string, value []byte) error {
+func (m *MemoryStore) Write(name string, value []byte) error {
 	if err := checkName(name); err != nil {
 		return err
 	}
@@ -90,11 +92,11 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.limit {
-		if m.room < len(text) {
+	if m.limited {
+		if m.freeSpace < len(text) {
 			return fmt.Errorf("%s: %w", name, ErrFull)
 		}
-		m.room -= len(text)
+		m.freeSpace -= len(text)
 	}
 	if m.disk == nil {
 		m.disk = map[string][]byte{}
@@ -104,7 +106,7 @@
 }
 
 // Read implements Store.
-func (m *Memory) Read(name string) ([]byte, error) {
+func (m *MemoryStore) Read(name string) ([]byte, error) {
 	if err := checkName(name); err != nil {
 		return nil, err
 	}
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -74,7 +74,7 @@
 		return nil, nil, "", f.Errorf("scenario", "a scenario file is required")
 	}
 	for i, policy := range p.Policies {
-		if _, err := emulator.Policy(policy); err != nil {
+		if _, err := emulator.FactoryFor(policy); err != nil {
 			return nil, nil, "", f.Errorf(fmt.Sprintf("policies.%d", i), "%v", err)
 		}
 	}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -40,7 +40,7 @@
 					err = s.Put(&Record{*c, r, time.Since(began).Nanoseconds()})
 				}
 				if err != nil {
-					if !errors.Is(err, emulator.ErrLate) {
+					if !errors.Is(err, emulator.ErrAborted) {
 						stop(err)
 					}
 					return
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -29,8 +29,8 @@
 	LateDrainSends     int    `json:"late_drain_sends"`
 	OverloadedBackends int    `json:"felled_backends"`
 
-	Happened []emulator.Happening `json:"happened"`
-	Seconds  []emulator.Second    `json:"seconds"`
+	Happened []emulator.FaultEvent  `json:"happened"`
+	Seconds  []emulator.SecondStats `json:"seconds"`
 }
 
 // Clean reports whether no rule was broken.
@@ -40,9 +40,9 @@
 
 // newRunSummary returns the common part of a report.
 func newRunSummary(r *emulator.Result, execution string) RunSummary {
-	return RunSummary{Scenario: r.Scenario, Seed: r.Seed, Execution: execution, Nodes: r.Nodes, Backends: r.Backends, Requests: r.Requests,
+	return RunSummary{Scenario: r.Scenario, Seed: r.Seed, Execution: execution, Nodes: r.Nodes, Backends: r.Backends, Requests: r.Operations,
 		Unanswered: r.Rules.Unanswered, DuplicateEffects: r.Rules.DuplicateEffects, LateDrainSends: r.Rules.LateDrainSends,
-		OverloadedBackends: r.Rules.OverloadedBackends, Happened: r.Happened, Seconds: r.Seconds}
+		OverloadedBackends: r.Rules.OverloadedBackends, Happened: r.FaultEvents, Seconds: r.Seconds}
 }
 
 // Rejection holds how much of one class was rejected.
@@ -114,11 +114,11 @@
 func LossWindow(sc *emulator.Scenario, kinds []string) (from, to time.Duration, err error) {
 	for i := range sc.Troubles {
 		t := &sc.Troubles[i]
-		if !slices.Contains(kinds, t.Kind) || t.AtS.From != t.AtS.To || t.ForS.From != t.ForS.To {
+		if !slices.Contains(kinds, t.Kind) || t.AtS.From != t.AtS.To || t.DurationS.From != t.DurationS.To {
 			continue
 		}
 		begin := time.Duration(t.AtS.From * float64(time.Second))
-		end := begin + time.Duration(t.ForS.From*float64(time.Second))
+		end := begin + time.Duration(t.DurationS.From*float64(time.Second))
 		if to == 0 || begin < from {
 			from = begin
 		}
@@ -136,7 +136,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &PowerLoss{RunSummary: newRunSummary(r, execution), StaleSends: r.Stale, Overshoot: r.Rules.Overshoot,
+	p := &PowerLoss{RunSummary: newRunSummary(r, execution), StaleSends: r.StaleSends, Overshoot: r.Rules.Overshoot,
 		OvershootLimit: sc.Rules.FallMultiple.From}
 	returned := int(to.Seconds())
 	p.GBefore, _ = earnedShare(r.Seconds, 0, int(from.Seconds())-1)
@@ -147,7 +147,7 @@
 
 // secondsUntilSteady returns how many seconds after a given one the share earned in steadySeconds is
 // steadyShare of an earlier share again, or -1.
-func secondsUntilSteady(seconds []emulator.Second, returned int, before float64) float64 {
+func secondsUntilSteady(seconds []emulator.SecondStats, returned int, before float64) float64 {
 	for i := returned; i+steadySeconds <= len(seconds); i++ {
 		if earned, _ := earnedShare(seconds, i, i+steadySeconds); earned >= steadyShare*before {
 			return float64(i - returned)
@@ -166,7 +166,7 @@
 	for i := range sc.Classes {
 		c := &sc.Classes[i]
 		got := r.Classes[c.Name]
-		f := Rejection{Class: c.Name, Worth: c.Worth.From, PerWork: c.Worth.From / c.WorkMS.From * 1000, Asked: got.Asked, Rejected: got.Refused}
+		f := Rejection{Class: c.Name, Worth: c.Worth.From, PerWork: c.Worth.From / c.WorkMS.From * 1000, Asked: got.Operations, Rejected: got.Rejected}
 		if f.Asked > 0 {
 			f.Share = float64(f.Rejected) / float64(f.Asked)
 		}
@@ -184,10 +184,10 @@
 }
 
 // earnedShare returns the earned and the ideal share of the worth offered in a range of seconds.
-func earnedShare(seconds []emulator.Second, from, to int) (earned, ideal float64) {
+func earnedShare(seconds []emulator.SecondStats, from, to int) (earned, ideal float64) {
 	offered := 0.0
 	for _, x := range seconds[min(max(from, 0), len(seconds)):min(max(to, 0), len(seconds))] {
-		offered, earned, ideal = offered+x.Asked, earned+x.Won, ideal+x.Ideal
+		offered, earned, ideal = offered+x.OfferedWorth, earned+x.EarnedWorth, ideal+x.IdealWorth
 	}
 	if offered == 0 {
 		return 0, 0
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -15,7 +15,7 @@
 
 // Backend implements emulator.Outside. It starts the machines of new backends, one for each node, and
 // sets the state of a backend's machines.
-func (f *fleet) Backend(number int, how emulator.Machine) {
+func (f *fleet) SetBackend(number int, how emulator.MachineState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for len(f.machines) <= number {
@@ -49,7 +49,7 @@
 }
 
 // Cut implements emulator.Outside. It makes a backend unreachable for one node, or reachable again.
-func (f *fleet) Cut(node, backend int, cut bool) {
+func (f *fleet) SetPartition(node, backend int, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	path := [2]int{node, backend}
@@ -59,7 +59,7 @@
 	m := f.machines[backend][node]
 	if f.cuts[path] = cut; cut {
 		f.background.Go(m.Blackhole)
-	} else if f.live.Serves(backend) {
+	} else if f.live.BackendUp(backend) {
 		if err := m.Up(); err != nil {
 			f.live.Fail(fmt.Errorf("backend %d can't listen again after a partition: %w", backend, err))
 		}
@@ -68,8 +68,8 @@
 
 // serve handles a backend's side of one connection. It answers one request at a time.
 func (f *fleet) serve(c net.Conn, backend, node int) {
-	f.live.Conns(backend, 1)
-	defer f.live.Conns(backend, -1)
+	f.live.AdjustConnections(backend, 1)
+	defer f.live.AdjustConnections(backend, -1)
 	requests := make(chan string, 1) // ids of the requests received
 	stop := make(chan struct{})
 	defer close(stop)
@@ -94,7 +94,7 @@
 	newConnection := true
 	for id := range requests {
 		done := make(chan []byte, 1)
-		hangUp := f.live.Arrived(backend, node, id, newConnection, func(r logic.Result, report []float64) { done <- response(id, r, report, f.fields) })
+		hangUp := f.live.BackendReceived(backend, node, id, newConnection, func(r logic.Result, report []float64) { done <- response(id, r, report, f.fields) })
 		newConnection = false
 		select {
 		case text := <-done:
--- a/internal/fleet/clients.go
+++ b/internal/fleet/clients.go
@@ -18,15 +18,15 @@
 )
 
 // Send implements emulator.Outside. It sends a request to the node that the model chose.
-func (f *fleet) Send(t emulator.Try) {
-	f.background.Go(func() { f.live.Done(t.ID, f.send(t)) })
+func (f *fleet) SendRequest(t emulator.ClientRequest) {
+	f.background.Go(func() { f.live.RequestDone(t.ID, f.send(t)) })
 }
 
 // send sends a request on an idle connection or a new one, and waits for the response until the
 // client's timeout.
-func (f *fleet) send(t emulator.Try) emulator.Verdict {
+func (f *fleet) send(t emulator.ClientRequest) emulator.RequestOutcome {
 	n := f.nodes[t.Node]
-	deadline := time.Now().Add(t.Patience + socketSlack + 20*time.Millisecond)
+	deadline := time.Now().Add(t.Timeout + socketSlack + 20*time.Millisecond)
 	epoch := n.currentEpoch()
 	c := n.takeIdle()
 	reused := c != nil
@@ -34,7 +34,7 @@
 		if c == nil {
 			var err error
 			if c, err = f.frontend.Dial(n.reservation.Addr, deadline); err != nil {
-				return emulator.Verdict{Answer: audit.NoAnswer}
+				return emulator.RequestOutcome{Answer: audit.NoAnswer}
 			}
 		}
 		v, closed := f.exchange(n, c, t, deadline)
@@ -50,7 +50,7 @@
 // exchange sends a request on a connection and reads the response. closed means that sending
 // failed or that the connection ended before any byte of the response; a timeout of the response
 // doesn't count.
-func (f *fleet) exchange(n *node, c net.Conn, t emulator.Try, deadline time.Time) (v emulator.Verdict, closed bool) {
+func (f *fleet) exchange(n *node, c net.Conn, t emulator.ClientRequest, deadline time.Time) (v emulator.RequestOutcome, closed bool) {
 	c.SetDeadline(deadline)
 	stop := make(chan struct{})
 	defer close(stop)
@@ -67,26 +67,26 @@
 		method = http.MethodGet
 	}
 	fmt.Fprintf(&b, "%s /api HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: %s\r\nX-Service-Class: %s\r\nX-Time-Left: %du\r\n",
-		method, t.ID, t.Class.Name, max(t.Patience.Microseconds(), 1))
+		method, t.ID, t.Class.Name, max(t.Timeout.Microseconds(), 1))
 	if t.Key != "" {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", t.Key)
 	}
-	if t.Repeat {
+	if t.Retry {
 		b.WriteString("X-Repeat: 1\r\n")
 	}
 	if method == http.MethodPost {
 		b.WriteString("Content-Length: 0\r\n")
 	}
 	b.WriteString("\r\n")
-	f.live.Sending(t.ID, t.Patience)
+	f.live.RequestStarted(t.ID, t.Timeout)
 	if _, err := c.Write(b.Bytes()); err != nil {
 		c.Close()
-		return emulator.Verdict{Answer: audit.NoAnswer}, true
+		return emulator.RequestOutcome{Answer: audit.NoAnswer}, true
 	}
 	in := bufio.NewReader(c)
 	if _, err := in.Peek(1); err != nil {
 		c.Close()
-		return emulator.Verdict{Answer: audit.NoAnswer, Taken: true, Patient: timedOut(err)}, !timedOut(err)
+		return emulator.RequestOutcome{Answer: audit.NoAnswer, FullySent: true, TimedOut: timedOut(err)}, !timedOut(err)
 	}
 	res, err := http.ReadResponse(in, &http.Request{Method: method})
 	var body []byte
@@ -95,7 +95,7 @@
 	}
 	if err != nil {
 		c.Close()
-		return emulator.Verdict{Answer: audit.NoAnswer, Taken: true, Patient: timedOut(err)}, false
+		return emulator.RequestOutcome{Answer: audit.NoAnswer, FullySent: true, TimedOut: timedOut(err)}, false
 	}
 	if res.Close || in.Buffered() > 0 {
 		c.Close()
@@ -106,7 +106,7 @@
 	case res.StatusCode == http.StatusOK && string(body) == "for "+t.ID:
 		v.Answer = audit.Served
 	case res.StatusCode == http.StatusOK:
-		v.Answer, v.Taken = audit.NoAnswer, true // the response to another request
+		v.Answer, v.FullySent = audit.NoAnswer, true // the response to another request
 	case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests:
 		v.Answer = audit.Rejected
 		if s, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -50,12 +50,12 @@
 	relaxed := *sc
 	relaxed.Rules.AnswerSlackMS.From += float64(socketSlack / time.Millisecond)
 	relaxed.Rules.AnswerSlackMS.To += float64(socketSlack / time.Millisecond)
-	relaxed.TickMS = emulator.Span{} // real nodes handle events as they arrive
-	f := &fleet{opt: opt, dir: dir, live: emulator.NewLive(&relaxed, seed), cuts: map[[2]int]bool{}, quit: make(chan struct{})}
+	relaxed.TickMS = emulator.Range{} // real nodes handle events as they arrive
+	f := &fleet{opt: opt, dir: dir, live: emulator.NewLiveRun(&relaxed, seed), cuts: map[[2]int]bool{}, quit: make(chan struct{})}
 	if f.frontend, err = standin.NewFrontend("127.0.0.1"); err != nil {
 		return nil, err
 	}
-	f.zones = f.live.Nodes()
+	f.zones = f.live.NodeZones()
 	f.fields = f.live.Settings(0).ReportFields
 	defer f.stop()
 	for i := range f.zones {
@@ -70,7 +70,7 @@
 		}
 		f.nodes = append(f.nodes, &node{number: i, reservation: reservation, registry: registry})
 	}
-	if f.live.Talk() > 0 {
+	if f.live.PeerBytesPerSecond() > 0 {
 		var addresses []string
 		for _, n := range f.nodes {
 			addresses = append(addresses, n.peerAddress())
@@ -78,7 +78,7 @@
 		if f.relays, err = standin.NewRelays(addresses, seed); err != nil {
 			return nil, err
 		}
-		f.relays.SetDelivery(f.live.Passes)
+		f.relays.SetDelivery(f.live.DatagramDelays)
 	}
 	return f.live.Run(ctx, f, opt.Progress)
 }
@@ -87,7 +87,7 @@
 type fleet struct {
 	opt      Options
 	dir      string
-	live     *emulator.Live
+	live     *emulator.LiveRun
 	zones    []string
 	fields   []string // names of the fields of load reports
 	nodes    []*node
@@ -142,7 +142,7 @@
 }
 
 // Start implements emulator.Outside. It starts a node's process in the background.
-func (f *fleet) Start(number int, rev int64, known []core.Backend) {
+func (f *fleet) StartNode(number int, rev int64, known []core.Backend) {
 	n := f.nodes[number]
 	n.mu.Lock()
 	n.epoch++
@@ -151,8 +151,8 @@
 	c := standin.NodeConfig{
 		Name: fmt.Sprint("n", number), Listen: n.reservation.Addr, Discovery: n.registry.Addr, Seed: strconv.FormatUint(uint64(number+1)*0x9e3779b97f4a7c15+uint64(epoch), 16),
 		Limits:   map[string]any{"cores": 1.0, "memory_mb": f.opt.MemoryMB, "sockets": f.opt.Sockets},
-		Known:    f.convertList(number, emulator.ListChanges{Rev: rev, All: true, Entries: known}),
-		Settings: wire.EncodeSettings(f.live.Settings(number), f.live.Connect()),
+		Known:    f.convertList(number, emulator.ListUpdate{Revision: rev, Full: true, Backends: known}),
+		Settings: wire.EncodeSettings(f.live.Settings(number), f.live.ConnectTimeout()),
 	}
 	if f.relays != nil {
 		c.PeerListen, c.Peers = n.peerAddress(), f.relays.Peers(number)
@@ -175,14 +175,14 @@
 			f.live.Fail(fmt.Errorf("node %d: %w", number, err))
 			return
 		}
-		f.live.Up(number)
+		f.live.NodeReady(number)
 		f.background.Go(func() {
 			<-process.Exited()
 			n.mu.Lock()
 			current := n.epoch == epoch
 			n.mu.Unlock()
 			if current { // the run did not end it
-				f.live.Crashed(number, errors.Join(process.Err(), errors.New("see its log")))
+				f.live.NodeCrashed(number, errors.Join(process.Err(), errors.New("see its log")))
 			}
 		})
 	})
@@ -199,7 +199,7 @@
 		options = fmt.Appendf(options, "state: {dir: %q}\n", f.dir)
 	}
 	if f.relays != nil {
-		options = fmt.Appendf(options, "peers: {bytes_per_s: %g}\nlog: {format: json}\n", f.live.Talk())
+		options = fmt.Appendf(options, "peers: {bytes_per_s: %g}\nlog: {format: json}\n", f.live.PeerBytesPerSecond())
 	}
 	var args []string
 	if options != nil {
@@ -242,15 +242,15 @@
 
 // recordPeerState passes on the state of a peer that a node has logged.
 func (f *fleet) recordPeerState(by, peer int, state string) {
-	for _, s := range []member.State{member.There, member.Suspected, member.Gone} {
+	for _, s := range []member.State{member.Alive, member.Suspected, member.Dead} {
 		if peers.StateName(s) == state {
-			f.live.Takes(by, peer, s)
+			f.live.RecordPeerState(by, peer, s)
 		}
 	}
 }
 
 // Kill implements emulator.Outside. It kills a node's process.
-func (f *fleet) Kill(number int) {
+func (f *fleet) KillNode(number int) {
 	if process := f.nodes[number].detach(); process != nil {
 		process.Signal(os.Kill)
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -51,9 +51,9 @@
 			require.NoError(t, err)
 			defer m.Close()
 			n.reservation = &standin.ReservedAddress{Addr: m.Addr}
-			f := &fleet{live: emulator.NewLive(sc, 1), frontend: frontend, nodes: []*node{n}, quit: make(chan struct{})}
-			try := emulator.Try{ID: "1", Class: logic.Class{Effect: logic.Unsafe}, Patience: 10 * time.Second}
-			assert.Equal(t, emulator.Verdict{Answer: audit.Served}, f.send(try))
+			f := &fleet{live: emulator.NewLiveRun(sc, 1), frontend: frontend, nodes: []*node{n}, quit: make(chan struct{})}
+			try := emulator.ClientRequest{ID: "1", Class: logic.Class{Effect: logic.Unsafe}, Timeout: 10 * time.Second}
+			assert.Equal(t, emulator.RequestOutcome{Answer: audit.Served}, f.send(try))
 			try.ID = "2"
 			v := f.send(try)
 			var ids []string
@@ -61,10 +61,10 @@
 				ids = append(ids, <-received)
 			}
 			if killed {
-				assert.Equal(t, emulator.Verdict{Answer: audit.NoAnswer, Taken: true}, v)
+				assert.Equal(t, emulator.RequestOutcome{Answer: audit.NoAnswer, FullySent: true}, v)
 				assert.Equal(t, []string{"1", "2"}, ids)
 			} else {
-				assert.Equal(t, emulator.Verdict{Answer: audit.Served}, v)
+				assert.Equal(t, emulator.RequestOutcome{Answer: audit.Served}, v)
 				assert.Equal(t, []string{"1", "2", "2"}, ids)
 			}
 		})
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -11,10 +11,10 @@
 
 // convertList converts a list to the registry's format. The endpoints are the addresses at which one
 // node reaches the backends.
-func (f *fleet) convertList(node int, l emulator.ListChanges) standin.List {
+func (f *fleet) convertList(node int, l emulator.ListUpdate) standin.List {
 	var entries []core.Backend
-	for _, e := range l.Entries {
-		number, err := f.live.BackendNo(e.Endpoint)
+	for _, e := range l.Backends {
+		number, err := f.live.BackendNumber(e.Endpoint)
 		if err != nil {
 			continue
 		}
@@ -26,7 +26,7 @@
 		f.mu.Unlock()
 		entries = append(entries, e)
 	}
-	return discovery.NewList(l.Rev, l.All, entries)
+	return discovery.NewList(l.Revision, l.Full, entries)
 }
 
 // listSource provides the lists of one node's registry.
@@ -37,7 +37,7 @@
 
 // List implements standin.ListSource.
 func (l *listSource) List() (standin.List, bool) {
-	got, ok := l.fleet.live.List(l.node)
+	got, ok := l.fleet.live.FetchList(l.node)
 	if !ok {
 		return standin.List{}, false
 	}
@@ -46,7 +46,7 @@
 
 // Next implements standin.ListSource.
 func (l *listSource) Next(rev int64, stop <-chan struct{}) (standin.List, bool) {
-	got, ok := l.fleet.live.Next(l.node, rev, stop)
+	got, ok := l.fleet.live.WaitForChanges(l.node, rev, stop)
 	if !ok {
 		return standin.List{}, false
 	}
@@ -63,5 +63,5 @@
 	for i, e := range entries { // the emulator's endpoint is the id without its generation
 		entries[i].Endpoint, _, _ = strings.Cut(string(e.ID), ".")
 	}
-	l.fleet.live.Told(l.node, emulator.ListChanges{Rev: list.Revision, All: list.Full, Entries: entries})
+	l.fleet.live.ListDelivered(l.node, emulator.ListUpdate{Revision: list.Revision, Full: list.Full, Backends: entries})
 }
--- a/internal/gossip/memory.go
+++ b/internal/gossip/memory.go
@@ -7,87 +7,87 @@
 	"time"
 )
 
-// memoryQueue is how many datagrams wait unread at most.
-const memoryQueue = 256
-
-// Network is a network in memory. Its faults apply to what is sent from then on.
-type Network struct {
-	mu    sync.Mutex
-	ports map[string]*Memory
-	rng   *rand.Rand
-	loss  float64 // parts of the datagrams: lost,
-	twice float64 // delivered twice,
-	swap  float64 // held back until the next one to the same receiver
-	fate  Fate    // in place of those parts
-	after func(time.Duration, func())
+// maxUnread is the maximum number of unread datagrams; further ones are dropped.
+const maxUnread = 256
+
+// MemoryNetwork is an in-memory datagram network. Changed faults apply to datagrams sent later.
+type MemoryNetwork struct {
+	mu         sync.Mutex
+	transports map[string]*MemoryTransport
+	rng        *rand.Rand
+	loss       float64      // share of datagrams that are lost
+	duplicate  float64      // share delivered twice
+	reorder    float64      // share held back until the next datagram to the same receiver
+	delivery   DeliveryFunc // replaces the three shares if set
+	schedule   func(time.Duration, func())
 }
 
-// Fate is what becomes of a datagram: how long each of its copies takes; none: it is lost.
-type Fate func(from, to string) []time.Duration
+// DeliveryFunc returns the delay of each copy of a datagram; no delays mean that it is lost.
+type DeliveryFunc func(from, to string) []time.Duration
 
-// NewNetwork returns one without faults, whose chances are drawn from the source.
-func NewNetwork(rng *rand.Rand) *Network {
-	return &Network{ports: map[string]*Memory{}, rng: rng}
+// NewMemoryNetwork returns a network without faults. The source decides on faults set later.
+func NewMemoryNetwork(rng *rand.Rand) *MemoryNetwork {
+	return &MemoryNetwork{transports: map[string]*MemoryTransport{}, rng: rng}
 }
 
-// Fault sets the parts of datagrams that are lost, come twice and change places.
-func (n *Network) Fault(loss, twice, swap float64) {
+// SetFaults sets the shares of datagrams that are lost, duplicated and reordered.
+func (n *MemoryNetwork) SetFaults(loss, duplicate, reorder float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loss, n.twice, n.swap = loss, twice, swap
+	n.loss, n.duplicate, n.reorder = loss, duplicate, reorder
 }
 
-// Pace has datagrams take their time by a clock of the caller's, virtual or not: after calls
-// back when one comes. Both are called under the network's lock.
-func (n *Network) Pace(fate Fate, after func(time.Duration, func())) {
+// SetDelivery delays datagrams by a clock of the caller, real or virtual: schedule calls a
+// function after a delay. Both functions are called with the network's lock held.
+func (n *MemoryNetwork) SetDelivery(delivery DeliveryFunc, schedule func(time.Duration, func())) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.fate, n.after = fate, after
+	n.delivery, n.schedule = delivery, schedule
 }
 
-// Listen returns the Transport of an address, in place of a closed one's.
-func (n *Network) Listen(addr string) *Memory { return n.ListenFunc(addr, nil) }
+// Listen returns the transport of an address and replaces a closed one.
+func (n *MemoryNetwork) Listen(addr string) *MemoryTransport { return n.ListenFunc(addr, nil) }
 
-// ListenFunc is Listen for a network with a clock: what comes is told in place of being received.
-func (n *Network) ListenFunc(addr string, heard func(from string, datagram []byte)) *Memory {
+// ListenFunc is Listen for a network with a clock: datagrams go to the handler instead of Receive.
+func (n *MemoryNetwork) ListenFunc(addr string, handler func(from string, datagram []byte)) *MemoryTransport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	m := &Memory{net: n, addr: addr, heard: heard, in: make(chan packet, memoryQueue), over: make(chan struct{})}
-	n.ports[addr] = m
+	m := &MemoryTransport{net: n, addr: addr, handler: handler, inbox: make(chan packet, maxUnread), done: make(chan struct{})}
+	n.transports[addr] = m
 	return m
 }
 
-// arrive delivers a datagram to who has the address by now.
-func (n *Network) arrive(to string, p packet) {
+// deliver hands a datagram to the transport that has the address at this moment.
+func (n *MemoryNetwork) deliver(to string, p packet) {
 	n.mu.Lock()
-	there := n.ports[to]
+	receiver := n.transports[to]
 	n.mu.Unlock()
-	if there != nil {
-		there.put(p)
+	if receiver != nil {
+		receiver.enqueue(p)
 	}
 }
 
 type packet struct {
-	from string
-	text []byte
+	from    string
+	payload []byte
 }
 
-// Memory is the Transport on a Network.
-type Memory struct {
-	net   *Network
-	addr  string
-	heard func(from string, datagram []byte)
-	in    chan packet
-	held  []packet // changing places, under the network's lock
-	over  chan struct{}
-	once  sync.Once
+// MemoryTransport is the Transport on a MemoryNetwork.
+type MemoryTransport struct {
+	net       *MemoryNetwork
+	addr      string
+	handler   func(from string, datagram []byte)
+	inbox     chan packet
+	reordered []packet // held back for reordering, under the network's lock
+	done      chan struct{}
+	once      sync.Once
 }
 
 // Addr implements Transport.
-func (m *Memory) Addr() string { return m.addr }
+func (m *MemoryTransport) Addr() string { return m.addr }
 
 // Send implements Transport.
-func (m *Memory) Send(to string, datagram []byte) error {
+func (m *MemoryTransport) Send(to string, datagram []byte) error {
 	switch {
 	case m.closed():
 		return ErrClosed
@@ -99,60 +99,60 @@
 	n := m.net
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.fate != nil {
-		for _, d := range n.fate(m.addr, to) {
+	if n.delivery != nil {
+		for _, d := range n.delivery(m.addr, to) {
 			p := packet{m.addr, bytes.Clone(datagram)}
-			n.after(d, func() { n.arrive(to, p) })
+			n.schedule(d, func() { n.deliver(to, p) })
 		}
 		return nil
 	}
-	there := n.ports[to]
-	if there == nil || n.rng.Float64() < n.loss {
+	receiver := n.transports[to]
+	if receiver == nil || n.rng.Float64() < n.loss {
 		return nil
 	}
 	p := packet{m.addr, bytes.Clone(datagram)}
-	if n.rng.Float64() < n.swap && len(there.held) < memoryQueue {
-		there.held = append(there.held, p)
+	if n.rng.Float64() < n.reorder && len(receiver.reordered) < maxUnread {
+		receiver.reordered = append(receiver.reordered, p)
 		return nil
 	}
-	if n.rng.Float64() < n.twice {
-		there.put(packet{p.from, bytes.Clone(p.text)})
+	if n.rng.Float64() < n.duplicate {
+		receiver.enqueue(packet{p.from, bytes.Clone(p.payload)})
 	}
-	there.put(p) // its bytes are the receiver's from here on
-	for _, h := range there.held {
-		there.put(h)
+	receiver.enqueue(p) // the receiver owns the bytes from here on
+	for _, h := range receiver.reordered {
+		receiver.enqueue(h)
 	}
-	there.held = there.held[:0]
+	receiver.reordered = receiver.reordered[:0]
 	return nil
 }
 
-func (m *Memory) put(p packet) {
-	if m.heard != nil {
-		m.heard(p.from, p.text)
+func (m *MemoryTransport) enqueue(p packet) {
+	if m.handler != nil {
+		m.handler(p.from, p.payload)
 		return
 	}
 	select {
-	case m.in <- p:
-	default: // a slow reader's loss
+	case m.inbox <- p:
+	default: // the reader is slow: dropped
 	}
 }
 
 // Receive implements Transport.
-func (m *Memory) Receive() (string, []byte, error) {
+func (m *MemoryTransport) Receive() (string, []byte, error) {
 	if m.closed() {
 		return "", nil, ErrClosed
 	}
 	select {
-	case p := <-m.in:
-		return p.from, p.text, nil
-	case <-m.over:
+	case p := <-m.inbox:
+		return p.from, p.payload, nil
+	case <-m.done:
 		return "", nil, ErrClosed
 	}
 }
 
-func (m *Memory) closed() bool {
+func (m *MemoryTransport) closed() bool {
 	select {
-	case <-m.over:
+	case <-m.done:
 		return true
 	default:
 		return false
@@ -160,13 +160,13 @@
 }
 
 // Close implements Transport.
-func (m *Memory) Close() error {
+func (m *MemoryTransport) Close() error {
 	m.once.Do(func() {
-		close(m.over)
+		close(m.done)
 		m.net.mu.Lock()
 		defer m.net.mu.Unlock()
-		if m.net.ports[m.addr] == m {
-			delete(m.net.ports, m.addr)
+		if m.net.transports[m.addr] == m {
+			delete(m.net.transports, m.addr)
 		}
 	})
 	return nil
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -99,7 +99,7 @@
 }
 
 func (p *Plan) schedule() arrivals.Schedule {
-	return arrivals.Schedule{PerSecond: p.PerSecond, Shape: p.Shape, Swing: p.Swing, Period: p.Period, Phase: -1, Even: p.Even}
+	return arrivals.Schedule{PerSecond: p.PerSecond, Shape: p.Shape, Amplitude: p.Swing, Period: p.Period, Phase: -1, EvenlySpaced: p.Even}
 }
 
 // ClassReport holds the results of one class.
@@ -211,7 +211,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		class := arrivals.Pick(cumulative, rng)
+		class := arrivals.WeightedIndex(cumulative, rng)
 		id := fmt.Sprintf("load-%x-%d", p.Seed, n)
 		inFlight.Go(func() { t.send(ctx, client, &p, class, id, began.Add(due)) })
 	}
@@ -219,9 +219,9 @@
 	close(stop)
 	<-progressDone
 	took := time.Since(began)
-	r := &Report{Target: p.Target, Seconds: took.Seconds(), Due: t.due, Classes: map[string]ClassReport{}, LateMS: latency.Of(t.late)}
+	r := &Report{Target: p.Target, Seconds: took.Seconds(), Due: t.due, Classes: map[string]ClassReport{}, LateMS: latency.FromHistogram(t.late)}
 	for i, c := range t.classes {
-		r.Classes[p.Classes[i].Name] = ClassReport{c.sent, c.status, latency.Of(c.all), latency.Of(c.served), latency.Of(c.service)}
+		r.Classes[p.Classes[i].Name] = ClassReport{c.sent, c.status, latency.FromHistogram(c.all), latency.FromHistogram(c.served), latency.FromHistogram(c.service)}
 	}
 	r.PerSecond = float64(t.done) / max(took.Seconds(), 1e-9)
 	return r
--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -1,6 +1,6 @@
-// Package yamlfile reads YAML files strictly: each key must be one that the
-// target has, once, and each fault is told with file, line, key and what is
-// allowed there. It knows YAML and reflection, and nothing of what files mean.
+// Package yamlfile reads YAML files strictly: each key must exist in the target and occur once,
+// and each error names file, line, key and what is allowed there. It uses YAML and reflection,
+// and must not know what a file means.
 package yamlfile
 
 import (
@@ -16,19 +16,19 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// maxSize bounds a file. An alias may not stand in one, so its tree is no
-// larger than its text.
+// maxSize is the maximum size of a file in bytes. Aliases are not allowed, so the parsed tree is
+// no larger than the text.
 const maxSize = 4 << 20
 
-// Error is a fault in a file.
+// Error is an error in a file.
 type Error struct {
 	File string
-	Line int    // from 1, 0 where the fault has no place
-	Key  string // as a path such as backends.2.cores, empty for the file as a whole
+	Line int    // from 1; 0 for an error without a position
+	Key  string // path such as backends.2.cores; empty for the whole file
 	Text string
 }
 
-// Error gives it all in one line.
+// Error returns file, line, key and reason in one line.
 func (e *Error) Error() string {
 	s := e.File
 	if e.Line > 0 {
@@ -40,16 +40,16 @@
 	return s + ": " + strings.Join(strings.Fields(e.Text), " ")
 }
 
-// File is a file that was decoded, and where its keys stand.
+// File is a decoded file with the lines of its keys.
 type File struct {
 	Name  string
 	lines map[string]int
 }
 
-// Line returns the line that a key stands in, 0 where the file does not have it.
+// Line returns the line of a key, or 0 if the file does not contain it.
 func (f *File) Line(key string) int { return f.lines[key] }
 
-// Errorf returns a fault at a key, or at the nearest key above it that the file has.
+// Errorf returns an error at a key, with the line of the key or of its nearest parent in the file.
 func (f *File) Errorf(key, format string, args ...any) *Error {
 	line := 0
 	for at := key; line == 0 && at != ""; {
@@ -60,8 +60,8 @@
 	return &Error{File: f.Name, Line: line, Key: key, Text: fmt.Sprintf(format, args...)}
 }
 
-// Read decodes the file of a name into the struct that into points to. Keys that
-// the file does not have keep their values.
+// Read decodes a file into the struct that into points to. Keys that the file does not contain
+// keep their values.
 func Read(name string, into any) (*File, error) {
 	info, err := os.Stat(name)
 	if err == nil && info.Size() > maxSize {
@@ -74,9 +74,9 @@
 	return Decode(name, text, into)
 }
 
-// Decode decodes text, as Read does; the name is for errors only.
+// Decode decodes text like Read; the name is only for errors.
 func Decode(name string, text []byte, into any) (f *File, err error) {
-	// The library's parser has had panics on texts that are no YAML.
+	// The library's parser has panicked on invalid YAML.
 	defer func() {
 		if p := recover(); p != nil {
 			f, err = nil, &Error{File: name, Text: fmt.Sprint("cannot be parsed: ", p)}
@@ -87,7 +87,7 @@
 	}
 	tree, err := parser.ParseBytes(text, 0)
 	if err != nil {
-		return nil, from(name, err)
+		return nil, fromLibraryError(name, err)
 	}
 	f = &File{Name: name, lines: map[string]int{}}
 	if len(tree.Docs) > 1 {
@@ -96,18 +96,18 @@
 	if len(tree.Docs) == 0 || tree.Docs[0].Body == nil {
 		return f, nil
 	}
-	if err := f.walk(tree.Docs[0].Body, reflect.TypeOf(into).Elem(), "", 0); err != nil {
+	if err := f.checkNode(tree.Docs[0].Body, reflect.TypeOf(into).Elem(), "", 0); err != nil {
 		return nil, err
 	}
 	if err := yaml.NodeToValue(tree.Docs[0].Body, into, yaml.Strict()); err != nil {
-		return nil, f.typed(name, err)
+		return nil, f.addKey(name, err)
 	}
 	return f, nil
 }
 
-// typed names the key of a fault that the library found.
-func (f *File) typed(name string, err error) error {
-	e := from(name, err)
+// addKey adds the key to an error that the library reported with a line.
+func (f *File) addKey(name string, err error) error {
+	e := fromLibraryError(name, err)
 	for key, line := range f.lines {
 		if line == e.Line && (len(key) > len(e.Key) || len(key) == len(e.Key) && key < e.Key) {
 			e.Key = key
@@ -116,7 +116,8 @@
 	return e
 }
 
-func from(name string, err error) *Error {
+// fromLibraryError converts an error of the YAML library, with its line if it has one.
+func fromLibraryError(name string, err error) *Error {
 	e := &Error{File: name, Text: err.Error()}
 	var placed yaml.Error
 	if errors.As(err, &placed) {
@@ -128,10 +129,11 @@
 	return e
 }
 
+// maxDepth is the maximum nesting depth of a file.
 const maxDepth = 32
 
-// walk checks that the keys below n are those of t and notes their lines.
-func (f *File) walk(n ast.Node, t reflect.Type, path string, depth int) error {
+// checkNode checks that the keys below n exist in t, and records their lines.
+func (f *File) checkNode(n ast.Node, t reflect.Type, path string, depth int) error {
 	line := n.GetToken().Position.Line
 	if depth > maxDepth {
 		return &Error{f.Name, line, path, "nested too deep"}
@@ -139,7 +141,7 @@
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
-	// What decodes itself tells no place, so it is asked here.
+	// The library reports no position for types that decode themselves, so they are checked here.
 	if u, ok := reflect.New(t).Interface().(yaml.BytesUnmarshaler); ok {
 		if err := u.UnmarshalYAML([]byte(n.String())); err != nil {
 			return &Error{f.Name, line, path, err.Error()}
@@ -150,9 +152,9 @@
 	case *ast.AliasNode, *ast.AnchorNode, *ast.MergeKeyNode, *ast.TagNode:
 		return &Error{f.Name, line, path, "anchors, aliases, merges and tags are not read"}
 	case *ast.MappingNode:
-		return f.mapping(n.Values, t, path, depth, line)
+		return f.checkMapping(n.Values, t, path, depth, line)
 	case *ast.MappingValueNode:
-		return f.mapping([]*ast.MappingValueNode{n}, t, path, depth, line)
+		return f.checkMapping([]*ast.MappingValueNode{n}, t, path, depth, line)
 	case *ast.SequenceNode:
 		for i, v := range n.Values {
 			key := join(path, fmt.Sprint(i))
@@ -161,7 +163,7 @@
 			if k := t.Kind(); k == reflect.Slice || k == reflect.Array {
 				elem = t.Elem()
 			}
-			if err := f.walk(v, elem, key, depth+1); err != nil {
+			if err := f.checkNode(v, elem, key, depth+1); err != nil {
 				return err
 			}
 		}
@@ -169,16 +171,17 @@
 	return nil
 }
 
-func (f *File) mapping(values []*ast.MappingValueNode, t reflect.Type, path string, depth, line int) error {
+// checkMapping checks the keys of a mapping and the values below them.
+func (f *File) checkMapping(values []*ast.MappingValueNode, t reflect.Type, path string, depth, line int) error {
 	if t.Kind() != reflect.Struct {
 		if t.Kind() == reflect.Map || t.Kind() == reflect.Interface {
 			for _, v := range values {
 				key := join(path, v.Key.GetToken().Value)
 				if f.lines[key] = v.Key.GetToken().Position.Line; t.Kind() == reflect.Map {
-					if err := f.walk(v.Value, t.Elem(), key, depth+1); err != nil {
+					if err := f.checkNode(v.Value, t.Elem(), key, depth+1); err != nil {
 						return err
 					}
-				} else if err := f.walk(v.Value, t, key, depth+1); err != nil {
+				} else if err := f.checkNode(v.Value, t, key, depth+1); err != nil {
 					return err
 				}
 			}
@@ -190,7 +193,7 @@
 		name := v.Key.GetToken().Value
 		at := v.Key.GetToken().Position.Line
 		key := join(path, name)
-		field, allowed := Field(t, name)
+		field, allowed := FindField(t, name)
 		if field == nil {
 			return &Error{f.Name, at, key, "unknown key; allowed here: " + strings.Join(allowed, ", ")}
 		}
@@ -198,21 +201,20 @@
 			return &Error{f.Name, at, key, fmt.Sprintf("stands in line %d already", f.lines[key])}
 		}
 		f.lines[key] = at
-		if err := f.walk(v.Value, field.Type, key, depth+1); err != nil {
+		if err := f.checkNode(v.Value, field.Type, key, depth+1); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Field returns the field of a struct that a key names, and all keys that the
-// struct has.
-func Field(t reflect.Type, name string) (found *reflect.StructField, keys []string) {
+// FindField returns the field of a struct for a key, and all keys of the struct.
+func FindField(t reflect.Type, name string) (found *reflect.StructField, keys []string) {
 	for i := range t.NumField() {
 		sf := t.Field(i)
 		key, options, _ := strings.Cut(sf.Tag.Get("yaml"), ",")
 		if options == "inline" {
-			in, more := Field(sf.Type, name)
+			in, more := FindField(sf.Type, name)
 			if in != nil {
 				found = in
 			}
@@ -237,6 +239,7 @@
 	return path + "." + key
 }
 
+// describe returns the word for a type in error messages.
 func describe(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Slice, reflect.Array:
@@ -251,46 +254,47 @@
 	return t.Kind().String()
 }
 
-// Set returns text with the value of a key replaced or added. The key is a path
-// such as backends.2.cores; the value is YAML.
+// Set returns text with the value of a key replaced or added. The key is a path such as
+// backends.2.cores; the value is YAML.
 func Set(name string, text []byte, key, value string) ([]byte, error) {
 	var tree, v any
 	if err := yaml.UnmarshalWithOptions(text, &tree, yaml.UseOrderedMap()); err != nil {
-		return nil, from(name, err)
+		return nil, fromLibraryError(name, err)
 	}
 	if err := yaml.UnmarshalWithOptions([]byte(value), &v, yaml.UseOrderedMap()); err != nil {
 		return nil, &Error{File: name, Key: key, Text: fmt.Sprintf("%q is no YAML value", value)}
 	}
-	tree, err := put(tree, strings.Split(key, "."), v)
+	tree, err := setValue(tree, strings.Split(key, "."), v)
 	if err != nil {
 		return nil, &Error{File: name, Key: key, Text: err.Error()}
 	}
 	return yaml.Marshal(tree)
 }
 
-func put(tree any, path []string, v any) (any, error) {
+// setValue returns the tree with the value at a path replaced or added.
+func setValue(tree any, path []string, v any) (any, error) {
 	if len(path) == 0 {
 		return v, nil
 	}
 	switch t := tree.(type) {
 	case nil:
-		return put(yaml.MapSlice{}, path, v)
+		return setValue(yaml.MapSlice{}, path, v)
 	case yaml.MapSlice:
 		for i := range t {
 			if t[i].Key == path[0] {
-				in, err := put(t[i].Value, path[1:], v)
+				in, err := setValue(t[i].Value, path[1:], v)
 				t[i].Value = in
 				return t, err
 			}
 		}
-		in, err := put(nil, path[1:], v)
+		in, err := setValue(nil, path[1:], v)
 		return append(t, yaml.MapItem{Key: path[0], Value: in}), err
 	case []any:
 		i, err := strconv.Atoi(path[0])
 		if err != nil || i < 0 || i >= len(t) {
 			return nil, fmt.Errorf("%q is no place in a list of %d", path[0], len(t))
 		}
-		t[i], err = put(t[i], path[1:], v)
+		t[i], err = setValue(t[i], path[1:], v)
 		return t, err
 	}
 	return nil, fmt.Errorf("there is no %q below a plain value", path[0])
