--- a/cmd/anemometer/main.go
+++ b/cmd/anemometer/main.go
@@ -8,11 +8,11 @@
 
 	"github.com/alecthomas/kong"
 
-	"pipitmux/internal/anemometer/edge"
-	"pipitmux/internal/station/journal"
-	"pipitmux/internal/station/process"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/station/settings"
+	"oakseam/internal/anemometer/edge"
+	"oakseam/internal/station/journal"
+	"oakseam/internal/station/process"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/station/settings"
 )
 
 // version is printed by the version command.
--- a/cmd/barograph/main.go
+++ b/cmd/barograph/main.go
@@ -13,17 +13,17 @@
 	"github.com/go-faster/errors"
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/barograph/coordinator"
-	"pipitmux/internal/barograph/keeper"
-	"pipitmux/internal/barograph/node"
-	"pipitmux/internal/barograph/operators"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/link"
-	"pipitmux/internal/station/platform"
-	"pipitmux/internal/station/process"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/station/routing"
-	"pipitmux/internal/station/settings"
+	"oakseam/internal/barograph/coordinator"
+	"oakseam/internal/barograph/keeper"
+	"oakseam/internal/barograph/node"
+	"oakseam/internal/barograph/operators"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/link"
+	"oakseam/internal/station/platform"
+	"oakseam/internal/station/process"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/station/routing"
+	"oakseam/internal/station/settings"
 )
 
 // version is what the version command prints.
--- a/cmd/oaklab/emulate.go
+++ b/cmd/oaklab/emulate.go
@@ -17,11 +17,11 @@
 
 	"github.com/spf13/cobra"
 
-	"pipitmux/internal/cli"
-	"pipitmux/internal/core"
-	"pipitmux/internal/emulator"
-	"pipitmux/internal/yamlfile"
-	"pipitmux/logic"
+	"oakseam/internal/cli"
+	"oakseam/internal/core"
+	"oakseam/internal/emulator"
+	"oakseam/internal/yamlfile"
+	"oakseam/logic"
 )
 
 func emulateCommand() *cobra.Command {
--- a/cmd/oaklab/experiment.go
+++ b/cmd/oaklab/experiment.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"pipitmux/internal/cli"
-	"pipitmux/internal/experiment"
+	"oakseam/internal/cli"
+	"oakseam/internal/experiment"
 )
 
 func experimentCommand() *cobra.Command {
--- a/cmd/oaklab/fault.go
+++ b/cmd/oaklab/fault.go
@@ -11,10 +11,10 @@
 
 	"github.com/spf13/cobra"
 
-	"pipitmux/internal/cli"
-	"pipitmux/internal/emulator"
-	"pipitmux/internal/fault"
-	"pipitmux/internal/fleet"
+	"oakseam/internal/cli"
+	"oakseam/internal/emulator"
+	"oakseam/internal/fault"
+	"oakseam/internal/fleet"
 )
 
 func faultCommand() *cobra.Command {
--- a/cmd/oaklab/fault_test.go
+++ b/cmd/oaklab/fault_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/cli"
-	"pipitmux/internal/emulator"
-	"pipitmux/internal/fault"
-	"pipitmux/internal/fleet"
+	"oakseam/internal/cli"
+	"oakseam/internal/emulator"
+	"oakseam/internal/fault"
+	"oakseam/internal/fleet"
 )
 
 // siteFaults are the faults of a short run in two sites. One site is lost with its nodes and comes back
--- a/cmd/oaklab/fleet.go
+++ b/cmd/oaklab/fleet.go
@@ -7,8 +7,8 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
-	"pipitmux/internal/cli"
-	"pipitmux/internal/fleet"
+	"oakseam/internal/cli"
+	"oakseam/internal/fleet"
 )
 
 func fleetCommand() *cobra.Command {
--- a/cmd/oaklab/load.go
+++ b/cmd/oaklab/load.go
@@ -11,9 +11,9 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
-	"pipitmux/internal/cli"
-	"pipitmux/internal/load"
-	"pipitmux/internal/yamlfile"
+	"oakseam/internal/cli"
+	"oakseam/internal/load"
+	"oakseam/internal/yamlfile"
 )
 
 func loadCommand() *cobra.Command {
--- a/cmd/oaklab/load_test.go
+++ b/cmd/oaklab/load_test.go
@@ -11,11 +11,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/cli"
-	"pipitmux/internal/load"
-	"pipitmux/internal/standin"
-	"pipitmux/internal/wire"
-	"pipitmux/logic"
+	"oakseam/internal/cli"
+	"oakseam/internal/load"
+	"oakseam/internal/standin"
+	"oakseam/internal/wire"
+	"oakseam/logic"
 )
 
 // TestStalledNodeRaisesTailLatency guards against a load tool that hides a stall of a real node: each
--- a/cmd/oaklab/main.go
+++ b/cmd/oaklab/main.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"pipitmux/internal/cli"
+	"oakseam/internal/cli"
 )
 
 func main() { os.Exit(cli.Run(newRootCommand(), os.Args[1:])) }
--- a/cmd/oaklab/members_test.go
+++ b/cmd/oaklab/members_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/emulator"
-	"pipitmux/internal/standin"
-	"pipitmux/internal/wire"
-	"pipitmux/logic"
+	"oakseam/internal/emulator"
+	"oakseam/internal/standin"
+	"oakseam/internal/wire"
+	"oakseam/logic"
 )
 
 // peerView holds the states of a node's peers, as the node logs them.
--- a/cmd/oaklab/oaklab_test.go
+++ b/cmd/oaklab/oaklab_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/cli"
-	"pipitmux/internal/emulator"
-	"pipitmux/internal/fleet"
+	"oakseam/internal/cli"
+	"oakseam/internal/emulator"
+	"oakseam/internal/fleet"
 )
 
 // runOaklab runs the command line in this process.
--- a/cmd/oaklab/tier.go
+++ b/cmd/oaklab/tier.go
@@ -7,9 +7,9 @@
 
 	"github.com/spf13/cobra"
 
-	audit "pipitmux/internal/audit/tier"
-	"pipitmux/internal/cli"
-	"pipitmux/internal/tierlab"
+	audit "oakseam/internal/audit/tier"
+	"oakseam/internal/cli"
+	"oakseam/internal/tierlab"
 )
 
 func tierCommand() *cobra.Command {
--- a/cmd/oaklab/tier_test.go
+++ b/cmd/oaklab/tier_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	audit "pipitmux/internal/audit/tier"
-	"pipitmux/internal/cli"
-	"pipitmux/internal/tierlab"
+	audit "oakseam/internal/audit/tier"
+	"oakseam/internal/cli"
+	"oakseam/internal/tierlab"
 )
 
 // buildTier builds the tier's programs in a folder and returns options that name them.
--- a/cmd/oakseam/compat_test.go
+++ b/cmd/oakseam/compat_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/discovery"
-	"pipitmux/internal/durable"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/discovery"
+	"oakseam/internal/durable"
+	"oakseam/logic"
 )
 
 // The fixtures are a node's state file and the state that it hands to its successor, as the build
--- a/cmd/oakseam/console_test.go
+++ b/cmd/oakseam/console_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/cli"
+	"oakseam/internal/cli"
 )
 
 // startWithConsole starts a node with a console, whose list has backends at the given addresses.
--- a/cmd/oakseam/harness_test.go
+++ b/cmd/oakseam/harness_test.go
@@ -21,7 +21,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/standin"
+	"oakseam/internal/standin"
 )
 
 // patience is the timeout of every wait for a condition. No test depends on a shorter one.
--- a/cmd/oakseam/main.go
+++ b/cmd/oakseam/main.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"pipitmux/internal/cli"
-	"pipitmux/internal/config"
+	"oakseam/internal/cli"
+	"oakseam/internal/config"
 )
 
 func main() {
--- a/cmd/oakseam/oakseam_test.go
+++ b/cmd/oakseam/oakseam_test.go
@@ -18,8 +18,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/cli"
-	"pipitmux/internal/standin"
+	"oakseam/internal/cli"
+	"oakseam/internal/standin"
 )
 
 // Bodies, targets and the headers of the protocol must be passed on byte for byte.
--- a/cmd/oakseam/registry_test.go
+++ b/cmd/oakseam/registry_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"pipitmux/internal/standin"
+	"oakseam/internal/standin"
 )
 
 // When a list reports a drain while a request waits for the connection to that backend, nothing
--- a/cmd/oakseam/statefile.go
+++ b/cmd/oakseam/statefile.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"time"
 
-	"pipitmux/internal/durable"
-	"pipitmux/internal/logging"
+	"oakseam/internal/durable"
+	"oakseam/internal/logging"
 )
 
 const (
--- a/cmd/oakseam/statefile_test.go
+++ b/cmd/oakseam/statefile_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/durable"
-	"pipitmux/internal/standin"
+	"oakseam/internal/durable"
+	"oakseam/internal/standin"
 )
 
 // Nodes killed together with SIGKILL must serve again from their state files while the registry
--- a/cmd/oakseam/takeover.go
+++ b/cmd/oakseam/takeover.go
@@ -10,15 +10,15 @@
 	"runtime/debug"
 	"time"
 
-	"pipitmux/internal/cli"
-	"pipitmux/internal/config"
-	"pipitmux/internal/core"
-	"pipitmux/internal/discovery"
-	"pipitmux/internal/handover"
-	"pipitmux/internal/logging"
-	"pipitmux/internal/message"
-	"pipitmux/internal/session"
-	"pipitmux/internal/upstream"
+	"oakseam/internal/cli"
+	"oakseam/internal/config"
+	"oakseam/internal/core"
+	"oakseam/internal/discovery"
+	"oakseam/internal/handover"
+	"oakseam/internal/logging"
+	"oakseam/internal/message"
+	"oakseam/internal/session"
+	"oakseam/internal/upstream"
 )
 
 const (
--- a/cmd/oakseam/upgrade_test.go
+++ b/cmd/oakseam/upgrade_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/handover"
+	"oakseam/internal/handover"
 )
 
 // startReplaceable starts a node that another process can take over from.
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -11,8 +11,8 @@
 	"runtime/debug"
 	"time"
 
-	"pipitmux/internal/wire"
-	"pipitmux/logic"
+	"oakseam/internal/wire"
+	"oakseam/logic"
 )
 
 func main() {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
-	"pipitmux/internal/wire"
-	"pipitmux/logic"
+	"oakseam/internal/wire"
+	"oakseam/logic"
 )
 
 // settings are the settings of an INIT message.
--- a/internal/anemometer/dispatch/capacity_test.go
+++ b/internal/anemometer/dispatch/capacity_test.go
@@ -8,11 +8,11 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/counters"
-	"pipitmux/internal/message"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/station/routing"
-	"pipitmux/internal/station/scaletest"
+	"oakseam/internal/counters"
+	"oakseam/internal/message"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/station/routing"
+	"oakseam/internal/station/scaletest"
 )
 
 func newDispatcher(b *testing.B) *Dispatcher {
--- a/internal/anemometer/dispatch/classes.go
+++ b/internal/anemometer/dispatch/classes.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"pipitmux/internal/station/routing"
-	"pipitmux/logic"
+	"oakseam/internal/station/routing"
+	"oakseam/logic"
 )
 
 const (
--- a/internal/anemometer/dispatch/codec.go
+++ b/internal/anemometer/dispatch/codec.go
@@ -8,10 +8,10 @@
 	"strings"
 	"time"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/message"
-	"pipitmux/internal/upstream"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/message"
+	"oakseam/internal/upstream"
+	"oakseam/logic"
 )
 
 // HTTP header names shared with servers and clients.
--- a/internal/anemometer/dispatch/codec_test.go
+++ b/internal/anemometer/dispatch/codec_test.go
@@ -6,8 +6,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/message"
-	"pipitmux/logic"
+	"oakseam/internal/message"
+	"oakseam/logic"
 )
 
 func TestClassifyIgnoresResponseToAnotherAttempt(t *testing.T) {
--- a/internal/anemometer/dispatch/dispatch.go
+++ b/internal/anemometer/dispatch/dispatch.go
@@ -13,13 +13,13 @@
 
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/counters"
-	"pipitmux/internal/message"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/station/routing"
-	"pipitmux/internal/upstream"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/counters"
+	"oakseam/internal/message"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/station/routing"
+	"oakseam/internal/upstream"
+	"oakseam/logic"
 )
 
 const (
--- a/internal/anemometer/dispatch/prefer.go
+++ b/internal/anemometer/dispatch/prefer.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
-	"pipitmux/internal/station/hashing"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/logic"
+	"oakseam/internal/station/hashing"
+	"oakseam/internal/station/protocol"
+	"oakseam/logic"
 )
 
 // maxPreferred is how many servers a sequence of turns sticks to, best first.
--- a/internal/anemometer/dispatch/prefer_test.go
+++ b/internal/anemometer/dispatch/prefer_test.go
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/station/hashing"
-	"pipitmux/logic"
+	"oakseam/internal/station/hashing"
+	"oakseam/logic"
 )
 
 func TestTopRankedEqualsStartOfFullOrder(t *testing.T) {
--- a/internal/anemometer/dispatch/subset.go
+++ b/internal/anemometer/dispatch/subset.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"pipitmux/internal/station/hashing"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/station/hashing"
+	"oakseam/internal/station/protocol"
 )
 
 const (
--- a/internal/anemometer/dispatch/subset_test.go
+++ b/internal/anemometer/dispatch/subset_test.go
@@ -8,10 +8,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/counters"
-	"pipitmux/internal/message"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/station/routing"
+	"oakseam/internal/counters"
+	"oakseam/internal/message"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/station/routing"
 )
 
 // serversInThreeZones returns perZone servers in each of three zones.
--- a/internal/anemometer/gateway/answer.go
+++ b/internal/anemometer/gateway/answer.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/message"
-	"pipitmux/internal/station/routing"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/message"
+	"oakseam/internal/station/routing"
+	"oakseam/logic"
 )
 
 // copySize is the size of the buffer that a streamed response passes through.
--- a/internal/anemometer/gateway/capacity_test.go
+++ b/internal/anemometer/gateway/capacity_test.go
@@ -21,17 +21,17 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/anemometer/dispatch"
-	"pipitmux/internal/anemometer/turnclient"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/counters"
-	"pipitmux/internal/ingress"
-	"pipitmux/internal/lifecycle"
-	"pipitmux/internal/message"
-	"pipitmux/internal/station/link"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/station/routing"
-	"pipitmux/internal/station/scaletest"
+	"oakseam/internal/anemometer/dispatch"
+	"oakseam/internal/anemometer/turnclient"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/counters"
+	"oakseam/internal/ingress"
+	"oakseam/internal/lifecycle"
+	"oakseam/internal/message"
+	"oakseam/internal/station/link"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/station/routing"
+	"oakseam/internal/station/scaletest"
 )
 
 const (
--- a/internal/anemometer/gateway/gateway.go
+++ b/internal/anemometer/gateway/gateway.go
@@ -12,15 +12,15 @@
 
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/anemometer/dispatch"
-	"pipitmux/internal/anemometer/history"
-	"pipitmux/internal/anemometer/turnclient"
-	"pipitmux/internal/counters"
-	"pipitmux/internal/ingress"
-	"pipitmux/internal/message"
-	"pipitmux/internal/station/journal"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/station/routing"
+	"oakseam/internal/anemometer/dispatch"
+	"oakseam/internal/anemometer/history"
+	"oakseam/internal/anemometer/turnclient"
+	"oakseam/internal/counters"
+	"oakseam/internal/ingress"
+	"oakseam/internal/message"
+	"oakseam/internal/station/journal"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/station/routing"
 )
 
 const (
--- a/internal/anemometer/gateway/gateway_test.go
+++ b/internal/anemometer/gateway/gateway_test.go
@@ -10,9 +10,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/anemometer/dispatch"
-	"pipitmux/internal/anemometer/turnclient"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/anemometer/dispatch"
+	"oakseam/internal/anemometer/turnclient"
+	"oakseam/internal/station/protocol"
 )
 
 func stringReader(text string) io.Reader { return strings.NewReader(text) }
--- a/internal/anemometer/gateway/harness_test.go
+++ b/internal/anemometer/gateway/harness_test.go
@@ -14,13 +14,13 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/anemometer/dispatch"
-	"pipitmux/internal/counters"
-	"pipitmux/internal/ingress"
-	"pipitmux/internal/lifecycle"
-	"pipitmux/internal/message"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/station/routing"
+	"oakseam/internal/anemometer/dispatch"
+	"oakseam/internal/counters"
+	"oakseam/internal/ingress"
+	"oakseam/internal/lifecycle"
+	"oakseam/internal/message"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/station/routing"
 )
 
 // testConfiguration has routes for turns, for resumable streams, for reads and for orders.
--- a/internal/anemometer/gateway/request.go
+++ b/internal/anemometer/gateway/request.go
@@ -8,10 +8,10 @@
 
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/anemometer/dispatch"
-	"pipitmux/internal/ingress"
-	"pipitmux/internal/message"
-	"pipitmux/internal/station/routing"
+	"oakseam/internal/anemometer/dispatch"
+	"oakseam/internal/ingress"
+	"oakseam/internal/message"
+	"oakseam/internal/station/routing"
 )
 
 // HTTP header names of programs and prompts.
--- a/internal/anemometer/gateway/resume.go
+++ b/internal/anemometer/gateway/resume.go
@@ -5,10 +5,10 @@
 	"net/http"
 	"sync"
 
-	"pipitmux/internal/anemometer/dispatch"
-	"pipitmux/internal/anemometer/events"
-	"pipitmux/internal/core"
-	"pipitmux/internal/message"
+	"oakseam/internal/anemometer/dispatch"
+	"oakseam/internal/anemometer/events"
+	"oakseam/internal/core"
+	"oakseam/internal/message"
 )
 
 // resumable returns the answer with a stream that is resumed at another server if its own breaks
--- a/internal/anemometer/gateway/resume_test.go
+++ b/internal/anemometer/gateway/resume_test.go
@@ -11,9 +11,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/anemometer/dispatch"
-	"pipitmux/internal/anemometer/turnclient"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/anemometer/dispatch"
+	"oakseam/internal/anemometer/turnclient"
+	"oakseam/internal/station/protocol"
 )
 
 const eventCount = 5
--- a/internal/anemometer/gateway/turn.go
+++ b/internal/anemometer/gateway/turn.go
@@ -10,11 +10,11 @@
 
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/anemometer/events"
-	"pipitmux/internal/core"
-	"pipitmux/internal/message"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/station/routing"
+	"oakseam/internal/anemometer/events"
+	"oakseam/internal/core"
+	"oakseam/internal/message"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/station/routing"
 )
 
 const (
--- a/internal/anemometer/turnclient/turnclient.go
+++ b/internal/anemometer/turnclient/turnclient.go
@@ -11,11 +11,11 @@
 
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/follow"
-	"pipitmux/internal/station/link"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/wait"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/follow"
+	"oakseam/internal/station/link"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/wait"
 )
 
 const (
--- a/internal/anemometer/turnclient/turnclient_test.go
+++ b/internal/anemometer/turnclient/turnclient_test.go
@@ -9,9 +9,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/link"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/link"
+	"oakseam/internal/station/protocol"
 )
 
 // testTimeout bounds each wait of a test that should not have to wait.
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -17,7 +17,7 @@
 	"slices"
 	"time"
 
-	"pipitmux/logic"
+	"oakseam/logic"
 )
 
 // Rules holds the limits of the rules.
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/logic"
+	"oakseam/logic"
 )
 
 const ms = time.Millisecond
--- a/internal/audit/tier/report.go
+++ b/internal/audit/tier/report.go
@@ -9,7 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"pipitmux/internal/latency"
+	"oakseam/internal/latency"
 )
 
 // KindCounts are the request counts of one kind.
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -10,10 +10,10 @@
 	"strings"
 	"time"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/message"
-	"pipitmux/internal/upstream"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/message"
+	"oakseam/internal/upstream"
+	"oakseam/logic"
 )
 
 // Codec encodes requests for backends and classifies their responses.
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/message"
-	"pipitmux/internal/upstream"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/message"
+	"oakseam/internal/upstream"
+	"oakseam/logic"
 )
 
 // A missing or invalid value must not reach the module as an empty queue.
--- a/internal/barograph/coordinator/authority.go
+++ b/internal/barograph/coordinator/authority.go
@@ -4,11 +4,11 @@
 	"context"
 	"time"
 
-	"pipitmux/internal/barograph/host"
-	"pipitmux/internal/barograph/operators"
-	"pipitmux/internal/barograph/revisions"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/station/routing"
+	"oakseam/internal/barograph/host"
+	"oakseam/internal/barograph/operators"
+	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/station/routing"
 )
 
 // commandTimeout bounds an operator's call on this node. A caller that hears nothing for a
--- a/internal/barograph/coordinator/benchmark_test.go
+++ b/internal/barograph/coordinator/benchmark_test.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"testing"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/station/scaletest"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/station/scaletest"
 )
 
 // coreNodes is the number of core nodes in the benchmark, toleratedLosses the number of
--- a/internal/barograph/coordinator/calls.go
+++ b/internal/barograph/coordinator/calls.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"pipitmux/internal/barograph/host"
-	"pipitmux/internal/barograph/revisions"
-	"pipitmux/internal/barograph/servers"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/host"
+	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/barograph/servers"
+	"oakseam/internal/station/protocol"
 )
 
 // readBarrierTimeout is how long a Watch call waits for proof that this node's state is current.
--- a/internal/barograph/coordinator/calls_test.go
+++ b/internal/barograph/coordinator/calls_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/station/protocol"
 )
 
 // watch calls Watch with a state for which nothing newer exists, and returns the reply and how
--- a/internal/barograph/coordinator/coordinator.go
+++ b/internal/barograph/coordinator/coordinator.go
@@ -13,14 +13,14 @@
 	"github.com/go-faster/errors"
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/barograph/host"
-	"pipitmux/internal/barograph/lister"
-	"pipitmux/internal/barograph/node"
-	"pipitmux/internal/barograph/repair"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/revisions"
-	"pipitmux/internal/barograph/servers"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/host"
+	"oakseam/internal/barograph/lister"
+	"oakseam/internal/barograph/node"
+	"oakseam/internal/barograph/repair"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/barograph/servers"
+	"oakseam/internal/station/protocol"
 )
 
 const (
--- a/internal/barograph/coordinator/coordinator_test.go
+++ b/internal/barograph/coordinator/coordinator_test.go
@@ -9,11 +9,11 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/node"
-	"pipitmux/internal/barograph/operators"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/revisions"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/node"
+	"oakseam/internal/barograph/operators"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/station/protocol"
 )
 
 // testTimeout bounds waits that normally end at once.
--- a/internal/barograph/coordinator/gone_nodes.go
+++ b/internal/barograph/coordinator/gone_nodes.go
@@ -7,9 +7,9 @@
 
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/revisions"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/station/protocol"
 )
 
 const (
--- a/internal/barograph/coordinator/lister_task.go
+++ b/internal/barograph/coordinator/lister_task.go
@@ -7,10 +7,10 @@
 
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/barograph/host"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/servers"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/host"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/servers"
+	"oakseam/internal/station/protocol"
 )
 
 // listerTask is the lister's singleton task. The leader of its group holds it, and its epoch is
--- a/internal/barograph/coordinator/notifier.go
+++ b/internal/barograph/coordinator/notifier.go
@@ -3,9 +3,9 @@
 import (
 	"sync"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/hashing"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/hashing"
+	"oakseam/internal/station/protocol"
 )
 
 // notifier wakes all goroutines that wait for a change.
--- a/internal/barograph/host/errors.go
+++ b/internal/barograph/host/errors.go
@@ -5,7 +5,7 @@
 
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/barograph/replica"
+	"oakseam/internal/barograph/replica"
 )
 
 // Errors that errors.Is finds. Calls also return errors of package replica: NotOwnerError from
--- a/internal/barograph/host/harness_test.go
+++ b/internal/barograph/host/harness_test.go
@@ -9,8 +9,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/store"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/store"
 )
 
 const testGroup = replica.GroupID("group")
--- a/internal/barograph/host/heartbeat_test.go
+++ b/internal/barograph/host/heartbeat_test.go
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/store"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/store"
 )
 
 // A follower with a slow write must keep answering the leader's heartbeats, or it is taken for
--- a/internal/barograph/host/host.go
+++ b/internal/barograph/host/host.go
@@ -13,9 +13,9 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/store"
-	"pipitmux/internal/wait"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/store"
+	"oakseam/internal/wait"
 )
 
 const (
--- a/internal/barograph/host/host_test.go
+++ b/internal/barograph/host/host_test.go
@@ -11,8 +11,8 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/store"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/store"
 )
 
 // All members must apply the same commands, and only the leader may accept proposals and reads.
--- a/internal/barograph/host/idle_test.go
+++ b/internal/barograph/host/idle_test.go
@@ -11,8 +11,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/store"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/store"
 )
 
 // countingTransport counts the sends and messages of a transport.
--- a/internal/barograph/host/power_loss_test.go
+++ b/internal/barograph/host/power_loss_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/replica"
+	"oakseam/internal/barograph/replica"
 )
 
 // powerLossSteps is the length of a run in milliseconds.
--- a/internal/barograph/host/process_test.go
+++ b/internal/barograph/host/process_test.go
@@ -12,8 +12,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/store"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/store"
 )
 
 // process is a host with a real clock and a real disk.
--- a/internal/barograph/host/round.go
+++ b/internal/barograph/host/round.go
@@ -7,9 +7,9 @@
 	"github.com/go-faster/errors"
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/store"
-	"pipitmux/internal/station/journal"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/store"
+	"oakseam/internal/station/journal"
 )
 
 // minWait bounds how often Run checks groups that keep asking for a Tick.
--- a/internal/barograph/keeper/calls.go
+++ b/internal/barograph/keeper/calls.go
@@ -5,11 +5,11 @@
 
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/barograph/host"
-	"pipitmux/internal/barograph/node"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/turns"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/host"
+	"oakseam/internal/barograph/node"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/turns"
+	"oakseam/internal/station/protocol"
 )
 
 // turnsService serves the calls of data plane nodes to a storage node.
--- a/internal/barograph/keeper/calls_test.go
+++ b/internal/barograph/keeper/calls_test.go
@@ -7,10 +7,10 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/host"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/turns"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/host"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/turns"
+	"oakseam/internal/station/protocol"
 )
 
 // Only a result from the partition's log is final. What may have been applied must never count
--- a/internal/barograph/keeper/keeper.go
+++ b/internal/barograph/keeper/keeper.go
@@ -13,15 +13,15 @@
 	"github.com/go-faster/errors"
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/barograph/coordinator"
-	"pipitmux/internal/barograph/host"
-	"pipitmux/internal/barograph/node"
-	"pipitmux/internal/barograph/repair"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/revisions"
-	"pipitmux/internal/barograph/turns"
-	"pipitmux/internal/station/follow"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/coordinator"
+	"oakseam/internal/barograph/host"
+	"oakseam/internal/barograph/node"
+	"oakseam/internal/barograph/repair"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/barograph/turns"
+	"oakseam/internal/station/follow"
+	"oakseam/internal/station/protocol"
 )
 
 const (
--- a/internal/barograph/keeper/keeper_test.go
+++ b/internal/barograph/keeper/keeper_test.go
@@ -8,9 +8,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/node"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/node"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/protocol"
 )
 
 // testTimeout bounds waits that normally end at once.
--- a/internal/barograph/lister/lister.go
+++ b/internal/barograph/lister/lister.go
@@ -10,8 +10,8 @@
 
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/barograph/servers"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/servers"
+	"oakseam/internal/station/protocol"
 )
 
 const (
--- a/internal/barograph/lister/lister_test.go
+++ b/internal/barograph/lister/lister_test.go
@@ -9,8 +9,8 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/servers"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/servers"
+	"oakseam/internal/station/protocol"
 )
 
 var errInjected = errors.New("injected failure")
--- a/internal/barograph/node/addresses.go
+++ b/internal/barograph/node/addresses.go
@@ -9,9 +9,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/durable"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/durable"
+	"oakseam/internal/station/protocol"
 )
 
 // knownNodesFile is the name under which the known nodes are stored.
--- a/internal/barograph/node/calls.go
+++ b/internal/barograph/node/calls.go
@@ -6,11 +6,11 @@
 
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/barograph/host"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/link"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/wait"
+	"oakseam/internal/barograph/host"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/link"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/wait"
 )
 
 const (
--- a/internal/barograph/node/hello.go
+++ b/internal/barograph/node/hello.go
@@ -6,8 +6,8 @@
 
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/wait"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/wait"
 )
 
 const (
--- a/internal/barograph/node/liveness.go
+++ b/internal/barograph/node/liveness.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/protocol"
 )
 
 const (
--- a/internal/barograph/node/node.go
+++ b/internal/barograph/node/node.go
@@ -11,13 +11,13 @@
 	"github.com/go-faster/errors"
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/barograph/host"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/store"
-	"pipitmux/internal/durable"
-	"pipitmux/internal/station/hashing"
-	"pipitmux/internal/station/link"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/host"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/store"
+	"oakseam/internal/durable"
+	"oakseam/internal/station/hashing"
+	"oakseam/internal/station/link"
+	"oakseam/internal/station/protocol"
 )
 
 // Timing returns the timing of the groups of a class of nodes. Followers of turn groups learn
--- a/internal/barograph/node/node_test.go
+++ b/internal/barograph/node/node_test.go
@@ -8,11 +8,11 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/host"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/durable"
-	"pipitmux/internal/station/link"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/host"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/durable"
+	"oakseam/internal/station/link"
+	"oakseam/internal/station/protocol"
 )
 
 func core(id replica.NodeID, name, address string) protocol.Node {
--- a/internal/barograph/node/transport.go
+++ b/internal/barograph/node/transport.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/link"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/link"
+	"oakseam/internal/station/protocol"
 )
 
 const (
--- a/internal/barograph/operators/calls.go
+++ b/internal/barograph/operators/calls.go
@@ -12,8 +12,8 @@
 	"github.com/go-faster/errors"
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/station/matcher"
-	"pipitmux/internal/station/routing"
+	"oakseam/internal/station/matcher"
+	"oakseam/internal/station/routing"
 )
 
 // BaseRevisionHeader is the header with the revision that a configuration replaces.
--- a/internal/barograph/operators/server.go
+++ b/internal/barograph/operators/server.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sync/semaphore"
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/station/matcher"
+	"oakseam/internal/station/matcher"
 )
 
 // Defaults of Options.
--- a/internal/barograph/repair/random_test.go
+++ b/internal/barograph/repair/random_test.go
@@ -8,8 +8,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/protocol"
 )
 
 // Under random faults each change must pass check. Once the faults end, the group must reach
--- a/internal/barograph/repair/repair.go
+++ b/internal/barograph/repair/repair.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/hashing"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/hashing"
+	"oakseam/internal/station/protocol"
 )
 
 // learnerContactTimeout is how long a new learner may take to respond before another node is
--- a/internal/barograph/replica/restart.go
+++ b/internal/barograph/replica/restart.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"pipitmux/internal/station/hashing"
+	"oakseam/internal/station/hashing"
 )
 
 // A node that restarts may have promised a leader a lease before, and forgotten it. It therefore votes for
--- a/internal/barograph/replica/simulation_checker_test.go
+++ b/internal/barograph/replica/simulation_checker_test.go
@@ -5,7 +5,7 @@
 	"sort"
 	"time"
 
-	"pipitmux/internal/barograph/replica"
+	"oakseam/internal/barograph/replica"
 )
 
 // logPosition identifies an entry: by Raft's log matching property, no two entries share one.
--- a/internal/barograph/replica/simulation_client_test.go
+++ b/internal/barograph/replica/simulation_client_test.go
@@ -7,7 +7,7 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/barograph/replica"
+	"oakseam/internal/barograph/replica"
 )
 
 // The client's concurrency is bounded so that its history can be checked in reasonable time.
--- a/internal/barograph/replica/simulation_faults_test.go
+++ b/internal/barograph/replica/simulation_faults_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"pipitmux/internal/barograph/replica"
+	"oakseam/internal/barograph/replica"
 )
 
 // fault injects a random fault, or heals the network for a while.
--- a/internal/barograph/replica/simulation_network_test.go
+++ b/internal/barograph/replica/simulation_network_test.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"pipitmux/internal/barograph/replica"
+	"oakseam/internal/barograph/replica"
 )
 
 // link is one direction between two nodes.
--- a/internal/barograph/replica/simulation_node_test.go
+++ b/internal/barograph/replica/simulation_node_test.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"pipitmux/internal/barograph/replica"
+	"oakseam/internal/barograph/replica"
 )
 
 // node is a process with a disk and a clock.
--- a/internal/barograph/replica/simulation_setup_test.go
+++ b/internal/barograph/replica/simulation_setup_test.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/simulated"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/simulated"
 )
 
 // The simulation runs a group on a virtual clock: nodes with disks and drifting clocks, a network with faults, a
--- a/internal/barograph/revisions/benchmark_test.go
+++ b/internal/barograph/revisions/benchmark_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/station/scaletest"
+	"oakseam/internal/station/scaletest"
 )
 
 // BenchmarkApply measures one configuration change by the number of routes, and the snapshot
--- a/internal/barograph/revisions/compat_test.go
+++ b/internal/barograph/revisions/compat_test.go
@@ -8,8 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/protocol"
 )
 
 // The fixtures are commands and a snapshot as the build before identifiers were renamed wrote them.
--- a/internal/barograph/revisions/membership_test.go
+++ b/internal/barograph/revisions/membership_test.go
@@ -5,8 +5,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/protocol"
 )
 
 // newAssignedMachine returns a machine with four storage nodes and one partition, whose voters
--- a/internal/barograph/revisions/revisions.go
+++ b/internal/barograph/revisions/revisions.go
@@ -11,9 +11,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/patch"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/patch"
+	"oakseam/internal/station/protocol"
 )
 
 // maxRememberedChanges is how many accepted changes are remembered, so that a repeated one is
--- a/internal/barograph/revisions/revisions_test.go
+++ b/internal/barograph/revisions/revisions_test.go
@@ -6,9 +6,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/patch"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/patch"
+	"oakseam/internal/station/protocol"
 )
 
 func apply(t *testing.T, m *Machine, c Command) Result {
--- a/internal/barograph/servers/benchmark_test.go
+++ b/internal/barograph/servers/benchmark_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/station/scaletest"
+	"oakseam/internal/station/scaletest"
 )
 
 // BenchmarkPublication measures a change of one server in the service that has a fifth of all
--- a/internal/barograph/simulation/configuration_test.go
+++ b/internal/barograph/simulation/configuration_test.go
@@ -9,11 +9,11 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/fxamacker/cbor/v2"
 
-	"pipitmux/internal/barograph/coordinator"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/revisions"
-	"pipitmux/internal/station/patch"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/coordinator"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/station/patch"
+	"oakseam/internal/station/protocol"
 )
 
 const (
--- a/internal/barograph/simulation/edge_test.go
+++ b/internal/barograph/simulation/edge_test.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"time"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/turns"
-	"pipitmux/internal/station/follow"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/turns"
+	"oakseam/internal/station/follow"
+	"oakseam/internal/station/protocol"
 )
 
 // Timeouts of an edge's client of the storage nodes: see packages turnclient and gateway.
--- a/internal/barograph/simulation/faults_test.go
+++ b/internal/barograph/simulation/faults_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"pipitmux/internal/barograph/replica"
+	"oakseam/internal/barograph/replica"
 )
 
 // minDiskLossInterval is the minimum time between two losses of a disk.
--- a/internal/barograph/simulation/follower_test.go
+++ b/internal/barograph/simulation/follower_test.go
@@ -5,11 +5,11 @@
 	"slices"
 	"time"
 
-	"pipitmux/internal/barograph/coordinator"
-	"pipitmux/internal/barograph/revisions"
-	"pipitmux/internal/station/follow"
-	"pipitmux/internal/station/hashing"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/coordinator"
+	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/station/follow"
+	"oakseam/internal/station/hashing"
+	"oakseam/internal/station/protocol"
 )
 
 const (
--- a/internal/barograph/simulation/lister_test.go
+++ b/internal/barograph/simulation/lister_test.go
@@ -10,10 +10,10 @@
 
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/barograph/lister"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/servers"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/lister"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/servers"
+	"oakseam/internal/station/protocol"
 )
 
 // listInterval is how often a node checks whether it has to list the platform's servers.
--- a/internal/barograph/simulation/member_test.go
+++ b/internal/barograph/simulation/member_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/barograph/repair"
-	"pipitmux/internal/barograph/replica"
+	"oakseam/internal/barograph/repair"
+	"oakseam/internal/barograph/replica"
 )
 
 // outcomeKind is the kind of a proposal's outcome.
--- a/internal/barograph/simulation/network_test.go
+++ b/internal/barograph/simulation/network_test.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"pipitmux/internal/barograph/replica"
+	"oakseam/internal/barograph/replica"
 )
 
 // endpoint is the address of a node or a client.
--- a/internal/barograph/simulation/node_test.go
+++ b/internal/barograph/simulation/node_test.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"time"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/protocol"
 )
 
 // simulatedNode is a machine with a disk, a clock and a process.
--- a/internal/barograph/simulation/registry_test.go
+++ b/internal/barograph/simulation/registry_test.go
@@ -4,12 +4,12 @@
 	"slices"
 	"time"
 
-	"pipitmux/internal/barograph/coordinator"
-	"pipitmux/internal/barograph/node"
-	"pipitmux/internal/barograph/repair"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/revisions"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/coordinator"
+	"oakseam/internal/barograph/node"
+	"oakseam/internal/barograph/repair"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/station/protocol"
 )
 
 // registry stands for the directory in simulations that do not run the configuration's group.
--- a/internal/barograph/simulation/scenarios_test.go
+++ b/internal/barograph/simulation/scenarios_test.go
@@ -7,10 +7,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/coordinator"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/revisions"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/coordinator"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/station/protocol"
 )
 
 // The named scenarios reproduce severe faults one at a time, each with many seeds.
--- a/internal/barograph/simulation/submit_test.go
+++ b/internal/barograph/simulation/submit_test.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"pipitmux/internal/barograph/replica"
+	"oakseam/internal/barograph/replica"
 )
 
 // submitResult is the result of a command that a node forwarded to a group's leader.
--- a/internal/barograph/simulation/turn_attempt_test.go
+++ b/internal/barograph/simulation/turn_attempt_test.go
@@ -5,9 +5,9 @@
 	"strings"
 	"time"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/turns"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/turns"
+	"oakseam/internal/station/protocol"
 )
 
 // reportMissing tells the client that the previous turn does not exist. It verifies that this is
--- a/internal/barograph/simulation/turns_test.go
+++ b/internal/barograph/simulation/turns_test.go
@@ -6,11 +6,11 @@
 	"strings"
 	"time"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/revisions"
-	"pipitmux/internal/barograph/turns"
-	"pipitmux/internal/station/hashing"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/barograph/turns"
+	"oakseam/internal/station/hashing"
+	"oakseam/internal/station/protocol"
 )
 
 const (
--- a/internal/barograph/simulation/world_test.go
+++ b/internal/barograph/simulation/world_test.go
@@ -7,10 +7,10 @@
 	"fmt"
 	"time"
 
-	"pipitmux/internal/barograph/node"
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/barograph/simulated"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/node"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/barograph/simulated"
+	"oakseam/internal/station/protocol"
 )
 
 const (
--- a/internal/barograph/store/load.go
+++ b/internal/barograph/store/load.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/barograph/replica"
+	"oakseam/internal/barograph/replica"
 )
 
 // setVersionSQL writes schemaVersion into the file.
--- a/internal/barograph/store/memory.go
+++ b/internal/barograph/store/memory.go
@@ -8,7 +8,7 @@
 
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/barograph/replica"
+	"oakseam/internal/barograph/replica"
 )
 
 // errInjected is the cause of an injected failure.
--- a/internal/barograph/store/memory_test.go
+++ b/internal/barograph/store/memory_test.go
@@ -7,7 +7,7 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/replica"
+	"oakseam/internal/barograph/replica"
 )
 
 func oneEntry(index uint64) []Write {
--- a/internal/barograph/store/store.go
+++ b/internal/barograph/store/store.go
@@ -10,7 +10,7 @@
 
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/barograph/replica"
+	"oakseam/internal/barograph/replica"
 )
 
 // Store holds the state of groups durably. Its contract:
--- a/internal/config/compat_test.go
+++ b/internal/config/compat_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/discovery"
-	"pipitmux/logic"
+	"oakseam/internal/discovery"
+	"oakseam/logic"
 )
 
 // The fixtures are a node's two configuration files with every key that the build before identifiers
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,9 +19,9 @@
 	"strings"
 	"time"
 
-	"pipitmux/internal/discovery"
-	"pipitmux/internal/wire"
-	"pipitmux/logic"
+	"oakseam/internal/discovery"
+	"oakseam/internal/wire"
+	"oakseam/logic"
 )
 
 // Config is the configuration of a node.
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"pipitmux/internal/yamlfile"
+	"oakseam/internal/yamlfile"
 )
 
 // Options are oakseam's own settings, which the platform's PROXY_CONFIG has no keys for. They
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/logging"
+	"oakseam/internal/logging"
 )
 
 func writeFile(t *testing.T, name, text string) string {
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"pipitmux/internal/logging"
+	"oakseam/internal/logging"
 )
 
 const (
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
-	"pipitmux/internal/counters"
-	"pipitmux/logic"
+	"oakseam/internal/counters"
+	"oakseam/logic"
 )
 
 // Request is a request that a frontend has received.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/counters"
-	"pipitmux/logic"
+	"oakseam/internal/counters"
+	"oakseam/logic"
 )
 
 // fakeTransport is a transport and a registry that record their calls.
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -11,8 +11,8 @@
 	"slices"
 	"time"
 
-	"pipitmux/internal/logging"
-	"pipitmux/logic"
+	"oakseam/internal/logging"
+	"oakseam/logic"
 )
 
 // Module makes the decisions. *logic.Balancer is the one that a node runs; the lab
--- a/internal/core/engine_test.go
+++ b/internal/core/engine_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"pipitmux/internal/logging"
-	"pipitmux/logic"
+	"oakseam/internal/logging"
+	"oakseam/logic"
 )
 
 // stub is a transport that serves each attempt at once, and ignores everything else.
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"pipitmux/internal/logging"
-	"pipitmux/logic"
+	"oakseam/internal/logging"
+	"oakseam/logic"
 )
 
 // stream is the state of an attempt's streamed response.
--- a/internal/core/stream_test.go
+++ b/internal/core/stream_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/logic"
+	"oakseam/logic"
 )
 
 // countingReply counts how often it was closed.
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -4,7 +4,7 @@
 	"container/heap"
 	"time"
 
-	"pipitmux/logic"
+	"oakseam/logic"
 )
 
 // FireTimers passes the due timers to the module. beforeEach, if not nil, is called before
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -18,9 +18,9 @@
 	"sync"
 	"time"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/logging"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/logging"
+	"oakseam/logic"
 )
 
 const (
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"pipitmux/internal/core"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/logic"
 )
 
 // Each Fetch must be answered by one list, whether it succeeds or fails.
--- a/internal/discovery/delivery_test.go
+++ b/internal/discovery/delivery_test.go
@@ -18,9 +18,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/counters"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/counters"
+	"oakseam/logic"
 )
 
 // deliveryLimit is the time within which a change must be delivered, counted from when the
--- a/internal/discovery/filter.go
+++ b/internal/discovery/filter.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"pipitmux/internal/core"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/logic"
 )
 
 // staleFilter keeps an older list from undoing the drain or removal that a newer one
--- a/internal/discovery/filter_test.go
+++ b/internal/discovery/filter_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/core"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/logic"
 )
 
 // view is a node's list after all deliveries.
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -16,8 +16,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"pipitmux/internal/core"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/logic"
 )
 
 const (
--- a/internal/durable/contract_test.go
+++ b/internal/durable/contract_test.go
@@ -9,7 +9,7 @@
 	"sync"
 	"testing"
 
-	"pipitmux/internal/durable"
+	"oakseam/internal/durable"
 )
 
 // This file holds the contract that every durable.Store must pass. Each clause checks one
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/durable"
+	"oakseam/internal/durable"
 )
 
 // TestMain lets the test program also be the writer process that is killed.
--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"pipitmux/logic"
+	"oakseam/logic"
 )
 
 // MachineState is the state of a backend's machine.
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -7,10 +7,10 @@
 	"strconv"
 	"time"
 
-	"pipitmux/internal/arrivals"
-	"pipitmux/internal/audit"
-	"pipitmux/internal/core"
-	"pipitmux/logic"
+	"oakseam/internal/arrivals"
+	"oakseam/internal/audit"
+	"oakseam/internal/core"
+	"oakseam/logic"
 )
 
 // operation is what a client wants done, over all its requests.
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/audit"
-	"pipitmux/internal/core"
-	"pipitmux/internal/rivals"
-	"pipitmux/logic"
+	"oakseam/internal/audit"
+	"oakseam/internal/core"
+	"oakseam/internal/rivals"
+	"oakseam/logic"
 )
 
 const smallScenario = `
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"pipitmux/logic"
+	"oakseam/logic"
 )
 
 // scheduleFaults schedules the faults that the scenario states, and draws and schedules its random
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
-	"pipitmux/internal/audit"
-	"pipitmux/internal/core"
-	"pipitmux/internal/member"
-	"pipitmux/logic"
+	"oakseam/internal/audit"
+	"oakseam/internal/core"
+	"oakseam/internal/member"
+	"oakseam/logic"
 )
 
 // LiveRun plays a scenario in real time with real nodes. The models of clients, backends and
--- a/internal/emulator/live_test.go
+++ b/internal/emulator/live_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/audit"
-	"pipitmux/internal/core"
+	"oakseam/internal/audit"
+	"oakseam/internal/core"
 )
 
 // slowClientEnvironment is an Environment whose clients begin to write only when their node is
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"pipitmux/internal/core"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/logic"
 )
 
 // node is a load-balancer node: a core.Engine around a module, and a model of what
--- a/internal/emulator/peers.go
+++ b/internal/emulator/peers.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"pipitmux/internal/gossip"
-	"pipitmux/internal/member"
-	"pipitmux/internal/peers"
+	"oakseam/internal/gossip"
+	"oakseam/internal/member"
+	"oakseam/internal/peers"
 )
 
 // PeerSettings describes the traffic between the nodes.
--- a/internal/emulator/peers_test.go
+++ b/internal/emulator/peers_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/member"
+	"oakseam/internal/member"
 )
 
 func membershipScenario(t *testing.T) *Scenario {
--- a/internal/emulator/registry.go
+++ b/internal/emulator/registry.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"pipitmux/internal/core"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/logic"
 )
 
 // registry is the model of the registry. It learns of changes with a delay, sends them in rounds to the
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -8,9 +8,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"pipitmux/internal/audit"
-	"pipitmux/internal/core"
-	"pipitmux/internal/latency"
+	"oakseam/internal/audit"
+	"oakseam/internal/core"
+	"oakseam/internal/latency"
 )
 
 // ClassResult is the result of one class of requests.
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -16,8 +16,8 @@
 
 	"github.com/goccy/go-yaml"
 
-	"pipitmux/internal/yamlfile"
-	"pipitmux/logic"
+	"oakseam/internal/yamlfile"
+	"oakseam/logic"
 )
 
 // Range is a scenario figure that every run draws anew. In a file it is a number, or a pair
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -12,10 +12,10 @@
 	"sync/atomic"
 	"time"
 
-	"pipitmux/internal/audit"
-	"pipitmux/internal/core"
-	"pipitmux/internal/rivals"
-	"pipitmux/logic"
+	"oakseam/internal/audit"
+	"oakseam/internal/core"
+	"oakseam/internal/rivals"
+	"oakseam/logic"
 )
 
 // Policies lists the valid values of a scenario's policy.
--- a/internal/emulator/validate.go
+++ b/internal/emulator/validate.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"pipitmux/internal/arrivals"
+	"oakseam/internal/arrivals"
 )
 
 // maxFigure is the upper bound of figures without a natural limit.
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -15,8 +15,8 @@
 	"slices"
 	"strings"
 
-	"pipitmux/internal/emulator"
-	"pipitmux/internal/yamlfile"
+	"oakseam/internal/emulator"
+	"oakseam/internal/yamlfile"
 )
 
 // Plan is the content of an experiment file.
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -18,7 +18,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"pipitmux/internal/latency"
+	"oakseam/internal/latency"
 )
 
 // Report writes one HTML page about a store. The page is self-contained.
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"pipitmux/internal/emulator"
+	"oakseam/internal/emulator"
 )
 
 // Run runs the cells that are not in the store yet, several at a time, and stores each result at
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -10,7 +10,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"pipitmux/internal/emulator"
+	"oakseam/internal/emulator"
 )
 
 // Record is a finished cell with its result.
--- a/internal/experiment/summary.go
+++ b/internal/experiment/summary.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"pipitmux/internal/emulator"
+	"oakseam/internal/emulator"
 )
 
 // Interval is a median with its 95% confidence interval.
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"pipitmux/internal/emulator"
+	"oakseam/internal/emulator"
 )
 
 // RunSummary holds what every report has: the run and its counts of broken rules.
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -8,9 +8,9 @@
 	"net/http"
 	"strings"
 
-	"pipitmux/internal/emulator"
-	"pipitmux/internal/standin"
-	"pipitmux/logic"
+	"oakseam/internal/emulator"
+	"oakseam/internal/standin"
+	"oakseam/logic"
 )
 
 // Backend implements emulator.Outside. It starts the machines of new backends, one for each node, and
--- a/internal/fleet/clients.go
+++ b/internal/fleet/clients.go
@@ -12,9 +12,9 @@
 	"strconv"
 	"time"
 
-	"pipitmux/internal/audit"
-	"pipitmux/internal/emulator"
-	"pipitmux/logic"
+	"oakseam/internal/audit"
+	"oakseam/internal/emulator"
+	"oakseam/logic"
 )
 
 // Send implements emulator.Outside. It sends a request to the node that the model chose.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -15,12 +15,12 @@
 	"sync"
 	"time"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/emulator"
-	"pipitmux/internal/member"
-	"pipitmux/internal/peers"
-	"pipitmux/internal/standin"
-	"pipitmux/internal/wire"
+	"oakseam/internal/core"
+	"oakseam/internal/emulator"
+	"oakseam/internal/member"
+	"oakseam/internal/peers"
+	"oakseam/internal/standin"
+	"oakseam/internal/wire"
 )
 
 // Options configures a run.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/audit"
-	"pipitmux/internal/emulator"
-	"pipitmux/internal/standin"
-	"pipitmux/logic"
+	"oakseam/internal/audit"
+	"oakseam/internal/emulator"
+	"oakseam/internal/standin"
+	"oakseam/logic"
 )
 
 // TestClientResendsOnlyIfNodeIsAlive guards against a client that sends a request twice to a node that
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -3,10 +3,10 @@
 import (
 	"strings"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/discovery"
-	"pipitmux/internal/emulator"
-	"pipitmux/internal/standin"
+	"oakseam/internal/core"
+	"oakseam/internal/discovery"
+	"oakseam/internal/emulator"
+	"oakseam/internal/standin"
 )
 
 // convertList converts a list to the registry's format. The endpoints are the addresses at which one
--- a/internal/gossip/contract_test.go
+++ b/internal/gossip/contract_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"pipitmux/internal/gossip"
+	"oakseam/internal/gossip"
 )
 
 // This file holds the contract that every gossip.Transport must pass. Each clause checks one
--- a/internal/gossip/transport_test.go
+++ b/internal/gossip/transport_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"pipitmux/internal/gossip"
+	"oakseam/internal/gossip"
 )
 
 func TestTransportContractUDP(t *testing.T) {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
-	"pipitmux/internal/durable"
-	"pipitmux/internal/logging"
+	"oakseam/internal/durable"
+	"oakseam/internal/logging"
 )
 
 const (
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/durable"
+	"oakseam/internal/durable"
 )
 
 // recorder records the events of a successor.
--- a/internal/ingress/close_race_test.go
+++ b/internal/ingress/close_race_test.go
@@ -16,13 +16,13 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/counters"
-	"pipitmux/internal/figures"
-	"pipitmux/internal/ingress"
-	"pipitmux/internal/message"
-	"pipitmux/internal/session"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/counters"
+	"oakseam/internal/figures"
+	"oakseam/internal/ingress"
+	"oakseam/internal/message"
+	"oakseam/internal/session"
+	"oakseam/logic"
 )
 
 // testTimeout limits every wait for a condition.
--- a/internal/ingress/lifecycle.go
+++ b/internal/ingress/lifecycle.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"pipitmux/internal/lifecycle"
-	"pipitmux/internal/wait"
+	"oakseam/internal/lifecycle"
+	"oakseam/internal/wait"
 )
 
 // lifecyclePollInterval is how often the server asks the lifecycle which idle sessions to close
--- a/internal/ingress/lifecycle_test.go
+++ b/internal/ingress/lifecycle_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/lifecycle"
+	"oakseam/internal/lifecycle"
 )
 
 // leaving returns a timing in which responses close their sessions once the time closes has passed
--- a/internal/ingress/response.go
+++ b/internal/ingress/response.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"pipitmux/internal/relay"
+	"oakseam/internal/relay"
 )
 
 // responseWriter is the response writer of a handler without a response timeout. At the first byte
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"pipitmux/internal/counters"
-	"pipitmux/internal/lifecycle"
+	"oakseam/internal/counters"
+	"oakseam/internal/lifecycle"
 )
 
 // Options configures a Server.
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -13,8 +13,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/counters"
-	"pipitmux/internal/lifecycle"
+	"oakseam/internal/counters"
+	"oakseam/internal/lifecycle"
 )
 
 // testTimeout limits every wait.
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -20,8 +20,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"pipitmux/internal/arrivals"
-	"pipitmux/internal/latency"
+	"oakseam/internal/arrivals"
+	"oakseam/internal/latency"
 )
 
 // Class describes one class of requests.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"time"
 
-	"pipitmux/internal/gossip"
-	"pipitmux/internal/member"
+	"oakseam/internal/gossip"
+	"oakseam/internal/member"
 )
 
 // KindMember is the kind of the record in which a node publishes whom it suspects. The
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/gossip"
-	"pipitmux/internal/member"
+	"oakseam/internal/gossip"
+	"oakseam/internal/member"
 )
 
 // testFleet runs engines in virtual time. Datagrams take 10 or 20 ms or are lost.
--- a/internal/peers/run.go
+++ b/internal/peers/run.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"pipitmux/internal/gossip"
-	"pipitmux/internal/logging"
-	"pipitmux/internal/member"
+	"oakseam/internal/gossip"
+	"oakseam/internal/logging"
+	"oakseam/internal/member"
 )
 
 // tickInterval is how often Tick is called.
--- a/internal/rivals/rivals.go
+++ b/internal/rivals/rivals.go
@@ -31,7 +31,7 @@
 	"strings"
 	"time"
 
-	"pipitmux/logic"
+	"oakseam/logic"
 )
 
 // Selections and RetryModes list the names that New accepts, in the order of printed lists.
--- a/internal/session/answer.go
+++ b/internal/session/answer.go
@@ -5,9 +5,9 @@
 	"strconv"
 	"time"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/figures"
-	"pipitmux/internal/message"
+	"oakseam/internal/core"
+	"oakseam/internal/figures"
+	"oakseam/internal/message"
 )
 
 // answerFigures maps the kinds of answers to the figures that they count for.
--- a/internal/session/api.go
+++ b/internal/session/api.go
@@ -6,9 +6,9 @@
 	"net/http"
 	"sync"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/figures"
-	"pipitmux/internal/ingress"
+	"oakseam/internal/core"
+	"oakseam/internal/figures"
+	"oakseam/internal/ingress"
 )
 
 // serveAPI handles a request for a backend.
--- a/internal/session/frontend.go
+++ b/internal/session/frontend.go
@@ -11,13 +11,13 @@
 	"sync/atomic"
 	"time"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/counters"
-	"pipitmux/internal/figures"
-	"pipitmux/internal/ingress"
-	"pipitmux/internal/lifecycle"
-	"pipitmux/internal/message"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/counters"
+	"oakseam/internal/figures"
+	"oakseam/internal/ingress"
+	"oakseam/internal/lifecycle"
+	"oakseam/internal/message"
+	"oakseam/logic"
 )
 
 const (
--- a/internal/session/request.go
+++ b/internal/session/request.go
@@ -8,10 +8,10 @@
 	"strings"
 	"time"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/ingress"
-	"pipitmux/internal/message"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/ingress"
+	"oakseam/internal/message"
+	"oakseam/logic"
 )
 
 const (
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -10,11 +10,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/counters"
-	"pipitmux/internal/figures"
-	"pipitmux/internal/message"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/counters"
+	"oakseam/internal/figures"
+	"oakseam/internal/message"
+	"oakseam/logic"
 )
 
 // fakeLoop accepts requests; the test answers them.
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"pipitmux/internal/discovery"
+	"oakseam/internal/discovery"
 )
 
 // ScriptedRegistry is a fake registry that answers each watch with lines from the test.
--- a/internal/standin/tier/agent.go
+++ b/internal/standin/tier/agent.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	audit "pipitmux/internal/audit/tier"
-	"pipitmux/internal/wait"
+	audit "oakseam/internal/audit/tier"
+	"oakseam/internal/wait"
 )
 
 // Path prefixes of the services; the routes match them.
--- a/internal/standin/tier/client.go
+++ b/internal/standin/tier/client.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	audit "pipitmux/internal/audit/tier"
-	"pipitmux/internal/wait"
+	audit "oakseam/internal/audit/tier"
+	"oakseam/internal/wait"
 )
 
 // Headers of client requests.
--- a/internal/standin/tier/machine.go
+++ b/internal/standin/tier/machine.go
@@ -19,8 +19,8 @@
 	"github.com/BurntSushi/toml"
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/standin"
-	"pipitmux/internal/station/settings"
+	"oakseam/internal/standin"
+	"oakseam/internal/station/settings"
 )
 
 // Ports of each machine. Machines differ only by their addresses.
--- a/internal/standin/tier/operator.go
+++ b/internal/standin/tier/operator.go
@@ -11,9 +11,9 @@
 
 	"github.com/go-faster/errors"
 
-	audit "pipitmux/internal/audit/tier"
-	"pipitmux/internal/barograph/operators"
-	"pipitmux/internal/wait"
+	audit "oakseam/internal/audit/tier"
+	"oakseam/internal/barograph/operators"
+	"oakseam/internal/wait"
 )
 
 const (
--- a/internal/standin/tier/server.go
+++ b/internal/standin/tier/server.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	audit "pipitmux/internal/audit/tier"
-	"pipitmux/internal/wait"
+	audit "oakseam/internal/audit/tier"
+	"oakseam/internal/wait"
 )
 
 // Headers between the tier and servers.
--- a/internal/standin/tier/tier_test.go
+++ b/internal/standin/tier/tier_test.go
@@ -14,7 +14,7 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	audit "pipitmux/internal/audit/tier"
+	audit "oakseam/internal/audit/tier"
 )
 
 // readList reads all pages of a platform's list.
--- a/internal/station/follow/capacity_test.go
+++ b/internal/station/follow/capacity_test.go
@@ -13,9 +13,9 @@
 	"gotest.tools/v3/assert"
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/station/link"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/station/scaletest"
+	"oakseam/internal/station/link"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/station/scaletest"
 )
 
 const (
--- a/internal/station/follow/follow.go
+++ b/internal/station/follow/follow.go
@@ -15,12 +15,12 @@
 
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/hashing"
-	"pipitmux/internal/station/link"
-	"pipitmux/internal/station/patch"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/wait"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/hashing"
+	"oakseam/internal/station/link"
+	"oakseam/internal/station/patch"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/wait"
 )
 
 // Update describes a change of the configuration, the directory or the server lists. Nil
--- a/internal/station/follow/follow_test.go
+++ b/internal/station/follow/follow_test.go
@@ -12,10 +12,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/link"
-	"pipitmux/internal/station/patch"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/link"
+	"oakseam/internal/station/patch"
+	"oakseam/internal/station/protocol"
 )
 
 // testWithin bounds each wait of a test. It expires only if the test hangs.
--- a/internal/station/journal/journal_test.go
+++ b/internal/station/journal/journal_test.go
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/station/journal"
+	"oakseam/internal/station/journal"
 )
 
 // logLine is a parsed log line.
--- a/internal/station/link/capacity_test.go
+++ b/internal/station/link/capacity_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/station/link"
+	"oakseam/internal/station/link"
 )
 
 // BenchmarkBytes makes one call at a time whose arguments and reply both have the given
--- a/internal/station/link/compat_test.go
+++ b/internal/station/link/compat_test.go
@@ -11,8 +11,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/protocol"
 )
 
 // earlierBuild is the directory of the fixtures. Each file holds the frames of one direction of a
--- a/internal/station/link/pool_test.go
+++ b/internal/station/link/pool_test.go
@@ -12,7 +12,7 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/station/link"
+	"oakseam/internal/station/link"
 )
 
 // errDial is the error of an injected dial failure.
--- a/internal/station/patch/patch_test.go
+++ b/internal/station/patch/patch_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/station/scaletest"
+	"oakseam/internal/station/scaletest"
 )
 
 func TestPatchRestoresTheBody(t *testing.T) {
--- a/internal/station/platform/platform.go
+++ b/internal/station/platform/platform.go
@@ -13,7 +13,7 @@
 
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/station/protocol"
 )
 
 const (
--- a/internal/station/process/process.go
+++ b/internal/station/process/process.go
@@ -16,8 +16,8 @@
 	"github.com/go-faster/errors"
 	"k8s.io/klog/v2"
 
-	"pipitmux/internal/station/journal"
-	"pipitmux/internal/station/settings"
+	"oakseam/internal/station/journal"
+	"oakseam/internal/station/settings"
 )
 
 // Exit codes of the programs.
--- a/internal/station/protocol/capacity_test.go
+++ b/internal/station/protocol/capacity_test.go
@@ -7,10 +7,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/patch"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/station/scaletest"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/patch"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/station/scaletest"
 )
 
 // BenchmarkWatch encodes the messages that a process gets on a change, twice each, and
--- a/internal/station/protocol/protocol.go
+++ b/internal/station/protocol/protocol.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/hashing"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/hashing"
 )
 
 // Class is the role of a node in the tier.
--- a/internal/station/protocol/protocol_test.go
+++ b/internal/station/protocol/protocol_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/barograph/replica"
+	"oakseam/internal/barograph/replica"
 )
 
 func TestTurnGroupNameRoundTrips(t *testing.T) {
--- a/internal/station/routing/capacity_test.go
+++ b/internal/station/routing/capacity_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"pipitmux/internal/station/routing"
-	"pipitmux/internal/station/scaletest"
+	"oakseam/internal/station/routing"
+	"oakseam/internal/station/scaletest"
 )
 
 // tenantCounts are numbers of routes, one per tenant. The figures are in
--- a/internal/station/scaletest/scaletest.go
+++ b/internal/station/scaletest/scaletest.go
@@ -7,8 +7,8 @@
 	"encoding/gob"
 	"fmt"
 
-	"pipitmux/internal/barograph/replica"
-	"pipitmux/internal/station/protocol"
+	"oakseam/internal/barograph/replica"
+	"oakseam/internal/station/protocol"
 )
 
 // ServiceCount is the number of services of the tier, each with its own servers.
--- a/internal/station/scaletest/scaletest_test.go
+++ b/internal/station/scaletest/scaletest_test.go
@@ -5,8 +5,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/station/routing"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/station/routing"
 )
 
 func TestGeneratedStateIsValid(t *testing.T) {
--- a/internal/station/settings/settings_test.go
+++ b/internal/station/settings/settings_test.go
@@ -13,7 +13,7 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/station/settings"
+	"oakseam/internal/station/settings"
 )
 
 // sample is a complete settings file. The tests change lines of it.
--- a/internal/tierlab/configuration.go
+++ b/internal/tierlab/configuration.go
@@ -6,9 +6,9 @@
 
 	"github.com/go-faster/errors"
 
-	audit "pipitmux/internal/audit/tier"
-	fakes "pipitmux/internal/standin/tier"
-	"pipitmux/internal/station/routing"
+	audit "oakseam/internal/audit/tier"
+	fakes "oakseam/internal/standin/tier"
+	"oakseam/internal/station/routing"
 )
 
 // Names of the services.
--- a/internal/tierlab/disk.go
+++ b/internal/tierlab/disk.go
@@ -9,7 +9,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/latency"
+	"oakseam/internal/latency"
 )
 
 const (
--- a/internal/tierlab/faults.go
+++ b/internal/tierlab/faults.go
@@ -9,9 +9,9 @@
 
 	"github.com/go-faster/errors"
 
-	fakes "pipitmux/internal/standin/tier"
-	"pipitmux/internal/station/protocol"
-	"pipitmux/internal/station/settings"
+	fakes "oakseam/internal/standin/tier"
+	"oakseam/internal/station/protocol"
+	"oakseam/internal/station/settings"
 )
 
 const (
--- a/internal/tierlab/run.go
+++ b/internal/tierlab/run.go
@@ -7,7 +7,7 @@
 
 	"github.com/go-faster/errors"
 
-	fakes "pipitmux/internal/standin/tier"
+	fakes "oakseam/internal/standin/tier"
 )
 
 // runScenario starts the tier, lets clients and an operator use it while faults are injected, and
--- a/internal/tierlab/servers.go
+++ b/internal/tierlab/servers.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	fakes "pipitmux/internal/standin/tier"
+	fakes "oakseam/internal/standin/tier"
 )
 
 // Number and behavior of the servers.
--- a/internal/tierlab/tierlab.go
+++ b/internal/tierlab/tierlab.go
@@ -15,12 +15,12 @@
 
 	"github.com/go-faster/errors"
 
-	audit "pipitmux/internal/audit/tier"
-	"pipitmux/internal/latency"
-	"pipitmux/internal/standin"
-	fakes "pipitmux/internal/standin/tier"
-	"pipitmux/internal/station/link"
-	"pipitmux/internal/station/settings"
+	audit "oakseam/internal/audit/tier"
+	"oakseam/internal/latency"
+	"oakseam/internal/standin"
+	fakes "oakseam/internal/standin/tier"
+	"oakseam/internal/station/link"
+	"oakseam/internal/station/settings"
 )
 
 // Options configures a run.
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -11,10 +11,10 @@
 	"strings"
 	"time"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/logging"
-	"pipitmux/internal/message"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/logging"
+	"oakseam/internal/message"
+	"oakseam/logic"
 )
 
 // maxHeadBytes limits the head of a response, including the interim (1xx) responses before it.
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/message"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/message"
+	"oakseam/logic"
 )
 
 // Only a failure before the request was fully written proves that it has not run, and only that may
--- a/internal/upstream/codec_test.go
+++ b/internal/upstream/codec_test.go
@@ -6,9 +6,9 @@
 	"net/http"
 	"time"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/message"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/message"
+	"oakseam/logic"
 )
 
 // testCodec is a protocol in which header fields of a response state its Classification.
--- a/internal/upstream/error.go
+++ b/internal/upstream/error.go
@@ -4,7 +4,7 @@
 	"context"
 	"errors"
 
-	"pipitmux/logic"
+	"oakseam/logic"
 )
 
 // Stage is how far an attempt got.
--- a/internal/upstream/idle_limits.go
+++ b/internal/upstream/idle_limits.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"pipitmux/internal/core"
+	"oakseam/internal/core"
 )
 
 const (
--- a/internal/upstream/idle_limits_test.go
+++ b/internal/upstream/idle_limits_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"pipitmux/internal/core"
+	"oakseam/internal/core"
 )
 
 var start = time.Unix(1000, 0)
--- a/internal/upstream/pending.go
+++ b/internal/upstream/pending.go
@@ -5,8 +5,8 @@
 	"errors"
 	"time"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/message"
+	"oakseam/internal/core"
+	"oakseam/internal/message"
 )
 
 // Reasons why an attempt that waited for its connection does not begin.
--- a/internal/upstream/pending_test.go
+++ b/internal/upstream/pending_test.go
@@ -11,11 +11,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/counters"
-	"pipitmux/internal/message"
-	"pipitmux/internal/standin"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/counters"
+	"oakseam/internal/message"
+	"oakseam/internal/standin"
+	"oakseam/logic"
 )
 
 // poolOf returns a Pool of at most maxConns connections, none of which times out in a test.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/counters"
+	"oakseam/internal/core"
+	"oakseam/internal/counters"
 )
 
 // reuseDelay is how long a connection stays unused after a response before it is used again. A
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -14,10 +14,10 @@
 	"golang.org/x/sys/unix"
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/message"
-	"pipitmux/internal/standin"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/message"
+	"oakseam/internal/standin"
+	"oakseam/logic"
 )
 
 // ask makes one attempt at an instance and returns its end. It checks that there is only one.
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"pipitmux/internal/message"
+	"oakseam/internal/message"
 )
 
 const (
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -9,9 +9,9 @@
 
 	"github.com/go-faster/errors"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/message"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/message"
+	"oakseam/logic"
 )
 
 // errClosed is the error of Read after the reader has closed a stream.
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -11,10 +11,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/message"
-	"pipitmux/internal/standin"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/message"
+	"oakseam/internal/standin"
+	"oakseam/logic"
 )
 
 const (
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"pipitmux/internal/message"
-	"pipitmux/internal/relay"
+	"oakseam/internal/message"
+	"oakseam/internal/relay"
 )
 
 // stallTimeout ends the transfer of a body if the server sends or accepts nothing for this time.
--- a/internal/upstream/upload_test.go
+++ b/internal/upstream/upload_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"pipitmux/internal/message"
-	"pipitmux/logic"
+	"oakseam/internal/message"
+	"oakseam/logic"
 )
 
 // errBroken is the error of a write that fails.
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -11,10 +11,10 @@
 	"net/http"
 	"time"
 
-	"pipitmux/internal/core"
-	"pipitmux/internal/counters"
-	"pipitmux/internal/message"
-	"pipitmux/logic"
+	"oakseam/internal/core"
+	"oakseam/internal/counters"
+	"oakseam/internal/message"
+	"oakseam/logic"
 )
 
 // Codec implements one application protocol on top of HTTP/1.1. Its methods are called
--- a/internal/wire/list.go
+++ b/internal/wire/list.go
@@ -6,7 +6,7 @@
 	"io"
 	"strconv"
 
-	"pipitmux/logic"
+	"oakseam/logic"
 )
 
 // readServerList reads the server lines that follow a REGISTER line and stores the list.
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"pipitmux/logic"
+	"oakseam/logic"
 )
 
 // fieldCounts maps each message name to its number of space-separated fields, including the
--- a/internal/wire/print.go
+++ b/internal/wire/print.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"pipitmux/logic"
+	"oakseam/logic"
 )
 
 // AppendAction appends the protocol line of an action of instance node to dst.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"pipitmux/logic"
+	"oakseam/logic"
 )
 
 // maxObjects limits the count that a list of objects in the settings may state.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"pipitmux/logic"
+	"oakseam/logic"
 )
 
 // Op is the kind of an Item.
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"pipitmux/logic"
+	"oakseam/logic"
 )
 
 // A node creates a balancer and reports a server, a request and an outcome.
