--- a/cmd/anemometer/main.go
+++ b/cmd/anemometer/main.go
@@ -8,7 +8,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"oakseam/internal/anemometer/edge"
+	"oakseam/internal/dataplane/edge"
 	"oakseam/internal/station/journal"
 	"oakseam/internal/station/process"
 	"oakseam/internal/station/protocol"
--- a/internal/anemometer/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -13,10 +13,10 @@
 	"github.com/go-faster/errors"
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/anemometer/dispatch"
-	"oakseam/internal/anemometer/gateway"
-	"oakseam/internal/anemometer/turnclient"
 	"oakseam/internal/counters"
+	"oakseam/internal/dataplane/dispatch"
+	"oakseam/internal/dataplane/gateway"
+	"oakseam/internal/dataplane/turnclient"
 	"oakseam/internal/ingress"
 	"oakseam/internal/lifecycle"
 	"oakseam/internal/message"
--- a/internal/anemometer/gateway/capacity_test.go
+++ b/internal/dataplane/gateway/capacity_test.go
@@ -21,10 +21,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/anemometer/dispatch"
-	"oakseam/internal/anemometer/turnclient"
 	"oakseam/internal/barograph/replica"
 	"oakseam/internal/counters"
+	"oakseam/internal/dataplane/dispatch"
+	"oakseam/internal/dataplane/turnclient"
 	"oakseam/internal/ingress"
 	"oakseam/internal/lifecycle"
 	"oakseam/internal/message"
--- a/internal/anemometer/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -12,10 +12,10 @@
 
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/anemometer/dispatch"
-	"oakseam/internal/anemometer/history"
-	"oakseam/internal/anemometer/turnclient"
 	"oakseam/internal/counters"
+	"oakseam/internal/dataplane/dispatch"
+	"oakseam/internal/dataplane/history"
+	"oakseam/internal/dataplane/turnclient"
 	"oakseam/internal/ingress"
 	"oakseam/internal/message"
 	"oakseam/internal/station/journal"
--- a/internal/anemometer/gateway/harness_test.go
+++ b/internal/dataplane/gateway/harness_test.go
@@ -14,8 +14,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/anemometer/dispatch"
 	"oakseam/internal/counters"
+	"oakseam/internal/dataplane/dispatch"
 	"oakseam/internal/ingress"
 	"oakseam/internal/lifecycle"
 	"oakseam/internal/message"
--- a/internal/anemometer/gateway/request.go
+++ b/internal/dataplane/gateway/request.go
@@ -8,7 +8,7 @@
 
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/anemometer/dispatch"
+	"oakseam/internal/dataplane/dispatch"
 	"oakseam/internal/ingress"
 	"oakseam/internal/message"
 	"oakseam/internal/station/routing"
--- a/internal/anemometer/gateway/resume.go
+++ b/internal/dataplane/gateway/resume.go
@@ -5,9 +5,9 @@
 	"net/http"
 	"sync"
 
-	"oakseam/internal/anemometer/dispatch"
-	"oakseam/internal/anemometer/events"
 	"oakseam/internal/core"
+	"oakseam/internal/dataplane/dispatch"
+	"oakseam/internal/dataplane/events"
 	"oakseam/internal/message"
 )
 
--- a/internal/anemometer/gateway/resume_test.go
+++ b/internal/dataplane/gateway/resume_test.go
@@ -11,8 +11,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/anemometer/dispatch"
-	"oakseam/internal/anemometer/turnclient"
+	"oakseam/internal/dataplane/dispatch"
+	"oakseam/internal/dataplane/turnclient"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/anemometer/gateway/turn.go
+++ b/internal/dataplane/gateway/turn.go
@@ -10,8 +10,8 @@
 
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/anemometer/events"
 	"oakseam/internal/core"
+	"oakseam/internal/dataplane/events"
 	"oakseam/internal/message"
 	"oakseam/internal/station/protocol"
 	"oakseam/internal/station/routing"
