--- a/internal/barograph/coordinator/authority.go
+++ b/internal/controlplane/coordinator/authority.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"oakseam/internal/barograph/host"
-	"oakseam/internal/barograph/operators"
-	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/controlplane/host"
+	"oakseam/internal/controlplane/operators"
+	"oakseam/internal/controlplane/revisions"
 	"oakseam/internal/station/protocol"
 	"oakseam/internal/station/routing"
 )
--- a/internal/barograph/coordinator/benchmark_test.go
+++ b/internal/controlplane/coordinator/benchmark_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/station/protocol"
 	"oakseam/internal/station/scaletest"
 )
--- a/internal/barograph/coordinator/calls.go
+++ b/internal/controlplane/coordinator/calls.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"oakseam/internal/barograph/host"
-	"oakseam/internal/barograph/revisions"
-	"oakseam/internal/barograph/servers"
+	"oakseam/internal/controlplane/host"
+	"oakseam/internal/controlplane/revisions"
+	"oakseam/internal/controlplane/servers"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -13,13 +13,13 @@
 	"github.com/go-faster/errors"
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/barograph/host"
-	"oakseam/internal/barograph/lister"
-	"oakseam/internal/barograph/node"
-	"oakseam/internal/barograph/repair"
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/revisions"
-	"oakseam/internal/barograph/servers"
+	"oakseam/internal/controlplane/host"
+	"oakseam/internal/controlplane/lister"
+	"oakseam/internal/controlplane/node"
+	"oakseam/internal/controlplane/repair"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/revisions"
+	"oakseam/internal/controlplane/servers"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/coordinator/coordinator_test.go
+++ b/internal/controlplane/coordinator/coordinator_test.go
@@ -9,10 +9,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/node"
-	"oakseam/internal/barograph/operators"
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/controlplane/node"
+	"oakseam/internal/controlplane/operators"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/revisions"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/coordinator/gone_nodes.go
+++ b/internal/controlplane/coordinator/gone_nodes.go
@@ -7,8 +7,8 @@
 
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/revisions"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/coordinator/lister_task.go
+++ b/internal/controlplane/coordinator/lister_task.go
@@ -7,9 +7,9 @@
 
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/barograph/host"
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/servers"
+	"oakseam/internal/controlplane/host"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/servers"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/coordinator/lister_task_test.go
+++ b/internal/controlplane/coordinator/lister_task_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // A task that is handed on repeatedly must reach every voter, even if only one of them can
--- a/internal/barograph/coordinator/notifier.go
+++ b/internal/controlplane/coordinator/notifier.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/station/hashing"
 	"oakseam/internal/station/protocol"
 )
--- a/internal/barograph/host/call.go
+++ b/internal/controlplane/host/call.go
@@ -7,7 +7,7 @@
 
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // Propose appends a command to the group's log. Once a majority holds it durably and this node
--- a/internal/barograph/host/errors.go
+++ b/internal/controlplane/host/errors.go
@@ -5,7 +5,7 @@
 
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // Errors that errors.Is finds. Calls also return errors of package replica: NotOwnerError from
--- a/internal/barograph/host/harness_test.go
+++ b/internal/controlplane/host/harness_test.go
@@ -9,8 +9,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/store"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/store"
 )
 
 const testGroup = replica.GroupID("group")
--- a/internal/barograph/host/heartbeat_test.go
+++ b/internal/controlplane/host/heartbeat_test.go
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/store"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/store"
 )
 
 // A follower with a slow write must keep answering the leader's heartbeats, or it is taken for
--- a/internal/barograph/host/host.go
+++ b/internal/controlplane/host/host.go
@@ -13,8 +13,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/store"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/store"
 	"oakseam/internal/wait"
 )
 
--- a/internal/barograph/host/host_test.go
+++ b/internal/controlplane/host/host_test.go
@@ -11,8 +11,8 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/store"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/store"
 )
 
 // All members must apply the same commands, and only the leader may accept proposals and reads.
--- a/internal/barograph/host/idle_test.go
+++ b/internal/controlplane/host/idle_test.go
@@ -11,8 +11,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/store"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/store"
 )
 
 // countingTransport counts the sends and messages of a transport.
--- a/internal/barograph/host/power_loss_test.go
+++ b/internal/controlplane/host/power_loss_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // powerLossSteps is the length of a run in milliseconds.
--- a/internal/barograph/host/process_test.go
+++ b/internal/controlplane/host/process_test.go
@@ -12,8 +12,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/store"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/store"
 )
 
 // process is a host with a real clock and a real disk.
--- a/internal/barograph/host/round.go
+++ b/internal/controlplane/host/round.go
@@ -7,8 +7,8 @@
 	"github.com/go-faster/errors"
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/store"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/store"
 	"oakseam/internal/station/journal"
 )
 
--- a/internal/barograph/host/waiter.go
+++ b/internal/controlplane/host/waiter.go
@@ -1,6 +1,6 @@
 package host
 
-import "oakseam/internal/barograph/replica"
+import "oakseam/internal/controlplane/replica"
 
 // waiter waits for the log entry of a proposal to be committed and applied.
 type waiter struct {
--- a/internal/barograph/keeper/calls.go
+++ b/internal/controlplane/keeper/calls.go
@@ -5,10 +5,10 @@
 
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/barograph/host"
-	"oakseam/internal/barograph/node"
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/turns"
+	"oakseam/internal/controlplane/host"
+	"oakseam/internal/controlplane/node"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/turns"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/keeper/calls_test.go
+++ b/internal/controlplane/keeper/calls_test.go
@@ -7,9 +7,9 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/host"
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/turns"
+	"oakseam/internal/controlplane/host"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/turns"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/keeper/keeper_test.go
+++ b/internal/controlplane/keeper/keeper_test.go
@@ -8,8 +8,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/node"
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/node"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/lister/lister.go
+++ b/internal/controlplane/lister/lister.go
@@ -10,7 +10,7 @@
 
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/barograph/servers"
+	"oakseam/internal/controlplane/servers"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/lister/lister_test.go
+++ b/internal/controlplane/lister/lister_test.go
@@ -9,7 +9,7 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/servers"
+	"oakseam/internal/controlplane/servers"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/node/calls.go
+++ b/internal/controlplane/node/calls.go
@@ -6,8 +6,8 @@
 
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/barograph/host"
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/host"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/station/link"
 	"oakseam/internal/station/protocol"
 	"oakseam/internal/wait"
--- a/internal/barograph/node/node.go
+++ b/internal/controlplane/node/node.go
@@ -11,9 +11,9 @@
 	"github.com/go-faster/errors"
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/barograph/host"
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/store"
+	"oakseam/internal/controlplane/host"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/store"
 	"oakseam/internal/durable"
 	"oakseam/internal/station/hashing"
 	"oakseam/internal/station/link"
--- a/internal/barograph/node/node_test.go
+++ b/internal/controlplane/node/node_test.go
@@ -8,8 +8,8 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/host"
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/host"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/durable"
 	"oakseam/internal/station/link"
 	"oakseam/internal/station/protocol"
--- a/internal/barograph/node/transport.go
+++ b/internal/controlplane/node/transport.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/station/link"
 	"oakseam/internal/station/protocol"
 )
--- a/internal/barograph/repair/random_test.go
+++ b/internal/controlplane/repair/random_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/repair/repair.go
+++ b/internal/controlplane/repair/repair.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/station/hashing"
 	"oakseam/internal/station/protocol"
 )
--- a/internal/barograph/replica/simulation_checker_test.go
+++ b/internal/controlplane/replica/simulation_checker_test.go
@@ -5,7 +5,7 @@
 	"sort"
 	"time"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // logPosition identifies an entry: by Raft's log matching property, no two entries share one.
--- a/internal/barograph/replica/simulation_client_test.go
+++ b/internal/controlplane/replica/simulation_client_test.go
@@ -7,7 +7,7 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // The client's concurrency is bounded so that its history can be checked in reasonable time.
--- a/internal/barograph/replica/simulation_faults_test.go
+++ b/internal/controlplane/replica/simulation_faults_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // fault injects a random fault, or heals the network for a while.
--- a/internal/barograph/replica/simulation_network_test.go
+++ b/internal/controlplane/replica/simulation_network_test.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // link is one direction between two nodes.
--- a/internal/barograph/replica/simulation_node_test.go
+++ b/internal/controlplane/replica/simulation_node_test.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // node is a process with a disk and a clock.
--- a/internal/barograph/replica/simulation_setup_test.go
+++ b/internal/controlplane/replica/simulation_setup_test.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/simulated"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/simulated"
 )
 
 // The simulation runs a group on a virtual clock: nodes with disks and drifting clocks, a network with faults, a
--- a/internal/barograph/replica/simulation_test.go
+++ b/internal/controlplane/replica/simulation_test.go
@@ -11,7 +11,7 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // simulateSeeds runs simulations on all processors until one fails. It returns the number of simulations that
--- a/internal/barograph/revisions/revisions.go
+++ b/internal/controlplane/revisions/revisions.go
@@ -11,7 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/station/patch"
 	"oakseam/internal/station/protocol"
 )
--- a/internal/barograph/simulation/configuration_test.go
+++ b/internal/controlplane/simulation/configuration_test.go
@@ -9,9 +9,9 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/fxamacker/cbor/v2"
 
-	"oakseam/internal/barograph/coordinator"
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/controlplane/coordinator"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/revisions"
 	"oakseam/internal/station/patch"
 	"oakseam/internal/station/protocol"
 )
--- a/internal/barograph/simulation/edge_test.go
+++ b/internal/controlplane/simulation/edge_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/turns"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/turns"
 	"oakseam/internal/station/follow"
 	"oakseam/internal/station/protocol"
 )
--- a/internal/barograph/simulation/faults_test.go
+++ b/internal/controlplane/simulation/faults_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // minDiskLossInterval is the minimum time between two losses of a disk.
--- a/internal/barograph/simulation/follower_test.go
+++ b/internal/controlplane/simulation/follower_test.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"oakseam/internal/barograph/coordinator"
-	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/controlplane/coordinator"
+	"oakseam/internal/controlplane/revisions"
 	"oakseam/internal/station/follow"
 	"oakseam/internal/station/hashing"
 	"oakseam/internal/station/protocol"
--- a/internal/barograph/simulation/lister_test.go
+++ b/internal/controlplane/simulation/lister_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/barograph/lister"
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/servers"
+	"oakseam/internal/controlplane/lister"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/servers"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/simulation/member_test.go
+++ b/internal/controlplane/simulation/member_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/barograph/repair"
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/repair"
+	"oakseam/internal/controlplane/replica"
 )
 
 // outcomeKind is the kind of a proposal's outcome.
--- a/internal/barograph/simulation/network_test.go
+++ b/internal/controlplane/simulation/network_test.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // endpoint is the address of a node or a client.
--- a/internal/barograph/simulation/node_test.go
+++ b/internal/controlplane/simulation/node_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/simulation/registry_test.go
+++ b/internal/controlplane/simulation/registry_test.go
@@ -4,11 +4,11 @@
 	"slices"
 	"time"
 
-	"oakseam/internal/barograph/coordinator"
-	"oakseam/internal/barograph/node"
-	"oakseam/internal/barograph/repair"
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/controlplane/coordinator"
+	"oakseam/internal/controlplane/node"
+	"oakseam/internal/controlplane/repair"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/revisions"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/simulation/scenarios_test.go
+++ b/internal/controlplane/simulation/scenarios_test.go
@@ -7,9 +7,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/coordinator"
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/revisions"
+	"oakseam/internal/controlplane/coordinator"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/revisions"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/simulation/submit_test.go
+++ b/internal/controlplane/simulation/submit_test.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // submitResult is the result of a command that a node forwarded to a group's leader.
--- a/internal/barograph/simulation/turn_attempt_test.go
+++ b/internal/controlplane/simulation/turn_attempt_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/turns"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/turns"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/simulation/turns_test.go
+++ b/internal/controlplane/simulation/turns_test.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/revisions"
-	"oakseam/internal/barograph/turns"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/revisions"
+	"oakseam/internal/controlplane/turns"
 	"oakseam/internal/station/hashing"
 	"oakseam/internal/station/protocol"
 )
--- a/internal/barograph/simulation/world_test.go
+++ b/internal/controlplane/simulation/world_test.go
@@ -7,9 +7,9 @@
 	"fmt"
 	"time"
 
-	"oakseam/internal/barograph/node"
-	"oakseam/internal/barograph/replica"
-	"oakseam/internal/barograph/simulated"
+	"oakseam/internal/controlplane/node"
+	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/simulated"
 	"oakseam/internal/station/protocol"
 )
 
--- a/internal/barograph/store/compat_test.go
+++ b/internal/controlplane/store/compat_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // A node that is restarted with this build must find its identity, votes, logs and snapshots in the
--- a/internal/barograph/store/contract_test.go
+++ b/internal/controlplane/store/contract_test.go
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // testDisk is a disk on which stores are opened one after another.
--- a/internal/barograph/store/load.go
+++ b/internal/controlplane/store/load.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // setVersionSQL writes schemaVersion into the file.
--- a/internal/barograph/store/memory.go
+++ b/internal/controlplane/store/memory.go
@@ -8,7 +8,7 @@
 
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // errInjected is the cause of an injected failure.
--- a/internal/barograph/store/memory_test.go
+++ b/internal/controlplane/store/memory_test.go
@@ -7,7 +7,7 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 func oneEntry(index uint64) []Write {
--- a/internal/barograph/store/sqlite.go
+++ b/internal/controlplane/store/sqlite.go
@@ -11,7 +11,7 @@
 	"github.com/go-faster/errors"
 	"github.com/mattn/go-sqlite3"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // directoryMode is the mode of the directories that Open creates. The state is private to the
--- a/internal/barograph/store/sqlite_test.go
+++ b/internal/controlplane/store/sqlite_test.go
@@ -10,7 +10,7 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // copyFiles copies the store's files as they are now, as after a power loss, and returns the
--- a/internal/barograph/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -10,7 +10,7 @@
 
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 // Store holds the state of groups durably. Its contract:
--- a/internal/dataplane/gateway/capacity_test.go
+++ b/internal/dataplane/gateway/capacity_test.go
@@ -21,7 +21,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/counters"
 	"oakseam/internal/dataplane/dispatch"
 	"oakseam/internal/dataplane/turnclient"
--- a/internal/dataplane/turnclient/turnclient.go
+++ b/internal/dataplane/turnclient/turnclient.go
@@ -11,7 +11,7 @@
 
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/station/follow"
 	"oakseam/internal/station/link"
 	"oakseam/internal/station/protocol"
--- a/internal/standin/tier/operator.go
+++ b/internal/standin/tier/operator.go
@@ -12,7 +12,7 @@
 	"github.com/go-faster/errors"
 
 	audit "oakseam/internal/audit/tier"
-	"oakseam/internal/barograph/operators"
+	"oakseam/internal/controlplane/operators"
 	"oakseam/internal/wait"
 )
 
--- a/internal/station/follow/follow.go
+++ b/internal/station/follow/follow.go
@@ -15,7 +15,7 @@
 
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/station/hashing"
 	"oakseam/internal/station/link"
 	"oakseam/internal/station/patch"
--- a/internal/station/follow/follow_test.go
+++ b/internal/station/follow/follow_test.go
@@ -12,7 +12,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/station/link"
 	"oakseam/internal/station/patch"
 	"oakseam/internal/station/protocol"
--- a/internal/station/protocol/capacity_test.go
+++ b/internal/station/protocol/capacity_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/station/patch"
 	"oakseam/internal/station/protocol"
 	"oakseam/internal/station/scaletest"
--- a/internal/station/protocol/protocol.go
+++ b/internal/station/protocol/protocol.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/station/hashing"
 )
 
--- a/internal/station/protocol/protocol_test.go
+++ b/internal/station/protocol/protocol_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 )
 
 func TestTurnGroupNameRoundTrips(t *testing.T) {
--- a/internal/station/scaletest/scaletest.go
+++ b/internal/station/scaletest/scaletest.go
@@ -7,7 +7,7 @@
 	"encoding/gob"
 	"fmt"
 
-	"oakseam/internal/barograph/replica"
+	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/station/protocol"
 )
 
