--- a/cmd/anemometer/main.go
+++ b/cmd/anemometer/main.go
@@ -9,10 +9,10 @@
 	"github.com/alecthomas/kong"
 
 	"oakseam/internal/dataplane/edge"
-	"oakseam/internal/station/journal"
-	"oakseam/internal/station/process"
-	"oakseam/internal/station/protocol"
-	"oakseam/internal/station/settings"
+	"oakseam/internal/tier/journal"
+	"oakseam/internal/tier/process"
+	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/settings"
 )
 
 // version is printed by the version command.
--- a/cmd/barograph/main.go
+++ b/cmd/barograph/main.go
@@ -18,12 +18,12 @@
 	"oakseam/internal/controlplane/node"
 	"oakseam/internal/controlplane/operators"
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/link"
-	"oakseam/internal/station/platform"
-	"oakseam/internal/station/process"
-	"oakseam/internal/station/protocol"
-	"oakseam/internal/station/routing"
-	"oakseam/internal/station/settings"
+	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/platform"
+	"oakseam/internal/tier/process"
+	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/routing"
+	"oakseam/internal/tier/settings"
 )
 
 // version is what the version command prints.
--- a/internal/controlplane/coordinator/authority.go
+++ b/internal/controlplane/coordinator/authority.go
@@ -7,8 +7,8 @@
 	"oakseam/internal/controlplane/host"
 	"oakseam/internal/controlplane/operators"
 	"oakseam/internal/controlplane/revisions"
-	"oakseam/internal/station/protocol"
-	"oakseam/internal/station/routing"
+	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/routing"
 )
 
 // commandTimeout bounds an operator's call on this node. A caller that hears nothing for a
--- a/internal/controlplane/coordinator/benchmark_test.go
+++ b/internal/controlplane/coordinator/benchmark_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/protocol"
-	"oakseam/internal/station/scaletest"
+	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/scaletest"
 )
 
 // coreNodes is the number of core nodes in the benchmark, toleratedLosses the number of
--- a/internal/controlplane/coordinator/calls.go
+++ b/internal/controlplane/coordinator/calls.go
@@ -7,7 +7,7 @@
 	"oakseam/internal/controlplane/host"
 	"oakseam/internal/controlplane/revisions"
 	"oakseam/internal/controlplane/servers"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // readBarrierTimeout is how long a Watch call waits for proof that this node's state is current.
--- a/internal/controlplane/coordinator/calls_test.go
+++ b/internal/controlplane/coordinator/calls_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // watch calls Watch with a state for which nothing newer exists, and returns the reply and how
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -20,7 +20,7 @@
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/revisions"
 	"oakseam/internal/controlplane/servers"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 const (
--- a/internal/controlplane/coordinator/coordinator_test.go
+++ b/internal/controlplane/coordinator/coordinator_test.go
@@ -13,7 +13,7 @@
 	"oakseam/internal/controlplane/operators"
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/revisions"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // testTimeout bounds waits that normally end at once.
--- a/internal/controlplane/coordinator/gone_nodes.go
+++ b/internal/controlplane/coordinator/gone_nodes.go
@@ -9,7 +9,7 @@
 
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/revisions"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 const (
--- a/internal/controlplane/coordinator/lister_task.go
+++ b/internal/controlplane/coordinator/lister_task.go
@@ -10,7 +10,7 @@
 	"oakseam/internal/controlplane/host"
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/servers"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // listerTask is the lister's singleton task. The leader of its group holds it, and its epoch is
--- a/internal/controlplane/coordinator/notifier.go
+++ b/internal/controlplane/coordinator/notifier.go
@@ -4,8 +4,8 @@
 	"sync"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/hashing"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/hashing"
+	"oakseam/internal/tier/protocol"
 )
 
 // notifier wakes all goroutines that wait for a change.
--- a/internal/controlplane/host/round.go
+++ b/internal/controlplane/host/round.go
@@ -9,7 +9,7 @@
 
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/store"
-	"oakseam/internal/station/journal"
+	"oakseam/internal/tier/journal"
 )
 
 // minWait bounds how often Run checks groups that keep asking for a Tick.
--- a/internal/controlplane/keeper/calls.go
+++ b/internal/controlplane/keeper/calls.go
@@ -9,7 +9,7 @@
 	"oakseam/internal/controlplane/node"
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/turns"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // turnsService serves the calls of data plane nodes to a storage node.
--- a/internal/controlplane/keeper/calls_test.go
+++ b/internal/controlplane/keeper/calls_test.go
@@ -10,7 +10,7 @@
 	"oakseam/internal/controlplane/host"
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/turns"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // Only a result from the partition's log is final. What may have been applied must never count
--- a/internal/controlplane/keeper/keeper.go
+++ b/internal/controlplane/keeper/keeper.go
@@ -20,8 +20,8 @@
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/revisions"
 	"oakseam/internal/controlplane/turns"
-	"oakseam/internal/station/follow"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/follow"
+	"oakseam/internal/tier/protocol"
 )
 
 const (
--- a/internal/controlplane/keeper/keeper_test.go
+++ b/internal/controlplane/keeper/keeper_test.go
@@ -10,7 +10,7 @@
 
 	"oakseam/internal/controlplane/node"
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // testTimeout bounds waits that normally end at once.
--- a/internal/controlplane/lister/lister.go
+++ b/internal/controlplane/lister/lister.go
@@ -11,7 +11,7 @@
 	"k8s.io/klog/v2"
 
 	"oakseam/internal/controlplane/servers"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 const (
--- a/internal/controlplane/lister/lister_test.go
+++ b/internal/controlplane/lister/lister_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 
 	"oakseam/internal/controlplane/servers"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 var errInjected = errors.New("injected failure")
--- a/internal/controlplane/node/addresses.go
+++ b/internal/controlplane/node/addresses.go
@@ -11,7 +11,7 @@
 
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/durable"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // knownNodesFile is the name under which the known nodes are stored.
--- a/internal/controlplane/node/calls.go
+++ b/internal/controlplane/node/calls.go
@@ -8,8 +8,8 @@
 
 	"oakseam/internal/controlplane/host"
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/link"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/protocol"
 	"oakseam/internal/wait"
 )
 
--- a/internal/controlplane/node/hello.go
+++ b/internal/controlplane/node/hello.go
@@ -6,7 +6,7 @@
 
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 	"oakseam/internal/wait"
 )
 
--- a/internal/controlplane/node/liveness.go
+++ b/internal/controlplane/node/liveness.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 const (
--- a/internal/controlplane/node/node.go
+++ b/internal/controlplane/node/node.go
@@ -15,9 +15,9 @@
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/store"
 	"oakseam/internal/durable"
-	"oakseam/internal/station/hashing"
-	"oakseam/internal/station/link"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/hashing"
+	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/protocol"
 )
 
 // Timing returns the timing of the groups of a class of nodes. Followers of turn groups learn
--- a/internal/controlplane/node/node_test.go
+++ b/internal/controlplane/node/node_test.go
@@ -11,8 +11,8 @@
 	"oakseam/internal/controlplane/host"
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/durable"
-	"oakseam/internal/station/link"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/protocol"
 )
 
 func core(id replica.NodeID, name, address string) protocol.Node {
--- a/internal/controlplane/node/transport.go
+++ b/internal/controlplane/node/transport.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/link"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/protocol"
 )
 
 const (
--- a/internal/controlplane/operators/calls.go
+++ b/internal/controlplane/operators/calls.go
@@ -12,8 +12,8 @@
 	"github.com/go-faster/errors"
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/station/matcher"
-	"oakseam/internal/station/routing"
+	"oakseam/internal/tier/matcher"
+	"oakseam/internal/tier/routing"
 )
 
 // BaseRevisionHeader is the header with the revision that a configuration replaces.
--- a/internal/controlplane/operators/server.go
+++ b/internal/controlplane/operators/server.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sync/semaphore"
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/station/matcher"
+	"oakseam/internal/tier/matcher"
 )
 
 // Defaults of Options.
--- a/internal/controlplane/repair/random_test.go
+++ b/internal/controlplane/repair/random_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // Under random faults each change must pass check. Once the faults end, the group must reach
--- a/internal/controlplane/repair/repair.go
+++ b/internal/controlplane/repair/repair.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/hashing"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/hashing"
+	"oakseam/internal/tier/protocol"
 )
 
 // learnerContactTimeout is how long a new learner may take to respond before another node is
--- a/internal/controlplane/repair/repair_test.go
+++ b/internal/controlplane/repair/repair_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 const (
--- a/internal/controlplane/replica/restart.go
+++ b/internal/controlplane/replica/restart.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"oakseam/internal/station/hashing"
+	"oakseam/internal/tier/hashing"
 )
 
 // A node that restarts may have promised a leader a lease before, and forgotten it. It therefore votes for
--- a/internal/controlplane/revisions/benchmark_test.go
+++ b/internal/controlplane/revisions/benchmark_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/station/scaletest"
+	"oakseam/internal/tier/scaletest"
 )
 
 // BenchmarkApply measures one configuration change by the number of routes, and the snapshot
--- a/internal/controlplane/revisions/membership_test.go
+++ b/internal/controlplane/revisions/membership_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // newAssignedMachine returns a machine with four storage nodes and one partition, whose voters
--- a/internal/controlplane/revisions/revisions.go
+++ b/internal/controlplane/revisions/revisions.go
@@ -12,8 +12,8 @@
 	"github.com/go-faster/errors"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/patch"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/patch"
+	"oakseam/internal/tier/protocol"
 )
 
 // maxRememberedChanges is how many accepted changes are remembered, so that a repeated one is
--- a/internal/controlplane/revisions/revisions_test.go
+++ b/internal/controlplane/revisions/revisions_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/patch"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/patch"
+	"oakseam/internal/tier/protocol"
 )
 
 func apply(t *testing.T, m *Machine, c Command) Result {
--- a/internal/controlplane/revisions/steps.go
+++ b/internal/controlplane/revisions/steps.go
@@ -1,6 +1,6 @@
 package revisions
 
-import "oakseam/internal/station/protocol"
+import "oakseam/internal/tier/protocol"
 
 // Bounds of the steps that are kept for nodes that are slightly behind.
 const (
--- a/internal/controlplane/servers/benchmark_test.go
+++ b/internal/controlplane/servers/benchmark_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/station/scaletest"
+	"oakseam/internal/tier/scaletest"
 )
 
 // BenchmarkPublication measures a change of one server in the service that has a fifth of all
--- a/internal/controlplane/servers/compat_test.go
+++ b/internal/controlplane/servers/compat_test.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // The fixtures are a publication and a snapshot as the build before identifiers were renamed wrote
--- a/internal/controlplane/servers/servers.go
+++ b/internal/controlplane/servers/servers.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // Publication carries the servers of services as the holder of the lister's task saw them.
--- a/internal/controlplane/servers/servers_test.go
+++ b/internal/controlplane/servers/servers_test.go
@@ -5,7 +5,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 func apply(t *testing.T, m *Machine, epoch, sequence uint64, services ...Service) []byte {
--- a/internal/controlplane/simulation/configuration_test.go
+++ b/internal/controlplane/simulation/configuration_test.go
@@ -12,8 +12,8 @@
 	"oakseam/internal/controlplane/coordinator"
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/revisions"
-	"oakseam/internal/station/patch"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/patch"
+	"oakseam/internal/tier/protocol"
 )
 
 const (
--- a/internal/controlplane/simulation/edge_test.go
+++ b/internal/controlplane/simulation/edge_test.go
@@ -6,8 +6,8 @@
 
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/turns"
-	"oakseam/internal/station/follow"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/follow"
+	"oakseam/internal/tier/protocol"
 )
 
 // Timeouts of an edge's client of the storage nodes: see packages turnclient and gateway.
--- a/internal/controlplane/simulation/follower_test.go
+++ b/internal/controlplane/simulation/follower_test.go
@@ -7,9 +7,9 @@
 
 	"oakseam/internal/controlplane/coordinator"
 	"oakseam/internal/controlplane/revisions"
-	"oakseam/internal/station/follow"
-	"oakseam/internal/station/hashing"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/follow"
+	"oakseam/internal/tier/hashing"
+	"oakseam/internal/tier/protocol"
 )
 
 const (
--- a/internal/controlplane/simulation/lister_test.go
+++ b/internal/controlplane/simulation/lister_test.go
@@ -13,7 +13,7 @@
 	"oakseam/internal/controlplane/lister"
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/servers"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // listInterval is how often a node checks whether it has to list the platform's servers.
--- a/internal/controlplane/simulation/node_test.go
+++ b/internal/controlplane/simulation/node_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // simulatedNode is a machine with a disk, a clock and a process.
--- a/internal/controlplane/simulation/registry_test.go
+++ b/internal/controlplane/simulation/registry_test.go
@@ -9,7 +9,7 @@
 	"oakseam/internal/controlplane/repair"
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/revisions"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // registry stands for the directory in simulations that do not run the configuration's group.
--- a/internal/controlplane/simulation/scenarios_test.go
+++ b/internal/controlplane/simulation/scenarios_test.go
@@ -10,7 +10,7 @@
 	"oakseam/internal/controlplane/coordinator"
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/revisions"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // The named scenarios reproduce severe faults one at a time, each with many seeds.
--- a/internal/controlplane/simulation/turn_attempt_test.go
+++ b/internal/controlplane/simulation/turn_attempt_test.go
@@ -7,7 +7,7 @@
 
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/turns"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // reportMissing tells the client that the previous turn does not exist. It verifies that this is
--- a/internal/controlplane/simulation/turns_test.go
+++ b/internal/controlplane/simulation/turns_test.go
@@ -9,8 +9,8 @@
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/revisions"
 	"oakseam/internal/controlplane/turns"
-	"oakseam/internal/station/hashing"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/hashing"
+	"oakseam/internal/tier/protocol"
 )
 
 const (
--- a/internal/controlplane/simulation/world_test.go
+++ b/internal/controlplane/simulation/world_test.go
@@ -10,7 +10,7 @@
 	"oakseam/internal/controlplane/node"
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/simulated"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 const (
--- a/internal/dataplane/dispatch/capacity_test.go
+++ b/internal/dataplane/dispatch/capacity_test.go
@@ -10,9 +10,9 @@
 
 	"oakseam/internal/counters"
 	"oakseam/internal/message"
-	"oakseam/internal/station/protocol"
-	"oakseam/internal/station/routing"
-	"oakseam/internal/station/scaletest"
+	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/routing"
+	"oakseam/internal/tier/scaletest"
 )
 
 func newDispatcher(b *testing.B) *Dispatcher {
--- a/internal/dataplane/dispatch/classes.go
+++ b/internal/dataplane/dispatch/classes.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"oakseam/internal/station/routing"
+	"oakseam/internal/tier/routing"
 	"oakseam/logic"
 )
 
--- a/internal/dataplane/dispatch/dispatch.go
+++ b/internal/dataplane/dispatch/dispatch.go
@@ -16,8 +16,8 @@
 	"oakseam/internal/core"
 	"oakseam/internal/counters"
 	"oakseam/internal/message"
-	"oakseam/internal/station/protocol"
-	"oakseam/internal/station/routing"
+	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/routing"
 	"oakseam/internal/upstream"
 	"oakseam/logic"
 )
--- a/internal/dataplane/dispatch/prefer.go
+++ b/internal/dataplane/dispatch/prefer.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"oakseam/internal/station/hashing"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/hashing"
+	"oakseam/internal/tier/protocol"
 	"oakseam/logic"
 )
 
--- a/internal/dataplane/dispatch/prefer_test.go
+++ b/internal/dataplane/dispatch/prefer_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/station/hashing"
+	"oakseam/internal/tier/hashing"
 	"oakseam/logic"
 )
 
--- a/internal/dataplane/dispatch/subset.go
+++ b/internal/dataplane/dispatch/subset.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"oakseam/internal/station/hashing"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/hashing"
+	"oakseam/internal/tier/protocol"
 )
 
 const (
--- a/internal/dataplane/dispatch/subset_test.go
+++ b/internal/dataplane/dispatch/subset_test.go
@@ -10,8 +10,8 @@
 
 	"oakseam/internal/counters"
 	"oakseam/internal/message"
-	"oakseam/internal/station/protocol"
-	"oakseam/internal/station/routing"
+	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/routing"
 )
 
 // serversInThreeZones returns perZone servers in each of three zones.
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -20,12 +20,12 @@
 	"oakseam/internal/ingress"
 	"oakseam/internal/lifecycle"
 	"oakseam/internal/message"
-	"oakseam/internal/station/follow"
-	"oakseam/internal/station/link"
-	"oakseam/internal/station/platform"
-	"oakseam/internal/station/protocol"
-	"oakseam/internal/station/routing"
-	"oakseam/internal/station/settings"
+	"oakseam/internal/tier/follow"
+	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/platform"
+	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/routing"
+	"oakseam/internal/tier/settings"
 )
 
 const (
--- a/internal/dataplane/gateway/answer.go
+++ b/internal/dataplane/gateway/answer.go
@@ -11,7 +11,7 @@
 
 	"oakseam/internal/core"
 	"oakseam/internal/message"
-	"oakseam/internal/station/routing"
+	"oakseam/internal/tier/routing"
 	"oakseam/logic"
 )
 
--- a/internal/dataplane/gateway/capacity_test.go
+++ b/internal/dataplane/gateway/capacity_test.go
@@ -28,10 +28,10 @@
 	"oakseam/internal/ingress"
 	"oakseam/internal/lifecycle"
 	"oakseam/internal/message"
-	"oakseam/internal/station/link"
-	"oakseam/internal/station/protocol"
-	"oakseam/internal/station/routing"
-	"oakseam/internal/station/scaletest"
+	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/routing"
+	"oakseam/internal/tier/scaletest"
 )
 
 const (
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -18,9 +18,9 @@
 	"oakseam/internal/dataplane/turnclient"
 	"oakseam/internal/ingress"
 	"oakseam/internal/message"
-	"oakseam/internal/station/journal"
-	"oakseam/internal/station/protocol"
-	"oakseam/internal/station/routing"
+	"oakseam/internal/tier/journal"
+	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/routing"
 )
 
 const (
--- a/internal/dataplane/gateway/gateway_test.go
+++ b/internal/dataplane/gateway/gateway_test.go
@@ -12,7 +12,7 @@
 
 	"oakseam/internal/dataplane/dispatch"
 	"oakseam/internal/dataplane/turnclient"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 func stringReader(text string) io.Reader { return strings.NewReader(text) }
--- a/internal/dataplane/gateway/harness_test.go
+++ b/internal/dataplane/gateway/harness_test.go
@@ -19,8 +19,8 @@
 	"oakseam/internal/ingress"
 	"oakseam/internal/lifecycle"
 	"oakseam/internal/message"
-	"oakseam/internal/station/protocol"
-	"oakseam/internal/station/routing"
+	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/routing"
 )
 
 // testConfiguration has routes for turns, for resumable streams, for reads and for orders.
--- a/internal/dataplane/gateway/request.go
+++ b/internal/dataplane/gateway/request.go
@@ -11,7 +11,7 @@
 	"oakseam/internal/dataplane/dispatch"
 	"oakseam/internal/ingress"
 	"oakseam/internal/message"
-	"oakseam/internal/station/routing"
+	"oakseam/internal/tier/routing"
 )
 
 // HTTP header names of programs and prompts.
--- a/internal/dataplane/gateway/resume_test.go
+++ b/internal/dataplane/gateway/resume_test.go
@@ -13,7 +13,7 @@
 
 	"oakseam/internal/dataplane/dispatch"
 	"oakseam/internal/dataplane/turnclient"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 const eventCount = 5
--- a/internal/dataplane/gateway/turn.go
+++ b/internal/dataplane/gateway/turn.go
@@ -13,8 +13,8 @@
 	"oakseam/internal/core"
 	"oakseam/internal/dataplane/events"
 	"oakseam/internal/message"
-	"oakseam/internal/station/protocol"
-	"oakseam/internal/station/routing"
+	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/routing"
 )
 
 const (
--- a/internal/dataplane/turnclient/turnclient.go
+++ b/internal/dataplane/turnclient/turnclient.go
@@ -12,9 +12,9 @@
 	"github.com/go-faster/errors"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/follow"
-	"oakseam/internal/station/link"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/follow"
+	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/protocol"
 	"oakseam/internal/wait"
 )
 
--- a/internal/dataplane/turnclient/turnclient_test.go
+++ b/internal/dataplane/turnclient/turnclient_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/link"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/protocol"
 )
 
 // testTimeout bounds each wait of a test that should not have to wait.
--- a/internal/standin/tier/machine.go
+++ b/internal/standin/tier/machine.go
@@ -20,7 +20,7 @@
 	"github.com/go-faster/errors"
 
 	"oakseam/internal/standin"
-	"oakseam/internal/station/settings"
+	"oakseam/internal/tier/settings"
 )
 
 // Ports of each machine. Machines differ only by their addresses.
--- a/internal/station/follow/capacity_test.go
+++ b/internal/tier/follow/capacity_test.go
@@ -13,9 +13,9 @@
 	"gotest.tools/v3/assert"
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/station/link"
-	"oakseam/internal/station/protocol"
-	"oakseam/internal/station/scaletest"
+	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/scaletest"
 )
 
 const (
--- a/internal/station/follow/follow.go
+++ b/internal/tier/follow/follow.go
@@ -16,10 +16,10 @@
 	"k8s.io/klog/v2"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/hashing"
-	"oakseam/internal/station/link"
-	"oakseam/internal/station/patch"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/hashing"
+	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/patch"
+	"oakseam/internal/tier/protocol"
 	"oakseam/internal/wait"
 )
 
--- a/internal/station/follow/follow_test.go
+++ b/internal/tier/follow/follow_test.go
@@ -13,9 +13,9 @@
 	"gotest.tools/v3/assert"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/link"
-	"oakseam/internal/station/patch"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/patch"
+	"oakseam/internal/tier/protocol"
 )
 
 // testWithin bounds each wait of a test. It expires only if the test hangs.
--- a/internal/station/journal/journal_test.go
+++ b/internal/tier/journal/journal_test.go
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/station/journal"
+	"oakseam/internal/tier/journal"
 )
 
 // logLine is a parsed log line.
--- a/internal/station/link/capacity_test.go
+++ b/internal/tier/link/capacity_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/station/link"
+	"oakseam/internal/tier/link"
 )
 
 // BenchmarkBytes makes one call at a time whose arguments and reply both have the given
--- a/internal/station/link/compat_test.go
+++ b/internal/tier/link/compat_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // earlierBuild is the directory of the fixtures. Each file holds the frames of one direction of a
--- a/internal/station/link/link_test.go
+++ b/internal/tier/link/link_test.go
@@ -13,7 +13,7 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/station/link"
+	"oakseam/internal/tier/link"
 )
 
 // testTimeout bounds the waits of the tests. It expires only if a test hangs.
--- a/internal/station/link/pool_test.go
+++ b/internal/tier/link/pool_test.go
@@ -12,7 +12,7 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/station/link"
+	"oakseam/internal/tier/link"
 )
 
 // errDial is the error of an injected dial failure.
--- a/internal/station/patch/patch_test.go
+++ b/internal/tier/patch/patch_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/station/scaletest"
+	"oakseam/internal/tier/scaletest"
 )
 
 func TestPatchRestoresTheBody(t *testing.T) {
--- a/internal/station/platform/platform.go
+++ b/internal/tier/platform/platform.go
@@ -13,7 +13,7 @@
 
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 const (
--- a/internal/station/platform/platform_test.go
+++ b/internal/tier/platform/platform_test.go
@@ -12,7 +12,7 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // serve starts a server with a handler and returns a Client for it.
--- a/internal/station/process/execute.go
+++ b/internal/tier/process/execute.go
@@ -8,8 +8,8 @@
 	"github.com/go-faster/errors"
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/station/routing"
-	"oakseam/internal/station/settings"
+	"oakseam/internal/tier/routing"
+	"oakseam/internal/tier/settings"
 )
 
 // Execute runs the command given by the arguments and returns the exit code. It reports an
--- a/internal/station/process/process.go
+++ b/internal/tier/process/process.go
@@ -16,8 +16,8 @@
 	"github.com/go-faster/errors"
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/station/journal"
-	"oakseam/internal/station/settings"
+	"oakseam/internal/tier/journal"
+	"oakseam/internal/tier/settings"
 )
 
 // Exit codes of the programs.
--- a/internal/station/protocol/capacity_test.go
+++ b/internal/tier/protocol/capacity_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/patch"
-	"oakseam/internal/station/protocol"
-	"oakseam/internal/station/scaletest"
+	"oakseam/internal/tier/patch"
+	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/scaletest"
 )
 
 // BenchmarkWatch encodes the messages that a process gets on a change, twice each, and
--- a/internal/station/protocol/protocol.go
+++ b/internal/tier/protocol/protocol.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/hashing"
+	"oakseam/internal/tier/hashing"
 )
 
 // Class is the role of a node in the tier.
--- a/internal/station/routing/capacity_test.go
+++ b/internal/tier/routing/capacity_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"oakseam/internal/station/routing"
-	"oakseam/internal/station/scaletest"
+	"oakseam/internal/tier/routing"
+	"oakseam/internal/tier/scaletest"
 )
 
 // tenantCounts are numbers of routes, one per tenant. The figures are in
--- a/internal/station/scaletest/scaletest.go
+++ b/internal/tier/scaletest/scaletest.go
@@ -8,7 +8,7 @@
 	"fmt"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/station/protocol"
+	"oakseam/internal/tier/protocol"
 )
 
 // ServiceCount is the number of services of the tier, each with its own servers.
--- a/internal/station/scaletest/scaletest_test.go
+++ b/internal/tier/scaletest/scaletest_test.go
@@ -5,8 +5,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/station/protocol"
-	"oakseam/internal/station/routing"
+	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/routing"
 )
 
 func TestGeneratedStateIsValid(t *testing.T) {
--- a/internal/station/settings/compat_test.go
+++ b/internal/tier/settings/compat_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/station/settings"
+	"oakseam/internal/tier/settings"
 )
 
 // The settings file of a machine must be read as the build before identifiers were renamed read it.
--- a/internal/station/settings/settings_test.go
+++ b/internal/tier/settings/settings_test.go
@@ -13,7 +13,7 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/station/settings"
+	"oakseam/internal/tier/settings"
 )
 
 // sample is a complete settings file. The tests change lines of it.
--- a/internal/tierlab/configuration.go
+++ b/internal/tierlab/configuration.go
@@ -8,7 +8,7 @@
 
 	audit "oakseam/internal/audit/tier"
 	fakes "oakseam/internal/standin/tier"
-	"oakseam/internal/station/routing"
+	"oakseam/internal/tier/routing"
 )
 
 // Names of the services.
--- a/internal/tierlab/faults.go
+++ b/internal/tierlab/faults.go
@@ -10,8 +10,8 @@
 	"github.com/go-faster/errors"
 
 	fakes "oakseam/internal/standin/tier"
-	"oakseam/internal/station/protocol"
-	"oakseam/internal/station/settings"
+	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/settings"
 )
 
 const (
--- a/internal/tierlab/tierlab.go
+++ b/internal/tierlab/tierlab.go
@@ -19,8 +19,8 @@
 	"oakseam/internal/latency"
 	"oakseam/internal/standin"
 	fakes "oakseam/internal/standin/tier"
-	"oakseam/internal/station/link"
-	"oakseam/internal/station/settings"
+	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/settings"
 )
 
 // Options configures a run.
