--- a/cmd/oaklab/tier.go
+++ b/cmd/oaklab/tier.go
@@ -45,8 +45,8 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&opt.Anemometer, "anemometer", "", "program of the data plane (default: anemometer in the folder of this program)")
-	f.StringVar(&opt.Barograph, "barograph", "", "program of the control plane (default: barograph in the folder of this program)")
+	f.StringVar(&opt.EdgeProgram, "anemometer", "", "program of the data plane (default: oakseam-edge in the folder of this program)")
+	f.StringVar(&opt.ControlProgram, "barograph", "", "program of the control plane (default: oakseam-control in the folder of this program)")
 	f.StringVar(&opt.Network, "network", opt.Network, "first two numbers of the machines' IPv4 addresses")
 	f.StringVar(&opt.Folder, "folder", "", "folder of the machines' disks (default: a temporary folder)")
 	f.StringVar(&opt.LogDir, "logs", "", "folder for the processes' logs")
@@ -76,7 +76,7 @@
 
 // findTierPrograms sets the paths of the programs that no flag names.
 func findTierPrograms(opt *tierlab.Options) (err error) {
-	for name, path := range map[string]*string{"anemometer": &opt.Anemometer, "barograph": &opt.Barograph} {
+	for name, path := range map[string]*string{"oakseam-edge": &opt.EdgeProgram, "oakseam-control": &opt.ControlProgram} {
 		if *path == "" {
 			if *path, err = siblingProgram(name); err != nil {
 				return err
--- a/cmd/oaklab/tier_test.go
+++ b/cmd/oaklab/tier_test.go
@@ -17,10 +17,10 @@
 // buildTier builds the tier's programs in a folder and returns options that name them.
 func buildTier(t *testing.T, dir string) tierlab.Options {
 	t.Helper()
-	out, err := exec.Command("go", "build", "-o", dir, "../anemometer", "../barograph").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", dir, "../oakseam-edge", "../oakseam-control").CombinedOutput()
 	require.NoError(t, err, "%s", out)
 	opt := tierlab.Default()
-	opt.Anemometer, opt.Barograph = filepath.Join(dir, "anemometer"), filepath.Join(dir, "barograph")
+	opt.EdgeProgram, opt.ControlProgram = filepath.Join(dir, "oakseam-edge"), filepath.Join(dir, "oakseam-control")
 	opt.Network, opt.LogDir = "127.30", dir // differs from the default, so that the command can run at the same time
 	return opt
 }
@@ -60,8 +60,8 @@
 // that exits at once.
 func TestTierReportsMissingPrograms(t *testing.T) {
 	code, _, errs := runOaklab("tier", "--barograph", "/bin/false")
-	assert.Equal(t, cli.ExitUsage, code, "there is no anemometer in the test's folder")
-	assert.Contains(t, errs, "anemometer")
+	assert.Equal(t, cli.ExitUsage, code, "there is no oakseam-edge in the test's folder")
+	assert.Contains(t, errs, "oakseam-edge")
 	code, _, errs = runOaklab("tier", "--network", "127.31", "--anemometer", "/bin/false", "--barograph", "/bin/false")
 	assert.Equal(t, cli.ExitFailure, code)
 	assert.Contains(t, errs, tierlab.ErrCrashed.Error())
--- a/cmd/barograph/main.go
+++ b/cmd/oakseam-control/main.go
@@ -1,4 +1,4 @@
-// Command barograph is the control plane of the serving tier.
+// Command oakseam-control is the control plane of the serving tier.
 package main
 
 import (
@@ -166,12 +166,12 @@
 
 // Run implements the command.
 func (versionCommand) Run() error {
-	fmt.Println("barograph", version)
+	fmt.Println("oakseam-control", version)
 	return nil
 }
 
 func main() {
 	var c commands
-	parser := kong.Must(&c, kong.Name("barograph"), kong.Description("Control plane of the serving tier."), kong.UsageOnError())
+	parser := kong.Must(&c, kong.Name("oakseam-control"), kong.Description("Control plane of the serving tier."), kong.UsageOnError())
 	os.Exit(process.Execute(parser, os.Args[1:]))
 }
--- a/cmd/anemometer/main.go
+++ b/cmd/oakseam-edge/main.go
@@ -1,4 +1,4 @@
-// Command anemometer is the data plane of the serving tier.
+// Command oakseam-edge is the data plane of the serving tier.
 package main
 
 import (
@@ -55,12 +55,12 @@
 
 // Run implements the command.
 func (versionCommand) Run() error {
-	fmt.Println("anemometer", version)
+	fmt.Println("oakseam-edge", version)
 	return nil
 }
 
 func main() {
 	var c commands
-	parser := kong.Must(&c, kong.Name("anemometer"), kong.Description("Data plane of the serving tier."), kong.UsageOnError())
+	parser := kong.Must(&c, kong.Name("oakseam-edge"), kong.Description("Data plane of the serving tier."), kong.UsageOnError())
 	os.Exit(process.Execute(parser, os.Args[1:]))
 }
--- a/internal/tierlab/tierlab.go
+++ b/internal/tierlab/tierlab.go
@@ -25,19 +25,19 @@
 
 // Options configures a run.
 type Options struct {
-	Anemometer string // path of the data plane's program
-	Barograph  string // path of the control plane's program
-	Network    string // first two bytes of all addresses, within 127.0.0.0/8
-	Folder     string // for the disks of the machines; empty: a temporary folder
-	LogDir     string // for the logs of the processes; empty: logs are discarded
-	Seconds    float64
-	Edges      int
-	Cores      int
-	Storages   int
-	Agents     int
-	Seed       uint64
-	Calm       bool // inject no faults
-	Harsh      bool // inject more faults, and let servers break off requests
+	EdgeProgram    string // path of the data plane's program
+	ControlProgram string // path of the control plane's program
+	Network        string // first two bytes of all addresses, within 127.0.0.0/8
+	Folder         string // for the disks of the machines; empty: a temporary folder
+	LogDir         string // for the logs of the processes; empty: logs are discarded
+	Seconds        float64
+	Edges          int
+	Cores          int
+	Storages       int
+	Agents         int
+	Seed           uint64
+	Calm           bool // inject no faults
+	Harsh          bool // inject more faults, and let servers break off requests
 	// Progress is called periodically with the state of the run.
 	Progress func(at time.Duration, ended, served, edgesReady int)
 }
@@ -152,13 +152,13 @@
 		seeds = append(seeds, l.ip(l.opt.Edges+i))
 	}
 	for i := range l.opt.Edges {
-		l.addMachine(fmt.Sprintf("edge-%d", i+1), settings.Edge, l.opt.Anemometer, "serve", seeds)
+		l.addMachine(fmt.Sprintf("edge-%d", i+1), settings.Edge, l.opt.EdgeProgram, "serve", seeds)
 	}
 	for i := range l.opt.Cores {
-		l.addMachine(fmt.Sprintf("core-%d", i+1), settings.Control, l.opt.Barograph, "coordinate", seeds)
+		l.addMachine(fmt.Sprintf("core-%d", i+1), settings.Control, l.opt.ControlProgram, "coordinate", seeds)
 	}
 	for i := range l.opt.Storages {
-		l.addMachine(fmt.Sprintf("storage-%d", i+1), settings.Storage, l.opt.Barograph, "keep", seeds)
+		l.addMachine(fmt.Sprintf("storage-%d", i+1), settings.Storage, l.opt.ControlProgram, "keep", seeds)
 	}
 	var cores []string
 	for _, m := range l.machinesOf(settings.Control) {
