--- a/cmd/oakseam-control/main.go
+++ b/cmd/oakseam-control/main.go
@@ -14,10 +14,10 @@
 	"k8s.io/klog/v2"
 
 	"oakseam/internal/controlplane/coordinator"
-	"oakseam/internal/controlplane/keeper"
 	"oakseam/internal/controlplane/node"
 	"oakseam/internal/controlplane/operators"
 	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/controlplane/storage"
 	"oakseam/internal/tier/link"
 	"oakseam/internal/tier/platform"
 	"oakseam/internal/tier/process"
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	var running atomic.Pointer[keeper.Keeper]
+	var running atomic.Pointer[storage.Keeper]
 	options.OnUnknownGroup = func(group replica.GroupID) bool {
 		k := running.Load()
 		return k != nil && k.JoinGroup(group)
@@ -102,7 +102,7 @@
 		return err
 	}
 	defer n.Close()
-	k, err := keeper.New(keeper.Options{Node: n, Name: s.NodeName, ToleratedLosses: s.FaultTolerance.MachineLosses, Seeds: options.Seeds})
+	k, err := storage.New(storage.Options{Node: n, Name: s.NodeName, ToleratedLosses: s.FaultTolerance.MachineLosses, Seeds: options.Seeds})
 	if err != nil {
 		return err
 	}
--- a/internal/controlplane/keeper/calls.go
+++ b/internal/controlplane/storage/calls.go
@@ -1,4 +1,4 @@
-package keeper
+package storage
 
 import (
 	"context"
--- a/internal/controlplane/keeper/keeper.go
+++ b/internal/controlplane/storage/storage.go
@@ -1,6 +1,6 @@
-// Package keeper is a storage node: with others of its class it replicates the turns of
+// Package storage is a storage node: with others of its class it replicates the turns of
 // programs and the programs' remaining token budgets.
-package keeper
+package storage
 
 import (
 	"context"
