--- a/internal/rivals/rivals.go
+++ b/internal/baselines/baselines.go
@@ -1,4 +1,4 @@
-// Package rivals implements textbook load-balancing policies with the interface of the decision
+// Package baselines implements textbook load-balancing policies with the interface of the decision
 // module, as a baseline for its results. They follow their public descriptions and keep the
 // platform's rules on retries, rejections and draining. None of them protects cold backends or
 // rejects a request that has no chance of success. Like the module they do no I/O and read no
@@ -20,7 +20,7 @@
 // The retry modes: none, or budget, which retries a failed request once if its class allows that
 // and a token bucket has a token. Each request earns a tenth of a token, each second one more, and
 // at most ten are saved (Finagle's RetryBudget).
-package rivals
+package baselines
 
 import (
 	"errors"
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 
 	"oakseam/internal/audit"
+	"oakseam/internal/baselines"
 	"oakseam/internal/core"
-	"oakseam/internal/rivals"
 	"oakseam/logic"
 )
 
@@ -136,7 +136,7 @@
 
 // modifiedPolicy is a reference policy whose actions are changed, to break a rule on purpose.
 type modifiedPolicy struct {
-	*rivals.Policy
+	*baselines.Policy
 	modify func(now time.Duration, ev logic.Event, out []logic.Action) []logic.Action
 }
 
@@ -192,7 +192,7 @@
 			t.Parallel()
 			more := "limits: {attempts: 5}\n" + tt.more
 			r := run(t, parseSmall(t, more), 3, Options{NewModule: func(s logic.Settings, seed uint64) (core.Module, error) {
-				p, err := rivals.New("least_outstanding", s, seed)
+				p, err := baselines.New("least_outstanding", s, seed)
 				switch tt.name {
 				case "ignores draining":
 					return &drainUnawarePolicy{p, nil}, err
@@ -220,7 +220,7 @@
 
 // drainUnawarePolicy is never told that a backend drains.
 type drainUnawarePolicy struct {
-	*rivals.Policy
+	*baselines.Policy
 	seen map[logic.ServerID]logic.Server
 }
 
@@ -238,7 +238,7 @@
 
 // coldestFirstPolicy sends every request to a backend that started within the run.
 type coldestFirstPolicy struct {
-	*rivals.Policy
+	*baselines.Policy
 	startTimes map[logic.ServerID]time.Duration
 }
 
@@ -342,7 +342,7 @@
 	}
 	n := 0
 	r := run(t, parseSmall(t, ""), 1, Options{NewModule: func(s logic.Settings, seed uint64) (core.Module, error) {
-		p, err := rivals.New("p2c", s, seed)
+		p, err := baselines.New("p2c", s, seed)
 		return &modifiedPolicy{p, func(_ time.Duration, ev logic.Event, out []logic.Action) []logic.Action {
 			if _, ok := ev.(logic.Request); ok {
 				if n++; n%50 == 0 {
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -13,15 +13,15 @@
 	"time"
 
 	"oakseam/internal/audit"
+	"oakseam/internal/baselines"
 	"oakseam/internal/core"
-	"oakseam/internal/rivals"
 	"oakseam/logic"
 )
 
 // Policies lists the valid values of a scenario's policy.
 func Policies() []string {
 	out := []string{"module"}
-	for _, p := range rivals.Selections {
+	for _, p := range baselines.Selections {
 		out = append(out, p, p+"+budget")
 	}
 	return out
@@ -35,10 +35,10 @@
 	if name == "module" {
 		return func(s logic.Settings, seed uint64) (core.Module, error) { return logic.New(s, seed) }, nil
 	}
-	if _, err := rivals.New(name, logic.Settings{Classes: []logic.Class{{}}}, 0); err != nil {
+	if _, err := baselines.New(name, logic.Settings{Classes: []logic.Class{{}}}, 0); err != nil {
 		return nil, fmt.Errorf("policy %q: unknown; there are %v", name, Policies())
 	}
-	return func(s logic.Settings, seed uint64) (core.Module, error) { return rivals.New(name, s, seed) }, nil
+	return func(s logic.Settings, seed uint64) (core.Module, error) { return baselines.New(name, s, seed) }, nil
 }
 
 // virtualStart is the wall-clock time at which a run in virtual time begins.
