--- a/cmd/oakseam/node.go
+++ b/cmd/oakseam/node.go
@@ -17,10 +17,10 @@
 	"oakseam/internal/core"
 	"oakseam/internal/counters"
 	"oakseam/internal/discovery"
-	"oakseam/internal/figures"
 	"oakseam/internal/gossip"
 	"oakseam/internal/logging"
 	"oakseam/internal/message"
+	"oakseam/internal/metrics"
 	"oakseam/internal/peers"
 	"oakseam/internal/session"
 	"oakseam/internal/upstream"
@@ -54,7 +54,7 @@
 	for _, cl := range c.Settings.Classes {
 		classes = append(classes, cl.Name)
 	}
-	figureSet := figures.New(classes)
+	figureSet := metrics.New(classes)
 	handoff, err := newTakeover(c, log)
 	if err != nil {
 		return err
@@ -91,7 +91,7 @@
 	defer close(quit)
 	if handoff.console != nil {
 		loop.ObserveBackendCounts(func(listed, avoided int) {
-			figureSet.SetBackendCounts(figures.BackendCounts{Listed: listed, OutOfRotation: avoided})
+			figureSet.SetBackendCounts(metrics.BackendCounts{Listed: listed, OutOfRotation: avoided})
 		})
 		go console.New(handoff.console, operatorView{frontend, figureSet}, log).Serve()
 	}
@@ -136,7 +136,7 @@
 // operatorView is the node as seen through the console.
 type operatorView struct {
 	*session.Frontend
-	figures *figures.Set
+	figures *metrics.Set
 }
 
 // WriteFigures writes one line per figure.
--- a/internal/figures/figures.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package figures holds the counters and gauges that a node reports to its operators, under the
+// Package metrics holds the counters and gauges that a node reports to its operators, under the
 // names that they use. It must not know who counts or who reads.
-package figures
+package metrics
 
 import (
 	"fmt"
--- a/internal/session/answer.go
+++ b/internal/session/answer.go
@@ -6,19 +6,19 @@
 	"time"
 
 	"oakseam/internal/core"
-	"oakseam/internal/figures"
 	"oakseam/internal/message"
+	"oakseam/internal/metrics"
 )
 
 // answerFigures maps the kinds of answers to the figures that they count for.
-var answerFigures = [...]figures.Outcome{core.Served: figures.Served, core.Rejected: figures.Rejected,
-	core.Failed: figures.Failed, core.Duplicate: figures.Failed}
+var answerFigures = [...]metrics.Outcome{core.Served: metrics.Served, core.Rejected: metrics.Rejected,
+	core.Failed: metrics.Failed, core.Duplicate: metrics.Failed}
 
 // rejectUnsubmitted rejects a request that the frontend has not submitted: nothing has run.
 func (f *Frontend) rejectUnsubmitted(w http.ResponseWriter, class, counter string) {
 	f.count.Add(counter)
 	f.writeRejection(w, f.opt.RetryAfter)
-	f.opt.Figures.CountRequest(class, figures.Rejected)
+	f.opt.Figures.CountRequest(class, metrics.Rejected)
 }
 
 // writeAnswer sends a request's final answer, and counts it.
@@ -58,7 +58,7 @@
 	switch {
 	case backendErr != nil:
 		f.count.Add("answer.broken")
-		f.opt.Figures.CountRequest(class, figures.Failed)
+		f.opt.Figures.CountRequest(class, metrics.Failed)
 	case clientErr != nil:
 		f.count.Add("client.gone")
 	default:
--- a/internal/session/api.go
+++ b/internal/session/api.go
@@ -7,8 +7,8 @@
 	"sync"
 
 	"oakseam/internal/core"
-	"oakseam/internal/figures"
 	"oakseam/internal/ingress"
+	"oakseam/internal/metrics"
 )
 
 // serveAPI handles a request for a backend.
@@ -83,7 +83,7 @@
 
 	mu        sync.Mutex
 	closed    bool
-	countedIn *figures.Set // counts the request as open, nil: not yet
+	countedIn *metrics.Set // counts the request as open, nil: not yet
 }
 
 // Answer never blocks: there is one answer, and room for it. An answer that nobody waits for
@@ -105,7 +105,7 @@
 }
 
 // countOpen counts the request as open.
-func (p *pendingAnswer) countOpen(f *figures.Set) {
+func (p *pendingAnswer) countOpen(f *metrics.Set) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.closed && p.countedIn == nil {
--- a/internal/session/frontend.go
+++ b/internal/session/frontend.go
@@ -13,10 +13,10 @@
 
 	"oakseam/internal/core"
 	"oakseam/internal/counters"
-	"oakseam/internal/figures"
 	"oakseam/internal/ingress"
 	"oakseam/internal/lifecycle"
 	"oakseam/internal/message"
+	"oakseam/internal/metrics"
 	"oakseam/logic"
 )
 
@@ -56,7 +56,7 @@
 	BodyTimeout time.Duration
 	// IdleTimeout is how long a client session may stay open between requests.
 	IdleTimeout time.Duration
-	Figures     *figures.Set
+	Figures     *metrics.Set
 	// Budget limits the bytes that bodies take.
 	Budget *message.Budget
 }
