--- a/cmd/oakseam-control/main.go
+++ b/cmd/oakseam-control/main.go
@@ -18,11 +18,11 @@
 	"oakseam/internal/controlplane/operators"
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/storage"
-	"oakseam/internal/tier/link"
 	"oakseam/internal/tier/platform"
 	"oakseam/internal/tier/process"
 	"oakseam/internal/tier/protocol"
 	"oakseam/internal/tier/routing"
+	"oakseam/internal/tier/rpc"
 	"oakseam/internal/tier/settings"
 )
 
@@ -67,7 +67,7 @@
 	if err != nil {
 		return errors.Wrap(err, "listen for operators")
 	}
-	l, err := link.Listen(options.Address)
+	l, err := rpc.Listen(options.Address)
 	if err != nil {
 		return errors.Wrap(err, "listen for other processes")
 	}
@@ -107,7 +107,7 @@
 		return err
 	}
 	running.Store(k)
-	l, err := link.Listen(options.Address)
+	l, err := rpc.Listen(options.Address)
 	if err != nil {
 		return errors.Wrap(err, "listen for other processes")
 	}
--- a/internal/controlplane/node/calls.go
+++ b/internal/controlplane/node/calls.go
@@ -8,8 +8,8 @@
 
 	"oakseam/internal/controlplane/host"
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/tier/link"
 	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/rpc"
 	"oakseam/internal/wait"
 )
 
@@ -122,7 +122,7 @@
 
 // callOutcome returns what is known after a call failed in transit.
 func callOutcome(err error) protocol.Outcome {
-	if errors.Is(err, link.ErrUnreachable) {
+	if errors.Is(err, rpc.ErrUnreachable) {
 		return protocol.Unavailable
 	}
 	return protocol.Unknown
--- a/internal/controlplane/node/node.go
+++ b/internal/controlplane/node/node.go
@@ -16,8 +16,8 @@
 	"oakseam/internal/controlplane/store"
 	"oakseam/internal/durable"
 	"oakseam/internal/tier/hashing"
-	"oakseam/internal/tier/link"
 	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/rpc"
 )
 
 // Timing returns the timing of the groups of a class of nodes. Followers of turn groups learn
@@ -58,9 +58,9 @@
 	Self      protocol.Node
 	Host      *host.Host
 	Addresses *AddressBook
-	Pool      *link.Pool
+	Pool      *rpc.Pool
 
-	bulk  *link.Pool // for data that would delay heartbeats
+	bulk  *rpc.Pool // for data that would delay heartbeats
 	seeds []string
 	store store.Store
 	start time.Time
@@ -96,7 +96,7 @@
 		}
 	}
 	n.Addresses.Learn(n.Self)
-	n.Pool, n.bulk = link.NewPool(link.Options{}), link.NewPool(link.Options{StaleAfter: bulkStaleTimeout})
+	n.Pool, n.bulk = rpc.NewPool(rpc.Options{}), rpc.NewPool(rpc.Options{StaleAfter: bulkStaleTimeout})
 	n.Host, err = host.New(host.Options{
 		Self: id, Timing: Timing(options.Class), Store: disk, Now: n.Now, Seed: rand.Uint64(), OnUnknownGroup: options.OnUnknownGroup,
 		Transport: &transport{addresses: n.Addresses, regular: lane{pool: n.Pool}, bulk: lane{pool: n.bulk}},
@@ -151,7 +151,7 @@
 	for name, s := range services {
 		all[name] = s
 	}
-	server, err := link.NewServer(all)
+	server, err := rpc.NewServer(all)
 	if err != nil {
 		return errors.Wrap(err, "calls")
 	}
--- a/internal/controlplane/node/node_test.go
+++ b/internal/controlplane/node/node_test.go
@@ -11,8 +11,8 @@
 	"oakseam/internal/controlplane/host"
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/durable"
-	"oakseam/internal/tier/link"
 	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/rpc"
 )
 
 func core(id replica.NodeID, name, address string) protocol.Node {
@@ -81,9 +81,9 @@
 		assert.Equal(t, outcome, c.want, "%v", c.err)
 		assert.Equal(t, leader, c.leader, "%v", c.err)
 	}
-	assert.Equal(t, callOutcome(&link.UnreachableError{Cause: link.ErrBackoff}), protocol.Unavailable)
-	assert.Equal(t, callOutcome(&link.UncertainError{Cause: context.Canceled}), protocol.Unknown)
-	assert.Equal(t, callOutcome(&link.RemoteError{}), protocol.Unknown)
+	assert.Equal(t, callOutcome(&rpc.UnreachableError{Cause: rpc.ErrBackoff}), protocol.Unavailable)
+	assert.Equal(t, callOutcome(&rpc.UncertainError{Cause: context.Canceled}), protocol.Unknown)
+	assert.Equal(t, callOutcome(&rpc.RemoteError{}), protocol.Unknown)
 }
 
 func TestTimingIsConsistent(t *testing.T) {
--- a/internal/controlplane/node/transport.go
+++ b/internal/controlplane/node/transport.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/tier/link"
 	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/rpc"
 )
 
 const (
@@ -33,7 +33,7 @@
 
 // lane is one of the two connections to each node.
 type lane struct {
-	pool *link.Pool
+	pool *rpc.Pool
 
 	mu       sync.Mutex
 	inFlight map[replica.NodeID]int // deliveries in flight
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -21,10 +21,10 @@
 	"oakseam/internal/lifecycle"
 	"oakseam/internal/message"
 	"oakseam/internal/tier/follow"
-	"oakseam/internal/tier/link"
 	"oakseam/internal/tier/platform"
 	"oakseam/internal/tier/protocol"
 	"oakseam/internal/tier/routing"
+	"oakseam/internal/tier/rpc"
 	"oakseam/internal/tier/settings"
 )
 
@@ -77,7 +77,7 @@
 	n := &Node{settings: s, listener: l, counters: counters.New(), platform: platform.New(s.CloudAPI.Address)}
 	descriptors := float64(max(s.Limits.FileDescriptors-spareDescriptors, 128))
 	budget := message.NewBudget(int64(bodyShare * float64(max(s.Limits.MemoryMB, 64)) * (1 << 20)))
-	pool := link.NewPool(link.Options{})
+	pool := rpc.NewPool(rpc.Options{})
 	n.dispatcher = dispatch.New(dispatch.Options{Zone: s.Zone, Name: s.NodeName, MaxConns: int(serverShare * descriptors), Budget: budget, Counters: n.counters, Log: log})
 	n.turns = turnclient.New(pool)
 	n.gateway = gateway.New(gateway.Options{Dispatcher: n.dispatcher, Turns: n.turns, Budget: budget, Counters: n.counters, MaxOpenRequests: maxOpenRequests, Current: n.current})
--- a/internal/dataplane/gateway/capacity_test.go
+++ b/internal/dataplane/gateway/capacity_test.go
@@ -28,9 +28,9 @@
 	"oakseam/internal/ingress"
 	"oakseam/internal/lifecycle"
 	"oakseam/internal/message"
-	"oakseam/internal/tier/link"
 	"oakseam/internal/tier/protocol"
 	"oakseam/internal/tier/routing"
+	"oakseam/internal/tier/rpc"
 	"oakseam/internal/tier/scaletest"
 )
 
@@ -137,13 +137,13 @@
 
 // startTurns starts one storage node and returns a client of it.
 func startTurns(b *testing.B) *turnclient.Client {
-	server, err := link.NewServer(map[string]any{"Turns": grantingTurns{}})
+	server, err := rpc.NewServer(map[string]any{"Turns": grantingTurns{}})
 	assert.NilError(b, err)
-	l, err := link.Listen("127.0.0.1:0")
+	l, err := rpc.Listen("127.0.0.1:0")
 	assert.NilError(b, err)
 	go server.Serve(l)
 	b.Cleanup(func() { server.Close() })
-	pool := link.NewPool(link.Options{})
+	pool := rpc.NewPool(rpc.Options{})
 	b.Cleanup(pool.Close)
 	client := turnclient.New(pool)
 	const id = replica.NodeID(1)
--- a/internal/dataplane/turnclient/turnclient.go
+++ b/internal/dataplane/turnclient/turnclient.go
@@ -13,8 +13,8 @@
 
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/tier/follow"
-	"oakseam/internal/tier/link"
 	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/rpc"
 	"oakseam/internal/wait"
 )
 
@@ -36,7 +36,7 @@
 
 // Client calls storage nodes.
 type Client struct {
-	pool *link.Pool
+	pool *rpc.Pool
 
 	mu                sync.Mutex
 	directory         protocol.Directory
@@ -45,7 +45,7 @@
 }
 
 // New returns a Client without a directory.
-func New(pool *link.Pool) *Client {
+func New(pool *rpc.Pool) *Client {
 	return &Client{pool: pool, leaders: map[int]replica.NodeID{}, unresponsiveSince: map[replica.NodeID]time.Time{}}
 }
 
--- a/internal/dataplane/turnclient/turnclient_test.go
+++ b/internal/dataplane/turnclient/turnclient_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/tier/link"
 	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/rpc"
 )
 
 // testTimeout bounds each wait of a test that should not have to wait.
@@ -64,7 +64,7 @@
 // of all partitions.
 func startNodes(t *testing.T, count int) (*Client, []*fakeStorage) {
 	t.Helper()
-	pool := link.NewPool(link.Options{})
+	pool := rpc.NewPool(rpc.Options{})
 	t.Cleanup(pool.Close)
 	var nodes []*fakeStorage
 	for i := range count {
@@ -72,7 +72,7 @@
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
 		s.address = listener.Addr().String()
-		server, err := link.NewServer(map[string]any{"Turns": s})
+		server, err := rpc.NewServer(map[string]any{"Turns": s})
 		assert.NilError(t, err)
 		go server.Serve(listener)
 		t.Cleanup(func() { server.Close() })
@@ -115,7 +115,7 @@
 }
 
 func TestCallsFailWithoutDirectory(t *testing.T) {
-	pool := link.NewPool(link.Options{})
+	pool := rpc.NewPool(rpc.Options{})
 	defer pool.Close()
 	c := New(pool)
 	assert.Assert(t, !c.Ready())
--- a/internal/tier/follow/capacity_test.go
+++ b/internal/tier/follow/capacity_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/tier/link"
 	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/rpc"
 	"oakseam/internal/tier/scaletest"
 )
 
@@ -106,7 +106,7 @@
 	var running sync.WaitGroup
 	b.Cleanup(func() { end(); running.Wait() })
 	for i := range followers {
-		pool := link.NewPool(link.Options{})
+		pool := rpc.NewPool(rpc.Options{})
 		b.Cleanup(pool.Close)
 		f := New(Options{Name: fmt.Sprintf("edge-%d", i), Seeds: seeds, ConcurrentCalls: concurrentCalls, Pool: pool, OnUpdate: func(update Update) {
 			if update.Revision == uint64(current.Load()) {
@@ -146,9 +146,9 @@
 func startCores(b *testing.B, cores int) (nodes []*configurationServer, addresses []string) {
 	for range cores {
 		s := &configurationServer{changed: make(chan struct{})}
-		server, err := link.NewServer(map[string]any{"Control": s})
+		server, err := rpc.NewServer(map[string]any{"Control": s})
 		assert.NilError(b, err)
-		l, err := link.Listen("127.0.0.1:0")
+		l, err := rpc.Listen("127.0.0.1:0")
 		assert.NilError(b, err)
 		go server.Serve(l)
 		b.Cleanup(func() { server.Close() })
--- a/internal/tier/follow/follow.go
+++ b/internal/tier/follow/follow.go
@@ -17,9 +17,9 @@
 
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/tier/hashing"
-	"oakseam/internal/tier/link"
 	"oakseam/internal/tier/patch"
 	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/rpc"
 	"oakseam/internal/wait"
 )
 
@@ -40,7 +40,7 @@
 	ConcurrentCalls int      // number of watch calls kept open, each to another node
 	// DirectoryOnly: follow neither the configuration nor the server lists.
 	DirectoryOnly bool
-	Pool          *link.Pool
+	Pool          *rpc.Pool
 	// OnUpdate is called with each update, one at a time.
 	OnUpdate func(Update)
 }
--- a/internal/tier/follow/follow_test.go
+++ b/internal/tier/follow/follow_test.go
@@ -13,9 +13,9 @@
 	"gotest.tools/v3/assert"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/tier/link"
 	"oakseam/internal/tier/patch"
 	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/rpc"
 )
 
 // testWithin bounds each wait of a test. It expires only if the test hangs.
@@ -62,7 +62,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	c.address = listener.Addr().String()
-	server, err := link.NewServer(map[string]any{"Control": c})
+	server, err := rpc.NewServer(map[string]any{"Control": c})
 	assert.NilError(t, err)
 	go server.Serve(listener)
 	t.Cleanup(func() { server.Close() })
@@ -73,7 +73,7 @@
 func startFollower(t *testing.T, concurrentCalls int, seeds ...string) (*Follower, <-chan Update) {
 	t.Helper()
 	updates := make(chan Update, 1000)
-	pool := link.NewPool(link.Options{})
+	pool := rpc.NewPool(rpc.Options{})
 	f := New(Options{Name: "edge", Seeds: seeds, ConcurrentCalls: concurrentCalls, Pool: pool, OnUpdate: func(update Update) { updates <- update }})
 	ctx, cancel := context.WithCancel(t.Context())
 	var done sync.WaitGroup
@@ -210,7 +210,7 @@
 // Lists from another source are replaced only by lists of a node that vouches, whatever their
 // versions. A patient call does not request them, because it would be answered at once.
 func TestRefreshTakesOnlyVouchedLists(t *testing.T) {
-	f := New(Options{Name: "edge", Pool: link.NewPool(link.Options{})})
+	f := New(Options{Name: "edge", Pool: rpc.NewPool(rpc.Options{})})
 	reply := &protocol.WatchReply{Vouched: true}
 	reply.Services[1], reply.Services[2] = 7, 5
 	assert.Equal(t, len(f.merge(reply)), 2)
@@ -285,7 +285,7 @@
 }
 
 func TestConcurrentCallsChooseDifferentNodes(t *testing.T) {
-	f := New(Options{Name: "edge", Seeds: []string{"a", "b", "c"}, Pool: link.NewPool(link.Options{})})
+	f := New(Options{Name: "edge", Seeds: []string{"a", "b", "c"}, Pool: rpc.NewPool(rpc.Options{})})
 	seen := map[string]bool{}
 	for range 3 {
 		seen[chosen(f)] = true
@@ -297,7 +297,7 @@
 }
 
 func TestFailedNodeIsTriedAfterTheOthers(t *testing.T) {
-	f := New(Options{Name: "edge", Seeds: []string{"a", "b", "c"}, Pool: link.NewPool(link.Options{})})
+	f := New(Options{Name: "edge", Seeds: []string{"a", "b", "c"}, Pool: rpc.NewPool(rpc.Options{})})
 	first := chosen(f)
 	f.release(first)
 	f.sources.failedAt[first] = time.Now()
@@ -310,7 +310,7 @@
 
 // If all nodes have failed recently, the next call waits until one can vouch.
 func TestCallsArePatientWhenNoNodeVouches(t *testing.T) {
-	f := New(Options{Name: "edge", Seeds: []string{"a", "b"}, Pool: link.NewPool(link.Options{})})
+	f := New(Options{Name: "edge", Seeds: []string{"a", "b"}, Pool: rpc.NewPool(rpc.Options{})})
 	for _, address := range []string{"a", "b"} {
 		_, patient := f.chooseNode()
 		assert.Assert(t, !patient)
@@ -349,7 +349,7 @@
 // Staleness counts from the time for which the node had proof, not from the arrival of the
 // reply.
 func TestStalenessCountsFromProof(t *testing.T) {
-	f := New(Options{Name: "edge", Pool: link.NewPool(link.Options{})})
+	f := New(Options{Name: "edge", Pool: rpc.NewPool(rpc.Options{})})
 	f.sources.currentAsOf = time.Now().Add(-time.Hour)
 	sent := time.Now().Add(-10 * time.Second)
 	f.recordResult("a", sent, &protocol.WatchReply{Vouched: true, Held: 3 * time.Second, Age: time.Second}, nil)
@@ -363,7 +363,7 @@
 // The state of a single core node may be very old, and a process that has just started cannot
 // tell. It must wait for a confirmed configuration.
 func TestUnconfirmedConfigurationIsNotDelivered(t *testing.T) {
-	f := New(Options{Name: "edge", Pool: link.NewPool(link.Options{})})
+	f := New(Options{Name: "edge", Pool: rpc.NewPool(rpc.Options{})})
 	reply := &protocol.WatchReply{Revision: 4, Steps: wholeStep(4), Vouched: true}
 	assert.Equal(t, len(f.merge(reply)), 0)
 	f.sources.currentAsOf = time.Now().Add(-time.Hour)
@@ -375,7 +375,7 @@
 // Steps apply to the process's configuration. Steps already applied are skipped. If a step does
 // not apply, the next call requests the whole configuration.
 func TestConfigurationStepsAreApplied(t *testing.T) {
-	f := New(Options{Name: "edge", Pool: link.NewPool(link.Options{})})
+	f := New(Options{Name: "edge", Pool: rpc.NewPool(rpc.Options{})})
 	f.confirmed = true
 	apply := func(revision uint64, steps ...protocol.ConfigurationStep) (string, bool) {
 		updates := f.merge(&protocol.WatchReply{Revision: revision, Steps: steps})
--- a/internal/tier/link/capacity_test.go
+++ b/internal/tier/rpc/capacity_test.go
@@ -1,4 +1,4 @@
-package link_test
+package rpc_test
 
 import (
 	"context"
@@ -7,14 +7,14 @@
 
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/rpc"
 )
 
 // BenchmarkBytes makes one call at a time whose arguments and reply both have the given
 // size. The figures are in docs/CAPACITY.md.
 func BenchmarkBytes(b *testing.B) {
-	address, _ := start(b, newService(), link.Limits{})
-	caller := newPool(b, link.Options{})
+	address, _ := start(b, newService(), rpc.Limits{})
+	caller := newPool(b, rpc.Options{})
 	for _, size := range []int{0, 2600, 100_000, 1_400_000} {
 		b.Run(fmt.Sprintf("bytes=%d", size), func(b *testing.B) {
 			message := Message{Data: make([]byte, size)}
--- a/internal/tier/link/connection.go
+++ b/internal/tier/rpc/connection.go
@@ -1,4 +1,4 @@
-package link
+package rpc
 
 import (
 	"bufio"
--- a/internal/tier/link/pool_test.go
+++ b/internal/tier/rpc/pool_test.go
@@ -1,4 +1,4 @@
-package link_test
+package rpc_test
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/rpc"
 )
 
 // errDial is the error of an injected dial failure.
@@ -35,18 +35,18 @@
 func TestDialBackoffDoublesUpToLimit(t *testing.T) {
 	clock, dials := newClock(), &dialCounter{}
 	dials.fail.Store(true)
-	address, _ := start(t, newService(), link.Limits{})
-	caller := newPool(t, link.Options{Now: clock.now, Dial: dials.dial})
+	address, _ := start(t, newService(), rpc.Limits{})
+	caller := newPool(t, rpc.Options{Now: clock.now, Dial: dials.dial})
 	call := func() error { return caller.Call(testContext(t), address, "Test.Echo", Message{}, nil) }
 	waits := []time.Duration{50, 100, 200, 400, 400}
 	for i, wait := range waits {
 		err := call()
 		assert.ErrorIs(t, err, errDial)
-		assert.Assert(t, !errors.Is(err, link.ErrBackoff), "after %d dials", i)
+		assert.Assert(t, !errors.Is(err, rpc.ErrBackoff), "after %d dials", i)
 		clock.advance(wait*time.Millisecond - 1)
 		err = call()
-		assert.ErrorIs(t, err, link.ErrBackoff)
-		assert.ErrorIs(t, err, link.ErrUnreachable)
+		assert.ErrorIs(t, err, rpc.ErrBackoff)
+		assert.ErrorIs(t, err, rpc.ErrUnreachable)
 		assert.ErrorIs(t, err, errDial)
 		assert.Equal(t, dials.dials.Load(), int32(i+1))
 		clock.advance(1)
@@ -63,7 +63,7 @@
 
 func TestConcurrentCallersShareOneDial(t *testing.T) {
 	const callers = 20
-	address, _ := start(t, newService(), link.Limits{})
+	address, _ := start(t, newService(), rpc.Limits{})
 	dials := &dialCounter{}
 	started, proceed := make(chan struct{}), make(chan struct{})
 	slow := func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -71,14 +71,14 @@
 		<-proceed
 		return dials.dial(ctx, network, address)
 	}
-	caller := newPool(t, link.Options{Dial: slow})
+	caller := newPool(t, rpc.Options{Dial: slow})
 	first, cancel := context.WithCancel(testContext(t))
 	result := make(chan error, 1)
 	go func() { result <- caller.Call(first, address, "Test.Echo", Message{}, nil) }()
 	<-started
 	cancel()
 	err := <-result
-	assert.ErrorIs(t, err, link.ErrUnreachable)
+	assert.ErrorIs(t, err, rpc.ErrUnreachable)
 	assert.ErrorIs(t, err, context.Canceled)
 	var group sync.WaitGroup
 	for range callers {
@@ -93,11 +93,11 @@
 
 func TestCallsSucceedAfterServerRestart(t *testing.T) {
 	service := newService()
-	listener, err := link.Listen("127.0.0.1:0")
+	listener, err := rpc.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
-	address, server := serve(t, service, link.Limits{}, listener)
+	address, server := serve(t, service, rpc.Limits{}, listener)
 	clock := newClock()
-	caller := newPool(t, link.Options{Now: clock.now})
+	caller := newPool(t, rpc.Options{Now: clock.now})
 	result := make(chan error, 1)
 	go func() { result <- caller.Call(testContext(t), address, "Test.Hold", Message{}, nil) }()
 	<-service.entered
@@ -106,10 +106,10 @@
 	assert.Assert(t, uncertain(err), "%v", err)
 	close(service.release)
 	err = caller.Call(testContext(t), address, "Test.Echo", Message{}, nil)
-	assert.ErrorIs(t, err, link.ErrUnreachable)
-	restarted, err := link.Listen(address)
+	assert.ErrorIs(t, err, rpc.ErrUnreachable)
+	restarted, err := rpc.Listen(address)
 	assert.NilError(t, err)
-	serve(t, service, link.Limits{}, restarted)
+	serve(t, service, rpc.Limits{}, restarted)
 	clock.advance(time.Second)
 	var got Message
 	assert.NilError(t, caller.Call(testContext(t), address, "Test.Echo", Message{Number: 4}, &got))
@@ -130,9 +130,9 @@
 		}()
 		return clientEnd, nil
 	}
-	caller := newPool(t, link.Options{Dial: partialPeer})
+	caller := newPool(t, rpc.Options{Dial: partialPeer})
 	err := caller.Call(testContext(t), "peer", "Test.Echo", Message{Text: "whole"}, nil)
-	assert.ErrorIs(t, err, link.ErrUnreachable)
+	assert.ErrorIs(t, err, rpc.ErrUnreachable)
 	assert.Assert(t, !uncertain(err))
 	assert.Equal(t, dials.Load(), int32(2))
 }
@@ -149,7 +149,7 @@
 		closed <- struct{}{}
 	})
 	clock, dials := newClock(), &dialCounter{}
-	caller := newPool(t, link.Options{Now: clock.now, Dial: dials.dial})
+	caller := newPool(t, rpc.Options{Now: clock.now, Dial: dials.dial})
 	call := func() (abandon func() error) {
 		ctx, cancel := context.WithCancel(testContext(t))
 		outcome := make(chan error, 1)
@@ -176,9 +176,9 @@
 
 func TestConnectionWithRecentReadsIsKept(t *testing.T) {
 	service := newService()
-	address, _ := start(t, service, link.Limits{})
+	address, _ := start(t, service, rpc.Limits{})
 	clock, dials := newClock(), &dialCounter{}
-	caller := newPool(t, link.Options{Now: clock.now, Dial: dials.dial})
+	caller := newPool(t, rpc.Options{Now: clock.now, Dial: dials.dial})
 	result := make(chan error, 1)
 	go func() { result <- caller.Call(testContext(t), address, "Test.Hold", Message{}, nil) }()
 	<-service.entered
@@ -192,9 +192,9 @@
 }
 
 func TestUnusedConnectionIsReplaced(t *testing.T) {
-	address, _ := start(t, newService(), link.Limits{})
+	address, _ := start(t, newService(), rpc.Limits{})
 	clock, dials := newClock(), &dialCounter{}
-	caller := newPool(t, link.Options{Now: clock.now, Dial: dials.dial})
+	caller := newPool(t, rpc.Options{Now: clock.now, Dial: dials.dial})
 	for _, step := range []struct {
 		wait time.Duration
 		want int32
@@ -208,8 +208,8 @@
 func TestForgetAndCloseFailOpenCalls(t *testing.T) {
 	service := newService()
 	defer close(service.release)
-	address, _ := start(t, service, link.Limits{})
-	caller := newPool(t, link.Options{})
+	address, _ := start(t, service, rpc.Limits{})
+	caller := newPool(t, rpc.Options{})
 	hold := func() chan error {
 		result := make(chan error, 1)
 		go func() { result <- caller.Call(testContext(t), address, "Test.Hold", Message{}, nil) }()
@@ -220,27 +220,27 @@
 	caller.Forget(address)
 	err := <-result
 	assert.Assert(t, uncertain(err), "%v", err)
-	assert.ErrorIs(t, err, link.ErrForgotten)
+	assert.ErrorIs(t, err, rpc.ErrForgotten)
 	caller.Forget("127.0.0.1:1")
 	result = hold()
 	caller.Close()
-	assert.ErrorIs(t, <-result, link.ErrForgotten)
+	assert.ErrorIs(t, <-result, rpc.ErrForgotten)
 	err = caller.Call(testContext(t), address, "Test.Echo", Message{}, nil)
-	assert.ErrorIs(t, err, link.ErrUnreachable)
-	assert.ErrorIs(t, err, link.ErrForgotten)
+	assert.ErrorIs(t, err, rpc.ErrUnreachable)
+	assert.ErrorIs(t, err, rpc.ErrForgotten)
 }
 
 func TestCallLimitPerConnectionBlocksCallers(t *testing.T) {
 	service := newService()
-	address, _ := start(t, service, link.Limits{})
-	caller := newPool(t, link.Options{CallsPerConnection: 1})
+	address, _ := start(t, service, rpc.Limits{})
+	caller := newPool(t, rpc.Options{CallsPerConnection: 1})
 	result := make(chan error, 1)
 	go func() { result <- caller.Call(testContext(t), address, "Test.Hold", Message{}, nil) }()
 	<-service.entered
 	ctx, cancel := context.WithTimeout(testContext(t), 20*time.Millisecond)
 	defer cancel()
 	err := caller.Call(ctx, address, "Test.Echo", Message{}, nil)
-	assert.ErrorIs(t, err, link.ErrUnreachable)
+	assert.ErrorIs(t, err, rpc.ErrUnreachable)
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	close(service.release)
 	assert.NilError(t, <-result)
--- a/internal/tier/link/link.go
+++ b/internal/tier/rpc/rpc.go
@@ -1,4 +1,4 @@
-// Package link carries calls between the system's own processes. It serves
+// Package rpc carries calls between the system's own processes. It serves
 // net/rpc services over TCP, bounds the resources that a peer can consume, and
 // returns errors that distinguish a call that was certainly not executed from
 // one that may have been.
@@ -7,7 +7,7 @@
 // only if a process responds. A machine without power or a stopped process is
 // detected before any call is written. After the greeting, both sides send
 // frames: see frame.go.
-package link
+package rpc
 
 import (
 	"context"
--- a/internal/tier/link/link_test.go
+++ b/internal/tier/rpc/rpc_test.go
@@ -1,4 +1,4 @@
-package link_test
+package rpc_test
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"github.com/go-faster/errors"
 	"gotest.tools/v3/assert"
 
-	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/rpc"
 )
 
 // testTimeout bounds the waits of the tests. It expires only if a test hangs.
@@ -81,30 +81,30 @@
 }
 
 // start serves a service on the loopback interface until the test ends.
-func start(t testing.TB, service *Service, limits link.Limits) (address string, server *link.Server) {
+func start(t testing.TB, service *Service, limits rpc.Limits) (address string, server *rpc.Server) {
 	t.Helper()
-	listener, err := link.Listen("127.0.0.1:0")
+	listener, err := rpc.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	return serve(t, service, limits, listener)
 }
 
-func serve(t testing.TB, service *Service, limits link.Limits, listener net.Listener) (string, *link.Server) {
+func serve(t testing.TB, service *Service, limits rpc.Limits, listener net.Listener) (string, *rpc.Server) {
 	t.Helper()
-	server, err := link.NewLimitedServer(map[string]any{"Test": service}, limits)
+	server, err := rpc.NewLimitedServer(map[string]any{"Test": service}, limits)
 	assert.NilError(t, err)
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
 	t.Cleanup(func() {
 		assert.Check(t, server.Close())
-		assert.Check(t, errors.Is(<-served, link.ErrServerClosed))
+		assert.Check(t, errors.Is(<-served, rpc.ErrServerClosed))
 	})
 	return listener.Addr().String(), server
 }
 
 // newPool returns a Pool that is closed when the test ends.
-func newPool(t testing.TB, options link.Options) *link.Pool {
+func newPool(t testing.TB, options rpc.Options) *rpc.Pool {
 	t.Helper()
-	created := link.NewPool(options)
+	created := rpc.NewPool(options)
 	t.Cleanup(created.Close)
 	return created
 }
@@ -137,19 +137,19 @@
 }
 
 func uncertain(err error) bool {
-	var target *link.UncertainError
+	var target *rpc.UncertainError
 	return errors.As(err, &target)
 }
 
 func remote(err error) bool {
-	var target *link.RemoteError
+	var target *rpc.RemoteError
 	return errors.As(err, &target)
 }
 
 func TestConcurrentCallsGetTheirOwnReplies(t *testing.T) {
 	const callers, calls = 16, 100
-	address, _ := start(t, newService(), link.Limits{})
-	caller := newPool(t, link.Options{})
+	address, _ := start(t, newService(), rpc.Limits{})
+	caller := newPool(t, rpc.Options{})
 	ctx := testContext(t)
 	var group sync.WaitGroup
 	for n := range callers {
@@ -167,8 +167,8 @@
 
 func TestSlowCallDoesNotBlockOthers(t *testing.T) {
 	service := newService()
-	address, _ := start(t, service, link.Limits{})
-	caller := newPool(t, link.Options{})
+	address, _ := start(t, service, rpc.Limits{})
+	caller := newPool(t, rpc.Options{})
 	ctx := testContext(t)
 	result := make(chan error, 1)
 	var late Message
@@ -183,13 +183,13 @@
 }
 
 func TestRemoteErrorLeavesReplyUnchanged(t *testing.T) {
-	address, _ := start(t, newService(), link.Limits{})
-	caller := newPool(t, link.Options{})
+	address, _ := start(t, newService(), rpc.Limits{})
+	caller := newPool(t, rpc.Options{})
 	reply := Message{Number: 7}
 	err := caller.Call(testContext(t), address, "Test.Fail", Message{Number: 1, Text: "why"}, &reply)
-	var failure *link.RemoteError
+	var failure *rpc.RemoteError
 	assert.Assert(t, errors.As(err, &failure), "%v", err)
-	assert.DeepEqual(t, *failure, link.RemoteError{Address: address, Method: "Test.Fail", Text: "refused: why"})
+	assert.DeepEqual(t, *failure, rpc.RemoteError{Address: address, Method: "Test.Fail", Text: "refused: why"})
 	assert.Equal(t, reply.Number, 7)
 	err = caller.Call(testContext(t), address, "Test.Missing", Message{}, &reply)
 	assert.Assert(t, remote(err), "%v", err)
@@ -198,13 +198,13 @@
 }
 
 func TestReplyOfWrongTypeFails(t *testing.T) {
-	address, _ := start(t, newService(), link.Limits{})
-	caller := newPool(t, link.Options{})
+	address, _ := start(t, newService(), rpc.Limits{})
+	caller := newPool(t, rpc.Options{})
 	assert.NilError(t, caller.Call(testContext(t), address, "Test.Echo", Message{Number: 1}, nil))
 	var missing *Message
 	for _, reply := range []any{Message{}, missing, 5} {
 		err := caller.Call(testContext(t), address, "Test.Echo", Message{}, reply)
-		assert.ErrorIs(t, err, link.ErrReplyType)
+		assert.ErrorIs(t, err, rpc.ErrReplyType)
 	}
 	var wrongType struct{ Number string }
 	err := caller.Call(testContext(t), address, "Test.Echo", Message{Number: 1}, &wrongType)
@@ -215,13 +215,13 @@
 }
 
 func TestRefusedConnectionIsUnreachable(t *testing.T) {
-	listener, err := link.Listen("127.0.0.1:0")
+	listener, err := rpc.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	err = newPool(t, link.Options{}).Call(testContext(t), address, "Test.Echo", Message{}, nil)
-	assert.ErrorIs(t, err, link.ErrUnreachable)
-	var failure *link.UnreachableError
+	err = newPool(t, rpc.Options{}).Call(testContext(t), address, "Test.Echo", Message{}, nil)
+	assert.ErrorIs(t, err, rpc.ErrUnreachable)
+	var failure *rpc.UnreachableError
 	assert.Assert(t, errors.As(err, &failure))
 	assert.Equal(t, failure.Address, address)
 }
@@ -229,7 +229,7 @@
 // listenRaw listens on the loopback interface and passes each connection to a function.
 func listenRaw(t *testing.T, each func(socket net.Conn)) (address string) {
 	t.Helper()
-	listener, err := link.Listen("127.0.0.1:0")
+	listener, err := rpc.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	var group sync.WaitGroup
 	group.Go(func() {
@@ -266,9 +266,9 @@
 	for name, each := range cases {
 		t.Run(name, func(t *testing.T) {
 			address := listenRaw(t, each)
-			caller := newPool(t, link.Options{DialTimeout: 30 * time.Millisecond})
+			caller := newPool(t, rpc.Options{DialTimeout: 30 * time.Millisecond})
 			err := caller.Call(testContext(t), address, "Test.Echo", Message{}, nil)
-			assert.ErrorIs(t, err, link.ErrUnreachable)
+			assert.ErrorIs(t, err, rpc.ErrUnreachable)
 		})
 	}
 }
@@ -280,19 +280,19 @@
 		_, _ = socket.Read(make([]byte, 1<<16))
 		received.Add(1)
 	})
-	err := newPool(t, link.Options{}).Call(testContext(t), address, "Test.Echo", Message{Number: 1}, nil)
-	var failure *link.UncertainError
+	err := newPool(t, rpc.Options{}).Call(testContext(t), address, "Test.Echo", Message{Number: 1}, nil)
+	var failure *rpc.UncertainError
 	assert.Assert(t, errors.As(err, &failure), "%v", err)
 	assert.Equal(t, failure.Address, address)
 	assert.Equal(t, failure.Method, "Test.Echo")
-	assert.Assert(t, !errors.Is(err, link.ErrUnreachable))
+	assert.Assert(t, !errors.Is(err, rpc.ErrUnreachable))
 	assert.Equal(t, received.Load(), int32(1), "a call that may have been executed must not be repeated")
 }
 
 func TestCanceledCallIsUncertainAndKeepsReply(t *testing.T) {
 	service := newService()
-	address, _ := start(t, service, link.Limits{})
-	caller := newPool(t, link.Options{})
+	address, _ := start(t, service, rpc.Limits{})
+	caller := newPool(t, rpc.Options{})
 	ctx, cancel := context.WithCancel(testContext(t))
 	result := make(chan error, 1)
 	reply := Message{Number: 7}
@@ -309,7 +309,7 @@
 	assert.Equal(t, got.Number, 2)
 	assert.Equal(t, reply.Number, 8)
 	err = caller.Call(ctx, address, "Test.Echo", Message{}, nil)
-	assert.ErrorIs(t, err, link.ErrUnreachable)
+	assert.ErrorIs(t, err, rpc.ErrUnreachable)
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
@@ -317,8 +317,8 @@
 // arrive completely or not at all.
 func TestTimeoutsRacingWithReplies(t *testing.T) {
 	const callers, calls = 8, 150
-	address, _ := start(t, newService(), link.Limits{})
-	caller := newPool(t, link.Options{})
+	address, _ := start(t, newService(), rpc.Limits{})
+	caller := newPool(t, rpc.Options{})
 	var group sync.WaitGroup
 	for n := range callers {
 		group.Go(func() {
@@ -340,10 +340,10 @@
 }
 
 func TestRequestThatCannotBeEncodedFails(t *testing.T) {
-	address, _ := start(t, newService(), link.Limits{})
-	caller := newPool(t, link.Options{MessageBytes: 10_000})
+	address, _ := start(t, newService(), rpc.Limits{})
+	caller := newPool(t, rpc.Options{MessageBytes: 10_000})
 	err := caller.Call(testContext(t), address, "Test.Echo", Message{Data: make([]byte, 10_000)}, nil)
-	assert.ErrorIs(t, err, link.ErrTooLarge)
+	assert.ErrorIs(t, err, rpc.ErrTooLarge)
 	assert.Assert(t, !uncertain(err))
 	err = caller.Call(testContext(t), address, "Test.Echo", Unsendable{}, nil)
 	assert.ErrorContains(t, err, "encode")
@@ -356,8 +356,8 @@
 }
 
 func TestServerLimitsMessageSize(t *testing.T) {
-	address, _ := start(t, newService(), link.Limits{MessageBytes: 10_000})
-	caller := newPool(t, link.Options{})
+	address, _ := start(t, newService(), rpc.Limits{MessageBytes: 10_000})
+	caller := newPool(t, rpc.Options{})
 	err := caller.Call(testContext(t), address, "Test.LargeReply", Message{Number: 20_000}, nil)
 	assert.Assert(t, remote(err), "%v", err)
 	assert.ErrorContains(t, err, "too large")
@@ -372,8 +372,8 @@
 }
 
 func TestMissingArgumentsAreRejected(t *testing.T) {
-	address, _ := start(t, newService(), link.Limits{})
-	caller := newPool(t, link.Options{})
+	address, _ := start(t, newService(), rpc.Limits{})
+	caller := newPool(t, rpc.Options{})
 	err := caller.Call(testContext(t), address, "Test.Echo", nil, nil)
 	assert.Assert(t, remote(err), "%v", err)
 	assert.ErrorContains(t, err, "no body")
@@ -388,14 +388,14 @@
 		_, _ = socket.Write([]byte{0, 0, 0, 4, 0, 1, 0, 0})
 		discardInput(socket)
 	})
-	err := newPool(t, link.Options{}).Call(testContext(t), address, "Test.Echo", Message{}, nil)
+	err := newPool(t, rpc.Options{}).Call(testContext(t), address, "Test.Echo", Message{}, nil)
 	assert.Assert(t, uncertain(err), "%v", err)
-	assert.ErrorIs(t, err, link.ErrMalformed)
+	assert.ErrorIs(t, err, rpc.ErrMalformed)
 }
 
 func TestLargeMessagesRoundTrip(t *testing.T) {
-	address, _ := start(t, newService(), link.Limits{})
-	caller := newPool(t, link.Options{})
+	address, _ := start(t, newService(), rpc.Limits{})
+	caller := newPool(t, rpc.Options{})
 	data := bytes.Repeat([]byte("0123456789"), 300_000)
 	for range 3 {
 		var got Message
@@ -413,18 +413,18 @@
 		{7380, 7380, 0, 7380},
 	}
 	for _, c := range cases {
-		assert.Equal(t, link.Port([2]int{c.first, c.last}, c.offset), c.want, "%+v", c)
+		assert.Equal(t, rpc.Port([2]int{c.first, c.last}, c.offset), c.want, "%+v", c)
 	}
 }
 
 func TestListenRejectsInvalidPort(t *testing.T) {
-	_, err := link.Listen("127.0.0.1:not-a-port")
+	_, err := rpc.Listen("127.0.0.1:not-a-port")
 	assert.ErrorContains(t, err, "listen")
 }
 
 func BenchmarkCall(b *testing.B) {
-	address, _ := start(b, newService(), link.Limits{})
-	caller := newPool(b, link.Options{})
+	address, _ := start(b, newService(), rpc.Limits{})
+	caller := newPool(b, rpc.Options{})
 	message := Message{Data: make([]byte, 400)}
 	b.Run("one", func(b *testing.B) {
 		b.ReportAllocs()
--- a/internal/tierlab/tierlab.go
+++ b/internal/tierlab/tierlab.go
@@ -19,7 +19,7 @@
 	"oakseam/internal/latency"
 	"oakseam/internal/standin"
 	fakes "oakseam/internal/standin/tier"
-	"oakseam/internal/tier/link"
+	"oakseam/internal/tier/rpc"
 	"oakseam/internal/tier/settings"
 )
 
@@ -98,7 +98,7 @@
 	balancer    *fakes.LoadBalancer
 	client      *fakes.Client
 	operator    *fakes.Operator
-	connections *link.Pool // to the internal ports of the tier
+	connections *rpc.Pool // to the internal ports of the tier
 	machines    []*machine
 	logs        []io.Closer
 	faultShare  float64                 // time per fault, as a fraction of the run
@@ -127,7 +127,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(folder)
-	l := &lab{opt: opt, folder: folder, recorder: audit.NewRecorder(), connections: link.NewPool(link.Options{})}
+	l := &lab{opt: opt, folder: folder, recorder: audit.NewRecorder(), connections: rpc.NewPool(rpc.Options{})}
 	defer l.close()
 	if err := l.build(); err != nil {
 		return nil, err
