--- a/cmd/oakseam-edge/main.go
+++ b/cmd/oakseam-edge/main.go
@@ -9,7 +9,7 @@
 	"github.com/alecthomas/kong"
 
 	"oakseam/internal/dataplane/edge"
-	"oakseam/internal/tier/journal"
+	"oakseam/internal/tier/jsonlog"
 	"oakseam/internal/tier/process"
 	"oakseam/internal/tier/protocol"
 	"oakseam/internal/tier/settings"
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	n, err := edge.New(s, process.InternalSeeds(s, protocol.CorePort), journal.Logger())
+	n, err := edge.New(s, process.InternalSeeds(s, protocol.CorePort), jsonlog.Logger())
 	if err != nil {
 		return err
 	}
--- a/internal/controlplane/host/round.go
+++ b/internal/controlplane/host/round.go
@@ -9,7 +9,7 @@
 
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/store"
-	"oakseam/internal/tier/journal"
+	"oakseam/internal/tier/jsonlog"
 )
 
 // minWait bounds how often Run checks groups that keep asking for a Tick.
@@ -169,7 +169,7 @@
 		if !errors.Is(err, store.ErrFull) {
 			return err
 		}
-		if skipped, ok := journal.Allow("full disk", fullDiskLogInterval); ok {
+		if skipped, ok := jsonlog.Allow("full disk", fullDiskLogInterval); ok {
 			klog.ErrorS(err, "The disk is full; new writes wait for free space", "alike", skipped)
 		}
 		if !h.sleep(ctx, pause) {
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -18,7 +18,7 @@
 	"oakseam/internal/dataplane/turnclient"
 	"oakseam/internal/ingress"
 	"oakseam/internal/message"
-	"oakseam/internal/tier/journal"
+	"oakseam/internal/tier/jsonlog"
 	"oakseam/internal/tier/protocol"
 	"oakseam/internal/tier/routing"
 )
@@ -190,7 +190,7 @@
 // countUnserved counts a request that was not served, and logs it at most once per logInterval.
 func (g *Gateway) countUnserved(reason string) {
 	g.opt.Counters.Add(reason)
-	if skipped, ok := journal.Allow(reason, logInterval); ok {
+	if skipped, ok := jsonlog.Allow(reason, logInterval); ok {
 		klog.InfoS("Request not served", "cause", reason, "alike", skipped)
 	}
 }
--- a/internal/tier/journal/journal.go
+++ b/internal/tier/jsonlog/jsonlog.go
@@ -1,6 +1,6 @@
-// Package journal sets up the log of a tier process. It writes klog's records as
+// Package jsonlog sets up the log of a tier process. It writes klog's records as
 // JSON, one per line, and limits the rate of repeated log lines by key.
-package journal
+package jsonlog
 
 import (
 	"flag"
--- a/internal/tier/journal/journal_test.go
+++ b/internal/tier/jsonlog/jsonlog_test.go
@@ -1,4 +1,4 @@
-package journal_test
+package jsonlog_test
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/tier/journal"
+	"oakseam/internal/tier/jsonlog"
 )
 
 // logLine is a parsed log line.
@@ -34,7 +34,7 @@
 	state := klog.CaptureState()
 	t.Cleanup(state.Restore)
 	var written bytes.Buffer
-	journal.Start(&written, "edge-a-1", "edge", level)
+	jsonlog.Start(&written, "edge-a-1", "edge", level)
 	return func() []logLine { return parse(t, written.String()) }
 }
 
@@ -112,7 +112,7 @@
 
 func TestAllowCountsSuppressedLines(t *testing.T) {
 	clock := newClock()
-	limiter := journal.NewLimiter(clock.now)
+	limiter := jsonlog.NewLimiter(clock.now)
 	skipped, ok := limiter.Allow("dial", time.Second)
 	assert.Assert(t, ok)
 	assert.Equal(t, skipped, 0)
@@ -133,14 +133,14 @@
 
 func TestAllowBoundsItsKeys(t *testing.T) {
 	clock := newClock()
-	limiter := journal.NewLimiter(clock.now)
+	limiter := jsonlog.NewLimiter(clock.now)
 	allowed := 0
-	for i := range 3 * journal.MaxKeys {
+	for i := range 3 * jsonlog.MaxKeys {
 		if _, ok := limiter.Allow(strconv.Itoa(i), time.Minute); ok {
 			allowed++
 		}
 	}
-	assert.Equal(t, allowed, journal.MaxKeys+1, "keys beyond the bound must be limited together")
+	assert.Equal(t, allowed, jsonlog.MaxKeys+1, "keys beyond the bound must be limited together")
 	clock.at = clock.at.Add(time.Minute)
 	skipped, ok := limiter.Allow("fresh", time.Minute)
 	assert.Assert(t, ok, "keys whose interval has ended must be removed")
@@ -153,7 +153,7 @@
 func TestAllowIsSafeForConcurrentUse(t *testing.T) {
 	const callers, calls = 8, 100
 	clock := newClock()
-	limiter := journal.NewLimiter(clock.now)
+	limiter := jsonlog.NewLimiter(clock.now)
 	var allowed [callers]int
 	var group sync.WaitGroup
 	for caller := range callers {
@@ -179,8 +179,8 @@
 
 func TestProcessLimiterSuppressesRepeats(t *testing.T) {
 	key := t.Name()
-	_, ok := journal.Allow(key, time.Hour)
+	_, ok := jsonlog.Allow(key, time.Hour)
 	assert.Assert(t, ok)
-	_, ok = journal.Allow(key, time.Hour)
+	_, ok = jsonlog.Allow(key, time.Hour)
 	assert.Assert(t, !ok)
 }
--- a/internal/tier/journal/logger.go
+++ b/internal/tier/jsonlog/logger.go
@@ -1,4 +1,4 @@
-package journal
+package jsonlog
 
 import (
 	"log/slog"
--- a/internal/tier/process/process.go
+++ b/internal/tier/process/process.go
@@ -16,7 +16,7 @@
 	"github.com/go-faster/errors"
 	"k8s.io/klog/v2"
 
-	"oakseam/internal/tier/journal"
+	"oakseam/internal/tier/jsonlog"
 	"oakseam/internal/tier/settings"
 )
 
@@ -54,7 +54,7 @@
 	if s.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(softMemoryLimitShare * float64(s.Limits.MemoryMB) * (1 << 20)))
 	}
-	journal.Start(os.Stderr, s.NodeName, s.Role, level)
+	jsonlog.Start(os.Stderr, s.NodeName, s.Role, level)
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	go checkSettingsOnReload(path)
 	return s, ctx, nil
