--- a/internal/controlplane/simulation/edge_test.go
+++ b/internal/controlplane/simulation/edge_test.go
@@ -6,8 +6,8 @@
 
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/turns"
-	"oakseam/internal/tier/follow"
 	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/watch"
 )
 
 // Timeouts of an edge's client of the storage nodes: see packages turnclient and gateway.
@@ -257,12 +257,12 @@
 	s := e.workload
 	d := s.registry.views[e.address]
 	partition := d.TurnPartition(p.name)
-	if n, known := follow.FindNode(&d, e.leaders[partition]); known {
+	if n, known := watch.FindNode(&d, e.leaders[partition]); known {
 		return partition, s.world.nodeByName(n.Name)
 	}
 	voters := d.Partitions[partition].Voters
 	for i := range voters {
-		if n, known := follow.FindNode(&d, voters[(turn+i)%len(voters)]); known {
+		if n, known := watch.FindNode(&d, voters[(turn+i)%len(voters)]); known {
 			return partition, s.world.nodeByName(n.Name)
 		}
 	}
--- a/internal/controlplane/simulation/follower_test.go
+++ b/internal/controlplane/simulation/follower_test.go
@@ -7,9 +7,9 @@
 
 	"oakseam/internal/controlplane/coordinator"
 	"oakseam/internal/controlplane/revisions"
-	"oakseam/internal/tier/follow"
 	"oakseam/internal/tier/hashing"
 	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/watch"
 )
 
 const (
@@ -46,7 +46,7 @@
 // watch handles a watch request on a core node, like package coordinator's Watch.
 func (s *configurationWorkload) watch(n *simulatedNode, request watchRequest, answer func(watchReply)) {
 	if request.confirmed {
-		n.awaitReadIndex(protocol.ConfigurationGroup, follow.LongPollWait/2, func(ok bool) {
+		n.awaitReadIndex(protocol.ConfigurationGroup, watch.LongPollWait/2, func(ok bool) {
 			r := s.currentReply(n)
 			r.confirmed = ok
 			answer(r)
@@ -59,7 +59,7 @@
 		held := n.clock() - arrived
 		r := s.currentReply(n)
 		r.held = held
-		if r.revision > request.revision || r.vouched == request.patient || r.held >= follow.LongPollWait {
+		if r.revision > request.revision || r.vouched == request.patient || r.held >= watch.LongPollWait {
 			answer(r)
 			return
 		}
@@ -90,7 +90,7 @@
 	address     endpoint
 	incarnation int
 	started     time.Duration
-	sources     *follow.Sources
+	sources     *watch.Sources
 	confirmed   bool
 	revision    uint64
 }
@@ -108,7 +108,7 @@
 func (f *follower) start() {
 	f.incarnation++
 	f.started = f.workload.world.Now
-	f.sources = follow.NewSources(f.now())
+	f.sources = watch.NewSources(f.now())
 	f.confirmed, f.revision = false, 0
 	for range f.workload.world.toleratedDiskLosses + 1 {
 		f.askNode(f.incarnation)
@@ -137,12 +137,12 @@
 	name, patient := f.sources.Choose(f.now(), f.candidates())
 	at := slices.IndexFunc(w.nodes, func(n *simulatedNode) bool { return n.name() == name })
 	if at < 0 {
-		again(follow.RetryDelay)
+		again(watch.RetryDelay)
 		return
 	}
 	request := watchRequest{revision: f.revision, confirmed: !f.confirmed, patient: patient}
 	sent := f.now()
-	call(w, f.address, w.nodes[at], follow.LongPollWait+follow.ReplyTimeout, func(answer func(watchReply)) {
+	call(w, f.address, w.nodes[at], watch.LongPollWait+watch.ReplyTimeout, func(answer func(watchReply)) {
 		f.workload.watch(w.nodes[at], request, answer)
 	}, func(r watchReply, ok bool) {
 		if f.incarnation != incarnation {
@@ -153,7 +153,7 @@
 			again(0)
 			return
 		}
-		again(follow.RetryDelay)
+		again(watch.RetryDelay)
 	})
 }
 
--- a/internal/controlplane/storage/storage.go
+++ b/internal/controlplane/storage/storage.go
@@ -20,8 +20,8 @@
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/revisions"
 	"oakseam/internal/controlplane/turns"
-	"oakseam/internal/tier/follow"
 	"oakseam/internal/tier/protocol"
+	"oakseam/internal/tier/watch"
 )
 
 const (
@@ -41,7 +41,7 @@
 type Keeper struct {
 	node            *node.Node
 	toleratedLosses int
-	follower        *follow.Follower
+	follower        *watch.Follower
 
 	mu             sync.Mutex
 	openPartitions map[int]bool // partitions whose group runs here
@@ -60,7 +60,7 @@
 // New restores the groups that are stored on the disk.
 func New(options Options) (*Keeper, error) {
 	k := &Keeper{node: options.Node, toleratedLosses: options.ToleratedLosses, openPartitions: map[int]bool{}, planners: map[int]*repair.Planner{}, reported: map[int]uint64{}}
-	k.follower = follow.New(follow.Options{Name: options.Name, Seeds: options.Seeds, ConcurrentCalls: options.ToleratedLosses + 1, DirectoryOnly: true, Pool: options.Node.Pool, OnUpdate: k.applyUpdate})
+	k.follower = watch.New(watch.Options{Name: options.Name, Seeds: options.Seeds, ConcurrentCalls: options.ToleratedLosses + 1, DirectoryOnly: true, Pool: options.Node.Pool, OnUpdate: k.applyUpdate})
 	for _, group := range options.Node.Host.StoredGroups() {
 		partition, ok := protocol.TurnPartitionOf(group)
 		if !ok {
@@ -103,7 +103,7 @@
 }
 
 // applyUpdate applies an update from the control plane.
-func (k *Keeper) applyUpdate(n follow.Update) {
+func (k *Keeper) applyUpdate(n watch.Update) {
 	if n.Directory == nil {
 		return
 	}
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -20,12 +20,12 @@
 	"oakseam/internal/ingress"
 	"oakseam/internal/lifecycle"
 	"oakseam/internal/message"
-	"oakseam/internal/tier/follow"
 	"oakseam/internal/tier/platform"
 	"oakseam/internal/tier/protocol"
 	"oakseam/internal/tier/routing"
 	"oakseam/internal/tier/rpc"
 	"oakseam/internal/tier/settings"
+	"oakseam/internal/tier/watch"
 )
 
 const (
@@ -58,7 +58,7 @@
 	dispatcher *dispatch.Dispatcher
 	turns      *turnclient.Client
 	gateway    *gateway.Gateway
-	follower   *follow.Follower
+	follower   *watch.Follower
 	platform   *platform.Client
 	server     *ingress.Server
 	listener   net.Listener
@@ -81,7 +81,7 @@
 	n.dispatcher = dispatch.New(dispatch.Options{Zone: s.Zone, Name: s.NodeName, MaxConns: int(serverShare * descriptors), Budget: budget, Counters: n.counters, Log: log})
 	n.turns = turnclient.New(pool)
 	n.gateway = gateway.New(gateway.Options{Dispatcher: n.dispatcher, Turns: n.turns, Budget: budget, Counters: n.counters, MaxOpenRequests: maxOpenRequests, Current: n.current})
-	n.follower = follow.New(follow.Options{Name: s.NodeName, Seeds: seeds, ConcurrentCalls: s.FaultTolerance.MachineLosses + 1, Pool: pool, OnUpdate: n.handleUpdate})
+	n.follower = watch.New(watch.Options{Name: s.NodeName, Seeds: seeds, ConcurrentCalls: s.FaultTolerance.MachineLosses + 1, Pool: pool, OnUpdate: n.handleUpdate})
 	n.server = ingress.New(ingress.Options{
 		Handler: n.gateway.Handle, RejectAmbiguous: rejectAmbiguous,
 		MaxSessions: int(clientShare * descriptors), Overflow: overflow,
@@ -126,7 +126,7 @@
 }
 
 // handleUpdate applies an update from the control plane.
-func (n *Node) handleUpdate(news follow.Update) {
+func (n *Node) handleUpdate(news watch.Update) {
 	switch {
 	case news.Configuration != nil:
 		n.configure(news.Configuration)
--- a/internal/dataplane/turnclient/turnclient.go
+++ b/internal/dataplane/turnclient/turnclient.go
@@ -12,9 +12,9 @@
 	"github.com/go-faster/errors"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/tier/follow"
 	"oakseam/internal/tier/protocol"
 	"oakseam/internal/tier/rpc"
+	"oakseam/internal/tier/watch"
 	"oakseam/internal/wait"
 )
 
@@ -55,7 +55,7 @@
 	defer c.mu.Unlock()
 	c.directory = d
 	maps.DeleteFunc(c.unresponsiveSince, func(id replica.NodeID, _ time.Time) bool {
-		_, known := follow.FindNode(&d, id)
+		_, known := watch.FindNode(&d, id)
 		return !known
 	})
 }
@@ -142,7 +142,7 @@
 	order := append([]replica.NodeID{c.leaders[partition]}, rotate(c.directory.Partitions[partition].Voters, round)...)
 	for _, allowUnresponsive := range []bool{false, true} {
 		for _, id := range order {
-			n, known := follow.FindNode(&c.directory, id)
+			n, known := watch.FindNode(&c.directory, id)
 			if known && (allowUnresponsive || time.Since(c.unresponsiveSince[id]) >= unresponsiveFor) {
 				return partition, n.ID, n.Address, true
 			}
--- a/internal/tier/follow/sources.go
+++ b/internal/tier/watch/sources.go
@@ -1,4 +1,4 @@
-package follow
+package watch
 
 import "time"
 
--- a/internal/tier/follow/follow.go
+++ b/internal/tier/watch/watch.go
@@ -1,11 +1,11 @@
-// Package follow keeps a process up to date with the control plane. A Follower sends the
+// Package watch keeps a process up to date with the control plane. A Follower sends the
 // versions that it has to core nodes with long-polling watch calls and receives everything
 // newer. It keeps calls open to one node more than the number of node losses to be
 // tolerated, chosen by rendezvous hashing, so that the load spreads over the core nodes and
 // a frozen node delays nothing. A node that has no contact with the leaders cannot prove
 // that its state is recent; the Follower then tries the next node at once until it finds
 // one that can.
-package follow
+package watch
 
 import (
 	"context"
