--- a/internal/controlplane/revisions/revisions.go
+++ b/internal/controlplane/revisions/revisions.go
@@ -12,7 +12,7 @@
 	"github.com/go-faster/errors"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/tier/patch"
+	"oakseam/internal/tier/delta"
 	"oakseam/internal/tier/protocol"
 )
 
@@ -168,7 +168,7 @@
 	case c.Revision <= m.state.Revision:
 		return StaleRevision
 	}
-	body, err := patch.Apply(m.body, c.Patch)
+	body, err := delta.Apply(m.body, c.Patch)
 	if err != nil || DigestOf(c.Base, body) != c.Digest {
 		return Unreadable
 	}
@@ -201,7 +201,7 @@
 	if base != m.state.Revision {
 		return c, nil
 	}
-	text, err := patch.Make(m.body, body)
+	text, err := delta.Make(m.body, body)
 	if err != nil {
 		return nil, errors.Wrapf(err, "revision %d", revision)
 	}
@@ -318,7 +318,7 @@
 // packedBody returns the body as a patch without a base.
 func (m *Machine) packedBody() []byte {
 	if m.state.PackedBody == nil {
-		text, err := patch.Make(nil, m.body)
+		text, err := delta.Make(nil, m.body)
 		if err != nil {
 			panic(err) // unreachable: the body came from a patch, so it is not too long
 		}
@@ -371,7 +371,7 @@
 	var body []byte
 	if len(next.PackedBody) > 0 {
 		var err error
-		if body, err = patch.Apply(nil, next.PackedBody); err != nil {
+		if body, err = delta.Apply(nil, next.PackedBody); err != nil {
 			return errors.Wrap(err, "restore configuration")
 		}
 	}
--- a/internal/controlplane/revisions/revisions_test.go
+++ b/internal/controlplane/revisions/revisions_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/tier/patch"
+	"oakseam/internal/tier/delta"
 	"oakseam/internal/tier/protocol"
 )
 
@@ -150,7 +150,7 @@
 			body = bodies[from]
 		}
 		for _, s := range steps {
-			next, err := patch.Apply([]byte(body), s.Patch)
+			next, err := delta.Apply([]byte(body), s.Patch)
 			assert.NilError(t, err)
 			body = string(next)
 		}
--- a/internal/controlplane/simulation/configuration_test.go
+++ b/internal/controlplane/simulation/configuration_test.go
@@ -12,7 +12,7 @@
 	"oakseam/internal/controlplane/coordinator"
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/revisions"
-	"oakseam/internal/tier/patch"
+	"oakseam/internal/tier/delta"
 	"oakseam/internal/tier/protocol"
 )
 
@@ -204,7 +204,7 @@
 	c, err := m.NewChange(o.base, o.newRevision, []byte(o.body))
 	c.Digest = s.digestOf(o)
 	if newest, _ := m.Configuration(); err == nil && newest < o.base {
-		c.Patch, err = patch.Make([]byte(o.baseBody), []byte(o.body))
+		c.Patch, err = delta.Make([]byte(o.baseBody), []byte(o.body))
 	}
 	if err != nil {
 		s.world.Fail("change %d: %v", o.number, err)
--- a/internal/tier/patch/patch.go
+++ b/internal/tier/delta/delta.go
@@ -1,8 +1,8 @@
-// Package patch encodes a body as its difference to a base that the receiver has, and
+// Package delta encodes a body as its difference to a base that the receiver has, and
 // restores it byte for byte. It compresses the body with Zstandard and uses the base as the
 // dictionary (RFC 8878). A body that differs little from its base takes some hundred bytes,
 // however long both are. Without a base the body is compressed alone.
-package patch
+package delta
 
 import (
 	"bytes"
--- a/internal/tier/patch/patch_test.go
+++ b/internal/tier/delta/delta_test.go
@@ -1,4 +1,4 @@
-package patch
+package delta
 
 import (
 	"encoding/binary"
--- a/internal/tier/protocol/capacity_test.go
+++ b/internal/tier/protocol/capacity_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/tier/patch"
+	"oakseam/internal/tier/delta"
 	"oakseam/internal/tier/protocol"
 	"oakseam/internal/tier/scaletest"
 )
@@ -31,7 +31,7 @@
 		b.Run(fmt.Sprintf("servers=%d", count), func(b *testing.B) { benchmarkEncodedSize(b, reply) })
 	}
 	for _, count := range []int{15, 1000, 6700} {
-		text, err := patch.Make(scaletest.Configuration(8, count), scaletest.Configuration(9, count))
+		text, err := delta.Make(scaletest.Configuration(8, count), scaletest.Configuration(9, count))
 		assert.NilError(b, err)
 		reply := &protocol.WatchReply{Revision: 9, Steps: []protocol.ConfigurationStep{{Base: 8, Revision: 9, Patch: text}}}
 		b.Run(fmt.Sprintf("routes=%d", count), func(b *testing.B) { benchmarkEncodedSize(b, reply) })
--- a/internal/tier/watch/watch.go
+++ b/internal/tier/watch/watch.go
@@ -16,8 +16,8 @@
 	"k8s.io/klog/v2"
 
 	"oakseam/internal/controlplane/replica"
+	"oakseam/internal/tier/delta"
 	"oakseam/internal/tier/hashing"
-	"oakseam/internal/tier/patch"
 	"oakseam/internal/tier/protocol"
 	"oakseam/internal/tier/rpc"
 	"oakseam/internal/wait"
@@ -263,7 +263,7 @@
 			f.needWhole = true
 			return false
 		}
-		next, err := patch.Apply(base, step.Patch)
+		next, err := delta.Apply(base, step.Patch)
 		if err != nil {
 			f.needWhole = true
 			klog.ErrorS(err, "Cannot apply a configuration patch; requesting the whole configuration", "revision", step.Revision)
--- a/internal/tier/watch/watch_test.go
+++ b/internal/tier/watch/watch_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/tier/patch"
+	"oakseam/internal/tier/delta"
 	"oakseam/internal/tier/protocol"
 	"oakseam/internal/tier/rpc"
 )
@@ -34,7 +34,7 @@
 }
 
 func step(base uint64, before string, revision uint64, body string) protocol.ConfigurationStep {
-	text, err := patch.Make([]byte(before), []byte(body))
+	text, err := delta.Make([]byte(before), []byte(body))
 	if err != nil {
 		panic(err) // Make fails only for very long bodies
 	}
