--- a/cmd/oaklab/load_test.go
+++ b/cmd/oaklab/load_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 
 	"oakseam/internal/cli"
+	"oakseam/internal/fakes"
 	"oakseam/internal/load"
-	"oakseam/internal/standin"
 	"oakseam/internal/wire"
 	"oakseam/logic"
 )
@@ -23,22 +23,22 @@
 func TestStalledNodeRaisesTailLatency(t *testing.T) {
 	dir := t.TempDir()
 	program := buildNode(t, dir)
-	b, err := standin.NewBackend(standin.OK)
+	b, err := fakes.NewBackend(fakes.OK)
 	require.NoError(t, err)
 	defer b.Close()
 	go func() {
 		for range b.Requests { // discard the received requests
 		}
 	}()
-	reservation, err := standin.ReserveAddress("127.0.0.1")
+	reservation, err := fakes.ReserveAddress("127.0.0.1")
 	require.NoError(t, err)
 	defer reservation.Close()
 	addr := reservation.Addr
 	settings := logic.Settings{Nodes: 1, CanCancel: true, ConnIdle: 5 * time.Second, Classes: []logic.Class{
 		{Name: "topup", Effect: logic.Unsafe, Aim: 5 * time.Second, Deadline: 10 * time.Second, Worth: 8}}}
-	n, err := standin.StartNode(program, dir, standin.NodeConfig{Name: "n", Listen: addr, Discovery: "127.0.0.1:1", Seed: "1",
+	n, err := fakes.StartNode(program, dir, fakes.NodeConfig{Name: "n", Listen: addr, Discovery: "127.0.0.1:1", Seed: "1",
 		Limits:   map[string]any{"sockets": 1024},
-		Known:    standin.List{Revision: 1, Full: true, Targets: []standin.Target{{UID: "s", Endpoint: b.Addr, State: "in_service", Capacity: 1}}},
+		Known:    fakes.List{Revision: 1, Full: true, Targets: []fakes.Target{{UID: "s", Endpoint: b.Addr, State: "in_service", Capacity: 1}}},
 		Settings: wire.EncodeSettings(settings, time.Second)}, addr, "127.0.0.1:1", nil)
 	require.NoError(t, err)
 	defer n.Kill()
--- a/cmd/oaklab/members_test.go
+++ b/cmd/oaklab/members_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"oakseam/internal/emulator"
-	"oakseam/internal/standin"
+	"oakseam/internal/fakes"
 	"oakseam/internal/wire"
 	"oakseam/logic"
 )
@@ -54,9 +54,9 @@
 type gossipFleet struct {
 	t       *testing.T
 	program string
-	relays  *standin.Relays
+	relays  *fakes.Relays
 	listen  []string
-	nodes   []*standin.Node
+	nodes   []*fakes.Node
 	views   []*peerView
 }
 
@@ -66,7 +66,7 @@
 	dir := t.TempDir()
 	f := &gossipFleet{t: t, program: buildNode(t, dir)}
 	for range count {
-		reservation, err := standin.ReserveAddress("127.0.0.2") // reserves TCP; the node also uses the same UDP port
+		reservation, err := fakes.ReserveAddress("127.0.0.2") // reserves TCP; the node also uses the same UDP port
 		require.NoError(t, err)
 		t.Cleanup(func() { reservation.Close() })
 		f.listen = append(f.listen, reservation.Addr)
@@ -78,10 +78,10 @@
 		}
 	}
 	var err error
-	f.relays, err = standin.NewRelays(f.listen, 1)
+	f.relays, err = fakes.NewRelays(f.listen, 1)
 	require.NoError(t, err)
 	t.Cleanup(f.relays.Close)
-	f.nodes, f.views = make([]*standin.Node, count), make([]*peerView, count)
+	f.nodes, f.views = make([]*fakes.Node, count), make([]*peerView, count)
 	t.Cleanup(func() {
 		for _, n := range f.nodes {
 			if n != nil {
@@ -105,9 +105,9 @@
 	settings := logic.Settings{Nodes: len(f.listen), Number: n, CanCancel: true, ConnIdle: 5 * time.Second, Classes: []logic.Class{
 		{Name: "topup", Effect: logic.Unsafe, Aim: 5 * time.Second, Deadline: 10 * time.Second, Worth: 8}}}
 	f.views[n] = &peerView{states: map[int]string{}, changes: map[string]int{}}
-	node, err := standin.StartNode(f.program, dir, map[string]any{"name": fmt.Sprint("n", n), "listen": f.listen[n], "discovery": "127.0.0.1:1",
+	node, err := fakes.StartNode(f.program, dir, map[string]any{"name": fmt.Sprint("n", n), "listen": f.listen[n], "discovery": "127.0.0.1:1",
 		"seed": fmt.Sprint(n + 1), "limits": map[string]any{"sockets": 256}, "peer_listen": f.listen[n], "peers": f.relays.Peers(n),
-		"known": standin.List{Revision: 1, Full: true}, "settings": wire.EncodeSettings(settings, time.Second)}, f.listen[n], "127.0.0.1:1", &standin.PeerLogWriter{OnChange: f.views[n].record}, "node", "--config", optionsFile)
+		"known": fakes.List{Revision: 1, Full: true}, "settings": wire.EncodeSettings(settings, time.Second)}, f.listen[n], "127.0.0.1:1", &fakes.PeerLogWriter{OnChange: f.views[n].record}, "node", "--config", optionsFile)
 	require.NoError(f.t, err)
 	f.nodes[n] = node
 }
--- a/cmd/oakseam/harness_test.go
+++ b/cmd/oakseam/harness_test.go
@@ -21,7 +21,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"oakseam/internal/standin"
+	"oakseam/internal/fakes"
 )
 
 // patience is the timeout of every wait for a condition. No test depends on a shorter one.
@@ -120,7 +120,7 @@
 
 // freeAddr returns an address that nobody listens at, reserved until the test ends.
 func freeAddr(t *testing.T) string {
-	reserved, err := standin.ReserveAddress("127.0.0.1")
+	reserved, err := fakes.ReserveAddress("127.0.0.1")
 	require.NoError(t, err)
 	t.Cleanup(reserved.Close)
 	return reserved.Addr
@@ -188,13 +188,13 @@
 }
 
 // serve starts a node whose list has backends at the given addresses.
-func serve(t *testing.T, addrs ...string) (*node, *standin.ScriptedRegistry) {
+func serve(t *testing.T, addrs ...string) (*node, *fakes.ScriptedRegistry) {
 	d := newRegistry(t)
 	return start(t, configWith(t, d, addrs...)), d
 }
 
 // configWith returns the configuration of a node whose list has backends at the given addresses.
-func configWith(t *testing.T, d *standin.ScriptedRegistry, addrs ...string) object {
+func configWith(t *testing.T, d *fakes.ScriptedRegistry, addrs ...string) object {
 	var targets []object
 	for i, a := range addrs {
 		targets = append(targets, target(fmt.Sprint("s-", i), a, "in_service", 0))
@@ -277,26 +277,26 @@
 }
 
 // Short names for the fake backends of package standin.
-type request = standin.Request
+type request = fakes.Request
 
 var (
-	say    = standin.WriteResponse
-	ok     = standin.OK
-	silent = standin.NoResponse
-	broken = standin.ResetConnection
+	say    = fakes.WriteResponse
+	ok     = fakes.OK
+	silent = fakes.NoResponse
+	broken = fakes.ResetConnection
 )
 
 // newBackend runs a fake backend until the test ends.
-func newBackend(t *testing.T, script standin.Script) *standin.Backend {
-	b, err := standin.NewBackend(script)
+func newBackend(t *testing.T, script fakes.Script) *fakes.Backend {
+	b, err := fakes.NewBackend(script)
 	require.NoError(t, err)
 	t.Cleanup(b.Close)
 	return b
 }
 
 // newRegistry runs a registry, scripted by the test, until the test ends.
-func newRegistry(t *testing.T) *standin.ScriptedRegistry {
-	d, err := standin.NewScriptedRegistry()
+func newRegistry(t *testing.T) *fakes.ScriptedRegistry {
+	d, err := fakes.NewScriptedRegistry()
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
 	return d
--- a/cmd/oakseam/oakseam_test.go
+++ b/cmd/oakseam/oakseam_test.go
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/require"
 
 	"oakseam/internal/cli"
-	"oakseam/internal/standin"
+	"oakseam/internal/fakes"
 )
 
 // Bodies, targets and the headers of the protocol must be passed on byte for byte.
@@ -108,11 +108,11 @@
 		{"response cut in its body", "topup", partial("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), 502, 1, "reset"},
 		{"not HTTP", "topup", partial("what?\r\n\r\n"), 502, 1, "reset"},
 		{"response over 32 MiB", "topup", partial("HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\nhalf"), 502, 1, "reset"},
-		{"endless head", "topup", standin.EndlessResponse("HTTP/1.1 200 OK\r\n", "X-Pad: more\r\n"), 502, 1, "reset"},
-		{"endless line", "topup", standin.EndlessResponse("HTTP/1.1 200 OK\r\nX-Pad: ", "more"), 502, 1, "reset"},
-		{"endless interim responses", "topup", standin.EndlessResponse("", "HTTP/1.1 103 x\r\n\r\n"), 502, 1, "reset"},
-		{"endless trailer", "topup", standin.EndlessResponse("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X-Pad: more\r\n"), 502, 1, "reset"},
-		{"3 GB body", "topup", standin.EndlessResponse("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "more"), 502, 1, "reset"},
+		{"endless head", "topup", fakes.EndlessResponse("HTTP/1.1 200 OK\r\n", "X-Pad: more\r\n"), 502, 1, "reset"},
+		{"endless line", "topup", fakes.EndlessResponse("HTTP/1.1 200 OK\r\nX-Pad: ", "more"), 502, 1, "reset"},
+		{"endless interim responses", "topup", fakes.EndlessResponse("", "HTTP/1.1 103 x\r\n\r\n"), 502, 1, "reset"},
+		{"endless trailer", "topup", fakes.EndlessResponse("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X-Pad: more\r\n"), 502, 1, "reset"},
+		{"3 GB body", "topup", fakes.EndlessResponse("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "more"), 502, 1, "reset"},
 		{"body without a length, reset", "topup", func(c *net.TCPConn, _ request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhalf of it")
 			c.SetLinger(0)
@@ -120,7 +120,7 @@
 		}, 502, 1, "reset"},
 		{"negative length", "topup", partial("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nhalf"), 502, 1, "reset"},
 		{"two lengths", "topup", partial("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 3\r\n\r\nhalf"), 502, 1, "reset"},
-		{"broken response to a keyed request", "reading", standin.EndlessResponse("HTTP/1.1 200 OK\r\n", "X-Pad: more\r\n"), 200, 2, "reset"},
+		{"broken response to a keyed request", "reading", fakes.EndlessResponse("HTTP/1.1 200 OK\r\n", "X-Pad: more\r\n"), 200, 2, "reset"},
 		{"interim response first", "topup", func(c *net.TCPConn, r request) bool { io.WriteString(c, "HTTP/1.1 103 x\r\n\r\n"); return ok(c, r) }, 200, 1, "ok"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -298,7 +298,7 @@
 // A silent or faulty watch must be replaced, since it would hide every further drain.
 func TestFaultyWatchIsReplaced(t *testing.T) {
 	for name, text := range map[string]string{
-		"silent": standin.FallSilent, "endless list": standin.Trickle, "not JSON": "no list\n", "unknown state": `{"rev":8,"targets":[{"uid":"s-0","endpoint":"a:1","state":"odd"}]}` + "\n",
+		"silent": fakes.FallSilent, "endless list": fakes.Trickle, "not JSON": "no list\n", "unknown state": `{"rev":8,"targets":[{"uid":"s-0","endpoint":"a:1","state":"odd"}]}` + "\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -342,7 +342,7 @@
 
 	d.Close()
 	n.waitUntil("the outage is logged", func() bool { return strings.Count(n.log.String(), "watch failed") >= 3 })
-	back, err := standin.NewScriptedRegistryAt(d.Addr)
+	back, err := fakes.NewScriptedRegistryAt(d.Addr)
 	require.NoError(t, err)
 	t.Cleanup(back.Close)
 	assert.Equal(t, "stream=1&index=8", receive(t, back.Queries, "a watch after the outage"))
--- a/cmd/oakseam/registry_test.go
+++ b/cmd/oakseam/registry_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"oakseam/internal/standin"
+	"oakseam/internal/fakes"
 )
 
 // When a list reports a drain while a request waits for the connection to that backend, nothing
@@ -24,7 +24,7 @@
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
 			sent := make(chan string, 10)
-			slow, err := standin.NewMachine("127.0.0.1", func(c net.Conn) {
+			slow, err := fakes.NewMachine("127.0.0.1", func(c net.Conn) {
 				if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 					sent <- r.URL.Path
 				}
@@ -105,7 +105,7 @@
 	for range 4 {
 		assert.Equal(t, 200, n.ask("topup").status)
 	}
-	d, err := standin.NewScriptedRegistryAt(registry)
+	d, err := fakes.NewScriptedRegistryAt(registry)
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
 	returned := time.Now()
--- a/cmd/oakseam/statefile_test.go
+++ b/cmd/oakseam/statefile_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"oakseam/internal/durable"
-	"oakseam/internal/standin"
+	"oakseam/internal/fakes"
 )
 
 // Nodes killed together with SIGKILL must serve again from their state files while the registry
@@ -46,7 +46,7 @@
 	}
 	restart := func(i int) *node {
 		n := startWith(t, configs[i], "node", "--config", optionsFile)
-		receive(t, d.Watches, "a watch") <- standin.FallSilent
+		receive(t, d.Watches, "a watch") <- fakes.FallSilent
 		return n
 	}
 	n := restart(0)
--- a/internal/standin/backend.go
+++ b/internal/fakes/backend.go
@@ -1,9 +1,9 @@
-// Package standin provides fakes of what a node talks to on loopback: backends,
+// Package fakes provides fakes of what a node talks to on loopback: backends,
 // the registry, the load balancer that spreads clients over nodes, and the network
 // between nodes. It also runs the node itself as a process. Tests and the lab share
 // it. A fake does what it is told and reports what it saw. It knows nothing of how
 // nodes decide, and checks nothing.
-package standin
+package fakes
 
 import (
 	"bufio"
--- a/internal/standin/listener_linux.go
+++ b/internal/fakes/listener_linux.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"net"
--- a/internal/standin/node.go
+++ b/internal/fakes/node.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
--- a/internal/standin/tier/machine.go
+++ b/internal/fakes/tier/machine.go
@@ -19,7 +19,7 @@
 	"github.com/BurntSushi/toml"
 	"github.com/go-faster/errors"
 
-	"oakseam/internal/standin"
+	"oakseam/internal/fakes"
 	"oakseam/internal/tier/settings"
 )
 
@@ -122,7 +122,7 @@
 }
 
 // Start starts the machine's process. The process may not serve yet when Start returns.
-func (m *Machine) Start(bootstrap bool) (*standin.Node, error) {
+func (m *Machine) Start(bootstrap bool) (*fakes.Node, error) {
 	if err := os.MkdirAll(m.disk(), 0o755); err != nil {
 		return nil, err
 	}
@@ -136,14 +136,14 @@
 	}
 	// env sets the variable and replaces itself with the program, so the process id is that of the
 	// program.
-	return standin.StartNode("env", m.Folder, struct{}{}, m.Front(), "", m.Log, settings.PathVariable+"="+path, m.Program, m.Command)
+	return fakes.StartNode("env", m.Folder, struct{}{}, m.Front(), "", m.Log, settings.PathVariable+"="+path, m.Program, m.Command)
 }
 
 // StopTimeout bounds the shutdown of a process.
 const StopTimeout = 12 * time.Second
 
 // Terminate ends a process as the platform does, with SIGTERM first.
-func Terminate(n *standin.Node) error {
+func Terminate(n *fakes.Node) error {
 	if err := n.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"oakseam/internal/emulator"
-	"oakseam/internal/standin"
+	"oakseam/internal/fakes"
 	"oakseam/logic"
 )
 
@@ -20,9 +20,9 @@
 	defer f.mu.Unlock()
 	for len(f.machines) <= number {
 		backend := len(f.machines)
-		var machines []*standin.Machine
+		var machines []*fakes.Machine
 		for i := range f.nodes {
-			m, err := standin.NewMachine("127.0.0.1", func(c net.Conn) { f.serve(c, backend, i) })
+			m, err := fakes.NewMachine("127.0.0.1", func(c net.Conn) { f.serve(c, backend, i) })
 			if err != nil {
 				f.live.Fail(err)
 				return
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -17,9 +17,9 @@
 
 	"oakseam/internal/core"
 	"oakseam/internal/emulator"
+	"oakseam/internal/fakes"
 	"oakseam/internal/member"
 	"oakseam/internal/peers"
-	"oakseam/internal/standin"
 	"oakseam/internal/wire"
 )
 
@@ -52,18 +52,18 @@
 	relaxed.Rules.AnswerSlackMS.To += float64(socketSlack / time.Millisecond)
 	relaxed.TickMS = emulator.Range{} // real nodes handle events as they arrive
 	f := &fleet{opt: opt, dir: dir, live: emulator.NewLiveRun(&relaxed, seed), cuts: map[[2]int]bool{}, quit: make(chan struct{})}
-	if f.frontend, err = standin.NewFrontend("127.0.0.1"); err != nil {
+	if f.frontend, err = fakes.NewFrontend("127.0.0.1"); err != nil {
 		return nil, err
 	}
 	f.zones = f.live.NodeZones()
 	f.fields = f.live.Settings(0).ReportFields
 	defer f.stop()
 	for i := range f.zones {
-		reservation, err := standin.ReserveAddress("127.0.0.1")
+		reservation, err := fakes.ReserveAddress("127.0.0.1")
 		if err != nil {
 			return nil, err
 		}
-		registry, err := standin.NewRegistry("127.0.0.1", &listSource{f, i})
+		registry, err := fakes.NewRegistry("127.0.0.1", &listSource{f, i})
 		if err != nil {
 			reservation.Close()
 			return nil, err
@@ -75,7 +75,7 @@
 		for _, n := range f.nodes {
 			addresses = append(addresses, n.peerAddress())
 		}
-		if f.relays, err = standin.NewRelays(addresses, seed); err != nil {
+		if f.relays, err = fakes.NewRelays(addresses, seed); err != nil {
 			return nil, err
 		}
 		f.relays.SetDelivery(f.live.DatagramDelays)
@@ -91,25 +91,25 @@
 	zones    []string
 	fields   []string // names of the fields of load reports
 	nodes    []*node
-	frontend *standin.Frontend
-	relays   *standin.Relays // between the nodes; nil if the nodes don't send each other datagrams
+	frontend *fakes.Frontend
+	relays   *fakes.Relays // between the nodes; nil if the nodes don't send each other datagrams
 	quit     chan struct{}
 
 	mu         sync.Mutex
-	machines   [][]*standin.Machine // by backend, then by the node that connects there
-	cuts       map[[2]int]bool      // by node and backend; true if the node can't reach the backend
+	machines   [][]*fakes.Machine // by backend, then by the node that connects there
+	cuts       map[[2]int]bool    // by node and backend; true if the node can't reach the backend
 	background sync.WaitGroup
 }
 
 // node is a node with its process and the clients' idle connections to it.
 type node struct {
 	number      int
-	reservation *standin.ReservedAddress // keeps the node's address while its process is down
-	registry    *standin.Registry
+	reservation *fakes.ReservedAddress // keeps the node's address while its process is down
+	registry    *fakes.Registry
 
 	mu      sync.Mutex
 	epoch   int // changes whenever the process is started or ended
-	process *standin.Node
+	process *fakes.Node
 	idle    []idleConnection
 }
 
@@ -148,7 +148,7 @@
 	n.epoch++
 	epoch := n.epoch
 	n.mu.Unlock()
-	c := standin.NodeConfig{
+	c := fakes.NodeConfig{
 		Name: fmt.Sprint("n", number), Listen: n.reservation.Addr, Discovery: n.registry.Addr, Seed: strconv.FormatUint(uint64(number+1)*0x9e3779b97f4a7c15+uint64(epoch), 16),
 		Limits:   map[string]any{"cores": 1.0, "memory_mb": f.opt.MemoryMB, "sockets": f.opt.Sockets},
 		Known:    f.convertList(number, emulator.ListUpdate{Revision: rev, Full: true, Backends: known}),
@@ -189,7 +189,7 @@
 }
 
 // launch writes a node's files and starts its process.
-func (f *fleet) launch(n *node, c standin.NodeConfig) (*standin.Node, error) {
+func (f *fleet) launch(n *node, c fakes.NodeConfig) (*fakes.Node, error) {
 	dir, err := os.MkdirTemp(f.dir, "node")
 	if err != nil {
 		return nil, err
@@ -219,9 +219,9 @@
 		log, closeLog = file, func() { file.Close() }
 	}
 	if f.relays != nil {
-		log = &standin.PeerLogWriter{Log: log, OnChange: func(peer int, state string) { f.recordPeerState(n.number, peer, state) }}
+		log = &fakes.PeerLogWriter{Log: log, OnChange: func(peer int, state string) { f.recordPeerState(n.number, peer, state) }}
 	}
-	process, err := standin.StartNode(f.opt.Program, dir, c, n.reservation.Addr, n.registry.Addr, log, args...)
+	process, err := fakes.StartNode(f.opt.Program, dir, c, n.reservation.Addr, n.registry.Addr, log, args...)
 	if err != nil {
 		closeLog()
 		return nil, err
@@ -258,7 +258,7 @@
 
 // detach closes the clients' idle connections and returns the node's process, which no longer belongs
 // to the node.
-func (n *node) detach() *standin.Node {
+func (n *node) detach() *fakes.Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.epoch++
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,7 +12,7 @@
 
 	"oakseam/internal/audit"
 	"oakseam/internal/emulator"
-	"oakseam/internal/standin"
+	"oakseam/internal/fakes"
 	"oakseam/logic"
 )
 
@@ -25,12 +25,12 @@
 			t.Parallel()
 			sc, err := emulator.Read("../../deploy/lab/loopback.yaml")
 			require.NoError(t, err)
-			frontend, err := standin.NewFrontend("127.0.0.1")
+			frontend, err := fakes.NewFrontend("127.0.0.1")
 			require.NoError(t, err)
 			defer frontend.Close()
-			n := &node{process: &standin.Node{}}
+			n := &node{process: &fakes.Node{}}
 			received := make(chan string, 10)
-			m, err := standin.NewMachine("127.0.0.1", func(c net.Conn) {
+			m, err := fakes.NewMachine("127.0.0.1", func(c net.Conn) {
 				in := bufio.NewReader(c)
 				for first := true; ; first = false {
 					r, err := http.ReadRequest(in)
@@ -50,7 +50,7 @@
 			})
 			require.NoError(t, err)
 			defer m.Close()
-			n.reservation = &standin.ReservedAddress{Addr: m.Addr}
+			n.reservation = &fakes.ReservedAddress{Addr: m.Addr}
 			f := &fleet{live: emulator.NewLiveRun(sc, 1), frontend: frontend, nodes: []*node{n}, quit: make(chan struct{})}
 			try := emulator.ClientRequest{ID: "1", Class: logic.Class{Effect: logic.Unsafe}, Timeout: 10 * time.Second}
 			assert.Equal(t, emulator.RequestOutcome{Answer: audit.Served}, f.send(try))
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -6,12 +6,12 @@
 	"oakseam/internal/core"
 	"oakseam/internal/discovery"
 	"oakseam/internal/emulator"
-	"oakseam/internal/standin"
+	"oakseam/internal/fakes"
 )
 
 // convertList converts a list to the registry's format. The endpoints are the addresses at which one
 // node reaches the backends.
-func (f *fleet) convertList(node int, l emulator.ListUpdate) standin.List {
+func (f *fleet) convertList(node int, l emulator.ListUpdate) fakes.List {
 	var entries []core.Backend
 	for _, e := range l.Backends {
 		number, err := f.live.BackendNumber(e.Endpoint)
@@ -36,25 +36,25 @@
 }
 
 // List implements standin.ListSource.
-func (l *listSource) List() (standin.List, bool) {
+func (l *listSource) List() (fakes.List, bool) {
 	got, ok := l.fleet.live.FetchList(l.node)
 	if !ok {
-		return standin.List{}, false
+		return fakes.List{}, false
 	}
 	return l.fleet.convertList(l.node, got), true
 }
 
 // Next implements standin.ListSource.
-func (l *listSource) Next(rev int64, stop <-chan struct{}) (standin.List, bool) {
+func (l *listSource) Next(rev int64, stop <-chan struct{}) (fakes.List, bool) {
 	got, ok := l.fleet.live.WaitForChanges(l.node, rev, stop)
 	if !ok {
-		return standin.List{}, false
+		return fakes.List{}, false
 	}
 	return l.fleet.convertList(l.node, got), true
 }
 
 // Delivered implements standin.ListSource.
-func (l *listSource) Delivered(list standin.List) {
+func (l *listSource) Delivered(list fakes.List) {
 	entries, err := list.Backends()
 	if err != nil {
 		l.fleet.live.Fail(err)
--- a/internal/tierlab/configuration.go
+++ b/internal/tierlab/configuration.go
@@ -7,7 +7,7 @@
 	"github.com/go-faster/errors"
 
 	audit "oakseam/internal/audit/tier"
-	fakes "oakseam/internal/standin/tier"
+	tierfakes "oakseam/internal/fakes/tier"
 	"oakseam/internal/tier/routing"
 )
 
@@ -61,10 +61,10 @@
 		switchTarget = engineService
 	}
 	d := configurationDocument{Revision: revision, Routes: []routeEntry{
-		{Name: "read", Prefix: fakes.ReadPath, Class: routing.Idempotent, TimeoutMs: toolTimeoutMs, Priority: 1, Pool: toolService, RetryLimit: 3},
-		{Name: "order", Prefix: fakes.OrderPath, Class: routing.NonIdempotent, TimeoutMs: toolTimeoutMs, Pool: toolService, RetryLimit: 3},
-		{Name: "switch", Prefix: fakes.SwitchPath, Class: routing.Idempotent, TimeoutMs: toolTimeoutMs, Priority: 2, Pool: switchTarget, RetryLimit: 3},
-		{Name: "turn", Prefix: fakes.TurnPath, Class: routing.Streaming, TimeoutMs: turnTimeoutMs, Pool: engineService, RetryLimit: 3, Retained: true, RetentionS: retentionS},
+		{Name: "read", Prefix: tierfakes.ReadPath, Class: routing.Idempotent, TimeoutMs: toolTimeoutMs, Priority: 1, Pool: toolService, RetryLimit: 3},
+		{Name: "order", Prefix: tierfakes.OrderPath, Class: routing.NonIdempotent, TimeoutMs: toolTimeoutMs, Pool: toolService, RetryLimit: 3},
+		{Name: "switch", Prefix: tierfakes.SwitchPath, Class: routing.Idempotent, TimeoutMs: toolTimeoutMs, Priority: 2, Pool: switchTarget, RetryLimit: 3},
+		{Name: "turn", Prefix: tierfakes.TurnPath, Class: routing.Streaming, TimeoutMs: turnTimeoutMs, Pool: engineService, RetryLimit: 3, Retained: true, RetentionS: retentionS},
 	}, Pools: []poolEntry{
 		{Name: toolService, Protocol: "h1"},
 		{Name: engineService, Protocol: "h1", Engine: &engineEntry{Capacity: engineSlots, StreamChunk: 1}},
@@ -72,7 +72,7 @@
 	c := audit.Configuration{Revision: revision, Base: revision - 1}
 	for i := range d.Routes {
 		r := &d.Routes[i]
-		r.Host = fakes.Host
+		r.Host = tierfakes.Host
 		c.Routes = append(c.Routes, audit.AllowedRoute{Host: r.Host, Prefix: r.Prefix, Services: []string{r.Pool}})
 	}
 	text, err := json.Marshal(&d)
--- a/internal/tierlab/faults.go
+++ b/internal/tierlab/faults.go
@@ -9,7 +9,7 @@
 
 	"github.com/go-faster/errors"
 
-	fakes "oakseam/internal/standin/tier"
+	tierfakes "oakseam/internal/fakes/tier"
 	"oakseam/internal/tier/protocol"
 	"oakseam/internal/tier/settings"
 )
@@ -124,7 +124,7 @@
 	if process == nil {
 		return errors.Errorf("%s is not running", m.Name)
 	}
-	if err := fakes.Terminate(process); err != nil {
+	if err := tierfakes.Terminate(process); err != nil {
 		l.recordCrash(fmt.Sprintf("%s was sent SIGTERM at %s and had not ended properly by %s: %v", m.Name, start, l.elapsed(), err))
 	}
 	l.recorder.RecordFault(fmt.Sprintf("at %s %s is sent SIGTERM, and at %s it has ended and is started again", start, m.Name, l.elapsed()))
--- a/internal/tierlab/run.go
+++ b/internal/tierlab/run.go
@@ -7,7 +7,7 @@
 
 	"github.com/go-faster/errors"
 
-	fakes "oakseam/internal/standin/tier"
+	tierfakes "oakseam/internal/fakes/tier"
 )
 
 // runScenario starts the tier, lets clients and an operator use it while faults are injected, and
@@ -24,7 +24,7 @@
 	go l.reportProgress(workCtx)
 	var workers sync.WaitGroup
 	for n := range l.opt.Agents {
-		agent := fakes.NewAgent(l.client, n+1, l.opt.Seed)
+		agent := tierfakes.NewAgent(l.client, n+1, l.opt.Seed)
 		workers.Go(func() { agent.Run(workCtx) })
 	}
 	var failures [3]error
--- a/internal/tierlab/servers.go
+++ b/internal/tierlab/servers.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	fakes "oakseam/internal/standin/tier"
+	tierfakes "oakseam/internal/fakes/tier"
 )
 
 // Number and behavior of the servers.
@@ -39,14 +39,14 @@
 
 // startServer starts a server of a service and has the platform list it. If address is empty the
 // server gets its own address.
-func (l *lab) startServer(service, address string) (*fakes.Server, error) {
+func (l *lab) startServer(service, address string) (*tierfakes.Server, error) {
 	l.mu.Lock()
 	l.serverCount++
 	number := l.serverCount
 	l.mu.Unlock()
-	o := fakes.ServerOptions{
-		Member: fakes.Member{MemberID: fmt.Sprintf("%s-%d", service, number), PoolName: service, Zone: zones[number%len(zones)],
-			Capacity: toolSlots, MemberState: fakes.InService, WarmupLeftMs: float64(warmup.Milliseconds())},
+	o := tierfakes.ServerOptions{
+		Member: tierfakes.Member{MemberID: fmt.Sprintf("%s-%d", service, number), PoolName: service, Zone: zones[number%len(zones)],
+			Capacity: toolSlots, MemberState: tierfakes.InService, WarmupLeftMs: float64(warmup.Milliseconds())},
 		Listen: cmp.Or(address, fmt.Sprintf("%s.%d.%d:0", l.opt.Network, serverSubnet, number+1)),
 		Slots:  toolSlots, QueueLimit: maxWaiting, ServiceTime: toolServiceTime, EventInterval: eventInterval, Recorder: l.recorder,
 	}
@@ -56,7 +56,7 @@
 	if l.opt.Harsh {
 		o.BreakOneIn = breakOneIn
 	}
-	s, err := fakes.NewServer(o)
+	s, err := tierfakes.NewServer(o)
 	if err != nil {
 		return nil, err
 	}
@@ -71,7 +71,7 @@
 // over its address at once, before the platform lists either change.
 func (l *lab) crashServer() error {
 	l.mu.Lock()
-	index := slices.IndexFunc(l.servers, func(s *fakes.Server) bool { return s.Member.PoolName == toolService })
+	index := slices.IndexFunc(l.servers, func(s *tierfakes.Server) bool { return s.Member.PoolName == toolService })
 	old := l.servers[index]
 	l.servers = slices.Delete(l.servers, index, index+1)
 	l.mu.Unlock()
@@ -89,7 +89,7 @@
 // list once they have no requests in flight, and end.
 func (l *lab) rollingRelease(ctx context.Context) error {
 	l.mu.Lock()
-	var old []*fakes.Server
+	var old []*tierfakes.Server
 	for i, s := range l.servers {
 		if i%2 == 0 {
 			old = append(old, s)
@@ -102,7 +102,7 @@
 			return err
 		}
 		draining := s.Member
-		draining.MemberState = fakes.Draining
+		draining.MemberState = tierfakes.Draining
 		l.platform.Put(draining)
 	}
 	drained := time.After(platformDelay + drainBound)
--- a/internal/tierlab/tierlab.go
+++ b/internal/tierlab/tierlab.go
@@ -16,9 +16,9 @@
 	"github.com/go-faster/errors"
 
 	audit "oakseam/internal/audit/tier"
+	"oakseam/internal/fakes"
+	tierfakes "oakseam/internal/fakes/tier"
 	"oakseam/internal/latency"
-	"oakseam/internal/standin"
-	fakes "oakseam/internal/standin/tier"
 	"oakseam/internal/tier/rpc"
 	"oakseam/internal/tier/settings"
 )
@@ -94,10 +94,10 @@
 	opt         Options
 	folder      string
 	recorder    *audit.Recorder
-	platform    *fakes.Platform
-	balancer    *fakes.LoadBalancer
-	client      *fakes.Client
-	operator    *fakes.Operator
+	platform    *tierfakes.Platform
+	balancer    *tierfakes.LoadBalancer
+	client      *tierfakes.Client
+	operator    *tierfakes.Operator
 	connections *rpc.Pool // to the internal ports of the tier
 	machines    []*machine
 	logs        []io.Closer
@@ -105,7 +105,7 @@
 	cancelStart context.CancelCauseFunc // ends the start if a process crashes
 
 	mu          sync.Mutex
-	servers     []*fakes.Server
+	servers     []*tierfakes.Server
 	serverCount int // servers started so far
 	crashed     []string
 	diskSync    latency.Quantiles
@@ -114,10 +114,10 @@
 
 // machine is a machine with its current process.
 type machine struct {
-	*fakes.Machine
+	*tierfakes.Machine
 
 	mu      sync.Mutex
-	process *standin.Node
+	process *fakes.Node
 }
 
 // Run executes one run. It ends everything that it has started.
@@ -144,7 +144,7 @@
 // build creates the machines and the fakes.
 func (l *lab) build() error {
 	var err error
-	if l.platform, err = fakes.NewPlatform(l.serverHost(), platformDelay, l.recordDraining); err != nil {
+	if l.platform, err = tierfakes.NewPlatform(l.serverHost(), platformDelay, l.recordDraining); err != nil {
 		return errors.Wrap(err, "platform")
 	}
 	var seeds []string
@@ -164,13 +164,13 @@
 	for _, m := range l.machinesOf(settings.Control) {
 		cores = append(cores, m.Control())
 	}
-	var edges []*fakes.Machine
+	var edges []*tierfakes.Machine
 	for _, m := range l.machinesOf(settings.Edge) {
 		edges = append(edges, m.Machine)
 	}
-	l.operator = fakes.NewOperator(cores, l.recorder)
-	l.balancer = fakes.NewLoadBalancer(edges)
-	l.client = fakes.NewClient(l.balancer, l.recorder)
+	l.operator = tierfakes.NewOperator(cores, l.recorder)
+	l.balancer = tierfakes.NewLoadBalancer(edges)
+	l.client = tierfakes.NewClient(l.balancer, l.recorder)
 	return l.startServers()
 }
 
@@ -181,7 +181,7 @@
 
 func (l *lab) addMachine(name string, serves settings.Service, program, command string, seeds []string) {
 	number := len(l.machines)
-	m := &fakes.Machine{
+	m := &tierfakes.Machine{
 		Name: name, Serves: serves, Program: program, Command: command, IP: l.ip(number), Zone: zones[number%len(zones)], Zones: zones,
 		Seeds: seeds, Platform: l.platform.Address, MachineLosses: machineLosses, Folder: filepath.Join(l.folder, name), Log: io.Discard,
 	}
@@ -200,8 +200,8 @@
 }
 
 // recordDraining records when the platform lists a server as draining.
-func (l *lab) recordDraining(m fakes.Member) {
-	if m.MemberState == fakes.Draining {
+func (l *lab) recordDraining(m tierfakes.Member) {
+	if m.MemberState == tierfakes.Draining {
 		l.recorder.RecordDraining(m.MemberID)
 	}
 }
@@ -244,14 +244,14 @@
 
 func (l *lab) elapsed() string { return fmt.Sprintf("%.1f s", l.recorder.Now().Seconds()) }
 
-func (m *machine) currentProcess() *standin.Node {
+func (m *machine) currentProcess() *fakes.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.process
 }
 
 // takeProcess detaches the process from its machine, so that its end does not count as a crash.
-func (m *machine) takeProcess() *standin.Node {
+func (m *machine) takeProcess() *fakes.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	process := m.process
--- a/internal/upstream/pending_test.go
+++ b/internal/upstream/pending_test.go
@@ -13,8 +13,8 @@
 
 	"oakseam/internal/core"
 	"oakseam/internal/counters"
+	"oakseam/internal/fakes"
 	"oakseam/internal/message"
-	"oakseam/internal/standin"
 	"oakseam/logic"
 )
 
@@ -52,7 +52,7 @@
 		}, logic.NotSent, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, err := standin.NewBackend(standin.OK)
+			b, err := fakes.NewBackend(fakes.OK)
 			require.NoError(t, err)
 			defer b.Close()
 			instance := core.Instance{ID: "b", Endpoint: b.Addr}
@@ -97,7 +97,7 @@
 // be written.
 func TestWithdrawRacesWithBegin(t *testing.T) {
 	for range 20 {
-		b, err := standin.NewBackend(standin.OK)
+		b, err := fakes.NewBackend(fakes.OK)
 		require.NoError(t, err)
 		instance := core.Instance{ID: "b", Endpoint: b.Addr}
 		p := poolOf(100)
@@ -132,11 +132,11 @@
 func TestSecondResponseIsNotTakenForTheNextRequest(t *testing.T) {
 	nextArrived := make(chan struct{})
 	respondedAgain := make(chan struct{})
-	b, err := standin.NewBackend(func(c *net.TCPConn, r standin.Request) bool {
+	b, err := fakes.NewBackend(func(c *net.TCPConn, r fakes.Request) bool {
 		if r.URL.Path == "/first" {
-			standin.WriteResponse(c, 200, "", "first")
+			fakes.WriteResponse(c, 200, "", "first")
 			<-nextArrived
-			standin.WriteResponse(c, 200, "", "first") // the same response again
+			fakes.WriteResponse(c, 200, "", "first") // the same response again
 			close(respondedAgain)
 			return true
 		}
@@ -144,7 +144,7 @@
 			close(nextArrived)
 			<-respondedAgain
 		}
-		return standin.WriteResponse(c, 200, "", r.URL.Path)
+		return fakes.WriteResponse(c, 200, "", r.URL.Path)
 	})
 	require.NoError(t, err)
 	defer b.Close()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -15,8 +15,8 @@
 	"gotest.tools/v3/assert"
 
 	"oakseam/internal/core"
+	"oakseam/internal/fakes"
 	"oakseam/internal/message"
-	"oakseam/internal/standin"
 	"oakseam/logic"
 )
 
@@ -35,7 +35,7 @@
 func TestMisroutedResponses(t *testing.T) {
 	for misrouted, want := range []logic.Result{logic.OK, logic.OK, logic.OK, logic.Reset} {
 		t.Run(fmt.Sprint(misrouted), func(t *testing.T) {
-			b, err := standin.NewBackend(func(c *net.TCPConn, _ standin.Request) bool {
+			b, err := fakes.NewBackend(func(c *net.TCPConn, _ fakes.Request) bool {
 				text := ""
 				for i := range misrouted {
 					chunkOverheadFactor := "Content-Length: 5\r\n\r\nother"
@@ -70,12 +70,12 @@
 // A server's own error response is passed on with its status, header and body if the codec says so,
 // and only then.
 func TestErrorResponseIsPassedThrough(t *testing.T) {
-	b, err := standin.NewBackend(func(c *net.TCPConn, r standin.Request) bool {
+	b, err := fakes.NewBackend(func(c *net.TCPConn, r fakes.Request) bool {
 		header := "Content-Type: text/plain\r\nHint: full\r\n"
 		if r.URL.Path == "/pass" {
 			header += "Pass: 1\r\n"
 		}
-		return standin.WriteResponse(c, 507, header, "no room")
+		return fakes.WriteResponse(c, 507, header, "no room")
 	})
 	assert.NilError(t, err)
 	defer b.Close()
@@ -105,17 +105,17 @@
 // connection is closed to make room. The limit does not affect other instances.
 func TestConnectionLimitOfAnInstance(t *testing.T) {
 	arrived, release := make(chan struct{}), make(chan struct{})
-	script := func(c *net.TCPConn, r standin.Request) bool {
+	script := func(c *net.TCPConn, r fakes.Request) bool {
 		if r.URL.Path == "/wait" {
 			arrived <- struct{}{}
 			<-release
 		}
-		return standin.WriteResponse(c, 200, "", "done")
+		return fakes.WriteResponse(c, 200, "", "done")
 	}
-	one, err := standin.NewBackend(script)
+	one, err := fakes.NewBackend(script)
 	assert.NilError(t, err)
 	defer one.Close()
-	two, err := standin.NewBackend(script)
+	two, err := fakes.NewBackend(script)
 	assert.NilError(t, err)
 	defer two.Close()
 	first, other := core.Instance{ID: "1", Endpoint: one.Addr}, core.Instance{ID: "2", Endpoint: two.Addr}
@@ -147,7 +147,7 @@
 // TCP_USER_TIMEOUT is set on connections if the options have one, and Nagle's algorithm is off on
 // all connections.
 func TestSocketOptions(t *testing.T) {
-	b, err := standin.NewBackend(standin.OK)
+	b, err := fakes.NewBackend(fakes.OK)
 	assert.NilError(t, err)
 	defer b.Close()
 	for _, timeout := range []time.Duration{0, 3 * time.Second} {
@@ -187,7 +187,7 @@
 
 // The write deadline of a long body must not remain on the connection for the next request.
 func TestLongBodyLeavesNoDeadline(t *testing.T) {
-	b, err := standin.NewBackend(standin.OK)
+	b, err := fakes.NewBackend(fakes.OK)
 	assert.NilError(t, err)
 	defer b.Close()
 	p, c := poolOf(1), &deadlineRecorder{}
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 
 	"oakseam/internal/core"
+	"oakseam/internal/fakes"
 	"oakseam/internal/message"
-	"oakseam/internal/standin"
 	"oakseam/logic"
 )
 
@@ -39,12 +39,12 @@
 	instance core.Instance
 	steps    chan func(c *net.TCPConn) bool // the response goes on while a step returns true
 	closed   chan error                     // the error with which the connection ended
-	server   *standin.Backend
+	server   *fakes.Backend
 }
 
 func newStreamingServer(t *testing.T) *streamingServer {
 	s := &streamingServer{steps: make(chan func(c *net.TCPConn) bool), closed: make(chan error, 1)}
-	b, err := standin.NewBackend(func(c *net.TCPConn, _ standin.Request) bool {
+	b, err := fakes.NewBackend(func(c *net.TCPConn, _ fakes.Request) bool {
 		for step := range s.steps {
 			if !step(c) {
 				break
