--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -9,7 +9,7 @@
 
 	"oakseam/internal/audit"
 	"oakseam/internal/core"
-	"oakseam/internal/member"
+	"oakseam/internal/membership"
 	"oakseam/logic"
 )
 
@@ -189,7 +189,7 @@
 }
 
 // RecordPeerState tells that a node considers another to be in a state.
-func (l *LiveRun) RecordPeerState(by, about int, s member.State) {
+func (l *LiveRun) RecordPeerState(by, about int, s membership.State) {
 	l.post(func() { l.sim.peerNetwork.recordState(by, about, s) })
 }
 
--- a/internal/emulator/peers.go
+++ b/internal/emulator/peers.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"oakseam/internal/gossip"
-	"oakseam/internal/member"
+	"oakseam/internal/membership"
 	"oakseam/internal/peers"
 )
 
@@ -129,8 +129,8 @@
 // peerState is one node's part in the peer network.
 type peerState struct {
 	port      *gossip.MemoryTransport
-	states    map[int]member.State // its view of the others, by number
-	changedAt time.Duration        // its last start or death
+	states    map[int]membership.State // its view of the others, by number
+	changedAt time.Duration            // its last start or death
 	alive     bool
 }
 
@@ -160,11 +160,11 @@
 		return
 	}
 	peer := &p.nodes[n.number]
-	*peer = peerState{states: map[int]member.State{}, changedAt: p.sim.now, alive: true}
+	*peer = peerState{states: map[int]membership.State{}, changedAt: p.sim.now, alive: true}
 	if p.sim.live != nil {
 		return
 	}
-	circle, lastStates := peers.NewEngine(n.number, len(p.nodes), p.sim.scenario.Peers.BytesPerSecond.From, rand.New(rand.NewPCG(p.rng.Uint64(), 1))), map[member.ID]member.State{}
+	circle, lastStates := peers.NewEngine(n.number, len(p.nodes), p.sim.scenario.Peers.BytesPerSecond.From, rand.New(rand.NewPCG(p.rng.Uint64(), 1))), map[membership.ID]membership.State{}
 	peer.port = p.transport.ListenFunc(strconv.Itoa(n.number), func(from string, text []byte) {
 		p.send(n.number, circle.HandleDatagram(p.sim.now, nodeNumber(from), text))
 	})
@@ -210,16 +210,16 @@
 }
 
 // recordState records that a node considers another to be in a state.
-func (p *peerNetwork) recordState(by, about int, s member.State) {
+func (p *peerNetwork) recordState(by, about int, s membership.State) {
 	if by == about || by >= len(p.nodes) || about >= len(p.nodes) || about < 0 || !p.nodes[by].alive {
 		return
 	}
 	p.nodes[by].states[about] = s
-	if s == member.Alive {
+	if s == membership.Alive {
 		return
 	}
 	if peer := &p.nodes[about]; !peer.alive {
-		if s == member.Dead && peer.changedAt > 0 {
+		if s == membership.Dead && peer.changedAt > 0 {
 			p.detectionTimes = append(p.detectionTimes, p.sim.now-max(peer.changedAt, p.nodes[by].changedAt))
 		}
 		return
@@ -231,7 +231,7 @@
 	if a, b := p.datagrams.zones[about], p.datagrams.zones[by]; !p.datagrams.reachable(a, b, zoneAlive) || !p.datagrams.reachable(b, a, zoneAlive) {
 		return
 	}
-	if s == member.Dead {
+	if s == membership.Dead {
 		p.totals.FalseGone++
 	} else {
 		p.totals.FalseSuspicions++
@@ -254,9 +254,9 @@
 			s := p.nodes[by].states[about]
 			switch peer := &p.nodes[about]; {
 			case about == by:
-			case !peer.alive && s != member.Dead:
+			case !peer.alive && s != membership.Dead:
 				r.Undetected++
-			case peer.alive && s != member.Alive:
+			case peer.alive && s != membership.Alive:
 				r.Disagreements++
 			}
 		}
--- a/internal/emulator/peers_test.go
+++ b/internal/emulator/peers_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"oakseam/internal/member"
+	"oakseam/internal/membership"
 )
 
 func membershipScenario(t *testing.T) *Scenario {
@@ -67,25 +67,25 @@
 		sim.peerNetwork.nodeStarted(n)
 	}
 	sim.now = 10e9
-	sim.peerNetwork.recordState(0, 1, member.Suspected)
-	sim.peerNetwork.recordState(0, 1, member.Alive)
-	sim.peerNetwork.recordState(0, 2, member.Dead)
+	sim.peerNetwork.recordState(0, 1, membership.Suspected)
+	sim.peerNetwork.recordState(0, 1, membership.Alive)
+	sim.peerNetwork.recordState(0, 2, membership.Dead)
 	assert.Equal(t, []int{1, 1}, []int{sim.peerNetwork.totals.FalseSuspicions, sim.peerNetwork.totals.FalseGone})
 	sim.peerNetwork.datagrams.adjustPartition(0, 1, 1) // still heard through dc-three
-	sim.peerNetwork.recordState(1, 0, member.Dead)
+	sim.peerNetwork.recordState(1, 0, membership.Dead)
 	assert.Equal(t, 2, sim.peerNetwork.totals.FalseGone)
 	sim.peerNetwork.nodeDied(sim.nodes[2])
 	sim.peerNetwork.nodeDied(sim.nodes[5]) // now it is not heard at all
-	sim.peerNetwork.recordState(1, 0, member.Dead)
-	sim.peerNetwork.recordState(0, 1, member.Dead)
+	sim.peerNetwork.recordState(1, 0, membership.Dead)
+	sim.peerNetwork.recordState(0, 1, membership.Dead)
 	assert.Equal(t, 2, sim.peerNetwork.totals.FalseGone)
 	sim.peerNetwork.nodeStarted(sim.nodes[2])
 	sim.now = 13e9
-	sim.peerNetwork.recordState(0, 5, member.Suspected)
-	sim.peerNetwork.recordState(0, 5, member.Dead)
+	sim.peerNetwork.recordState(0, 5, membership.Suspected)
+	sim.peerNetwork.recordState(0, 5, membership.Dead)
 	sim.now = 17e9
-	sim.peerNetwork.recordState(3, 5, member.Dead)
-	sim.peerNetwork.recordState(5, 0, member.Dead) // a dead node's view does not count
+	sim.peerNetwork.recordState(3, 5, membership.Dead)
+	sim.peerNetwork.recordState(5, 0, membership.Dead) // a dead node's view does not count
 	sim.peerNetwork.countBytes(500)
 	r := sim.peerNetwork.result()
 	assert.Equal(t, []int{2, 3, 1}, []int{r.Detected, r.Undetected, r.FalseSuspicions}, "nodes 1, 2 and 4 have not detected it")
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -18,7 +18,7 @@
 	"oakseam/internal/core"
 	"oakseam/internal/emulator"
 	"oakseam/internal/fakes"
-	"oakseam/internal/member"
+	"oakseam/internal/membership"
 	"oakseam/internal/peers"
 	"oakseam/internal/wire"
 )
@@ -242,7 +242,7 @@
 
 // recordPeerState passes on the state of a peer that a node has logged.
 func (f *fleet) recordPeerState(by, peer int, state string) {
-	for _, s := range []member.State{member.Alive, member.Suspected, member.Dead} {
+	for _, s := range []membership.State{membership.Alive, membership.Suspected, membership.Dead} {
 		if peers.StateName(s) == state {
 			f.live.RecordPeerState(by, peer, s)
 		}
--- a/internal/member/member.go
+++ b/internal/membership/membership.go
@@ -1,4 +1,4 @@
-// Package member implements failure detection for a fleet of nodes, after the SWIM and
+// Package membership implements failure detection for a fleet of nodes, after the SWIM and
 // Lifeguard papers. In each period a node probes one other node. Before it suspects a node it
 // asks others to probe that node too, and the worse its own health score is, the longer it
 // waits. The package is pure: messages, time and randomness are passed in, and messages to
@@ -8,7 +8,7 @@
 // at which incarnation, and withdraws that itself. A suspected node raises its incarnation,
 // which refutes all suspicions at once. Both sides of a network partition therefore keep
 // running, and become one fleet again once messages pass between them.
-package member
+package membership
 
 import (
 	"cmp"
--- a/internal/member/member_test.go
+++ b/internal/membership/membership_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"fmt"
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"oakseam/internal/gossip"
-	"oakseam/internal/member"
+	"oakseam/internal/membership"
 )
 
 // KindMember is the kind of the record in which a node publishes whom it suspects. The
@@ -40,19 +40,19 @@
 
 // Engine is one node's part in its fleet. It is not safe for concurrent use.
 type Engine struct {
-	List                 *member.List
+	List                 *membership.List
 	Gossip               *gossip.Engine
 	self                 int
 	nodes                int
 	rng                  *rand.Rand
 	nextGossip           time.Duration
-	published            map[member.ID]uint32
+	published            map[membership.ID]uint32
 	publishedIncarnation uint32 // the incarnation of the last published record
 }
 
-func memberID(number int) member.ID { return member.ID("n" + strconv.Itoa(number)) }
+func memberID(number int) membership.ID { return membership.ID("n" + strconv.Itoa(number)) }
 
-func memberNumber(of member.ID) int {
+func memberNumber(of membership.ID) int {
 	n, err := strconv.Atoi(string(of[1:]))
 	if err != nil {
 		return -1
@@ -63,11 +63,11 @@
 // NewEngine returns the engine of node number self in a fleet of that many nodes, with a budget
 // in bytes per second. It knows nothing of a previous run.
 func NewEngine(self, nodes int, budget float64, rng *rand.Rand) *Engine {
-	var ids []member.ID
+	var ids []membership.ID
 	for n := range nodes {
 		ids = append(ids, memberID(n))
 	}
-	e := &Engine{List: member.New(memberID(self), ids, member.Options{}, rng), Gossip: gossip.NewEngine(string(memberID(self)), 1, budget),
+	e := &Engine{List: membership.New(memberID(self), ids, membership.Options{}, rng), Gossip: gossip.NewEngine(string(memberID(self)), 1, budget),
 		self: self, nodes: nodes, rng: rng, publishedIncarnation: 1}
 	e.Gossip.SetFleetSize(nodes)
 	return e
@@ -88,9 +88,9 @@
 		if gossip.Decode(r.Value, &suspects) != nil {
 			continue // malformed or forged: the earlier suspicions stay
 		}
-		by, of := member.ID(r.Origin), map[member.ID]uint32{}
+		by, of := membership.ID(r.Origin), map[membership.ID]uint32{}
 		for s, at := range suspects {
-			of[member.ID(s)] = at
+			of[membership.ID(s)] = at
 		}
 		e.List.UpdateIncarnation(now, by, r.Incarnation)
 		e.List.UpdateSuspicions(now, by, of)
@@ -100,11 +100,11 @@
 		if n.Form != formMember || gossip.Decode(n.Payload, &m) != nil {
 			continue
 		}
-		about := member.ID("")
+		about := membership.ID("")
 		if m.About >= 0 {
 			about = memberID(int(m.About))
 		}
-		out = append(out, e.sendMessages(now, e.List.HandleMessage(now, memberID(from), member.Message{Kind: member.Kind(m.Kind), Probe: m.Probe, Target: about}))...)
+		out = append(out, e.sendMessages(now, e.List.HandleMessage(now, memberID(from), membership.Message{Kind: membership.Kind(m.Kind), Probe: m.Probe, Target: about}))...)
 	}
 	e.publishSuspicions()
 	return out
@@ -131,7 +131,7 @@
 }
 
 // sendMessages puts membership messages into datagrams and fills these up with gossip.
-func (e *Engine) sendMessages(now time.Duration, all []member.Send) (out []Datagram) {
+func (e *Engine) sendMessages(now time.Duration, all []membership.Send) (out []Datagram) {
 	for _, s := range all {
 		m := message{Kind: uint8(s.Kind), Probe: s.Probe, About: -1}
 		if s.Target != "" {
@@ -171,12 +171,12 @@
 // Change is a member whose state has changed.
 type Change struct {
 	Number int
-	member.Member
-	Previous member.State
+	membership.Member
+	Previous membership.State
 }
 
 // Changes returns the members whose state differs from lastStates, and updates lastStates.
-func (e *Engine) Changes(lastStates map[member.ID]member.State) (out []Change) {
+func (e *Engine) Changes(lastStates map[membership.ID]membership.State) (out []Change) {
 	for _, m := range e.List.Members() {
 		if was := lastStates[m.ID]; was != m.State {
 			out = append(out, Change{memberNumber(m.ID), m, was})
@@ -187,7 +187,7 @@
 }
 
 // The names of the states in logs.
-var stateNames = []string{member.Alive: "there", member.Suspected: "suspected", member.Dead: "gone"}
+var stateNames = []string{membership.Alive: "there", membership.Suspected: "suspected", membership.Dead: "gone"}
 
 // StateName returns the name of a state in logs.
-func StateName(s member.State) string { return stateNames[s] }
+func StateName(s membership.State) string { return stateNames[s] }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"oakseam/internal/gossip"
-	"oakseam/internal/member"
+	"oakseam/internal/membership"
 )
 
 // testFleet runs engines in virtual time. Datagrams take 10 or 20 ms or are lost.
@@ -68,7 +68,7 @@
 
 // count returns how many live nodes see a node in a state, and how often live nodes see any
 // other node dead.
-func (w *testFleet) count(number int, s member.State) (all, wrong int) {
+func (w *testFleet) count(number int, s membership.State) (all, wrong int) {
 	for _, c := range w.engines {
 		if c == nil {
 			continue
@@ -77,7 +77,7 @@
 			if m.ID == memberID(number) && m.State == s {
 				all++
 			}
-			if m.State == member.Dead && m.ID != memberID(number) {
+			if m.State == membership.Dead && m.ID != memberID(number) {
 				wrong++
 			}
 		}
@@ -111,18 +111,18 @@
 					held++
 				}
 			}
-			_, wrong := w.count(0, member.Dead)
+			_, wrong := w.count(0, membership.Dead)
 			assert.Zero(t, wrong, "live nodes declared dead")
 			w.engines[1] = nil
 			killed := w.now
 			for {
 				w.run(100 * time.Millisecond)
-				if detected, _ := w.count(1, member.Dead); detected == tt.nodes-1 {
+				if detected, _ := w.count(1, membership.Dead); detected == tt.nodes-1 {
 					break
 				}
 				require.Less(t, w.now-killed, 30*time.Second, "not declared dead by all")
 			}
-			_, wrong = w.count(1, member.Dead)
+			_, wrong = w.count(1, membership.Dead)
 			assert.Zero(t, wrong, "live nodes declared dead")
 			t.Logf("%.0f bytes per second and node; of %d records of another kind a node holds %d after 20 s; a killed node is dead to all after %v", rate, tt.nodes, held, w.now-killed)
 		})
@@ -141,7 +141,7 @@
 	}
 	all, wrong := 0, 0
 	for _, m := range c.List.Members() {
-		if all++; m.State != member.Alive {
+		if all++; m.State != membership.Alive {
 			wrong++
 		}
 	}
@@ -152,7 +152,7 @@
 // the others do not know its incarnation until it publishes one.
 func TestSuspectedNodeAnswers(t *testing.T) {
 	accuser, accused := NewEngine(0, 3, 1e6, rand.New(rand.NewPCG(1, 1))), NewEngine(1, 3, 1e6, rand.New(rand.NewPCG(2, 1)))
-	value, err := gossip.Encode(map[member.ID]uint32{memberID(1): 0})
+	value, err := gossip.Encode(map[membership.ID]uint32{memberID(1): 0})
 	require.NoError(t, err)
 	require.NoError(t, accuser.Gossip.Publish(KindMember, value))
 	accused.Tick(0)
--- a/internal/peers/run.go
+++ b/internal/peers/run.go
@@ -10,7 +10,7 @@
 
 	"oakseam/internal/gossip"
 	"oakseam/internal/logging"
-	"oakseam/internal/member"
+	"oakseam/internal/membership"
 )
 
 // tickInterval is how often Tick is called.
@@ -76,7 +76,7 @@
 	}()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	lastStates := map[member.ID]member.State{}
+	lastStates := map[membership.ID]membership.State{}
 	for {
 		select {
 		case <-ctx.Done():
