--- a/cmd/oaklab/load_test.go
+++ b/cmd/oaklab/load_test.go
@@ -14,7 +14,7 @@
 	"oakseam/internal/cli"
 	"oakseam/internal/fakes"
 	"oakseam/internal/load"
-	"oakseam/internal/wire"
+	"oakseam/internal/simproto"
 	"oakseam/logic"
 )
 
@@ -39,7 +39,7 @@
 	n, err := fakes.StartNode(program, dir, fakes.NodeConfig{Name: "n", Listen: addr, Discovery: "127.0.0.1:1", Seed: "1",
 		Limits:   map[string]any{"sockets": 1024},
 		Known:    fakes.List{Revision: 1, Full: true, Targets: []fakes.Target{{UID: "s", Endpoint: b.Addr, State: "in_service", Capacity: 1}}},
-		Settings: wire.EncodeSettings(settings, time.Second)}, addr, "127.0.0.1:1", nil)
+		Settings: simproto.EncodeSettings(settings, time.Second)}, addr, "127.0.0.1:1", nil)
 	require.NoError(t, err)
 	defer n.Kill()
 	require.NoError(t, n.WaitReady(20*time.Second))
--- a/cmd/oaklab/members_test.go
+++ b/cmd/oaklab/members_test.go
@@ -14,7 +14,7 @@
 
 	"oakseam/internal/emulator"
 	"oakseam/internal/fakes"
-	"oakseam/internal/wire"
+	"oakseam/internal/simproto"
 	"oakseam/logic"
 )
 
@@ -107,7 +107,7 @@
 	f.views[n] = &peerView{states: map[int]string{}, changes: map[string]int{}}
 	node, err := fakes.StartNode(f.program, dir, map[string]any{"name": fmt.Sprint("n", n), "listen": f.listen[n], "discovery": "127.0.0.1:1",
 		"seed": fmt.Sprint(n + 1), "limits": map[string]any{"sockets": 256}, "peer_listen": f.listen[n], "peers": f.relays.Peers(n),
-		"known": fakes.List{Revision: 1, Full: true}, "settings": wire.EncodeSettings(settings, time.Second)}, f.listen[n], "127.0.0.1:1", &fakes.PeerLogWriter{OnChange: f.views[n].record}, "node", "--config", optionsFile)
+		"known": fakes.List{Revision: 1, Full: true}, "settings": simproto.EncodeSettings(settings, time.Second)}, f.listen[n], "127.0.0.1:1", &fakes.PeerLogWriter{OnChange: f.views[n].record}, "node", "--config", optionsFile)
 	require.NoError(f.t, err)
 	f.nodes[n] = node
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -11,7 +11,7 @@
 	"runtime/debug"
 	"time"
 
-	"oakseam/internal/wire"
+	"oakseam/internal/simproto"
 	"oakseam/logic"
 )
 
@@ -25,7 +25,7 @@
 
 // run answers batches until the input ends, or returns the first error.
 func run(in io.Reader, out io.Writer) error {
-	reader := wire.NewReader(in)
+	reader := simproto.NewReader(in)
 	w := bufio.NewWriterSize(out, 1<<20)
 	h := host{nodes: map[int]*logic.Balancer{}}
 	for {
@@ -56,54 +56,54 @@
 }
 
 // answer handles a batch and appends the reply to dst.
-func (h *host) answer(dst []byte, batch *wire.Batch) ([]byte, error) {
+func (h *host) answer(dst []byte, batch *simproto.Batch) ([]byte, error) {
 	for i := range batch.Items {
 		item := &batch.Items[i]
 		switch item.Op {
-		case wire.OpStart:
+		case simproto.OpStart:
 			dst = h.start(dst, item)
 			continue
-		case wire.OpStop:
+		case simproto.OpStop:
 			delete(h.nodes, item.Node)
 			continue
 		}
 		balancer, ok := h.nodes[item.Node]
 		if !ok {
-			return dst, &wire.LineError{Line: item.Line, Err: fmt.Errorf("instance %d was never started", item.Node)}
+			return dst, &simproto.LineError{Line: item.Line, Err: fmt.Errorf("instance %d was never started", item.Node)}
 		}
-		if balancer != nil && item.Op == wire.OpEvent {
+		if balancer != nil && item.Op == simproto.OpEvent {
 			dst = h.event(dst, balancer, item, batch.Now)
 		}
 	}
-	return wire.AppendFinished(dst, batch.Seq), nil
+	return simproto.AppendFinished(dst, batch.Seq), nil
 }
 
 // start creates an instance. Settings that cannot be used are reported as its failure.
-func (h *host) start(dst []byte, item *wire.Item) []byte {
-	settings, err := wire.ParseSettings(item.Settings)
+func (h *host) start(dst []byte, item *simproto.Item) []byte {
+	settings, err := simproto.ParseSettings(item.Settings)
 	if err == nil {
 		h.nodes[item.Node], err = logic.New(settings, item.Seed)
 	}
 	if err != nil {
 		h.nodes[item.Node] = nil
-		return wire.AppendBug(dst, item.Node, err.Error())
+		return simproto.AppendBug(dst, item.Node, err.Error())
 	}
 	return dst
 }
 
 // event passes an event to an instance and appends its actions to dst. A panic is reported as
 // the failure of the instance, in place of its actions.
-func (h *host) event(dst []byte, balancer *logic.Balancer, item *wire.Item, now time.Duration) (reply []byte) {
+func (h *host) event(dst []byte, balancer *logic.Balancer, item *simproto.Item, now time.Duration) (reply []byte) {
 	begin := len(dst)
 	defer func() {
 		if p := recover(); p != nil {
 			h.nodes[item.Node] = nil
 			fmt.Fprintf(os.Stderr, "simhost: instance %d: panic: %v\n%s", item.Node, p, debug.Stack())
-			reply = wire.AppendBug(dst[:begin], item.Node, fmt.Sprintf("panic: %v", p))
+			reply = simproto.AppendBug(dst[:begin], item.Node, fmt.Sprintf("panic: %v", p))
 		}
 	}()
 	for _, a := range balancer.Handle(now, item.Event) {
-		dst = wire.AppendAction(dst, item.Node, a)
+		dst = simproto.AppendAction(dst, item.Node, a)
 	}
 	return dst
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"oakseam/internal/wire"
+	"oakseam/internal/simproto"
 	"oakseam/logic"
 )
 
@@ -88,7 +88,7 @@
 func TestBadInput(t *testing.T) {
 	for _, tt := range badInputs {
 		out, err := runInput(tt.input)
-		var lineError *wire.LineError
+		var lineError *simproto.LineError
 		if !errors.As(err, &lineError) || lineError.Line != tt.line || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v, want one line that names input line %d", tt.name, err, tt.line)
 		}
@@ -125,7 +125,7 @@
 // down until it is started again.
 func TestPanicIsReported(t *testing.T) {
 	h := host{nodes: map[int]*logic.Balancer{}}
-	item := &wire.Item{Node: 3, Event: logic.Wake{Token: 1}}
+	item := &simproto.Item{Node: 3, Event: logic.Wake{Token: 1}}
 	got := string(h.event([]byte("SCHEDULE 1 1 1\n"), nil, item, 0))
 	if !regexp.MustCompile(`^SCHEDULE 1 1 1\nBUG 3 panic: .*\n$`).MatchString(got) {
 		t.Errorf("got %q", got)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"oakseam/internal/discovery"
-	"oakseam/internal/wire"
+	"oakseam/internal/simproto"
 	"oakseam/logic"
 )
 
@@ -277,7 +277,7 @@
 	if err != nil {
 		return err
 	}
-	if c.Settings, err = wire.ParseSettings(settings); err != nil {
+	if c.Settings, err = simproto.ParseSettings(settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	c.Settings.ConnIdle = cmp.Or(c.Settings.ConnIdle, defaultConnIdle)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -20,7 +20,7 @@
 	"oakseam/internal/fakes"
 	"oakseam/internal/membership"
 	"oakseam/internal/peers"
-	"oakseam/internal/wire"
+	"oakseam/internal/simproto"
 )
 
 // Options configures a run.
@@ -152,7 +152,7 @@
 		Name: fmt.Sprint("n", number), Listen: n.reservation.Addr, Discovery: n.registry.Addr, Seed: strconv.FormatUint(uint64(number+1)*0x9e3779b97f4a7c15+uint64(epoch), 16),
 		Limits:   map[string]any{"cores": 1.0, "memory_mb": f.opt.MemoryMB, "sockets": f.opt.Sockets},
 		Known:    f.convertList(number, emulator.ListUpdate{Revision: rev, Full: true, Backends: known}),
-		Settings: wire.EncodeSettings(f.live.Settings(number), f.live.ConnectTimeout()),
+		Settings: simproto.EncodeSettings(f.live.Settings(number), f.live.ConnectTimeout()),
 	}
 	if f.relays != nil {
 		c.PeerListen, c.Peers = n.peerAddress(), f.relays.Peers(number)
--- a/internal/wire/wire.go
+++ b/internal/simproto/simproto.go
@@ -1,6 +1,6 @@
-// Package wire parses and prints the simulator's line protocol. It translates between lines and
+// Package simproto parses and prints the simulator's line protocol. It translates between lines and
 // the events and actions of package logic, and makes no decisions.
-package wire
+package simproto
 
 import (
 	"bufio"
