--- a/cmd/oakseam-control/main.go
+++ b/cmd/oakseam-control/main.go
@@ -13,9 +13,9 @@
 	"github.com/go-faster/errors"
 	"k8s.io/klog/v2"
 
+	"oakseam/internal/controlplane/adminapi"
 	"oakseam/internal/controlplane/coordinator"
 	"oakseam/internal/controlplane/node"
-	"oakseam/internal/controlplane/operators"
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/storage"
 	"oakseam/internal/tier/platform"
@@ -71,7 +71,7 @@
 	if err != nil {
 		return errors.Wrap(err, "listen for other processes")
 	}
-	server := operators.NewServer(operators.Options{Authority: core})
+	server := adminapi.NewServer(adminapi.Options{Authority: core})
 	defer server.Close()
 	go server.Serve(api)
 	klog.InfoS("Replicating configuration and services", "id", n.Self.ID, "address", options.Address, "first", options.Bootstrap)
--- a/internal/controlplane/operators/authority.go
+++ b/internal/controlplane/adminapi/authority.go
@@ -1,4 +1,4 @@
-// Package operators is the HTTP API through which operators replace and show the
+// Package adminapi is the HTTP API through which operators replace and show the
 // configuration and retire nodes. It reads and bounds calls, rejects invalid ones, and passes
 // the rest to an Authority.
 //
@@ -9,7 +9,7 @@
 //
 // Status 503 means that the outcome is unknown or that the call cannot be decided now: the
 // same call may be repeated. Any other error is final.
-package operators
+package adminapi
 
 import (
 	"context"
--- a/internal/controlplane/operators/fake_authority_test.go
+++ b/internal/controlplane/adminapi/fake_authority_test.go
@@ -1,4 +1,4 @@
-package operators
+package adminapi
 
 import (
 	"bufio"
--- a/internal/controlplane/coordinator/authority.go
+++ b/internal/controlplane/coordinator/authority.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"oakseam/internal/controlplane/adminapi"
 	"oakseam/internal/controlplane/host"
-	"oakseam/internal/controlplane/operators"
 	"oakseam/internal/controlplane/revisions"
 	"oakseam/internal/tier/protocol"
 	"oakseam/internal/tier/routing"
@@ -16,30 +16,30 @@
 const commandTimeout = 3 * time.Second
 
 // Replace implements operators.Authority.
-func (c *Coordinator) Replace(ctx context.Context, base uint64, body []byte) operators.ReplaceOutcome {
+func (c *Coordinator) Replace(ctx context.Context, base uint64, body []byte) adminapi.ReplaceOutcome {
 	configuration, err := routing.Parse(body)
 	if err != nil {
-		return operators.ReplaceOutcome{Result: operators.ReplaceInvalid, Reason: err.Error()}
+		return adminapi.ReplaceOutcome{Result: adminapi.ReplaceInvalid, Reason: err.Error()}
 	}
 	switch hasReached, err := c.hasReached(ctx, base); {
 	case err != nil:
-		return operators.ReplaceOutcome{Result: operators.ReplaceUncertain}
+		return adminapi.ReplaceOutcome{Result: adminapi.ReplaceUncertain}
 	case !hasReached:
-		return operators.ReplaceOutcome{Result: operators.ReplaceConflict}
+		return adminapi.ReplaceOutcome{Result: adminapi.ReplaceConflict}
 	}
 	change, err := c.newChange(base, configuration.Revision, body)
 	if err != nil {
-		return operators.ReplaceOutcome{Result: operators.ReplaceInvalid, Reason: err.Error()}
+		return adminapi.ReplaceOutcome{Result: adminapi.ReplaceInvalid, Reason: err.Error()}
 	}
 	switch c.execute(ctx, &revisions.Command{Change: change}) {
 	case revisions.Accepted:
-		return operators.ReplaceOutcome{Result: operators.ReplaceAccepted}
+		return adminapi.ReplaceOutcome{Result: adminapi.ReplaceAccepted}
 	case revisions.Conflict:
-		return operators.ReplaceOutcome{Result: operators.ReplaceConflict}
+		return adminapi.ReplaceOutcome{Result: adminapi.ReplaceConflict}
 	case revisions.StaleRevision:
-		return operators.ReplaceOutcome{Result: operators.ReplaceInvalid, Reason: "configRevision: not above the current one"}
+		return adminapi.ReplaceOutcome{Result: adminapi.ReplaceInvalid, Reason: "configRevision: not above the current one"}
 	}
-	return operators.ReplaceOutcome{Result: operators.ReplaceUncertain}
+	return adminapi.ReplaceOutcome{Result: adminapi.ReplaceUncertain}
 }
 
 // newChange builds the log entry for a change from a base that this node has reached.
@@ -97,7 +97,7 @@
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	if err := c.node.ReadBarrier(ctx, protocol.ConfigurationGroup); err != nil {
-		return nil, operators.ErrUnavailable
+		return nil, adminapi.ErrUnavailable
 	}
 	var revision uint64
 	var body []byte
@@ -105,31 +105,31 @@
 		revision, body = m.(*revisions.Machine).Configuration()
 	})
 	if revision == 0 {
-		return nil, operators.ErrNoConfiguration
+		return nil, adminapi.ErrNoConfiguration
 	}
 	return body, nil
 }
 
 // RetireBegin implements operators.Authority.
-func (c *Coordinator) RetireBegin(ctx context.Context, name string, _ time.Duration) operators.RetireOutcome {
+func (c *Coordinator) RetireBegin(ctx context.Context, name string, _ time.Duration) adminapi.RetireOutcome {
 	retirement := &revisions.Retirement{Node: name, MinRemaining: TargetVoters(c.toleratedLosses)}
 	switch c.execute(ctx, &revisions.Command{Retire: retirement}) {
 	case revisions.Accepted:
-		return operators.RetireAccepted
+		return adminapi.RetireAccepted
 	case revisions.UnknownNode:
-		return operators.RetireUnknownNode
+		return adminapi.RetireUnknownNode
 	case revisions.TooFewNodes:
-		return operators.RetireTooFew
+		return adminapi.RetireTooFew
 	}
-	return operators.RetireUncertain
+	return adminapi.RetireUncertain
 }
 
 // RetireShow implements operators.Authority.
-func (c *Coordinator) RetireShow(ctx context.Context, name string) (operators.RetireState, error) {
+func (c *Coordinator) RetireShow(ctx context.Context, name string) (adminapi.RetireState, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	if err := c.node.ReadBarrier(ctx, protocol.ConfigurationGroup); err != nil {
-		return 0, operators.ErrUnavailable
+		return 0, adminapi.ErrUnavailable
 	}
 	var emptied, retiring bool
 	c.node.Host.ReadLocal(protocol.ConfigurationGroup, func(m host.StateMachine) {
@@ -137,9 +137,9 @@
 	})
 	switch {
 	case !retiring:
-		return 0, operators.ErrUnknownNode
+		return 0, adminapi.ErrUnknownNode
 	case emptied:
-		return operators.RetireCompleted, nil
+		return adminapi.RetireCompleted, nil
 	}
-	return operators.RetireInProgress, nil
+	return adminapi.RetireInProgress, nil
 }
--- a/internal/controlplane/coordinator/coordinator_test.go
+++ b/internal/controlplane/coordinator/coordinator_test.go
@@ -9,8 +9,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"oakseam/internal/controlplane/adminapi"
 	"oakseam/internal/controlplane/node"
-	"oakseam/internal/controlplane/operators"
 	"oakseam/internal/controlplane/replica"
 	"oakseam/internal/controlplane/revisions"
 	"oakseam/internal/tier/protocol"
@@ -72,14 +72,14 @@
 	c := newSingleNode(t, true)
 	ctx := t.Context()
 	_, err := c.Show(ctx)
-	assert.ErrorIs(t, err, operators.ErrNoConfiguration)
-	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, operators.ReplaceAccepted)
-	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, operators.ReplaceAccepted, "repeated")
-	assert.Equal(t, c.Replace(ctx, 0, configuration(6)).Result, operators.ReplaceConflict)
-	assert.Equal(t, c.Replace(ctx, 5, configuration(5)).Result, operators.ReplaceInvalid)
-	assert.Equal(t, c.Replace(ctx, 5, []byte("{")).Result, operators.ReplaceInvalid)
-	assert.Equal(t, c.Replace(ctx, 5, configuration(9)).Result, operators.ReplaceAccepted)
-	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, operators.ReplaceAccepted, "repeated while another configuration is in force")
+	assert.ErrorIs(t, err, adminapi.ErrNoConfiguration)
+	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, adminapi.ReplaceAccepted)
+	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, adminapi.ReplaceAccepted, "repeated")
+	assert.Equal(t, c.Replace(ctx, 0, configuration(6)).Result, adminapi.ReplaceConflict)
+	assert.Equal(t, c.Replace(ctx, 5, configuration(5)).Result, adminapi.ReplaceInvalid)
+	assert.Equal(t, c.Replace(ctx, 5, []byte("{")).Result, adminapi.ReplaceInvalid)
+	assert.Equal(t, c.Replace(ctx, 5, configuration(9)).Result, adminapi.ReplaceAccepted)
+	assert.Equal(t, c.Replace(ctx, 0, configuration(5)).Result, adminapi.ReplaceAccepted, "repeated while another configuration is in force")
 	body, err := c.Show(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), string(configuration(9)))
@@ -91,7 +91,7 @@
 	c := newSingleNode(t, true)
 	before, err := c.node.Host.Status(protocol.ConfigurationGroup)
 	assert.NilError(t, err)
-	assert.Equal(t, c.Replace(t.Context(), 7, configuration(8)).Result, operators.ReplaceConflict)
+	assert.Equal(t, c.Replace(t.Context(), 7, configuration(8)).Result, adminapi.ReplaceConflict)
 	after, err := c.node.Host.Status(protocol.ConfigurationGroup)
 	assert.NilError(t, err)
 	assert.Equal(t, after.LastIndex, before.LastIndex)
@@ -103,13 +103,13 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for _, base := range []uint64{0, 7} {
-		assert.Equal(t, c.Replace(ctx, base, configuration(8)).Result, operators.ReplaceUncertain)
+		assert.Equal(t, c.Replace(ctx, base, configuration(8)).Result, adminapi.ReplaceUncertain)
 	}
 	_, err := c.Show(ctx)
-	assert.ErrorIs(t, err, operators.ErrUnavailable)
-	assert.Equal(t, c.RetireBegin(ctx, "s", 0), operators.RetireUncertain)
+	assert.ErrorIs(t, err, adminapi.ErrUnavailable)
+	assert.Equal(t, c.RetireBegin(ctx, "s", 0), adminapi.RetireUncertain)
 	_, err = c.RetireShow(ctx, "s")
-	assert.ErrorIs(t, err, operators.ErrUnavailable)
+	assert.ErrorIs(t, err, adminapi.ErrUnavailable)
 	_, held := (&listerTask{c}).Held()
 	assert.Assert(t, !held)
 }
@@ -129,22 +129,22 @@
 		assert.NilError(t, c.submit(ctx, &revisions.Command{Register: &n}))
 	}
 	_, err := c.RetireShow(ctx, "s0")
-	assert.ErrorIs(t, err, operators.ErrUnknownNode)
-	assert.Equal(t, c.RetireBegin(ctx, "other", 0), operators.RetireUnknownNode)
-	assert.Equal(t, c.RetireBegin(ctx, "s0", 0), operators.RetireAccepted)
-	assert.Equal(t, c.RetireBegin(ctx, "s0", 0), operators.RetireAccepted, "repeated")
-	assert.Equal(t, c.RetireBegin(ctx, "s1", 0), operators.RetireTooFew)
+	assert.ErrorIs(t, err, adminapi.ErrUnknownNode)
+	assert.Equal(t, c.RetireBegin(ctx, "other", 0), adminapi.RetireUnknownNode)
+	assert.Equal(t, c.RetireBegin(ctx, "s0", 0), adminapi.RetireAccepted)
+	assert.Equal(t, c.RetireBegin(ctx, "s0", 0), adminapi.RetireAccepted, "repeated")
+	assert.Equal(t, c.RetireBegin(ctx, "s1", 0), adminapi.RetireTooFew)
 	state, err := c.RetireShow(ctx, "s0")
 	assert.NilError(t, err)
-	assert.Equal(t, state, operators.RetireInProgress, "the partitions are not assigned yet")
+	assert.Equal(t, state, adminapi.RetireInProgress, "the partitions are not assigned yet")
 	assert.NilError(t, c.submit(ctx, &revisions.Command{Assign: &revisions.Assignment{Partitions: [][]replica.NodeID{{1, 2, 3}, {2, 3, 4}}}}))
 	state, err = c.RetireShow(ctx, "s0")
 	assert.NilError(t, err)
-	assert.Equal(t, state, operators.RetireInProgress)
+	assert.Equal(t, state, adminapi.RetireInProgress)
 	assert.NilError(t, c.submit(ctx, &revisions.Command{Membership: &revisions.MembershipUpdate{Partition: 0, Change: 4, Voters: []replica.NodeID{2, 3, 4}}}))
 	state, err = c.RetireShow(ctx, "s0")
 	assert.NilError(t, err)
-	assert.Equal(t, state, operators.RetireCompleted)
+	assert.Equal(t, state, adminapi.RetireCompleted)
 }
 
 func TestNotifierWakesAllWaiters(t *testing.T) {
--- a/internal/fakes/tier/operator.go
+++ b/internal/fakes/tier/operator.go
@@ -12,7 +12,7 @@
 	"github.com/go-faster/errors"
 
 	audit "oakseam/internal/audit/tier"
-	"oakseam/internal/controlplane/operators"
+	"oakseam/internal/controlplane/adminapi"
 	"oakseam/internal/wait"
 )
 
@@ -80,7 +80,7 @@
 
 // send makes one attempt to replace the configuration. It returns the status, 0 if there is none.
 func (o *Operator) send(ctx context.Context, c *audit.Configuration) int {
-	header := http.Header{operators.BaseRevisionHeader: {strconv.FormatUint(c.Base, 10)}}
+	header := http.Header{adminapi.BaseRevisionHeader: {strconv.FormatUint(c.Base, 10)}}
 	status, _ := o.call(ctx, http.MethodPost, "/api/Configuration.Replace", header, c.Body)
 	return status
 }
