--- a/internal/controlplane/replica/simulation_setup_test.go
+++ b/internal/controlplane/replica/simulation_setup_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/controlplane/simulated"
+	"oakseam/internal/controlplane/virtualclock"
 )
 
 // The simulation runs a group on a virtual clock: nodes with disks and drifting clocks, a network with faults, a
@@ -44,7 +44,7 @@
 // simulation is the state of one simulation.
 type simulation struct {
 	options
-	*simulated.Clock
+	*virtualclock.Clock
 	nodes        []*node // in the order of their IDs
 	net          network
 	checker      *checker
@@ -63,7 +63,7 @@
 func newSimulation(o options) *simulation {
 	s := &simulation{
 		options:      o,
-		Clock:        simulated.NewClock(o.seed, 0x7eed, maxEvents),
+		Clock:        virtualclock.NewClock(o.seed, 0x7eed, maxEvents),
 		checker:      newChecker(),
 		faultsActive: true,
 	}
--- a/internal/controlplane/simulation/world_test.go
+++ b/internal/controlplane/simulation/world_test.go
@@ -9,7 +9,7 @@
 
 	"oakseam/internal/controlplane/node"
 	"oakseam/internal/controlplane/replica"
-	"oakseam/internal/controlplane/simulated"
+	"oakseam/internal/controlplane/virtualclock"
 	"oakseam/internal/tier/protocol"
 )
 
@@ -70,7 +70,7 @@
 
 // world is one simulation: nodes, a network, faults and a workload.
 type world struct {
-	*simulated.Clock
+	*virtualclock.Clock
 	bugs                bugs
 	workload            workload
 	class               protocol.Class
@@ -115,7 +115,7 @@
 }
 
 func newWorld(seed uint64, class protocol.Class, injected bugs) *world {
-	w := &world{Clock: simulated.NewClock(seed, 0xba20, maxEvents), class: class, bugs: injected, faultsEnabled: true, toleratedDiskLosses: 1}
+	w := &world{Clock: virtualclock.NewClock(seed, 0xba20, maxEvents), class: class, bugs: injected, faultsEnabled: true, toleratedDiskLosses: 1}
 	w.Describe = w.describe
 	w.network = network{world: w, cutLinks: map[link]bool{}, linkLossRate: map[link]float64{}}
 	w.compactAfter = 3 + w.Random.IntN(60)
--- a/internal/controlplane/simulated/clock.go
+++ b/internal/controlplane/virtualclock/clock.go
@@ -1,6 +1,6 @@
-// Package simulated provides the virtual clock of the control plane's simulations: an event queue,
+// Package virtualclock provides the virtual clock of the control plane's simulations: an event queue,
 // random draws from one seed, and the first failure. It is for tests only.
-package simulated
+package virtualclock
 
 import (
 	"container/heap"
--- a/internal/controlplane/simulated/clock_test.go
+++ b/internal/controlplane/virtualclock/clock_test.go
@@ -1,4 +1,4 @@
-package simulated
+package virtualclock
 
 import (
 	"slices"
