--- a/cmd/oakseam/harness_test.go
+++ b/cmd/oakseam/harness_test.go
@@ -276,7 +276,7 @@
 	n.waitUntil(name+" is "+want, func() bool { return n.counter(name) == want })
 }
 
-// Short names for the fake backends of package standin.
+// Short names for the fake backends of package fakes.
 type request = fakes.Request
 
 var (
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
 // Command simhost runs instances of the decision module for the simulator. It reads batches of
 // events on standard input and writes one reply for each batch on standard output, in the line
-// protocol of package wire. The instances share no state.
+// protocol of package simproto. The instances share no state.
 package main
 
 import (
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -282,7 +282,7 @@
 	}
 	c.Settings.ConnIdle = cmp.Or(c.Settings.ConnIdle, defaultConnIdle)
 	c.RetryAfter = c.Settings.MaxRetryAfter
-	// The only setting that wire.Settings does not read: only a real node needs it.
+	// The only setting that simproto.Settings does not read: only a real node needs it.
 	const key = "limits.connect-timeout-us"
 	c.ConnectTimeout = defaultConnectTimeout
 	for part := range strings.SplitSeq(settings, " ") {
@@ -301,7 +301,7 @@
 }
 
 // FlattenSettings flattens nested settings to the path=value pairs of the simulator's
-// first message, which internal/wire reads.
+// first message, which internal/simproto reads.
 func FlattenSettings(raw json.RawMessage) (string, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber() // keeps the digits as they were written
--- a/internal/controlplane/coordinator/authority.go
+++ b/internal/controlplane/coordinator/authority.go
@@ -15,7 +15,7 @@
 // second goes on to another node.
 const commandTimeout = 3 * time.Second
 
-// Replace implements operators.Authority.
+// Replace implements adminapi.Authority.
 func (c *Coordinator) Replace(ctx context.Context, base uint64, body []byte) adminapi.ReplaceOutcome {
 	configuration, err := routing.Parse(body)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return result
 }
 
-// Show implements operators.Authority.
+// Show implements adminapi.Authority.
 func (c *Coordinator) Show(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
@@ -110,7 +110,7 @@
 	return body, nil
 }
 
-// RetireBegin implements operators.Authority.
+// RetireBegin implements adminapi.Authority.
 func (c *Coordinator) RetireBegin(ctx context.Context, name string, _ time.Duration) adminapi.RetireOutcome {
 	retirement := &revisions.Retirement{Node: name, MinRemaining: TargetVoters(c.toleratedLosses)}
 	switch c.execute(ctx, &revisions.Command{Retire: retirement}) {
@@ -124,7 +124,7 @@
 	return adminapi.RetireUncertain
 }
 
-// RetireShow implements operators.Authority.
+// RetireShow implements adminapi.Authority.
 func (c *Coordinator) RetireShow(ctx context.Context, name string) (adminapi.RetireState, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
--- a/internal/controlplane/simulation/follower_test.go
+++ b/internal/controlplane/simulation/follower_test.go
@@ -27,7 +27,7 @@
 	firstFollower = firstClient + 100
 )
 
-// startTime is the wall clock time at which a simulation starts. Package follow needs one.
+// startTime is the wall clock time at which a simulation starts. Package watch needs one.
 var startTime = time.Unix(1_700_000_000, 0)
 
 // watchRequest is a follower's request: see protocol.WatchArgs.
@@ -83,7 +83,7 @@
 	return r
 }
 
-// follower is a process that follows the core nodes, like follow.Follower. It may crash and start
+// follower is a process that follows the core nodes, like watch.Follower. It may crash and start
 // again; it has no durable state.
 type follower struct {
 	workload    *configurationWorkload
--- a/internal/controlplane/simulation/turns_test.go
+++ b/internal/controlplane/simulation/turns_test.go
@@ -254,7 +254,7 @@
 	})
 }
 
-// propose proposes a command to a node's member of a partition, as package keeper does.
+// propose proposes a command to a node's member of a partition, as package storage does.
 func (s *turnsWorkload) propose(n *simulatedNode, partition int, c *turns.Command, done func(protocol.TurnOutcome, replica.NodeID)) {
 	m := n.member(protocol.TurnGroup(partition))
 	if m == nil {
--- a/internal/fakes/tier/machine.go
+++ b/internal/fakes/tier/machine.go
@@ -43,7 +43,7 @@
 type Machine struct {
 	Name          string
 	Serves        settings.Service
-	Program       string // the path of anemometer or barograph
+	Program       string // the path of oakseam-edge or oakseam-control
 	Command       string // of the program
 	IP            string
 	Zone          string
--- a/internal/fleet/lists.go
+++ b/internal/fleet/lists.go
@@ -35,7 +35,7 @@
 	node  int
 }
 
-// List implements standin.ListSource.
+// List implements fakes.ListSource.
 func (l *listSource) List() (fakes.List, bool) {
 	got, ok := l.fleet.live.FetchList(l.node)
 	if !ok {
@@ -44,7 +44,7 @@
 	return l.fleet.convertList(l.node, got), true
 }
 
-// Next implements standin.ListSource.
+// Next implements fakes.ListSource.
 func (l *listSource) Next(rev int64, stop <-chan struct{}) (fakes.List, bool) {
 	got, ok := l.fleet.live.WaitForChanges(l.node, rev, stop)
 	if !ok {
@@ -53,7 +53,7 @@
 	return l.fleet.convertList(l.node, got), true
 }
 
-// Delivered implements standin.ListSource.
+// Delivered implements fakes.ListSource.
 func (l *listSource) Delivered(list fakes.List) {
 	entries, err := list.Backends()
 	if err != nil {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -24,7 +24,7 @@
 // gossipInterval is how often a node sends news to a random other node.
 const gossipInterval = 200 * time.Millisecond
 
-// message is the encoding of a member.Message.
+// message is the encoding of a membership.Message.
 type message struct {
 	_     struct{} `cbor:",toarray"`
 	Kind  uint8
--- a/internal/tier/jsonlog/limiter.go
+++ b/internal/tier/jsonlog/limiter.go
@@ -98,7 +98,7 @@
 
 // Allow calls Limiter.Allow of the Limiter shared by the whole process:
 //
-//	if skipped, ok := journal.Allow("dial "+address, time.Second); ok {
+//	if skipped, ok := jsonlog.Allow("dial "+address, time.Second); ok {
 //		klog.ErrorS(err, "dial failed", "address", address, "skipped", skipped)
 //	}
 func Allow(key string, interval time.Duration) (skipped int, ok bool) {
--- a/internal/tier/protocol/protocol.go
+++ b/internal/tier/protocol/protocol.go
@@ -207,7 +207,7 @@
 }
 
 // ConfigurationStep changes the configuration at revision Base to the one at Revision. Patch
-// is a patch of package patch. Base 0 means that the patch holds the whole configuration.
+// is a patch of package delta. Base 0 means that the patch holds the whole configuration.
 type ConfigurationStep struct {
 	Base     uint64
 	Revision uint64
--- a/internal/tier/scaletest/scaletest.go
+++ b/internal/tier/scaletest/scaletest.go
@@ -97,7 +97,7 @@
 }
 
 // EncodedSize returns the size of a message on a connection that has carried its type before.
-// It is encoded with gob, as in package link, without the frame of about 8 bytes.
+// It is encoded with gob, as in package rpc, without the frame of about 8 bytes.
 func EncodedSize(message any) int {
 	var stream bytes.Buffer
 	encoder := gob.NewEncoder(&stream)
