--- a/cmd/oaklab/fault.go
+++ b/cmd/oaklab/fault.go
@@ -153,7 +153,7 @@
 		fmt.Fprintf(w, "steady again %.0f s after the return\n", s.SteadyAfterS)
 	}
 	for _, r := range s.RejectedByWorth {
-		fmt.Fprintf(w, "refused %-12s %6d of %6d (%.3f), worth %g, %.0f a second of work\n", r.Class, r.Rejected, r.Asked, r.Share, r.Worth, r.PerWork)
+		fmt.Fprintf(w, "refused %-12s %6d of %6d (%.3f), worth %g, %.0f a second of work\n", r.Class, r.Rejected, r.Operations, r.Share, r.Worth, r.PerWork)
 	}
 	fmt.Fprintf(w, "return overshoot %.2f of the capacity, %.2f fells\n", s.ReturnOvershoot, s.OvershootLimit)
 	printEnd(w, &s.RunSummary, "")
@@ -177,7 +177,7 @@
 func printEnd(w io.Writer, d *fault.RunSummary, more string) {
 	fmt.Fprintf(w, "rules broken: unanswered %d, double effects %d, late drain sends %d, felled backends %d%s\n",
 		d.Unanswered, d.DuplicateEffects, d.LateDrainSends, d.OverloadedBackends, more)
-	for _, h := range d.Happened {
+	for _, h := range d.FaultEvents {
 		fmt.Fprintf(w, "%9.2f s  %s %s\n", h.AtSeconds, h.Kind, h.Target)
 	}
 }
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -29,8 +29,8 @@
 	LateDrainSends     int    `json:"late_drain_sends"`
 	OverloadedBackends int    `json:"felled_backends"`
 
-	Happened []emulator.FaultEvent  `json:"happened"`
-	Seconds  []emulator.SecondStats `json:"seconds"`
+	FaultEvents []emulator.FaultEvent  `json:"happened"`
+	Seconds     []emulator.SecondStats `json:"seconds"`
 }
 
 // Clean reports whether no rule was broken.
@@ -42,22 +42,22 @@
 func newRunSummary(r *emulator.Result, execution string) RunSummary {
 	return RunSummary{Scenario: r.Scenario, Seed: r.Seed, Execution: execution, Nodes: r.Nodes, Backends: r.Backends, Requests: r.Operations,
 		Unanswered: r.Rules.Unanswered, DuplicateEffects: r.Rules.DuplicateEffects, LateDrainSends: r.Rules.LateDrainSends,
-		OverloadedBackends: r.Rules.OverloadedBackends, Happened: r.FaultEvents, Seconds: r.Seconds}
+		OverloadedBackends: r.Rules.OverloadedBackends, FaultEvents: r.FaultEvents, Seconds: r.Seconds}
 }
 
 // Rejection holds how much of one class was rejected.
 type Rejection struct {
-	Class    string  `json:"class"`
-	Worth    float64 `json:"worth"`
-	PerWork  float64 `json:"worth_per_work"` // worth per second of work
-	Asked    int     `json:"asked"`
-	Rejected int     `json:"refused"` // operations whose last request was rejected
-	Share    float64 `json:"part"`
+	Class      string  `json:"class"`
+	Worth      float64 `json:"worth"`
+	PerWork    float64 `json:"worth_per_work"` // worth per second of work
+	Operations int     `json:"asked"`
+	Rejected   int     `json:"refused"` // operations whose last request was rejected
+	Share      float64 `json:"part"`
 }
 
 // SiteLoss is the report of a run in which a site was lost. Each G is the earned share of the worth
 // offered in that part of the run. Each ideal is the share that an estimate from capacity alone would
-// have earned (see the seconds of emulator.Result).
+// have earned (see emulator.SecondStats).
 type SiteLoss struct {
 	RunSummary
 	RejectedByWorth []Rejection `json:"refused_by_worth"` // ordered by worth per work, lowest first
@@ -166,11 +166,11 @@
 	for i := range sc.Classes {
 		c := &sc.Classes[i]
 		got := r.Classes[c.Name]
-		f := Rejection{Class: c.Name, Worth: c.Worth.From, PerWork: c.Worth.From / c.WorkMS.From * 1000, Asked: got.Operations, Rejected: got.Rejected}
-		if f.Asked > 0 {
-			f.Share = float64(f.Rejected) / float64(f.Asked)
+		rejection := Rejection{Class: c.Name, Worth: c.Worth.From, PerWork: c.Worth.From / c.WorkMS.From * 1000, Operations: got.Operations, Rejected: got.Rejected}
+		if rejection.Operations > 0 {
+			rejection.Share = float64(rejection.Rejected) / float64(rejection.Operations)
 		}
-		s.RejectedByWorth = append(s.RejectedByWorth, f)
+		s.RejectedByWorth = append(s.RejectedByWorth, rejection)
 	}
 	slices.SortStableFunc(s.RejectedByWorth, func(a, b Rejection) int { return cmp.Compare(a.PerWork, b.PerWork) })
 	// The result's seconds begin one second after the clients do. A second in which a loss begins or
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -13,9 +13,9 @@
 	"pipitmux/logic"
 )
 
-// Backend implements emulator.Outside. It starts the machines of new backends, one for each node, and
+// SetBackend implements emulator.Environment. It starts the machines of new backends, one for each node, and
 // sets the state of a backend's machines.
-func (f *fleet) SetBackend(number int, how emulator.MachineState) {
+func (f *fleet) SetBackend(number int, state emulator.MachineState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for len(f.machines) <= number {
@@ -32,7 +32,7 @@
 		f.machines = append(f.machines, machines)
 	}
 	for i, m := range f.machines[number] {
-		switch how {
+		switch state {
 		case emulator.Up:
 			if err := m.Up(); err != nil {
 				f.live.Fail(fmt.Errorf("backend %d can't listen again: %w", number, err))
@@ -48,7 +48,7 @@
 	}
 }
 
-// Cut implements emulator.Outside. It makes a backend unreachable for one node, or reachable again.
+// SetPartition implements emulator.Environment. It makes a backend unreachable for one node, or reachable again.
 func (f *fleet) SetPartition(node, backend int, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/clients.go
+++ b/internal/fleet/clients.go
@@ -17,16 +17,16 @@
 	"pipitmux/logic"
 )
 
-// Send implements emulator.Outside. It sends a request to the node that the model chose.
-func (f *fleet) SendRequest(t emulator.ClientRequest) {
-	f.background.Go(func() { f.live.RequestDone(t.ID, f.send(t)) })
+// SendRequest implements emulator.Environment. It sends a request to the node that the model chose.
+func (f *fleet) SendRequest(request emulator.ClientRequest) {
+	f.background.Go(func() { f.live.RequestDone(request.ID, f.send(request)) })
 }
 
 // send sends a request on an idle connection or a new one, and waits for the response until the
 // client's timeout.
-func (f *fleet) send(t emulator.ClientRequest) emulator.RequestOutcome {
-	n := f.nodes[t.Node]
-	deadline := time.Now().Add(t.Timeout + socketSlack + 20*time.Millisecond)
+func (f *fleet) send(request emulator.ClientRequest) emulator.RequestOutcome {
+	n := f.nodes[request.Node]
+	deadline := time.Now().Add(request.Timeout + socketSlack + 20*time.Millisecond)
 	epoch := n.currentEpoch()
 	c := n.takeIdle()
 	reused := c != nil
@@ -37,11 +37,11 @@
 				return emulator.RequestOutcome{Answer: audit.NoAnswer}
 			}
 		}
-		v, closed := f.exchange(n, c, t, deadline)
+		outcome, closed := f.exchange(n, c, request, deadline)
 		// The node closed an idle connection while the request was on its way. It has not read the
 		// request, so the client sends it once more. A node that was killed may have read it.
 		if !closed || !reused || n.currentEpoch() != epoch {
-			return v
+			return outcome
 		}
 		c, reused = nil, false
 	}
@@ -50,7 +50,7 @@
 // exchange sends a request on a connection and reads the response. closed means that sending
 // failed or that the connection ended before any byte of the response; a timeout of the response
 // doesn't count.
-func (f *fleet) exchange(n *node, c net.Conn, t emulator.ClientRequest, deadline time.Time) (v emulator.RequestOutcome, closed bool) {
+func (f *fleet) exchange(n *node, c net.Conn, request emulator.ClientRequest, deadline time.Time) (outcome emulator.RequestOutcome, closed bool) {
 	c.SetDeadline(deadline)
 	stop := make(chan struct{})
 	defer close(stop)
@@ -63,22 +63,22 @@
 	}()
 	var b bytes.Buffer
 	method := http.MethodPost
-	if t.Class.Effect == logic.Safe {
+	if request.Class.Effect == logic.Safe {
 		method = http.MethodGet
 	}
 	fmt.Fprintf(&b, "%s /api HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: %s\r\nX-Service-Class: %s\r\nX-Time-Left: %du\r\n",
-		method, t.ID, t.Class.Name, max(t.Timeout.Microseconds(), 1))
-	if t.Key != "" {
-		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", t.Key)
+		method, request.ID, request.Class.Name, max(request.Timeout.Microseconds(), 1))
+	if request.Key != "" {
+		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", request.Key)
 	}
-	if t.Retry {
+	if request.Retry {
 		b.WriteString("X-Repeat: 1\r\n")
 	}
 	if method == http.MethodPost {
 		b.WriteString("Content-Length: 0\r\n")
 	}
 	b.WriteString("\r\n")
-	f.live.RequestStarted(t.ID, t.Timeout)
+	f.live.RequestStarted(request.ID, request.Timeout)
 	if _, err := c.Write(b.Bytes()); err != nil {
 		c.Close()
 		return emulator.RequestOutcome{Answer: audit.NoAnswer}, true
@@ -103,19 +103,19 @@
 		n.keepIdle(c)
 	}
 	switch {
-	case res.StatusCode == http.StatusOK && string(body) == "for "+t.ID:
-		v.Answer = audit.Served
+	case res.StatusCode == http.StatusOK && string(body) == "for "+request.ID:
+		outcome.Answer = audit.Served
 	case res.StatusCode == http.StatusOK:
-		v.Answer, v.FullySent = audit.NoAnswer, true // the response to another request
+		outcome.Answer, outcome.FullySent = audit.NoAnswer, true // the response to another request
 	case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests:
-		v.Answer = audit.Rejected
+		outcome.Answer = audit.Rejected
 		if s, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil {
-			v.RetryAfter = time.Duration(s * float64(time.Second))
+			outcome.RetryAfter = time.Duration(s * float64(time.Second))
 		}
 	default:
-		v.Answer = audit.Failed
+		outcome.Answer = audit.Failed
 	}
-	return v, false
+	return outcome, false
 }
 
 // timedOut reports whether an error is a timeout.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -83,7 +83,7 @@
 	return f.live.Run(ctx, f, opt.Progress)
 }
 
-// fleet implements emulator.Outside with processes and sockets.
+// fleet implements emulator.Environment with processes and sockets.
 type fleet struct {
 	opt      Options
 	dir      string
@@ -141,7 +141,7 @@
 	f.background.Wait()
 }
 
-// Start implements emulator.Outside. It starts a node's process in the background.
+// StartNode implements emulator.Environment. It starts a node's process in the background.
 func (f *fleet) StartNode(number int, rev int64, known []core.Backend) {
 	n := f.nodes[number]
 	n.mu.Lock()
@@ -249,7 +249,7 @@
 	}
 }
 
-// Kill implements emulator.Outside. It kills a node's process.
+// KillNode implements emulator.Environment. It kills a node's process.
 func (f *fleet) KillNode(number int) {
 	if process := f.nodes[number].detach(); process != nil {
 		process.Signal(os.Kill)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -52,10 +52,10 @@
 			defer m.Close()
 			n.reservation = &standin.ReservedAddress{Addr: m.Addr}
 			f := &fleet{live: emulator.NewLiveRun(sc, 1), frontend: frontend, nodes: []*node{n}, quit: make(chan struct{})}
-			try := emulator.ClientRequest{ID: "1", Class: logic.Class{Effect: logic.Unsafe}, Timeout: 10 * time.Second}
-			assert.Equal(t, emulator.RequestOutcome{Answer: audit.Served}, f.send(try))
-			try.ID = "2"
-			v := f.send(try)
+			request := emulator.ClientRequest{ID: "1", Class: logic.Class{Effect: logic.Unsafe}, Timeout: 10 * time.Second}
+			assert.Equal(t, emulator.RequestOutcome{Answer: audit.Served}, f.send(request))
+			request.ID = "2"
+			v := f.send(request)
 			var ids []string
 			for len(received) > 0 { // each id was sent before the client got its response or the close
 				ids = append(ids, <-received)
