--- a/internal/tier/rpc/codec.go
+++ b/internal/tier/rpc/codec.go
@@ -3,7 +3,7 @@
 import (
 	"bufio"
 	"net"
-	"net/rpc"
+	netrpc "net/rpc"
 	"os"
 	"sync"
 	"time"
@@ -14,7 +14,7 @@
 // readBufferBytes is the size of a connection's read buffer.
 const readBufferBytes = 16 << 10
 
-// serverCodec implements rpc.ServerCodec for a connection. net/rpc reads from
+// serverCodec implements netrpc.ServerCodec for a connection. net/rpc reads from
 // one goroutine and writes responses one at a time.
 type serverCodec struct {
 	socket net.Conn
@@ -34,7 +34,7 @@
 	callBytes  map[uint64]int // reserved for the calls in progress, by sequence
 }
 
-var _ rpc.ServerCodec = (*serverCodec)(nil)
+var _ netrpc.ServerCodec = (*serverCodec)(nil)
 
 func newServerCodec(socket net.Conn, limits Limits, bytes *byteBudget) *serverCodec {
 	codec := &serverCodec{
@@ -51,7 +51,7 @@
 }
 
 // ReadRequestHeader waits until another call is allowed and reads its header.
-func (c *serverCodec) ReadRequestHeader(request *rpc.Request) error {
+func (c *serverCodec) ReadRequestHeader(request *netrpc.Request) error {
 	c.slots <- struct{}{}
 	if err := c.awaitFrame(); err != nil {
 		return err
@@ -100,7 +100,7 @@
 
 // WriteResponse answers a call, whose arguments are no longer needed, and
 // allows the next one. If it fails, it closes the connection.
-func (c *serverCodec) WriteResponse(response *rpc.Response, body any) error {
+func (c *serverCodec) WriteResponse(response *netrpc.Response, body any) error {
 	defer func() { <-c.slots }()
 	c.releaseCall(response.Seq)
 	frame, err := c.encodeResponse(response, body)
@@ -118,7 +118,7 @@
 
 // encodeResponse returns the frame of a response. If the reply cannot be
 // encoded, the response carries the encoding error.
-func (c *serverCodec) encodeResponse(response *rpc.Response, body any) ([]byte, error) {
+func (c *serverCodec) encodeResponse(response *netrpc.Response, body any) ([]byte, error) {
 	if response.Error == "" {
 		frame, err := c.encoder.frame(header{sequence: response.Seq}, body)
 		if err == nil {
@@ -131,7 +131,7 @@
 
 func (c *serverCodec) fail(err error) error {
 	_ = c.socket.Close()
-	return errors.Wrap(err, "link: respond")
+	return errors.Wrap(err, "rpc: respond")
 }
 
 // Close closes the connection and releases the bytes reserved for its calls.
--- a/internal/tier/rpc/errors.go
+++ b/internal/tier/rpc/errors.go
@@ -11,28 +11,28 @@
 // call was not executed and will not be.
 var (
 	// ErrUnreachable means that the call was never written.
-	ErrUnreachable = errors.New("link: unreachable")
+	ErrUnreachable = errors.New("rpc: unreachable")
 	// ErrBackoff means that no dial was tried because another one failed
 	// recently.
-	ErrBackoff = errors.New("link: waiting after a failed dial")
+	ErrBackoff = errors.New("rpc: waiting after a failed dial")
 	// ErrForgotten means that Forget or Close closed the connection.
-	ErrForgotten = errors.New("link: address forgotten")
+	ErrForgotten = errors.New("rpc: address forgotten")
 	// ErrTooLarge means that a message exceeds the size limit.
-	ErrTooLarge = errors.New("link: message too large")
+	ErrTooLarge = errors.New("rpc: message too large")
 	// ErrOverloaded means that the byte limit of all pending messages is
 	// reached.
-	ErrOverloaded = errors.New("link: too many bytes in flight")
+	ErrOverloaded = errors.New("rpc: too many bytes in flight")
 	// ErrMalformed means that a message is not a valid frame.
-	ErrMalformed = errors.New("link: malformed message")
+	ErrMalformed = errors.New("rpc: malformed message")
 	// ErrServerClosed is returned by Serve after Close.
-	ErrServerClosed = errors.New("link: server closed")
+	ErrServerClosed = errors.New("rpc: server closed")
 	// ErrReplyType means that the reply argument is not a non-nil pointer.
-	ErrReplyType = errors.New("link: reply is not a pointer")
+	ErrReplyType = errors.New("rpc: reply is not a pointer")
 
 	// errNoBody means that a message lacks the expected body.
-	errNoBody = errors.New("link: no body")
+	errNoBody = errors.New("rpc: no body")
 	// errRetired is the cause when a replaced connection closes.
-	errRetired = errors.New("link: connection replaced")
+	errRetired = errors.New("rpc: connection replaced")
 )
 
 // UnreachableError reports a call that was never written. It matches
@@ -64,7 +64,7 @@
 
 // Error returns a message with the address, the method and the cause.
 func (e *UncertainError) Error() string {
-	return fmt.Sprintf("link: no answer from %s to %s: %v", e.Address, e.Method, e.Cause)
+	return fmt.Sprintf("rpc: no answer from %s to %s: %v", e.Address, e.Method, e.Cause)
 }
 
 // Unwrap returns the cause.
@@ -79,5 +79,5 @@
 
 // Error returns the service's error text, preceded by method and address.
 func (e *RemoteError) Error() string {
-	return fmt.Sprintf("link: %s at %s: %s", e.Method, e.Address, e.Text)
+	return fmt.Sprintf("rpc: %s at %s: %s", e.Method, e.Address, e.Text)
 }
--- a/internal/tier/rpc/rpc.go
+++ b/internal/tier/rpc/rpc.go
@@ -42,7 +42,7 @@
 	config := net.ListenConfig{Control: setUserTimeout, KeepAliveConfig: keepAlive}
 	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
-		return nil, errors.Wrap(err, "link: listen")
+		return nil, errors.Wrap(err, "rpc: listen")
 	}
 	return listener, nil
 }
--- a/internal/tier/rpc/server.go
+++ b/internal/tier/rpc/server.go
@@ -3,7 +3,7 @@
 import (
 	"maps"
 	"net"
-	"net/rpc"
+	netrpc "net/rpc"
 	"slices"
 	"sync"
 	"syscall"
@@ -46,7 +46,7 @@
 
 // Server serves net/rpc services. It is safe for concurrent use.
 type Server struct {
-	services *rpc.Server
+	services *netrpc.Server
 	limits   Limits
 	bytes    byteBudget
 	closing  chan struct{}
@@ -66,7 +66,7 @@
 // NewLimitedServer is like NewServer, with the given Limits.
 func NewLimitedServer(services map[string]any, limits Limits) (*Server, error) {
 	server := &Server{
-		services:  rpc.NewServer(),
+		services:  netrpc.NewServer(),
 		limits:    limits.withDefaults(),
 		closing:   make(chan struct{}),
 		listeners: make(map[net.Listener]struct{}),
@@ -75,10 +75,10 @@
 	server.bytes.available = server.limits.TotalBytes
 	for _, name := range slices.Sorted(maps.Keys(services)) {
 		if services[name] == nil {
-			return nil, errors.Errorf("link: service %s is nil", name)
+			return nil, errors.Errorf("rpc: service %s is nil", name)
 		}
 		if err := server.services.RegisterName(name, services[name]); err != nil {
-			return nil, errors.Wrapf(err, "link: service %s", name)
+			return nil, errors.Wrapf(err, "rpc: service %s", name)
 		}
 	}
 	return server, nil
@@ -127,7 +127,7 @@
 	case <-s.closing:
 		return ErrServerClosed
 	default:
-		return errors.Wrap(err, "link: accept")
+		return errors.Wrap(err, "rpc: accept")
 	}
 }
 
--- a/internal/tier/rpc/server_test.go
+++ b/internal/tier/rpc/server_test.go
@@ -6,7 +6,7 @@
 	"encoding/binary"
 	"io"
 	"net"
-	"net/rpc"
+	netrpc "net/rpc"
 	"os"
 	"sync"
 	"syscall"
@@ -280,7 +280,7 @@
 	f.Add([]byte{0, 0, 0, 6, flagRestart, 1, 0, 0xfe, 0x7f, 0xff})
 	f.Fuzz(func(t *testing.T, sent []byte) {
 		const total = 1 << 16
-		services := rpc.NewServer()
+		services := netrpc.NewServer()
 		assert.NilError(t, services.Register(Echo{}))
 		shared := &byteBudget{available: total}
 		limits := Limits{MessageBytes: 1 << 14}.withDefaults()
--- a/internal/tier/rpc/stream.go
+++ b/internal/tier/rpc/stream.go
@@ -43,7 +43,7 @@
 func (e *encoder) encode(body any) error {
 	if body != nil {
 		if err := e.stream.Encode(body); err != nil {
-			return errors.Wrap(err, "link: encode")
+			return errors.Wrap(err, "rpc: encode")
 		}
 	}
 	if e.buffer.Len()-prefixBytes > e.limit {
@@ -105,7 +105,7 @@
 		}
 	}()
 	if err := stream.Decode(into); err != nil {
-		return errors.Wrap(err, "link: decode")
+		return errors.Wrap(err, "rpc: decode")
 	}
 	return nil
 }
