--- a/cmd/oakseam-control/main.go
+++ b/cmd/oakseam-control/main.go
@@ -92,27 +92,27 @@
 	if err != nil {
 		return err
 	}
-	var running atomic.Pointer[storage.Keeper]
+	var running atomic.Pointer[storage.Node]
 	options.OnUnknownGroup = func(group replica.GroupID) bool {
-		k := running.Load()
-		return k != nil && k.JoinGroup(group)
+		storageNode := running.Load()
+		return storageNode != nil && storageNode.JoinGroup(group)
 	}
 	n, err := node.Open(options)
 	if err != nil {
 		return err
 	}
 	defer n.Close()
-	k, err := storage.New(storage.Options{Node: n, Name: s.NodeName, ToleratedLosses: s.FaultTolerance.MachineLosses, Seeds: options.Seeds})
+	storageNode, err := storage.New(storage.Options{Node: n, Name: s.NodeName, ToleratedLosses: s.FaultTolerance.MachineLosses, Seeds: options.Seeds})
 	if err != nil {
 		return err
 	}
-	running.Store(k)
+	running.Store(storageNode)
 	l, err := rpc.Listen(options.Address)
 	if err != nil {
 		return errors.Wrap(err, "listen for other processes")
 	}
 	klog.InfoS("Replicating turns", "id", n.Self.ID, "address", options.Address)
-	return ignoreShutdown(ctx, k.Run(ctx, l))
+	return ignoreShutdown(ctx, storageNode.Run(ctx, l))
 }
 
 // ignoreShutdown returns nil if the process was asked to end, otherwise the error.
--- a/internal/controlplane/storage/calls.go
+++ b/internal/controlplane/storage/calls.go
@@ -13,7 +13,7 @@
 )
 
 // turnsService serves the calls of data plane nodes to a storage node.
-type turnsService struct{ keeper *Keeper }
+type turnsService struct{ storage *Node }
 
 // Admit reserves a turn's tokens and returns the history it continues.
 func (s *turnsService) Admit(args *protocol.AdmitArgs, reply *protocol.AdmitReply) error {
@@ -24,7 +24,7 @@
 		Program: args.Program, Attempt: args.Attempt, Previous: args.Previous, Imported: args.Imported,
 		Budget: args.Budget, MaxTokens: args.Most, Retention: args.Keep, Token: args.Token,
 	}
-	result, err := s.keeper.propose(ctx, group, &turns.Command{Admit: admission})
+	result, err := s.storage.propose(ctx, group, &turns.Command{Admit: admission})
 	if reply.Outcome, reply.Owner = outcomeOf(result, err); reply.Outcome != protocol.TurnGranted {
 		return nil
 	}
@@ -32,7 +32,7 @@
 		return nil
 	}
 	found := false
-	s.keeper.node.Host.ReadLocal(group, func(m host.StateMachine) { reply.History, found = m.(*turns.Machine).History(args.Previous) })
+	s.storage.node.Host.ReadLocal(group, func(m host.StateMachine) { reply.History, found = m.(*turns.Machine).History(args.Previous) })
 	if !found {
 		reply.Outcome = protocol.TurnNotFound
 	}
@@ -48,7 +48,7 @@
 		Program: args.Program, Attempt: args.Attempt, Complete: args.Whole, Tokens: args.Tokens, Previous: args.Previous,
 		Imported: args.Imported, Input: args.Input, Output: args.Output, Retention: args.Keep, Token: args.Token,
 	}
-	result, err := s.keeper.propose(ctx, group, &turns.Command{Finish: completion})
+	result, err := s.storage.propose(ctx, group, &turns.Command{Finish: completion})
 	reply.Outcome, reply.Owner = outcomeOf(result, err)
 	return nil
 }
@@ -57,12 +57,12 @@
 func (s *turnsService) Find(args *protocol.FindArgs, reply *protocol.FindReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), args.Within)
 	defer cancel()
-	for _, partition := range s.keeper.partitions() {
-		status, err := s.keeper.node.Host.Status(protocol.TurnGroup(partition))
+	for _, partition := range s.storage.partitions() {
+		status, err := s.storage.node.Host.Status(protocol.TurnGroup(partition))
 		if err != nil || !status.LeaderReady {
 			continue
 		}
-		err = s.keeper.node.Host.Read(ctx, protocol.TurnGroup(partition), func(m host.StateMachine) {
+		err = s.storage.node.Host.Read(ctx, protocol.TurnGroup(partition), func(m host.StateMachine) {
 			if history, found := m.(*turns.Machine).History(args.Attempt); found {
 				reply.Found, reply.History = true, history
 			}
@@ -79,12 +79,12 @@
 }
 
 // propose proposes a command to a partition's group on this node.
-func (k *Keeper) propose(ctx context.Context, group replica.GroupID, command *turns.Command) (turns.Result, error) {
+func (n *Node) propose(ctx context.Context, group replica.GroupID, command *turns.Command) (turns.Result, error) {
 	text, err := command.Encode()
 	if err != nil {
 		return 0, err
 	}
-	reply, err := k.node.Host.Propose(ctx, group, text)
+	reply, err := n.node.Host.Propose(ctx, group, text)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/controlplane/storage/storage.go
+++ b/internal/controlplane/storage/storage.go
@@ -37,8 +37,8 @@
 	submitTimeout = 2 * time.Second
 )
 
-// Keeper is a storage node.
-type Keeper struct {
+// Node is a storage node.
+type Node struct {
 	node            *node.Node
 	toleratedLosses int
 	follower        *watch.Follower
@@ -49,7 +49,7 @@
 	reported       map[int]uint64 // not read: membership changes that were reported to the directory
 }
 
-// Options configure a Keeper.
+// Options configure a Node.
 type Options struct {
 	Node            *node.Node
 	Name            string
@@ -58,44 +58,44 @@
 }
 
 // New restores the groups that are stored on the disk.
-func New(options Options) (*Keeper, error) {
-	k := &Keeper{node: options.Node, toleratedLosses: options.ToleratedLosses, openPartitions: map[int]bool{}, planners: map[int]*repair.Planner{}, reported: map[int]uint64{}}
-	k.follower = watch.New(watch.Options{Name: options.Name, Seeds: options.Seeds, ConcurrentCalls: options.ToleratedLosses + 1, DirectoryOnly: true, Pool: options.Node.Pool, OnUpdate: k.applyUpdate})
+func New(options Options) (*Node, error) {
+	n := &Node{node: options.Node, toleratedLosses: options.ToleratedLosses, openPartitions: map[int]bool{}, planners: map[int]*repair.Planner{}, reported: map[int]uint64{}}
+	n.follower = watch.New(watch.Options{Name: options.Name, Seeds: options.Seeds, ConcurrentCalls: options.ToleratedLosses + 1, DirectoryOnly: true, Pool: options.Node.Pool, OnUpdate: n.applyUpdate})
 	for _, group := range options.Node.Host.StoredGroups() {
 		partition, ok := protocol.TurnPartitionOf(group)
 		if !ok {
 			continue
 		}
-		if err := k.open(partition, replica.Members{}); err != nil {
+		if err := n.open(partition, replica.Members{}); err != nil {
 			return nil, errors.Wrapf(err, "partition %d", partition)
 		}
 	}
-	return k, nil
+	return n, nil
 }
 
 // open starts the group of a partition, with its initial members if it is new.
-func (k *Keeper) open(partition int, first replica.Members) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.openPartitions[partition] {
+func (n *Node) open(partition int, first replica.Members) error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.openPartitions[partition] {
 		return nil
 	}
-	if err := k.node.Host.Add(protocol.TurnGroup(partition), first, nil, turns.New(k.node.Now)); err != nil {
+	if err := n.node.Host.Add(protocol.TurnGroup(partition), first, nil, turns.New(n.node.Now)); err != nil {
 		return err
 	}
-	k.openPartitions[partition] = true
-	k.planners[partition] = &repair.Planner{}
+	n.openPartitions[partition] = true
+	n.planners[partition] = &repair.Planner{}
 	return nil
 }
 
 // JoinGroup starts the group of a partition that another member mentions. It is meant for
 // host.Options.OnUnknownGroup.
-func (k *Keeper) JoinGroup(group replica.GroupID) bool {
+func (n *Node) JoinGroup(group replica.GroupID) bool {
 	partition, ok := protocol.TurnPartitionOf(group)
 	if !ok {
 		return false
 	}
-	if err := k.open(partition, replica.Members{}); err != nil {
+	if err := n.open(partition, replica.Members{}); err != nil {
 		klog.ErrorS(err, "Joining a partition's group failed", "partition", partition)
 		return false
 	}
@@ -103,36 +103,36 @@
 }
 
 // applyUpdate applies an update from the control plane.
-func (k *Keeper) applyUpdate(n watch.Update) {
-	if n.Directory == nil {
+func (n *Node) applyUpdate(update watch.Update) {
+	if update.Directory == nil {
 		return
 	}
-	k.node.Learn(*n.Directory)
-	for partition, p := range n.Directory.Partitions {
+	n.node.Learn(*update.Directory)
+	for partition, p := range update.Directory.Partitions {
 		// An initial member creates the group itself. A later member is added by the
 		// group's leader.
-		if p.Change != 0 || !slices.Contains(p.Voters, k.node.Self.ID) {
+		if p.Change != 0 || !slices.Contains(p.Voters, n.node.Self.ID) {
 			continue
 		}
-		if err := k.open(partition, replica.Members{Voters: p.Voters}); err != nil {
+		if err := n.open(partition, replica.Members{Voters: p.Voters}); err != nil {
 			klog.ErrorS(err, "Starting a partition's group failed", "partition", partition)
 		}
 	}
 }
 
 // Run serves other processes on l until ctx ends or the disk fails.
-func (k *Keeper) Run(ctx context.Context, l net.Listener) error {
+func (n *Node) Run(ctx context.Context, l net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go k.follower.Run(ctx)
-	go coordinator.Register(ctx, k.node, k.follower.Directory)
-	go k.runEvery(ctx, repairInterval, k.maintainPartitions)
-	go k.runEvery(ctx, forgetInterval, k.forgetIdlePrograms)
-	return k.node.Serve(ctx, l, map[string]any{"Turns": &turnsService{k}})
+	go n.follower.Run(ctx)
+	go coordinator.Register(ctx, n.node, n.follower.Directory)
+	go n.runEvery(ctx, repairInterval, n.maintainPartitions)
+	go n.runEvery(ctx, forgetInterval, n.forgetIdlePrograms)
+	return n.node.Serve(ctx, l, map[string]any{"Turns": &turnsService{n}})
 }
 
 // runEvery calls step at a fixed interval until ctx ends.
-func (k *Keeper) runEvery(ctx context.Context, interval time.Duration, step func(context.Context)) {
+func (n *Node) runEvery(ctx context.Context, interval time.Duration, step func(context.Context)) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
@@ -146,35 +146,35 @@
 }
 
 // partitions returns the partitions whose groups run here, in order.
-func (k *Keeper) partitions() []int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return slices.Sorted(maps.Keys(k.openPartitions))
+func (n *Node) partitions() []int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return slices.Sorted(maps.Keys(n.openPartitions))
 }
 
 // maintainPartitions checks the members of the partitions that this node leads.
-func (k *Keeper) maintainPartitions(ctx context.Context) {
-	directory := k.follower.Directory()
+func (n *Node) maintainPartitions(ctx context.Context) {
+	directory := n.follower.Directory()
 	if len(directory.Partitions) == 0 {
 		return
 	}
 	var done sync.WaitGroup
-	for _, partition := range k.partitions() {
-		status, err := k.node.Host.Status(protocol.TurnGroup(partition))
+	for _, partition := range n.partitions() {
+		status, err := n.node.Host.Status(protocol.TurnGroup(partition))
 		if err != nil || !status.LeaderReady {
 			continue
 		}
-		done.Go(func() { k.repair(ctx, partition, status, directory) })
+		done.Go(func() { n.repair(ctx, partition, status, directory) })
 	}
 	done.Wait()
 }
 
 // repair makes one membership change of a partition if one is due, and reports changed members
 // to the directory.
-func (k *Keeper) repair(ctx context.Context, partition int, status replica.Status, directory protocol.Directory) {
+func (n *Node) repair(ctx context.Context, partition int, status replica.Status, directory protocol.Directory) {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	if k.transferLeadership(status, directory) {
+	if n.transferLeadership(status, directory) {
 		return
 	}
 	if partition >= len(directory.Partitions) {
@@ -182,46 +182,46 @@
 	}
 	nodes := coordinator.NodesOfClass(directory, protocol.Storage)
 	staying := 0
-	for _, n := range nodes {
-		if !slices.Contains(directory.Retiring, n.Name) {
+	for _, candidate := range nodes {
+		if !slices.Contains(directory.Retiring, candidate.Name) {
 			staying++
 		}
 	}
-	view := repair.View{Status: status, Now: k.node.Now(), LostAfter: node.MemberLostAfter, Nodes: nodes, Retiring: directory.Retiring, TargetVoters: coordinator.FeasibleVoters(k.toleratedLosses, staying)}
-	planner := k.planner(partition)
+	view := repair.View{Status: status, Now: n.node.Now(), LostAfter: node.MemberLostAfter, Nodes: nodes, Retiring: directory.Retiring, TargetVoters: coordinator.FeasibleVoters(n.toleratedLosses, staying)}
+	planner := n.planner(partition)
 	if planner.NeedsVoter(view) {
-		view.Alive = k.node.Alive(ctx, nodes)
+		view.Alive = n.node.Alive(ctx, nodes)
 	}
 	next, due := planner.Plan(view)
 	if !slices.Equal(directory.Partitions[partition].Voters, next.Voters) {
-		k.reportMembers(ctx, partition, status, directory)
+		n.reportMembers(ctx, partition, status, directory)
 	}
-	if !due || !k.announceVoter(ctx, partition, status, directory, next) {
+	if !due || !n.announceVoter(ctx, partition, status, directory, next) {
 		return
 	}
-	err := k.node.Host.ChangeMembers(ctx, protocol.TurnGroup(partition), next)
+	err := n.node.Host.ChangeMembers(ctx, protocol.TurnGroup(partition), next)
 	klog.InfoS("Membership change of a partition", "partition", partition, "from", status.Members, "to", next, "cause", err)
 }
 
 // planner returns the repair planner of a partition.
-func (k *Keeper) planner(partition int) *repair.Planner {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.planners[partition]
+func (n *Node) planner(partition int) *repair.Planner {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.planners[partition]
 }
 
 // transferLeadership gives up the leadership if this node is retiring and another voter is
 // ready to lead.
-func (k *Keeper) transferLeadership(status replica.Status, directory protocol.Directory) bool {
-	if !slices.Contains(directory.Retiring, k.node.Self.Name) {
+func (n *Node) transferLeadership(status replica.Status, directory protocol.Directory) bool {
+	if !slices.Contains(directory.Retiring, n.node.Self.Name) {
 		return false
 	}
 	for _, id := range status.Members.Voters {
-		n, known := k.node.Addresses.Find(id)
-		if id == k.node.Self.ID || !known || slices.Contains(directory.Retiring, n.Name) || status.MatchIndex[id] < status.CommitIndex {
+		voter, known := n.node.Addresses.Find(id)
+		if id == n.node.Self.ID || !known || slices.Contains(directory.Retiring, voter.Name) || status.MatchIndex[id] < status.CommitIndex {
 			continue
 		}
-		return k.node.Host.TransferLeadership(status.Group, id) == nil
+		return n.node.Host.TransferLeadership(status.Group, id) == nil
 	}
 	return false
 }
@@ -229,7 +229,7 @@
 // reportMembers updates the directory with a partition's current voters, also when an announced
 // node did not become a voter. A node that is still to become one stays announced: if the
 // announcement were reverted first, one whose reply is lost could revert itself repeatedly.
-func (k *Keeper) reportMembers(ctx context.Context, partition int, status replica.Status, directory protocol.Directory) {
+func (n *Node) reportMembers(ctx context.Context, partition int, status replica.Status, directory protocol.Directory) {
 	listed := directory.Partitions[partition]
 	if status.ChangePending || slices.Equal(listed.Voters, status.Members.Voters) {
 		return
@@ -238,7 +238,7 @@
 	if listed.Change == status.CommitIndex {
 		update.Step = listed.Step + 1
 	}
-	if _, err := k.submitMembership(ctx, update); err != nil {
+	if _, err := n.submitMembership(ctx, update); err != nil {
 		klog.V(1).InfoS("Reporting a partition's members to the directory failed; will retry", "partition", partition, "cause", err)
 	}
 }
@@ -246,7 +246,7 @@
 // announceVoter announces in the directory which node is about to become a voter of a partition.
 // If it returns false, the node must not become one: the directory has changed, or the node is
 // retiring.
-func (k *Keeper) announceVoter(ctx context.Context, partition int, status replica.Status, directory protocol.Directory, next replica.Members) bool {
+func (n *Node) announceVoter(ctx context.Context, partition int, status replica.Status, directory protocol.Directory, next replica.Members) bool {
 	if len(next.Voters) <= len(status.Members.Voters) {
 		return true // no new voter: a change adds or removes one node
 	}
@@ -254,23 +254,23 @@
 	if listed := directory.Partitions[partition]; listed.Change == status.CommitIndex {
 		update.Step = listed.Step + 1
 	}
-	result, err := k.submitMembership(ctx, update)
+	result, err := n.submitMembership(ctx, update)
 	if err != nil || result != revisions.Accepted {
 		klog.V(1).InfoS("Announcing a partition's new voter failed; will retry", "partition", partition, "result", result, "cause", err)
 		return false
 	}
-	latest, err := k.node.Host.Status(status.Group)
+	latest, err := n.node.Host.Status(status.Group)
 	return err == nil && latest.Term == status.Term && latest.MembersIndex == status.MembersIndex
 }
 
 // submitMembership submits a partition's members to the directory.
-func (k *Keeper) submitMembership(ctx context.Context, update *revisions.MembershipUpdate) (revisions.Result, error) {
+func (n *Node) submitMembership(ctx context.Context, update *revisions.MembershipUpdate) (revisions.Result, error) {
 	command := revisions.Command{Membership: update}
 	text, err := command.Encode()
 	if err != nil {
 		return 0, err
 	}
-	reply, err := k.node.Submit(ctx, protocol.ConfigurationGroup, text)
+	reply, err := n.node.Submit(ctx, protocol.ConfigurationGroup, text)
 	if err != nil {
 		return 0, err
 	}
@@ -279,15 +279,15 @@
 
 // forgetIdlePrograms drops programs whose retention has passed, in the partitions that this
 // node leads.
-func (k *Keeper) forgetIdlePrograms(ctx context.Context) {
-	for _, partition := range k.partitions() {
+func (n *Node) forgetIdlePrograms(ctx context.Context) {
+	for _, partition := range n.partitions() {
 		group := protocol.TurnGroup(partition)
-		status, err := k.node.Host.Status(group)
+		status, err := n.node.Host.Status(group)
 		if err != nil || !status.LeaderReady {
 			continue
 		}
 		var idle []turns.IdleProgram
-		k.node.Host.ReadLocal(group, func(m host.StateMachine) {
+		n.node.Host.ReadLocal(group, func(m host.StateMachine) {
 			idle = m.(*turns.Machine).IdlePrograms(retentionSlack, maxForgottenAtOnce)
 		})
 		if len(idle) == 0 {
@@ -296,7 +296,7 @@
 		command := turns.Command{Forget: idle}
 		if text, err := command.Encode(); err == nil {
 			submitCtx, cancel := context.WithTimeout(ctx, submitTimeout)
-			k.node.Host.Propose(submitCtx, group, text)
+			n.node.Host.Propose(submitCtx, group, text)
 			cancel()
 		}
 	}
--- a/internal/controlplane/storage/storage_test.go
+++ b/internal/controlplane/storage/storage_test.go
@@ -17,14 +17,14 @@
 const testTimeout = 20 * time.Second
 
 // newSingleNode starts a storage node that runs two partitions alone.
-func newSingleNode(t *testing.T) (*Keeper, *turnsService) {
+func newSingleNode(t *testing.T) (*Node, *turnsService) {
 	t.Helper()
 	n, err := node.Open(node.Options{Name: "s", Class: protocol.Storage, Address: "127.0.0.1:1", DataDir: t.TempDir(), Bootstrap: true})
 	assert.NilError(t, err)
-	k, err := New(Options{Node: n, Name: "s", ToleratedLosses: 0})
+	storageNode, err := New(Options{Node: n, Name: "s", ToleratedLosses: 0})
 	assert.NilError(t, err)
 	for partition := range 2 {
-		assert.NilError(t, k.open(partition, replica.Members{Voters: []replica.NodeID{n.Self.ID}}))
+		assert.NilError(t, storageNode.open(partition, replica.Members{Voters: []replica.NodeID{n.Self.ID}}))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
@@ -38,7 +38,7 @@
 	for partition := range 2 {
 		awaitLeader(t, n, protocol.TurnGroup(partition))
 	}
-	return k, &turnsService{k}
+	return storageNode, &turnsService{storageNode}
 }
 
 func awaitLeader(t *testing.T, n *node.Node, group replica.GroupID) {
@@ -113,10 +113,10 @@
 }
 
 func TestPartitionWithoutGroupIsUnavailable(t *testing.T) {
-	k, calls := newSingleNode(t)
+	storageNode, calls := newSingleNode(t)
 	assert.Equal(t, calls.admit(t, protocol.AdmitArgs{Partition: 5}).Outcome, protocol.TurnUnavailable)
-	assert.Assert(t, !k.JoinGroup("services-1"))
-	assert.Assert(t, k.JoinGroup(protocol.TurnGroup(5)))
+	assert.Assert(t, !storageNode.JoinGroup("services-1"))
+	assert.Assert(t, storageNode.JoinGroup(protocol.TurnGroup(5)))
 	assert.Equal(t, calls.admit(t, protocol.AdmitArgs{Partition: 5}).Outcome, protocol.TurnNotOwner)
 	assert.DeepEqual(t, calls.find(t, "a").Without, []int{0, 1})
 }
