--- a/cmd/oakseam/console_test.go
+++ b/cmd/oakseam/console_test.go
@@ -39,8 +39,8 @@
 	return string(got)
 }
 
-// figure returns the value of one figure.
-func (n *node) figure(name string) string {
+// metric returns the value of one metric.
+func (n *node) metric(name string) string {
 	for l := range strings.Lines(n.consoleCall("show-stat\n")) {
 		if v, ok := strings.CutPrefix(l, "svc."+name+"="); ok {
 			return strings.TrimSpace(v)
@@ -49,10 +49,10 @@
 	return ""
 }
 
-// waitFigure waits until a figure has a value.
-func (n *node) waitFigure(name, want string) {
+// waitMetric waits until a metric has a value.
+func (n *node) waitMetric(name, want string) {
 	n.t.Helper()
-	n.waitUntil(name+" is "+want, func() bool { return n.figure(name) == want })
+	n.waitUntil(name+" is "+want, func() bool { return n.metric(name) == want })
 }
 
 // Console commands must be answered whatever their spacing, and silent or partial connections
@@ -100,8 +100,8 @@
 	}
 }
 
-// The figures must agree with what the fake backends counted.
-func TestFiguresMatchBackends(t *testing.T) {
+// The metrics must agree with what the fake backends counted.
+func TestMetricsMatchBackends(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(c *net.TCPConn, r request) bool {
 		switch r.URL.RawQuery {
@@ -113,7 +113,7 @@
 		return ok(c, r)
 	})
 	n := startWithConsole(t, b.Addr)
-	n.waitFigure("registry_entries", "1")
+	n.waitMetric("registry_entries", "1")
 	for range 5 {
 		assert.Equal(t, 200, n.ask("topup").status)
 	}
@@ -121,28 +121,28 @@
 	pending := make(chan *answer, 1)
 	pendingHeaders := headers("lookup")
 	go func() { pending <- n.send("GET", "/api?wait", "", pendingHeaders) }()
-	n.waitFigure("open_requests", "1")
-	n.waitFigure("relayed", "7")
+	n.waitMetric("open_requests", "1")
+	n.waitMetric("relayed", "7")
 	assert.Equal(t, 409, n.send("GET", "/api", "", pendingHeaders).status, "a duplicate is rejected")
 	gone, err := net.Dial("tcp", n.addr)
 	require.NoError(t, err)
 	fmt.Fprintf(gone, "GET /api?wait HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: gone\r\nX-Service-Class: lookup\r\n\r\n")
-	n.waitFigure("open_requests", "2")
+	n.waitMetric("open_requests", "2")
 	gone.Close()
-	n.waitFigure("open_requests", "1")
+	n.waitMetric("open_requests", "1")
 	close(release)
 	assert.Equal(t, 200, receive(t, pending, "the pending answer").status)
-	n.waitFigure("open_requests", "0")
+	n.waitMetric("open_requests", "0")
 	for name, want := range map[string]string{"fulfilled.topup": "5", "faulted.topup": "1", "throttled.topup": "0",
 		"fulfilled.lookup": "1", "faulted.lookup": "1", "fulfilled.brief": "0", "out_of_rotation": "0"} {
-		assert.Equal(t, want, n.figure(name), name)
+		assert.Equal(t, want, n.metric(name), name)
 	}
 	assert.EqualValues(t, len(b.Requests), 8, "one of them for the client that has left")
-	n.waitFigure("relayed", "8")
+	n.waitMetric("relayed", "8")
 
 	empty := startWithConsole(t)
 	assert.Equal(t, 503, empty.ask("topup").status)
-	assert.Equal(t, "1", empty.figure("throttled.topup"))
+	assert.Equal(t, "1", empty.metric("throttled.topup"))
 	assert.Contains(t, empty.consoleCall("ready\n"), "ERR not ready")
 }
 
--- a/cmd/oakseam/node.go
+++ b/cmd/oakseam/node.go
@@ -54,7 +54,7 @@
 	for _, cl := range c.Settings.Classes {
 		classes = append(classes, cl.Name)
 	}
-	figureSet := metrics.New(classes)
+	metricSet := metrics.New(classes)
 	handoff, err := newTakeover(c, log)
 	if err != nil {
 		return err
@@ -68,12 +68,12 @@
 	pool := upstream.New(backend.Codec{ReportFields: c.Settings.ReportFields}, upstream.Options{
 		ConnectTimeout: c.ConnectTimeout,
 		IdleTimeout:    time.Duration(float64(c.Settings.ConnIdle) * c.Options.Backend.IdleShare),
-		OmitHeader:     true, OnRequestWritten: figureSet.CountAttempt, Budget: budget,
+		OmitHeader:     true, OnRequestWritten: metricSet.CountAttempt, Budget: budget,
 	}, count, log)
 	frontend := session.New(session.Options{
 		Classes: c.Settings.Classes, RetryAfter: c.RetryAfter,
 		HeadTimeout: c.Options.Session.HeadWithin, BodyTimeout: c.Options.Session.BodyWithin, IdleTimeout: c.Options.Session.IdleFor,
-		Figures: figureSet, Budget: budget,
+		Metrics: metricSet, Budget: budget,
 	}, handoff.listener, loop, count)
 	shares := resourceShares{c, pool, frontend, budget, log}
 	shares.apply(handoff.predecessor != nil)
@@ -91,9 +91,9 @@
 	defer close(quit)
 	if handoff.console != nil {
 		loop.ObserveBackendCounts(func(listed, avoided int) {
-			figureSet.SetBackendCounts(metrics.BackendCounts{Listed: listed, OutOfRotation: avoided})
+			metricSet.SetBackendCounts(metrics.BackendCounts{Listed: listed, OutOfRotation: avoided})
 		})
-		go console.New(handoff.console, operatorView{frontend, figureSet}, log).Serve()
+		go console.New(handoff.console, operatorView{frontend, metricSet}, log).Serve()
 	}
 	go loop.Run(pool, registry)
 	defer loop.Stop()
@@ -136,11 +136,11 @@
 // operatorView is the node as seen through the console.
 type operatorView struct {
 	*session.Frontend
-	figures *metrics.Set
+	metrics *metrics.Set
 }
 
-// WriteFigures writes one line per figure.
-func (o operatorView) WriteFigures(w io.Writer) { o.figures.Print(w) }
+// WriteMetrics writes one line per metric.
+func (o operatorView) WriteMetrics(w io.Writer) { o.metrics.Print(w) }
 
 // reload reads the configuration again and moves to the registry that it names.
 // An invalid one changes nothing.
--- a/cmd/oakseam/upgrade_test.go
+++ b/cmd/oakseam/upgrade_test.go
@@ -100,10 +100,10 @@
 		next := n.startSuccessor(config)
 		require.NoError(t, n.cmd.Process.Signal(syscall.SIGTERM))
 		assert.NoError(t, receive(t, n.exit, "the old process's exit"))
-		next.waitUntil("it reports figures", func() bool { return next.figure("relayed") != "" })
-		before := next.figure("relayed")
-		next.waitUntil("the new process serves requests", func() bool { now := next.figure("relayed"); return now != "" && now != before })
-		assert.Equal(t, "1", next.figure("registry_entries"))
+		next.waitUntil("it reports metrics", func() bool { return next.metric("relayed") != "" })
+		before := next.metric("relayed")
+		next.waitUntil("the new process serves requests", func() bool { now := next.metric("relayed"); return now != "" && now != before })
+		assert.Equal(t, "1", next.metric("registry_entries"))
 		assert.NotContains(t, next.log.String(), "not imported", "the list and the learned state must be imported")
 		n = next
 	}
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,5 +1,5 @@
 // Package audit checks from the outside whether nodes keep the platform's rules. It
-// is told what passed between clients, nodes, backends and the registry, and knows
+// is notified of what passed between clients, nodes, backends and the registry, and knows
 // nothing of how any of them decided. The emulator, the loopback fleet and tests use
 // the same Auditor. The package does no I/O and reads no clock: callers pass times,
 // all of the same clock, which must not go back.
@@ -9,7 +9,7 @@
 //   - A request that a node received gets one final answer in time, unless the node is killed.
 //   - A request takes effect at most once, and is rejected only if a repeat does no harm.
 //   - A backend gets no new requests from a node that has known for long that it drains.
-//   - All nodes together don't send a cold backend more than it can bear.
+//   - All nodes together don't send a cold backend more than it can handle.
 package audit
 
 import (
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -33,8 +33,8 @@
 	Ready() error
 	Drain() error
 	Resume() error
-	// WriteFigures writes one line per figure.
-	WriteFigures(io.Writer)
+	// WriteMetrics writes one line per metric.
+	WriteMetrics(io.Writer)
 }
 
 // Server answers commands.
@@ -166,7 +166,7 @@
 		reply(s.node.Ready(), "ready")
 	case "show-stat":
 		out.WriteString("OK\n")
-		s.node.WriteFigures(out)
+		s.node.WriteMetrics(out)
 		out.WriteString("END\n")
 	case "drain":
 		reply(s.node.Drain(), "draining")
--- a/internal/controlplane/coordinator/authority.go
+++ b/internal/controlplane/coordinator/authority.go
@@ -11,8 +11,8 @@
 	"oakseam/internal/tier/routing"
 )
 
-// commandTimeout bounds an operator's call on this node. A caller that hears nothing for a
-// second goes on to another node.
+// commandTimeout bounds an operator's call on this node. A caller without an answer for a
+// second tries another node.
 const commandTimeout = 3 * time.Second
 
 // Replace implements adminapi.Authority.
--- a/internal/controlplane/host/call.go
+++ b/internal/controlplane/host/call.go
@@ -12,8 +12,8 @@
 
 // Propose appends a command to the group's log. Once a majority holds it durably and this node
 // has applied it, Propose returns the result of the state machine's Apply on this node. Errors:
-// *replica.NotOwnerError and replica.ErrHandover (the command is not committed and never will
-// be), *UnknownOutcomeError (it may be), ErrOverloaded, ErrGroupNotFound and ErrStopped.
+// *replica.NotLeaderError and replica.ErrTransferInProgress (the command is not committed and
+// never will be), *UnknownOutcomeError (it may be), ErrOverloaded, ErrGroupNotFound and ErrStopped.
 func (h *Host) Propose(ctx context.Context, id replica.GroupID, command []byte) ([]byte, error) {
 	data := slices.Clone(command)
 	return h.propose(ctx, id, func(g *group) (uint64, uint64, error) {
@@ -96,7 +96,7 @@
 // Read calls look for a linearizable read of the state machine: this node holds the leader's
 // lease before and after the call, and has applied everything that was committed before. What
 // look found is valid only if Read returns nil. look must be short and must not call the host.
-// Errors: *replica.NotOwnerError, ErrNoLease, the context's error, ErrGroupNotFound, ErrStopped.
+// Errors: *replica.NotLeaderError, ErrNoLease, the context's error, ErrGroupNotFound, ErrStopped.
 func (h *Host) Read(ctx context.Context, id replica.GroupID, look func(StateMachine)) error {
 	g, commit, term, err := h.checkLease(id)
 	if err != nil {
--- a/internal/controlplane/host/errors.go
+++ b/internal/controlplane/host/errors.go
@@ -8,9 +8,9 @@
 	"oakseam/internal/controlplane/replica"
 )
 
-// Errors that errors.Is finds. Calls also return errors of package replica: NotOwnerError from
-// every operation that needs the leader, ErrHandover from a proposal during a leadership
-// transfer, and the errors documented there for membership changes and leadership transfers.
+// Errors that errors.Is finds. Calls also return errors of package replica: NotLeaderError
+// from every operation that needs the leader, ErrTransferInProgress from a proposal during a
+// leadership transfer, and the errors documented there for membership changes and leadership transfers.
 var (
 	// ErrGroupNotFound: the host does not run the group.
 	ErrGroupNotFound = errors.New("the host does not run this group")
@@ -30,7 +30,7 @@
 // UnknownOutcomeError reports that a proposal was accepted but its outcome is unknown. It may
 // have been committed, and it may still be committed later.
 type UnknownOutcomeError struct {
-	Cause error // *replica.NotOwnerError, a context's error, ErrStopped, ErrGroupNotFound or a store error
+	Cause error // *replica.NotLeaderError, a context's error, ErrStopped, ErrGroupNotFound or a store error
 }
 
 // Error implements error.
--- a/internal/controlplane/host/host_test.go
+++ b/internal/controlplane/host/host_test.go
@@ -28,12 +28,12 @@
 		if n == leader {
 			continue
 		}
-		var notOwner *replica.NotLeaderError
+		var notLeader *replica.NotLeaderError
 		_, err := n.Propose(t.Context(), testGroup, []byte("x"))
-		assert.Assert(t, errors.As(err, &notOwner))
-		assert.Equal(t, notOwner.Leader, leader.id)
+		assert.Assert(t, errors.As(err, &notLeader))
+		assert.Equal(t, notLeader.Leader, leader.id)
 		err = n.Read(t.Context(), testGroup, func(StateMachine) { t.Error("a read was served") })
-		assert.Assert(t, errors.As(err, &notOwner))
+		assert.Assert(t, errors.As(err, &notLeader))
 	}
 }
 
--- a/internal/controlplane/simulation/lister_test.go
+++ b/internal/controlplane/simulation/lister_test.go
@@ -31,7 +31,7 @@
 	cutOffFromPlatform map[endpoint]bool
 	permanentlyCutOff  bool // after the faults, two of three nodes lose the platform permanently
 	serversSettled     bool // the platform's servers do not change any more
-	listers            map[endpoint]*fakeDuty
+	listers            map[endpoint]*fakeTask
 	newestEpoch        uint64 // the newest epoch in which a node listed
 	activeNode         endpoint
 	resultByIndex      map[uint64]string
@@ -53,7 +53,7 @@
 	w := newWorld(seed, protocol.Core, injected)
 	s := &listerWorkload{
 		world: w, serverCounts: map[string]int{}, cutOffFromPlatform: map[endpoint]bool{},
-		listers: map[endpoint]*fakeDuty{}, resultByIndex: map[uint64]string{},
+		listers: map[endpoint]*fakeTask{}, resultByIndex: map[uint64]string{},
 	}
 	w.workload = s
 	for i := 0; len(s.services) < 3; i++ {
@@ -137,15 +137,15 @@
 func (s *listerWorkload) listOnce(n *simulatedNode) {
 	d := s.listers[n.address]
 	if d == nil || d.incarnation != n.incarnation {
-		d = &fakeDuty{workload: s, node: n, incarnation: n.incarnation}
+		d = &fakeTask{workload: s, node: n, incarnation: n.incarnation}
 		d.lister = lister.New(d, d, lister.Interval(0))
 		s.listers[n.address] = d
 	}
 	d.lister.ListOnce(context.Background())
 }
 
-// fakeDuty connects a node's lister with the simulated groups and platform.
-type fakeDuty struct {
+// fakeTask connects a node's lister with the simulated groups and platform.
+type fakeTask struct {
 	workload    *listerWorkload
 	node        *simulatedNode
 	incarnation int
@@ -154,7 +154,7 @@
 }
 
 // List implements lister.Platform. It verifies that one node lists in each epoch.
-func (d *fakeDuty) List(context.Context) (map[string][]protocol.Server, error) {
+func (d *fakeTask) List(context.Context) (map[string][]protocol.Server, error) {
 	s, w := d.workload, d.workload.world
 	w.tally.listings++
 	if d.epoch < s.newestEpoch {
@@ -177,7 +177,7 @@
 }
 
 // Held implements lister.Task.
-func (d *fakeDuty) Held() (uint64, bool) {
+func (d *fakeTask) Held() (uint64, bool) {
 	m := d.node.member(protocol.ListerTask)
 	if m == nil {
 		return 0, false
@@ -193,7 +193,7 @@
 // Lists implements lister.Task. The simulation stores the sender's epoch in the zone of the
 // servers. Only their number is the platform's data, so both sides of the lister's comparison get
 // the same zone.
-func (d *fakeDuty) Lists(partition int) []protocol.ServerList {
+func (d *fakeTask) Lists(partition int) []protocol.ServerList {
 	m := d.node.member(protocol.ServiceGroup(partition))
 	if m == nil {
 		return nil
@@ -210,7 +210,7 @@
 }
 
 // Publish implements lister.Task.
-func (d *fakeDuty) Publish(_ context.Context, partition int, p *servers.Publication) error {
+func (d *fakeTask) Publish(_ context.Context, partition int, p *servers.Publication) error {
 	s := d.workload
 	s.world.tally.publications++
 	group := protocol.ServiceGroup(partition)
@@ -239,7 +239,7 @@
 }
 
 // GiveUp implements lister.Task.
-func (d *fakeDuty) GiveUp() {
+func (d *fakeTask) GiveUp() {
 	m := d.node.member(protocol.ListerTask)
 	if m == nil {
 		return
@@ -253,7 +253,7 @@
 }
 
 // successors returns the other voters in a cycle that starts after this node.
-func (d *fakeDuty) successors(voters []replica.NodeID) []replica.NodeID {
+func (d *fakeTask) successors(voters []replica.NodeID) []replica.NodeID {
 	at := slices.Index(voters, d.node.id)
 	if d.workload.world.bugs.fixedSuccessor {
 		return slices.Delete(slices.Clone(voters), at, at+1)
--- a/internal/controlplane/simulation/turns_test.go
+++ b/internal/controlplane/simulation/turns_test.go
@@ -238,12 +238,12 @@
 
 // forget proposes to delete programs whose retention has passed. The command may be delayed.
 func (s *turnsWorkload) forget(m *member) {
-	resting := m.stateMachine.(*turns.Machine).IdlePrograms(extraRetention, 64)
-	if len(resting) == 0 {
+	idle := m.stateMachine.(*turns.Machine).IdlePrograms(extraRetention, 64)
+	if len(idle) == 0 {
 		return
 	}
-	slices.SortFunc(resting, func(a, b turns.IdleProgram) int { return strings.Compare(a.Program, b.Program) })
-	command := turns.Command{Forget: resting}
+	slices.SortFunc(idle, func(a, b turns.IdleProgram) int { return strings.Compare(a.Program, b.Program) })
+	command := turns.Command{Forget: idle}
 	text, err := command.Encode()
 	if err != nil {
 		s.world.Fail("encode: %v", err)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -24,7 +24,7 @@
 	Class string
 	// Retry is set where the client marked the request as a repeat of an earlier one.
 	Retry bool
-	// Tenant owns the request, by its name in the settings. Empty: not given.
+	// Tenant is the name, in the settings, of the tenant that sent the request. Empty: not given.
 	Tenant string
 	// WorkHint is the client's estimate of the work. 0: not given.
 	WorkHint time.Duration
@@ -208,7 +208,7 @@
 // ErrQueueFull reports that a request could not be queued in time; nothing of it has run.
 var ErrQueueFull = errors.New("the request queue is full")
 
-// submitTimeout is how long a request may wait for room in the queue.
+// submitTimeout is how long a request may wait for a free place in the queue.
 const submitTimeout = 100 * time.Millisecond
 
 // Submit queues a request. Its Session receives one answer unless ClientGone comes first.
--- a/internal/dataplane/edge/edge.go
+++ b/internal/dataplane/edge/edge.go
@@ -126,14 +126,14 @@
 }
 
 // handleUpdate applies an update from the control plane.
-func (n *Node) handleUpdate(news watch.Update) {
+func (n *Node) handleUpdate(update watch.Update) {
 	switch {
-	case news.Configuration != nil:
-		n.configure(news.Configuration)
-	case news.Directory != nil:
-		n.turns.SetDirectory(*news.Directory)
+	case update.Configuration != nil:
+		n.configure(update.Configuration)
+	case update.Directory != nil:
+		n.turns.SetDirectory(*update.Directory)
 	default:
-		n.dispatcher.UpdateServers(news.Partition, news.Lists)
+		n.dispatcher.UpdateServers(update.Partition, update.Lists)
 	}
 }
 
--- a/internal/dataplane/gateway/resume_test.go
+++ b/internal/dataplane/gateway/resume_test.go
@@ -22,7 +22,7 @@
 func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: e%d\n\n", id, id) }
 
 // breakingServer streams the events after Last-Event-Id. Its first `breaks` responses break off
-// after so many bytes. It also returns the number of requests so far.
+// after `after` bytes. It also returns the number of requests so far.
 func breakingServer(breaks int, after int) (http.HandlerFunc, *atomic.Int64) {
 	var requestCount atomic.Int64
 	return func(w http.ResponseWriter, r *http.Request) {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -228,7 +228,7 @@
 }
 
 // SetAddress moves to the registry at another address: the current watch ends and continues
-// there. The module is told of no failure, so it assumes no drain and makes no further call,
+// there. The module is not notified of a failure, so it assumes no drain and makes no further call,
 // and a call that waits for its list still gets one.
 func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
--- a/internal/emulator/peers.go
+++ b/internal/emulator/peers.go
@@ -118,7 +118,7 @@
 	sim            *simulation
 	datagrams      *datagramNetwork
 	transport      *gossip.MemoryNetwork
-	rng            *rand.Rand // a source of its own, so that runs without peers draw the same figures
+	rng            *rand.Rand // a source of its own, so that runs without peers draw the same values
 	nodes          []peerState
 	bytesSent      int
 	pastUptime     time.Duration // of all processes that have ended
@@ -164,9 +164,9 @@
 	if p.sim.live != nil {
 		return
 	}
-	circle, lastStates := peers.NewEngine(n.number, len(p.nodes), p.sim.scenario.Peers.BytesPerSecond.From, rand.New(rand.NewPCG(p.rng.Uint64(), 1))), map[membership.ID]membership.State{}
+	engine, lastStates := peers.NewEngine(n.number, len(p.nodes), p.sim.scenario.Peers.BytesPerSecond.From, rand.New(rand.NewPCG(p.rng.Uint64(), 1))), map[membership.ID]membership.State{}
 	peer.port = p.transport.ListenFunc(strconv.Itoa(n.number), func(from string, text []byte) {
-		p.send(n.number, circle.HandleDatagram(p.sim.now, nodeNumber(from), text))
+		p.send(n.number, engine.HandleDatagram(p.sim.now, nodeNumber(from), text))
 	})
 	epoch := n.epoch
 	var tick func()
@@ -174,8 +174,8 @@
 		if n.epoch != epoch {
 			return
 		}
-		p.send(n.number, circle.Tick(p.sim.now))
-		for _, c := range circle.Changes(lastStates) {
+		p.send(n.number, engine.Tick(p.sim.now))
+		for _, c := range engine.Changes(lastStates) {
 			p.recordState(n.number, c.Number, c.State)
 		}
 		p.sim.scheduleAfter(peerTickInterval, tick)
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -20,7 +20,7 @@
 	"oakseam/logic"
 )
 
-// Range is a scenario figure that every run draws anew. In a file it is a number, or a pair
+// Range is a scenario value that is drawn again for every run. In a file it is a number, or a pair
 // [from, to] from which the value is drawn uniformly.
 type Range struct{ From, To float64 }
 
@@ -73,7 +73,7 @@
 	Prices      Penalties     `yaml:"prices"`
 	Troubles    []Fault       `yaml:"troubles"`   // faults at stated times
 	Incidental  RandomFaults  `yaml:"incidental"` // faults drawn for every run
-	Peers       PeerSettings  `yaml:"peers"`      // drawn last, so that scenarios without it draw the same figures as before
+	Peers       PeerSettings  `yaml:"peers"`      // drawn last, so that scenarios without it draw the same values as before
 }
 
 // Zone is a data centre.
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -329,7 +329,7 @@
 }
 
 // apportion distributes n places by weight with the largest-remainder method; the weights count
-// as equal if all are 0. It returns the index of the owner of each place.
+// as equal if all are 0. It returns, for each place, the index of the item that gets it.
 func apportion[T any](n int, of []T, weight func(*T) float64) []int {
 	sum := 0.0
 	for i := range of {
@@ -355,7 +355,7 @@
 		parts[i%len(parts)].count++
 	}
 	slices.SortFunc(parts, func(a, b part) int { return cmp.Compare(a.index, b.index) })
-	// Deal them out in turn, so that neighbouring places have different owners.
+	// Deal them out in turn, so that neighbouring places go to different items.
 	var out []int
 	for len(out) < n {
 		for i := range parts {
--- a/internal/emulator/validate.go
+++ b/internal/emulator/validate.go
@@ -9,8 +9,8 @@
 	"oakseam/internal/arrivals"
 )
 
-// maxFigure is the upper bound of figures without a natural limit.
-const maxFigure = 1e9
+// maxValue is the upper bound of settings without a natural limit.
+const maxValue = 1e9
 
 // validator keeps the first error that it finds and the key that it belongs to.
 type validator struct{ key, fault string }
@@ -59,8 +59,8 @@
 	for i, z := range s.Zones {
 		key := fmt.Sprintf("zones.%d", i)
 		names = c.uniqueName(key, z.Name, names)
-		c.rangeWithin(key+".traffic", z.Traffic, 0, maxFigure)
-		c.rangeWithin(key+".backends", z.Backends, 0, maxFigure)
+		c.rangeWithin(key+".traffic", z.Traffic, 0, maxValue)
+		c.rangeWithin(key+".backends", z.Backends, 0, maxValue)
 	}
 	c.rangeWithin("net.same_ms", s.Net.SameMS, 0, 1e5)
 	c.rangeWithin("net.cross_ms", s.Net.CrossMS, 0, 1e5)
@@ -73,7 +73,7 @@
 		c.oneOf(fmt.Sprintf("nodes.zones.%d", i), z, names)
 	}
 	for i, v := range s.Nodes.Shares {
-		if !(v > 0 && v < maxFigure) { // NaN as well
+		if !(v > 0 && v < maxValue) { // NaN as well
 			c.fail(fmt.Sprintf("nodes.shares.%d", i), "must be over 0")
 		}
 	}
@@ -100,7 +100,7 @@
 	}
 	c.oneOf("arrivals.shape", s.Arrivals.Shape, arrivals.Shapes)
 	c.rangeWithin("arrivals.swing", s.Arrivals.Swing, 0, 1)
-	c.rangeWithin("arrivals.period_s", s.Arrivals.PeriodS, .01, maxFigure)
+	c.rangeWithin("arrivals.period_s", s.Arrivals.PeriodS, .01, maxValue)
 	c.rangeWithin("arrivals.phase", s.Arrivals.Phase, -1, 1)
 	c.rangeWithin("clients.retries", s.Clients.Retries, 0, 100)
 	c.rangeWithin("clients.try_share", s.Clients.RequestTimeoutShare, .001, 1)
@@ -159,10 +159,10 @@
 		if kind.Cores < 1 || kind.Cores > 4096 {
 			c.fail(key+".cores", "must lie from 1 to 4096")
 		}
-		c.rangeWithin(key+".share", kind.FleetShare, 0, maxFigure)
+		c.rangeWithin(key+".share", kind.FleetShare, 0, maxValue)
 		c.rangeWithin(key+".speed", kind.Speed, 1e-3, 1e3)
 		c.rangeWithin(key+".speed_cv", kind.SpeedCV, 0, 1)
-		c.rangeWithin(key+".weight", kind.Weight, 0, maxFigure)
+		c.rangeWithin(key+".weight", kind.Weight, 0, maxValue)
 		c.rangeWithin(key+".slots_per_core", kind.SlotsPerCore, .01, 1e4)
 		c.rangeWithin(key+".queue_per_core", kind.QueuePerCore, 0, 1e6)
 		c.rangeWithin(key+".thrash", kind.Thrash, 0, 100)
@@ -215,8 +215,8 @@
 	c.rangeWithin("discovery.add_s", d.AddDelayS, 0, 1e6)
 	c.rangeWithin("discovery.every_ms", d.IntervalMS, 1, 1e6)
 	c.rangeWithin("discovery.spread_ms", d.SpreadMS, 0, 1e6)
-	c.rangeWithin("discovery.lines_per_s", d.LinesPerSecond, 0, maxFigure)
-	c.rangeWithin("discovery.call_lines", d.CallLines, 0, maxFigure)
+	c.rangeWithin("discovery.lines_per_s", d.LinesPerSecond, 0, maxValue)
+	c.rangeWithin("discovery.call_lines", d.CallLines, 0, maxValue)
 	c.rangeWithin("discovery.timeout_ms", d.TimeoutMS, 1, 1e6)
 }
 
@@ -228,13 +228,13 @@
 	for i, class := range s.Classes {
 		key := fmt.Sprintf("classes.%d", i)
 		names = c.uniqueName(key, class.Name, names)
-		c.rangeWithin(key+".share", class.Share, 1e-9, maxFigure)
+		c.rangeWithin(key+".share", class.Share, 1e-9, maxValue)
 		c.rangeWithin(key+".work_ms", class.WorkMS, 1e-3, 1e7)
 		c.rangeWithin(key+".cv", class.CV, 0, 10)
 		c.rangeWithin(key+".attempt_noise", class.AttemptNoise, 0, 10)
 		c.rangeWithin(key+".aim_ms", class.AimMS, 1e-3, 1e8)
 		c.rangeWithin(key+".deadline_ms", class.DeadlineMS, class.AimMS.From, 1e8)
-		c.rangeWithin(key+".worth", class.Worth, 1e-9, maxFigure)
+		c.rangeWithin(key+".worth", class.Worth, 1e-9, maxValue)
 		c.rangeWithin(key+".late_worth", class.LateWorth, 0, 1)
 		c.oneOf(key+".effect", class.Effect, []string{"safe", "keyed", "unsafe"})
 		if class.Effect == "keyed" {
--- a/internal/fakes/tier/agent.go
+++ b/internal/fakes/tier/agent.go
@@ -86,7 +86,7 @@
 	startedAt time.Time
 }
 
-// Run runs programs until ctx ends. Steps under way are completed.
+// Run runs programs until ctx ends. Steps that have begun are completed.
 func (a *Agent) Run(ctx context.Context) {
 	for n := 1; ctx.Err() == nil; n++ {
 		s := &turnSequence{agent: a, rng: a.rng, program: fmt.Sprintf("program-%d-%d", a.number, n), budget: largeBudget,
--- a/internal/ingress/close_race_test.go
+++ b/internal/ingress/close_race_test.go
@@ -46,7 +46,7 @@
 	o := recordingOwner{make(chan core.Request, 1000), make(chan string, 1000)}
 	f := session.New(session.Options{Classes: []logic.Class{{Name: "lookup", Deadline: time.Minute}}, MaxSessions: sessions, MaxRequests: 1000,
 		HeadTimeout: time.Minute, BodyTimeout: time.Minute, IdleTimeout: time.Minute,
-		Figures: metrics.New(nil), Budget: message.NewBudget(1 << 20)}, l, o, counters.New())
+		Metrics: metrics.New(nil), Budget: message.NewBudget(1 << 20)}, l, o, counters.New())
 	f.SetLingerTime(testTimeout) // long, so that the test does not depend on the speed of the machine
 	go f.Serve()
 	t.Cleanup(func() { f.Close() })
--- a/internal/ingress/listener.go
+++ b/internal/ingress/listener.go
@@ -10,7 +10,7 @@
 const (
 	// minUnusedAge and minIdleAge are the minimum ages at which an unused and an idle session may be
 	// shed for a new one. The first request of a younger unused session may be on its way. Active
-	// clients return to their idle sessions: if those were shed sooner, a crowd of silent
+	// clients return to their idle sessions: if those were shed sooner, many silent
 	// connections would push the active clients out, and each would return as one more connection.
 	minUnusedAge = 100 * time.Millisecond
 	minIdleAge   = 500 * time.Millisecond
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -30,7 +30,7 @@
 	OutOfRotation int // of these, backends to which the node sends nothing now
 }
 
-// Set holds the figures of a process since its start. It is safe for concurrent use.
+// Set holds the metrics of a process since its start. It is safe for concurrent use.
 type Set struct {
 	classes      []string // in the order of the configuration
 	index        map[string]int
@@ -67,7 +67,7 @@
 // SetBackendCounts replaces the backend counts.
 func (s *Set) SetBackendCounts(r BackendCounts) { s.backends.Store(&r) }
 
-// Print writes one line per figure.
+// Print writes one line per metric.
 func (s *Set) Print(w io.Writer) {
 	for i, c := range s.classes {
 		for k, name := range outcomeNames {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -21,7 +21,7 @@
 // formMember is the entry form of membership messages.
 const formMember = gossip.FirstNoteForm
 
-// gossipInterval is how often a node sends news to a random other node.
+// gossipInterval is how often a node sends updates to a random other node.
 const gossipInterval = 200 * time.Millisecond
 
 // message is the encoding of a membership.Message.
--- a/internal/session/answer.go
+++ b/internal/session/answer.go
@@ -10,20 +10,20 @@
 	"oakseam/internal/metrics"
 )
 
-// answerFigures maps the kinds of answers to the figures that they count for.
-var answerFigures = [...]metrics.Outcome{core.Served: metrics.Served, core.Rejected: metrics.Rejected,
+// answerOutcomes maps the kinds of answers to the metrics that count them.
+var answerOutcomes = [...]metrics.Outcome{core.Served: metrics.Served, core.Rejected: metrics.Rejected,
 	core.Failed: metrics.Failed, core.Duplicate: metrics.Failed}
 
 // rejectUnsubmitted rejects a request that the frontend has not submitted: nothing has run.
 func (f *Frontend) rejectUnsubmitted(w http.ResponseWriter, class, counter string) {
 	f.count.Add(counter)
 	f.writeRejection(w, f.opt.RetryAfter)
-	f.opt.Figures.CountRequest(class, metrics.Rejected)
+	f.opt.Metrics.CountRequest(class, metrics.Rejected)
 }
 
 // writeAnswer sends a request's final answer, and counts it.
 func (f *Frontend) writeAnswer(w http.ResponseWriter, class string, a core.Answer) {
-	figure := answerFigures[a.Kind]
+	outcome := answerOutcomes[a.Kind]
 	switch a.Kind {
 	case core.Served:
 		reply := a.Reply.(*message.Reply)
@@ -48,7 +48,7 @@
 	default:
 		http.Error(w, "no backend answered", http.StatusBadGateway)
 	}
-	f.opt.Figures.CountRequest(class, figure)
+	f.opt.Metrics.CountRequest(class, outcome)
 }
 
 // streamReply passes a long response on as it arrives. Once part of it is sent no other answer is
@@ -58,7 +58,7 @@
 	switch {
 	case backendErr != nil:
 		f.count.Add("answer.broken")
-		f.opt.Figures.CountRequest(class, metrics.Failed)
+		f.opt.Metrics.CountRequest(class, metrics.Failed)
 	case clientErr != nil:
 		f.count.Add("client.gone")
 	default:
--- a/internal/session/api.go
+++ b/internal/session/api.go
@@ -41,7 +41,7 @@
 		return
 	}
 	if !request.BodyPending {
-		p.countOpen(f.opt.Figures)
+		p.countOpen(f.opt.Metrics)
 	}
 	defer p.close()
 	request.Session = p
--- a/internal/session/frontend.go
+++ b/internal/session/frontend.go
@@ -56,7 +56,7 @@
 	BodyTimeout time.Duration
 	// IdleTimeout is how long a client session may stay open between requests.
 	IdleTimeout time.Duration
-	Figures     *metrics.Set
+	Metrics     *metrics.Set
 	// Budget limits the bytes that bodies take.
 	Budget *message.Budget
 }
--- a/internal/session/request.go
+++ b/internal/session/request.go
@@ -88,7 +88,7 @@
 		http.NewResponseController(w).EnableFullDuplex()
 		request.BodyPending, call.Length = true, r.ContentLength
 		call.Rest = message.NewStream(in, func() {
-			p.countOpen(f.opt.Figures)
+			p.countOpen(f.opt.Metrics)
 			f.loop.BodyComplete(id, p)
 		})
 	}
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -32,7 +32,7 @@
 	require.NoError(t, err)
 	loop := make(fakeLoop, 10)
 	frontend := New(Options{Classes: []logic.Class{{Name: "topup", Effect: logic.Unsafe, Deadline: time.Minute}},
-		RetryAfter: 2500 * time.Millisecond, MaxSessions: 1, MaxRequests: 2, BodyTimeout: time.Minute, Figures: metrics.New(nil), Budget: message.NewBudget(1 << 20)}, listener, loop, counters.New())
+		RetryAfter: 2500 * time.Millisecond, MaxSessions: 1, MaxRequests: 2, BodyTimeout: time.Minute, Metrics: metrics.New(nil), Budget: message.NewBudget(1 << 20)}, listener, loop, counters.New())
 	go frontend.Serve()
 	defer frontend.Close()
 	for range 4 {
--- a/internal/tierlab/configuration.go
+++ b/internal/tierlab/configuration.go
@@ -86,8 +86,8 @@
 // configurationChanges is how many configurations are sent during the run.
 const configurationChanges = 10
 
-// changeConfigurations sends one configuration after the other until workCtx ends, and reads each
-// back. A change under way is completed.
+// changeConfigurations sends configurations one at a time until workCtx ends, and reads each
+// back. A change that has begun is completed.
 func (l *lab) changeConfigurations(ctx, workCtx context.Context) error {
 	for revision := uint64(2); ; revision++ {
 		l.pause(workCtx, 1.0/(configurationChanges+1))
--- a/internal/tierlab/tierlab.go
+++ b/internal/tierlab/tierlab.go
@@ -68,8 +68,8 @@
 	machineLosses = 1
 	// platformDelay is how late the platform lists a change.
 	platformDelay = 300 * time.Millisecond
-	// startTimeout bounds the start of the tier until it is ready. settleTimeout bounds completing
-	// what is under way at the end.
+	// startTimeout bounds the start of the tier until it is ready. settleTimeout bounds the
+	// completion of pending work at the end.
 	startTimeout  = 30 * time.Second
 	settleTimeout = 40 * time.Second
 	// drainBound and applyBound are the time limits that the tier promises: for a draining server to
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -314,7 +314,7 @@
 }
 
 // nothingReceived reports whether an idle connection has received neither bytes, which would
-// belong to no request, nor a close.
+// belong to no request, and no close.
 func (c *conn) nothingReceived() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
--- a/logic/affinity_test.go
+++ b/logic/affinity_test.go
@@ -51,7 +51,7 @@
 			s.failures, s.ejectedUntil, b.toleratedLoss = ejectAfter, time.Hour, 1 // its loss is tolerated: nothing is rejected for it
 		}, "s5"},
 		{"holds as many as it may", []ServerID{"s3", "s5"}, func(_ *Balancer, s *server) { s.inflight = 4 }, "s3"},
-		{"crowded", []ServerID{"s3", "s5"}, func(_ *Balancer, s *server) { s.inflight = 5 }, "s5"},
+		{"overloaded", []ServerID{"s3", "s5"}, func(_ *Balancer, s *server) { s.inflight = 5 }, "s5"},
 		{"nearly as good", []ServerID{"s3", "s5"}, func(_ *Balancer, s *server) { setAnswerShare(s, 0.97) }, "s3"},
 		{"clearly worse", []ServerID{"s3", "s5"}, func(_ *Balancer, s *server) { setAnswerShare(s, 0.9) }, "s5"},
 		{"clearly worse, no other", []ServerID{"s3"}, func(_ *Balancer, s *server) { setAnswerShare(s, 0.9) }, ""},
@@ -159,7 +159,7 @@
 		b = newAffinityBalancer(t, seed, Unsafe)
 		b.servers["s5"].inflight = 5
 		tried, _ = rejectAttempts(b, ms, Request{ID: "r", Class: "c", ClientTimeout: 20 * time.Second, Preferred: []ServerID{"s3", "s5", "s4"}})
-		assert.Equal(t, []ServerID{"s3", "s4"}, tried[:2], "the crowded one is passed over")
+		assert.Equal(t, []ServerID{"s3", "s4"}, tried[:2], "the overloaded one is skipped")
 
 		b = newAffinityBalancer(t, seed, Safe)
 		require.Equal(t, ServerID("s3"), sendPreferring(t, b, "r", "s3", "s5"))
--- a/logic/attempt.go
+++ b/logic/attempt.go
@@ -122,7 +122,7 @@
 		}
 		step := toleranceGain
 		if !served || r.aim-at < r.class.Aim/2 {
-			step = -toleranceLoss // it queued: admitting more would crowd the rest
+			step = -toleranceLoss // it queued: admitting more would delay the other requests
 		}
 		b.toleratedLoss = max(b.toleratedLoss+(1-b.capacityLeft)*step, 0)
 		b.onTimeShare += (1 - miss - b.onTimeShare) * onTimeStep
--- a/logic/balancer.go
+++ b/logic/balancer.go
@@ -57,7 +57,7 @@
 
 type classStats struct {
 	median        float64       // latency in seconds of a request of mean work
-	samples       float64       // answers behind the median
+	samples       float64       // answers that the median is computed from
 	meanHint      float64       // mean work hint in seconds
 	usualTimeout  time.Duration // what clients mostly wait for a try
 	usualVotes    int           // how many more tries had it than not
--- a/logic/choose.go
+++ b/logic/choose.go
@@ -40,13 +40,13 @@
 		best = max(best, b.payoff(r, s, 0))
 	}
 	// Sending requests that will miss their aim sustains an overload: the queues serve only late ones. A few
-	// are sent anyway, or a rejected class would stay so for ever; fewer, the more were sent in vain.
+	// are sent anyway, or a rejected class would stay rejected for ever; fewer as more of them miss it.
 	need := b.requiredChance(r)*(r.class.reward+r.class.penalty) - r.class.penalty
 	b.sendTokens = min(b.sendTokens+minSendRate*(b.now-b.sendTokensAt).Seconds(), maxSendTokens)
 	b.sendTokensAt = b.now
-	// After a loss of capacity the rest may be overloaded, and a node that sends little learns it too late:
-	// it admits less at once, by worth, and more again as answers come soon. So it does if many nodes share
-	// each server and answers take twice their work: then one request of each node is already too much.
+	// After a loss of capacity the others may be overloaded, and a node that sends little learns it too late:
+	// it admits less at once, by worth, and more again as answers come soon. It does the same if many nodes
+	// share each server and answers take twice their work: one request of each node is then too much.
 	b.toleratedLoss = min(b.toleratedLoss, 1-b.capacityLeft)
 	shared := min(float64(len(b.ring)-len(b.subset)), 1)
 	over := max(1-b.capacityLeft-b.toleratedLoss, (b.fleetSlowdown-math.Ln2)*shared)
@@ -87,7 +87,7 @@
 	return pick, timeout, alt
 }
 
-// preferred returns the first preferred server that isn't crowded and promises at least this worth share.
+// preferred returns the first preferred server that isn't overloaded and promises at least this worth share.
 func (b *Balancer) preferred(r *request, least float64) *server {
 	for _, id := range r.source.Preferred {
 		s := b.servers[id]
--- a/logic/guard.go
+++ b/logic/guard.go
@@ -82,7 +82,7 @@
 }
 
 // isOutlier reports whether a server has failed more often in a row than the typical server would by chance.
-// If all fail alike, as by broken connections or overload, ejecting some would overload the rest.
+// If all fail alike, as by broken connections or overload, ejecting some would overload the others.
 func (b *Balancer) isOutlier(s *server) bool {
 	if b.now-b.typicalAt >= curveTTL && len(b.ready) > 0 {
 		parts := make([]float64, len(b.ready))
