--- a/cmd/oakseam/console_test.go
+++ b/cmd/oakseam/console_test.go
@@ -24,7 +24,7 @@
 	return start(t, c)
 }
 
-// consoleCall sends a command to the console and returns the reply, empty where nobody
+// consoleCall sends a command to the console and returns the reply, empty if nobody
 // listens there.
 func (n *node) consoleCall(text string) string {
 	c, err := net.Dial("tcp", n.console)
--- a/cmd/oakseam/harness_test.go
+++ b/cmd/oakseam/harness_test.go
@@ -218,7 +218,7 @@
 // client opens a new client session for each request, so that requests don't wait for each other.
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
 
-// send sends a request. It returns nil where there is no complete response.
+// send sends a request. It returns nil if there is no complete response.
 func (n *node) send(method, path, body string, header map[string]string) *answer {
 	request, err := http.NewRequest(method, "http://"+n.addr+path, strings.NewReader(body))
 	require.NoError(n.t, err)
--- a/cmd/oakseam/oakseam_test.go
+++ b/cmd/oakseam/oakseam_test.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// A request must be served by another backend where the first one refuses the connection.
+// A request must be served by another backend if the first one refuses the connection.
 func TestRefusedConnectionIsRetried(t *testing.T) {
 	b := newBackend(t, ok)
 	s := settings()
@@ -327,7 +327,7 @@
 	assert.Equal(t, 200, n.ask("topup").status)
 }
 
-// Where the module does not subscribe, the node must watch the registry on its own, and report
+// If the module does not subscribe, the node must watch the registry on its own, and report
 // no failure to the module.
 func TestAutomaticRegistryWatch(t *testing.T) {
 	b, d, s := newBackend(t, ok), newRegistry(t), settings()
--- a/cmd/oakseam/statefile.go
+++ b/cmd/oakseam/statefile.go
@@ -35,7 +35,7 @@
 	return filepath.Join(dir, durable.BaseName(listen)+".state")
 }
 
-// restore adopts the contents of a state file, each part only where it is still valid. A file
+// restore adopts the contents of a state file, each part only if it is still valid. A file
 // that cannot be read changes nothing.
 func (t *takeover) restore(name string, now time.Time) {
 	text, err := durable.Read(name)
--- a/cmd/oakseam/upgrade_test.go
+++ b/cmd/oakseam/upgrade_test.go
@@ -148,7 +148,7 @@
 }
 
 // A response that a backend still sends during an upgrade must continue through the old process,
-// also where the node was draining before.
+// also if the node was draining before.
 func TestUpgradeKeepsStreamingAnswer(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(c *net.TCPConn, r request) bool {
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -378,7 +378,7 @@
 }
 
 // ClientLeft records that a client stopped waiting. If that was before its timeout, the request needs
-// no answer any more. A client that waited until its timeout must have got an answer.
+// no answer. A client that waited until its timeout must have got an answer.
 func (a *Auditor) ClientLeft(at time.Duration, id string) {
 	a.advance(at)
 	if r := a.requests[id]; r != nil && !r.answered && at < r.deadline {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -65,7 +65,7 @@
 	Console    string          `json:"console"`
 	Seed       string          `json:"seed"`
 	PeerListen string          `json:"peer_listen"`
-	Peers      json.RawMessage `json:"peers"` // read only where the node sends to others
+	Peers      json.RawMessage `json:"peers"` // read only if the node sends to others
 	Limits     struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int     `json:"memory_mb"`
@@ -79,7 +79,7 @@
 type source struct {
 	path string
 	file file
-	env  map[string]string // the variable that overrides a key, where one is set
+	env  map[string]string // the variable that overrides a key, if one is set
 }
 
 // Load reads the file that PROXY_CONFIG names. The variables PROXY_NAME, PROXY_LISTEN,
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -108,7 +108,7 @@
 	require.NoError(t, checkBounds(nil, reflect.ValueOf(o), ""), "the defaults are within their bounds")
 }
 
-// The peers' addresses must be read and checked only where the node sends to others.
+// The peers' addresses must be read and checked only if the node sends to others.
 func TestPeersAreReadOnlyWhereUsed(t *testing.T) {
 	for peers, want := range map[string]string{
 		`"peer_listen":"127.0.0.1:3","peers":["127.0.0.1:4","127.0.0.1:5"]`: "",
--- a/internal/controlplane/replica/leader.go
+++ b/internal/controlplane/replica/leader.go
@@ -235,7 +235,7 @@
 	return r.progress[node].matchIndex
 }
 
-// commitThrough commits the leader's entries up to index. A leader that is no voter any more steps down
+// commitThrough commits the leader's entries up to index. A leader that is no longer a voter steps down
 // once its removal is committed.
 func (r *Replica) commitThrough(index uint64) {
 	for committed := r.commitIndex + 1; committed <= index; committed++ {
--- a/internal/controlplane/replica/membership_change.go
+++ b/internal/controlplane/replica/membership_change.go
@@ -130,7 +130,7 @@
 	r.startElection(true)
 }
 
-// stepDownAfterRemoval gives up the leadership once this node is no voter any more, and asks the voter
+// stepDownAfterRemoval gives up the leadership once this node is no longer a voter, and asks the voter
 // that holds most of the log to take over.
 func (r *Replica) stepDownAfterRemoval() {
 	var best NodeID
--- a/internal/controlplane/replica/model_test.go
+++ b/internal/controlplane/replica/model_test.go
@@ -171,7 +171,7 @@
 	return states
 }
 
-// nextMembers returns the members with a learner promoted to voter if there is one, else with one voter removed.
+// nextMembers returns the members with a learner promoted to voter if there is one, otherwise with one voter removed.
 func (m *model) nextMembers(r *Replica) Members {
 	members := r.members().Clone()
 	if len(members.Learners) > 0 {
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -92,7 +92,7 @@
 type leadershipTransfer struct {
 	target    NodeID
 	deadline  time.Duration // when the attempt is aborted
-	requested bool          // TimeoutNow was sent: the target may campaign at any time, so this term has no lease any more
+	requested bool          // TimeoutNow was sent: the target may campaign at any time, so this term has no lease from then on
 }
 
 // New returns the replica of a node that has stored this state; now is on the node's own monotonic
--- a/internal/controlplane/replica/restart.go
+++ b/internal/controlplane/replica/restart.go
@@ -9,7 +9,7 @@
 )
 
 // A node that restarts may have promised a leader a lease before, and forgotten it. It therefore votes for
-// nobody until ElectionTimeout has passed. If all machines restart at once, that wait serves nothing. So
+// nobody until ElectionTimeout has passed. If all machines restart at once, that wait is useless. So
 // voters that have heard from no leader since their start may vote at once if every single voter says that
 // it would vote, and so is no leader:
 //
--- a/internal/controlplane/revisions/revisions.go
+++ b/internal/controlplane/revisions/revisions.go
@@ -194,7 +194,7 @@
 }
 
 // NewChange returns the change from revision base to body. base must be the current revision
-// or a former one. A former base cannot be changed any more, so the change then has no patch.
+// or a former one. A former base can no longer be changed, so the change then has no patch.
 // It fails with delta.ErrTooLong.
 func (m *Machine) NewChange(base, revision uint64, body []byte) (*Change, error) {
 	c := &Change{Base: base, Revision: revision, Digest: DigestOf(base, body)}
--- a/internal/controlplane/simulation/lister_test.go
+++ b/internal/controlplane/simulation/lister_test.go
@@ -30,7 +30,7 @@
 	serverCounts       map[string]int // number of servers by service, as the platform has it
 	cutOffFromPlatform map[endpoint]bool
 	permanentlyCutOff  bool // after the faults, two of three nodes lose the platform permanently
-	serversSettled     bool // the platform's servers do not change any more
+	serversSettled     bool // the platform's servers no longer change
 	listers            map[endpoint]*fakeTask
 	newestEpoch        uint64 // the newest epoch in which a node listed
 	activeNode         endpoint
--- a/internal/controlplane/simulation/world_test.go
+++ b/internal/controlplane/simulation/world_test.go
@@ -36,7 +36,7 @@
 	unannouncedVoter     bool // a node becomes a voter before the directory lists it
 	epochFromPartition   bool // publications carry the epoch of the partition, not of the lister
 	vouchWithoutLeader   bool // a core node confirms its state as current without contact to the leader
-	trustOneNode         bool // a process trusts a single core node a while after its start
+	trustOneNode         bool // a process trusts a single core node some time after its start
 	compareRevisionOnly  bool // changes are identified by their revision alone
 	rejectRepeatedChange bool // a change that was accepted and superseded is rejected when it is sent again
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -22,7 +22,7 @@
 type Request struct {
 	ID    string
 	Class string
-	// Retry is set where the client marked the request as a repeat of an earlier one.
+	// Retry is set if the client marked the request as a repeat of an earlier one.
 	Retry bool
 	// Tenant is the name, in the settings, of the tenant that sent the request. Empty: not given.
 	Tenant string
@@ -32,7 +32,7 @@
 	PreferredServers []logic.ServerID
 	// Worth is the value of serving the request. 0: that of its class.
 	Worth float64
-	// AvoidedServer gets the request only where there is no other backend.
+	// AvoidedServer gets the request only if there is no other backend.
 	AvoidedServer logic.ServerID
 	// MaxAttempts is how many attempts the request may have. 0: as many as its class.
 	MaxAttempts int
@@ -78,7 +78,7 @@
 	MayHaveRun bool
 	// Attempts is how many attempts were sent.
 	Attempts int
-	// Server is the backend whose streamed response this is, else empty.
+	// Server is the backend whose streamed response this is, otherwise empty.
 	Server logic.ServerID
 	// Reply is set where Kind is Served. Where Kind is Failed it may be set: it is then the
 	// latest failure that a backend responded with, and goes to the client unchanged, even
@@ -112,13 +112,13 @@
 // AttemptResult is how an attempt ended, or reports that its streamed response has started.
 type AttemptResult struct {
 	Result logic.Result
-	// Reply is set for an OK and with PassThrough. An io.Closer is closed where nobody
+	// Reply is set for an OK and with PassThrough. An io.Closer is closed if nobody
 	// receives it.
 	Reply any
 	// LoadReport holds the backend's reported load. nil: none was sent.
 	LoadReport []float64
 	At         time.Time
-	// ClientGone is set where the attempt was not started because the client has left.
+	// ClientGone is set if the attempt was not started because the client has left.
 	ClientGone bool
 	// Streaming is set on an OK whose Reply is still arriving. The end of the attempt is
 	// reported after the Reply is closed.
@@ -144,7 +144,7 @@
 }
 
 // Registry delivers the list of backends. Its methods must not block; each call
-// is answered by exactly one UpdateBackends. It may be nil where the settings don't
+// is answered by exactly one UpdateBackends. It may be nil if the settings don't
 // set MustSubscribe.
 type Registry interface {
 	Subscribe()
@@ -251,12 +251,12 @@
 // Snapshot is the state that a node hands over to its successor.
 type Snapshot struct {
 	Backends []Backend
-	// ModuleState is what the module has learned, empty where the module exports none.
+	// ModuleState is what the module has learned, empty if the module exports none.
 	ModuleState []byte
 }
 
 // Snapshot returns the current list of backends and what the module has learned,
-// or false where the loop does not handle the call within the timeout.
+// or false if the loop does not handle the call within the timeout.
 func (l *EventLoop) Snapshot(timeout time.Duration) (Snapshot, bool) {
 	result := make(chan Snapshot, 1)
 	t := time.NewTimer(timeout)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -83,7 +83,7 @@
 	defer loop.Stop()
 	go transport.serve()
 	for range 50 {
-		receive(t, answers) // served, or rejected where one backend is too few
+		receive(t, answers) // served, or rejected if one backend is too few
 	}
 	assert.Contains(t, transport.targets, logic.ServerID("s-0"))
 	assert.NotContains(t, transport.targets, logic.ServerID("s-1"))
@@ -122,7 +122,7 @@
 	assert.Empty(t, answers)
 }
 
-// Where the queue is full and nobody empties it, Submit must fail instead of blocking for ever.
+// If the queue is full and nobody empties it, Submit must fail instead of blocking forever.
 func TestSubmitFailsWhenQueueStaysFull(t *testing.T) {
 	loop := newLoop(t, 5*time.Second, logic.Serving)
 	for i := range maxQueuedEvents {
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -92,7 +92,7 @@
 type avoidanceReporter interface{ CountAvoided(time.Duration) int }
 
 // BackendCounts returns how many backends are listed, and how many of these the module
-// avoids now, where it reports that.
+// avoids now, if it reports that.
 func (e *Engine) BackendCounts() (listed, avoided int) {
 	if m, ok := e.module.(avoidanceReporter); ok {
 		avoided = m.CountAvoided(e.moduleTime(e.env.Now()))
@@ -113,7 +113,7 @@
 	_ stateTransferrer  = (*logic.Balancer)(nil)
 )
 
-// ExportModuleState returns what the module has learned, empty where it exports nothing.
+// ExportModuleState returns what the module has learned, empty if it exports nothing.
 func (e *Engine) ExportModuleState() []byte {
 	m, ok := e.module.(stateTransferrer)
 	if !ok {
@@ -127,7 +127,7 @@
 }
 
 // ImportModuleState has the module adopt what another module learned: all of it where this
-// module continues at the same instant, else only what stays valid across a restart.
+// module continues at the same instant, otherwise only what stays valid across a restart.
 func (e *Engine) ImportModuleState(text []byte, full bool) {
 	if m, ok := e.module.(stateTransferrer); ok {
 		load := m.ImportAfterRestart
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -68,7 +68,7 @@
 var _ reconfigurable = (*logic.Balancer)(nil)
 
 // Reconfigure replaces the request classes, for requests that arrive later, and those of the
-// module where it supports that.
+// module if it supports that.
 func (e *Engine) Reconfigure(classes []logic.Class) {
 	if m, ok := e.module.(reconfigurable); ok {
 		if err := m.SetClasses(slices.Clone(classes)); err != nil {
--- a/internal/core/stream_test.go
+++ b/internal/core/stream_test.go
@@ -106,7 +106,7 @@
 	assert.Equal(t, []int{1}, s.canceled)
 }
 
-// The latest failure to be passed on is the answer where the module gives the request up, and
+// The latest failure to be passed on is the answer if the module gives the request up, and
 // must be closed in all other cases.
 func TestLatestFailureIsPassedOn(t *testing.T) {
 	giveUp := func(action logic.Action) func(ev logic.Event) []logic.Action {
@@ -148,7 +148,7 @@
 	}
 }
 
-// An earlier failure is the answer where the last attempt has none, and must be closed where
+// An earlier failure is the answer if the last attempt has none, and must be closed where
 // the client leaves.
 func TestEarlierFailureIsPassedOn(t *testing.T) {
 	s, first := newTwoAttempts(func(ev logic.Event) []logic.Action {
--- a/internal/dataplane/gateway/answer.go
+++ b/internal/dataplane/gateway/answer.go
@@ -25,10 +25,10 @@
 	answer chan core.Answer
 
 	mu        sync.Mutex
-	abandoned bool // nobody waits any more
+	abandoned bool // nobody waits any longer
 }
 
-// Answer implements core.Session. An answer that nobody waits for any more is closed.
+// Answer implements core.Session. An answer that nobody waits for any longer is closed.
 func (w *waiter) Answer(a core.Answer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -168,7 +168,7 @@
 }
 
 // rejectUnrouted answers a request that matches no route: with a final 404 if the configuration is
-// recent, else with a rejection that the client retries.
+// recent, otherwise with a rejection that the client retries.
 func (g *Gateway) rejectUnrouted(w http.ResponseWriter) {
 	if g.opt.Current != nil && !g.opt.Current() {
 		g.reject(w, startupRetryAfter, "answer.out-of-touch")
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -56,9 +56,9 @@
 
 // List is the registry's form of a list of backends.
 type List struct {
-	// Revision is the version of the list, below 0 where it has none.
+	// Revision is the version of the list, below 0 if it has none.
 	Revision int64 `json:"rev"`
-	// Full is set where the list has every backend, not only the changed ones.
+	// Full is set if the list has every backend, not only the changed ones.
 	Full    bool     `json:"all"`
 	Targets []Target `json:"targets"`
 }
@@ -80,7 +80,7 @@
 	"in_service": logic.Serving, "terminating": logic.Draining, "terminated": logic.Gone,
 }
 
-// Backends converts a list to the backends that package core uses. It fails where the list
+// Backends converts a list to the backends that package core uses. It fails if the list
 // contradicts itself.
 func (l *List) Backends() ([]core.Backend, error) {
 	backends := make([]core.Backend, 0, len(l.Targets))
@@ -282,7 +282,7 @@
 	err  error // nil: a line
 }
 
-// watchAddress watches at one address until no call is in flight any more. A call or a watch
+// watchAddress watches at one address until no call is in flight. A call or a watch
 // that is silent for longer than a healthy one would be is hedged: another call is made in
 // parallel, the first of them to reply is kept, and the others end. So a lost call costs only
 // a short delay, and one that waits for its turn at the registry does not lose it.
@@ -342,8 +342,8 @@
 			}
 			if !superseded { // the remaining calls have not replied since
 				c.log.Info("registry: hedged call failed", logging.Cause, event.err)
-				// Only moved forward: calls that end one after the other would else defer
-				// the next one for ever.
+				// Only moved forward: calls that end one after the other would otherwise defer
+				// the next one forever.
 				if delay := hedgeRetryDelay + rand.N(hedgeRetryDelay); time.Now().Add(delay).Before(due) {
 					scheduleHedge(delay)
 				}
--- a/internal/discovery/delivery_test.go
+++ b/internal/discovery/delivery_test.go
@@ -62,7 +62,7 @@
 
 func (r *queuedRegistry) isDown() bool { now := r.now(); return now >= r.down[0] && now < r.down[1] }
 
-// takeTurn queues a call and waits for its turn. It returns false where the queue is too long.
+// takeTurn queues a call and waits for its turn. It returns false if the queue is too long.
 func (r *queuedRegistry) takeTurn() bool {
 	r.mu.Lock()
 	wait := max(r.freeAt-r.now(), 0)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -43,7 +43,7 @@
 	text  string
 }
 
-// runClient has the script answer calls for a time: nil for one that is refused, else the
+// runClient has the script answer calls for a time: nil for one that is refused, otherwise the
 // chunks that are sent, after which the call stays silent.
 func runClient(t *testing.T, span time.Duration, script func(call int, at time.Duration) []chunk, start func(context.Context, *Client)) *clientRun {
 	run := &clientRun{}
--- a/internal/durable/contract_test.go
+++ b/internal/durable/contract_test.go
@@ -13,7 +13,7 @@
 )
 
 // This file holds the contract that every durable.Store must pass. Each clause checks one
-// promise of the interface from outside and returns an error where it is broken, so that
+// promise of the interface from outside and returns an error if it is broken, so that
 // deliberately wrong stores can be shown to break it. It must not know any implementation.
 
 // Place is where the stores of one implementation keep their values across a crash.
@@ -25,7 +25,7 @@
 	// Fill makes the place full, so that further writes fail. Nil where that is impossible.
 	Fill func()
 	// Crash kills a process after any number of its writes, while it writes a value. Nil
-	// where a write cannot be interrupted.
+	// if a write cannot be interrupted.
 	Crash func(name string, values [][]byte) error
 }
 
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -118,7 +118,7 @@
 	return errors.Join(d.Sync(), d.Close()) // makes the rename durable
 }
 
-// Read returns the value in a file, or os.ErrNotExist where there is none.
+// Read returns the value in a file, or os.ErrNotExist if there is none.
 func Read(name string) ([]byte, error) {
 	f, err := os.Open(name)
 	if err != nil {
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -20,8 +20,8 @@
 	// MaxValueSize bytes return ErrTooLong, a name that is not a plain file name returns
 	// ErrInvalidName.
 	Write(name string, value []byte) error
-	// Read returns the value of a name, owned by the caller: fs.ErrNotExist where there is
-	// none; ErrTorn, ErrForeign or ErrVersion where the stored bytes are not valid.
+	// Read returns the value of a name, owned by the caller: fs.ErrNotExist if there is
+	// none; ErrTorn, ErrForeign or ErrVersion if the stored bytes are not valid.
 	Read(name string) ([]byte, error)
 }
 
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -266,7 +266,7 @@
 }
 
 // frontend distributes clients to the nodes of their zone that it considers alive, by the nodes'
-// traffic shares, else round-robin.
+// traffic shares, otherwise round-robin.
 type frontend struct {
 	sim      *simulation
 	position int
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -234,7 +234,7 @@
 }
 
 // nodeRestarted reports whether the node has been killed since the request was sent to it, whether
-// or not it runs again. Then no answer is due any more.
+// or not it runs again. Then no answer is due.
 func (request *requestState) nodeRestarted() bool {
 	return !request.node.alive || request.node.epoch != request.nodeEpoch
 }
@@ -242,7 +242,7 @@
 // RequestOutcome is the end of a request as its client saw it.
 type RequestOutcome struct {
 	Answer     audit.Answer // None: no complete response arrived
-	FullySent  bool         // the last byte was written; else no part of the request counts as received
+	FullySent  bool         // the last byte was written; otherwise no part of the request counts as received
 	TimedOut   bool         // the client waited until its timeout
 	RetryAfter time.Duration
 }
@@ -258,7 +258,7 @@
 		died := request.nodeRestarted()
 		switch {
 		case v.Answer != audit.NoAnswer:
-			if !died { // else the response was on its way when the node was killed, and no answer was due any more
+			if !died { // otherwise the response was in transit when the node was killed, and no answer was due
 				sim.auditor.RequestAnswered(sim.now, id, v.Answer)
 			}
 			sim.stats.recordAnswer([...]core.AnswerKind{audit.Served: core.Served, audit.Rejected: core.Rejected, audit.Failed: core.Failed}[v.Answer])
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -148,7 +148,7 @@
 }
 
 // runNodeBatch runs the events of all nodes that are next at the current instant. Each node runs
-// by itself, on several cores where there are workers. Their effects on the simulation are
+// by itself, on several cores if there are workers. Their effects on the simulation are
 // applied afterwards, in the order of the nodes, so that the number of cores has no influence.
 func (sim *simulation) runNodeBatch(first event) {
 	add := func(e event) {
--- a/internal/emulator/validate.go
+++ b/internal/emulator/validate.go
@@ -25,7 +25,7 @@
 // rangeWithin requires a range to be within bounds, with the lower value first.
 func (c *validator) rangeWithin(key string, v Range, minimum, maximum float64) {
 	if !v.within(minimum, maximum) {
-		c.fail(key, "must lie from %g to %g, the lower figure first", minimum, maximum)
+		c.fail(key, "must lie from %g to %g, the lower value first", minimum, maximum)
 	}
 }
 
--- a/internal/gossip/contract_test.go
+++ b/internal/gossip/contract_test.go
@@ -13,7 +13,7 @@
 )
 
 // This file holds the contract that every gossip.Transport must pass. Each clause checks one
-// promise of the interface from outside and returns an error where it is broken, so that
+// promise of the interface from outside and returns an error if it is broken, so that
 // deliberately wrong transports can be shown to break it. It must not know any implementation.
 
 // maxWait bounds the wait for something promised. No result depends on how long it took.
--- a/internal/gossip/engine.go
+++ b/internal/gossip/engine.go
@@ -95,7 +95,7 @@
 }
 
 // NewEngine returns the engine of the named node with a budget in bytes per second. The
-// incarnation is 1, or one more than that of the node's previous run where it is known.
+// incarnation is 1, or one more than that of the node's previous run if that is known.
 func NewEngine(self string, incarnation uint32, budget float64) *Engine {
 	g := &Engine{self: self, incarnation: max(incarnation, 1), budget: budget, tokens: MaxDatagram,
 		partials: map[key]*partial{}, owedBuckets: map[string]uint16{}, digestSentAt: -digestInterval}
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -17,7 +17,7 @@
 	// Addr returns the address at which other nodes reach this transport.
 	Addr() string
 	// Send sends a datagram of 1 to MaxDatagram bytes. A longer one returns ErrTooLong, an
-	// empty one does nothing. Send never blocks: where the receiver is slow, closed or unknown
+	// empty one does nothing. Send never blocks: if the receiver is slow, closed or unknown
 	// the datagram is lost, which is no error, and datagrams to others are not affected. The
 	// caller may reuse the bytes after the return. After Close it returns ErrClosed.
 	Send(to string, datagram []byte) error
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -56,7 +56,7 @@
 }
 
 // TakeOver asks the process that listens at an address for its socket and state. It returns
-// ErrNoPredecessor where there is none, and another error where the handover fails.
+// ErrNoPredecessor if there is none, and another error if the handover fails.
 func TakeOver(dir, listen string) (*Takeover, error) {
 	name, closeDir, err := socketPath(dir, listen)
 	if err != nil {
--- a/internal/ingress/body.go
+++ b/internal/ingress/body.go
@@ -35,7 +35,7 @@
 	controller *http.ResponseController
 	start      time.Time
 	limits     BodyLimits
-	failed     chan struct{} // closed when the body cannot be completed any more
+	failed     chan struct{} // closed when the body can no longer be completed
 	acquired   int64         // bytes of the budget
 
 	mu       sync.Mutex
@@ -54,7 +54,7 @@
 	return in
 }
 
-// Failed returns a channel that is closed when the body cannot be completed any more.
+// Failed returns a channel that is closed when the body can no longer be completed.
 func (in *Body) Failed() <-chan struct{} { return in.failed }
 
 // ReadPrefix reads up to MaxBuffered bytes of a body with the stated length, which is below 0 if it
@@ -148,7 +148,7 @@
 }
 
 // Stop ends reading, also a Read that waits, and reports whether the body was complete. It returns
-// when no Read is in progress any more: net/http would remove the deadline of a Read in progress
+// when no Read is in progress any longer: net/http would remove the deadline of a Read in progress
 // and then wait for the rest of the body without one.
 func (in *Body) Stop() bool {
 	in.mu.Lock()
--- a/internal/session/frontend.go
+++ b/internal/session/frontend.go
@@ -98,7 +98,7 @@
 	f.Server.SetMaxSessions(sessions, overflow)
 }
 
-// Ready returns nil where the node takes clients, or the reason why it does not.
+// Ready returns nil if the node takes clients, or the reason why it does not.
 func (f *Frontend) Ready() error {
 	switch phase := f.Phase(); {
 	case phase != lifecycle.Serving:
--- a/internal/session/request.go
+++ b/internal/session/request.go
@@ -107,7 +107,7 @@
 }
 
 // parseTimeLeft parses a number and its unit, m for milliseconds or u for
-// microseconds. It returns 0 where the client gives none.
+// microseconds. It returns 0 if the client gives none.
 func parseTimeLeft(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -105,10 +105,10 @@
 	}
 }
 
-// text returns the value of a setting, and "" where it is absent or "-".
+// text returns the value of a setting, and "" if it is absent or "-".
 func (f *settingsParser) text(key string) string { return orEmpty(f.values[key]) }
 
-// number returns the value of a numeric setting, and 0 where it is absent.
+// number returns the value of a numeric setting, and 0 if it is absent.
 func (f *settingsParser) number(key string) float64 {
 	v := f.text(key)
 	if v == "" {
@@ -122,7 +122,7 @@
 	return n
 }
 
-// time returns the value of a setting in microseconds, and 0 where it is absent.
+// time returns the value of a setting in microseconds, and 0 if it is absent.
 func (f *settingsParser) time(key string) time.Duration {
 	v := f.text(key)
 	if v == "" {
@@ -135,7 +135,7 @@
 	return d
 }
 
-// count returns the length of a list of objects, and 0 where it is absent.
+// count returns the length of a list of objects, and 0 if it is absent.
 func (f *settingsParser) count(key string) int {
 	n := f.number(key)
 	if n < 0 || n > maxObjects || n != float64(int(n)) {
@@ -145,7 +145,7 @@
 	return int(n)
 }
 
-// flag returns the value of a boolean setting, and false where it is absent.
+// flag returns the value of a boolean setting, and false if it is absent.
 func (f *settingsParser) flag(key string) bool {
 	switch v := f.text(key); v {
 	case "true", "1":
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -140,7 +140,7 @@
 // maxLineBytes limits the length of an input line.
 const maxLineBytes = 1 << 22
 
-// readLine returns the next line without its newline, and io.EOF where the input ends before it.
+// readLine returns the next line without its newline, and io.EOF if the input ends before it.
 func (r *Reader) readLine() (string, error) {
 	r.lineBuffer = r.lineBuffer[:0]
 	for {
--- a/internal/simproto/value.go
+++ b/internal/simproto/value.go
@@ -8,7 +8,7 @@
 )
 
 // parseReport parses a load report: comma-separated numbers in the order of the report's
-// fields, where "-" stands for 0. It returns nil where there is none.
+// fields, where "-" stands for 0. It returns nil if there is none.
 func parseReport(s string) ([]float64, error) {
 	if s == "-" || s == "" {
 		return nil, nil
--- a/internal/tier/protocol/protocol.go
+++ b/internal/tier/protocol/protocol.go
@@ -191,7 +191,7 @@
 }
 
 // WatchArgs asks a core node for everything newer than the caller's versions. The reply
-// comes at once if there is something newer, else when there is, or empty after Wait.
+// comes at once if there is something newer, otherwise when there is, or empty after Wait.
 type WatchArgs struct {
 	Node      string
 	Revision  uint64                    // of the configuration in force at the caller, 0: none
--- a/internal/tier/rpc/peer.go
+++ b/internal/tier/rpc/peer.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// connectionOrDial returns the connection if it is usable, else the dial to wait
+// connectionOrDial returns the connection if it is usable, otherwise the dial to wait
 // for, which it starts if necessary.
 func (p *peer) connectionOrDial() (*connection, *dial, error) {
 	p.mu.Lock()
--- a/internal/tier/watch/capacity_test.go
+++ b/internal/tier/watch/capacity_test.go
@@ -36,7 +36,7 @@
 	sent    atomic.Int64 // bytes of patches sent
 }
 
-// Watch replies when there is a newer configuration, else after the wait.
+// Watch replies when there is a newer configuration, otherwise after the wait.
 func (s *configurationServer) Watch(args *protocol.WatchArgs, reply *protocol.WatchReply) error {
 	reply.Confirmed, reply.Vouched = args.Confirmed, true
 	end := time.NewTimer(args.Wait)
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -129,7 +129,7 @@
 // pump reads a body in its own goroutine, so that a receiver can wait for it with a timeout.
 type pump struct {
 	chunks chan chunk
-	quit   chan struct{} // closed when nobody receives any more
+	quit   chan struct{} // closed when nobody receives any longer
 	rest   chunk         // what Read has not returned yet of the last chunk
 }
 
--- a/logic/api.go
+++ b/logic/api.go
@@ -195,7 +195,7 @@
 	Class         string
 	Retry         bool          // the client marked it as a retry
 	ClientTimeout time.Duration // how long the client still waits for this try
-	Tenant        string        // "" where there are no tenants
+	Tenant        string        // "" if there are no tenants
 	WorkHint      time.Duration // expected work on a standard core, 0: unknown
 	BodyPending   bool          // the body is not complete: only one attempt is made, which is no load yet
 	Worth         float64       // of this request, above 0 and finite; 0: that of its class
--- a/logic/balancer.go
+++ b/logic/balancer.go
@@ -81,7 +81,7 @@
 	reportedAt, refilledAt  time.Duration // of reportedLoad (0: no report) and of coldTokens
 	lastScan, hash          uint64        // the last scan for candidates that saw it; place on the ring
 	// Where requests hint their work, limit bounds what this node has out to it (0: none yet). It shrinks at
-	// twice that latency or more, as with two requests a core, which soon slows it further; else it grows.
+	// twice that latency or more, as with two requests a core, which soon slows it more; otherwise it grows.
 	limit, slowdown float64 // slowdown: EWMA of the logarithm of its latency over the hinted work
 	minLatency      float64 // in seconds, mostly network time
 }
--- a/logic/choose.go
+++ b/logic/choose.go
@@ -40,7 +40,7 @@
 		best = max(best, b.payoff(r, s, 0))
 	}
 	// Sending requests that will miss their aim sustains an overload: the queues serve only late ones. A few
-	// are sent anyway, or a rejected class would stay rejected for ever; fewer as more of them miss it.
+	// are sent anyway, or a rejected class would stay rejected forever; fewer as more of them miss it.
 	need := b.requiredChance(r)*(r.class.reward+r.class.penalty) - r.class.penalty
 	b.sendTokens = min(b.sendTokens+minSendRate*(b.now-b.sendTokensAt).Seconds(), maxSendTokens)
 	b.sendTokensAt = b.now
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -647,7 +647,7 @@
 	for _, s := range equalServers(60) {
 		assert.InDelta(t, float64(80*minSubset)/60, used[s.ID], 5.5, "nodes of %s", s.ID)
 	}
-	assert.LessOrEqual(t, moved, 3*cfg.Nodes, "servers that three news of the list moved at 80 nodes")
+	assert.LessOrEqual(t, moved, 3*cfg.Nodes, "servers that three updates of the list moved at 80 nodes")
 	// The fewer nodes use a server, the more each learns of it: 80 of 100 servers per node would be too many.
 	for _, tt := range []struct{ nodes, servers, want int }{{80, 60, 8}, {10, 100, 40}, {3, 20, 20}} {
 		cfg.Nodes, cfg.Number = tt.nodes, 1
@@ -868,7 +868,7 @@
 	}
 }
 
-// Rejecting a request while a capable server is idle but ejected serves nobody: one
+// Rejecting a request while a capable server is idle but ejected is useless: one
 // request at a time goes there instead. A server without a chance gets none.
 func TestEjectedIdleServerIsTriedBeforeRejecting(t *testing.T) {
 	for _, capable := range []bool{true, false} {
@@ -990,7 +990,7 @@
 
 // If answers take four times the hinted work, every core of the server has a queue that slows it further: the node
 // keeps one request in flight and rejects the rest. If they take about the work, it sends all requests, beyond its
-// first limit, also if most of the time is network time. Attempts that stay silent don't block the limit for ever.
+// first limit, also if most of the time is network time. Attempts that stay silent don't block the limit forever.
 func TestSlowAnswersLimitInFlightRequests(t *testing.T) {
 	if got, _ := simulateSlowServer(t, 10*ms, 0, 50*ms, 4, 0); got > 2 {
 		t.Errorf("%d in flight to a server that takes four times the work", got)
